--- a/forward/engines_test.go
+++ b/forward/engines_test.go
@@ -75,7 +75,7 @@
 	}, rev(2))
 	f.listEngines(now, f.Table())
 	for _, id := range []member.HostID{"a", "b"} {
-		f.peers.receive(now, Share{From: Peer{ID: id, Zone: "z2"}})
+		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z2"}})
 	}
 	busy := policy.Request{Run: "busy", Route: "/llm/", Prompt: 6000, Objective: 1800 * time.Millisecond, Arrived: now}
 	_, first, _ := f.engines.place(t.Context(), now, "llm", busy)
@@ -95,7 +95,7 @@
 		for _, id := range c.tell {
 			f.engines.adopt(now, id, nil, nil)
 		}
-		f.engines.noteKnown(c.at, f.peers.zones())
+		f.engines.noteKnown(c.at, f.peers.zoneByHost())
 		if got := pool.KnownPart("z2"); got != c.want {
 			t.Errorf("%s: %v of the zone is known, not %v", name, got, c.want)
 		}
@@ -112,8 +112,8 @@
 		f.listEngines(now, f.Table())
 	}
 	tell := func() {
-		s := teller.share(now)
-		hearer.engines.adopt(now, "h9", s.Runs, s.Ended)
+		s := teller.newShare(now)
+		hearer.engines.adopt(now, "h9", s.Runs, s.EndedRuns)
 	}
 	request := policy.Request{Route: "/llm/", Account: "counter", Prompt: 100}
 	mean := func() policy.Tokens { return hearer.engines.pools["llm"].pool.MeanLength(&request) }
--- a/forward/failing.go
+++ b/forward/failing.go
@@ -137,7 +137,7 @@
 		return
 	}
 	s.journal.Belief("upstream fails", "upstream", id, "request", s.call.ID, "why", why, "no_new_work_for", hold)
-	s.peers.notify()
+	s.peers.notifyOwnCell()
 }
 
 // brokeOff notes that an engine broke a stream off in its midst. Where nothing had
--- a/forward/fleetindex.go
+++ b/forward/fleetindex.go
@@ -110,7 +110,7 @@
 	defer f.mu.Unlock()
 	var zones []member.Zone
 	for of, upstreams := range f.index.services[service] {
-		if f.zones[of.Zone].Out || slices.Contains(zones, of.Zone) {
+		if f.zones[of.Zone].OutOfService || slices.Contains(zones, of.Zone) {
 			continue
 		}
 		for _, k := range upstreams {
@@ -152,7 +152,7 @@
 
 func (f *Fleet) standing(now time.Time, k *known) standing {
 	switch {
-	case k.Leaving || k.unusable || f.zones[k.Zone].Out:
+	case k.Leaving || k.unusable || f.zones[k.Zone].OutOfService:
 		return notTaking
 	case k.missing && !f.mayBeRelisted(now, k) || now.Before(k.suspectUntil):
 		return suspect
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -27,7 +27,7 @@
 		time.Sleep(2 * time.Second)
 		for _, f := range s.hosts {
 			is.Equal(f.versionInForce(), Version(1))
-			is.Equal(f.peers.liveInZone(time.Now()), perZone)
+			is.Equal(f.peers.liveHostsInZone(time.Now()), perZone)
 			is.True(f.ContactAge(time.Now()) <= originFresh)
 			is.Equal(len(f.fleet.Takers(time.Now(), "llm")), 2)
 		}
@@ -52,35 +52,35 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(2, 3, false)
-		late := s.hosts["10.2.0.3:1"]
+		joiner := s.hosts["10.2.0.3:1"]
 		ctx, cancel := context.WithCancel(t.Context())
 		for _, f := range s.hosts {
-			if f != late {
+			if f != joiner {
 				s.start(ctx, f)
 			}
 		}
 		time.Sleep(3 * time.Second)
 		reads := s.origin.reads.Load()
-		s.start(ctx, late)
+		s.start(ctx, joiner)
 		time.Sleep(50 * time.Millisecond)
-		is.True(late.Ready())
-		is.Equal(len(late.fleet.Takers(time.Now(), "llm")), 2)
+		is.True(joiner.Ready())
+		is.Equal(len(joiner.fleet.Takers(time.Now(), "llm")), 2)
 		time.Sleep(time.Second)
-		is.Equal(late.peers.liveInZone(time.Now()), 3)
+		is.Equal(joiner.peers.liveHostsInZone(time.Now()), 3)
 		is.Equal(s.origin.reads.Load(), reads)
 		watches := s.origin.watches.Load()
 		s.lose(s.others("10.2.0.3:1")...)
 		time.Sleep(5 * time.Second)
 		is.Equal(s.origin.reads.Load(), reads) // it had all up to a revision
 		is.True(s.origin.watches.Load() > watches)
-		is.True(late.OriginAge(time.Now()) <= originFresh)
+		is.True(joiner.OriginAge(time.Now()) <= originFresh)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestJoinNobody has a host that finds no peer read the origin after a short time.
-func TestJoinNobody(t *testing.T) {
+// TestJoinWithoutPeers has a host that finds no peer read the origin after a short time.
+func TestJoinWithoutPeers(t *testing.T) {
 	for name, c := range map[string]struct {
 		first bool
 		host  string
@@ -141,22 +141,22 @@
 	})
 }
 
-// TestDirectoryMerges has hosts of a zone that don't know of each other each stand in
+// TestDirectoryConnectsSeparateHosts has hosts of a zone that don't know of each other each stand in
 // the directory, by which they come to know.
-func TestDirectoryMerges(t *testing.T) {
+func TestDirectoryConnectsSeparateHosts(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	f := New(Settings{Self: Peer{ID: "h5", Zone: "z1"}}, &fakeTransport{}, silentJournal{}, silentObserver{})
 	is.True(f.peers.firstOfZone(now, listedPerZone)) // as far as it knows
 	for _, id := range []member.HostID{"h1", "h2", "h3"} {
-		f.peers.receive(now, Share{From: Peer{ID: id, Zone: "z1"}})
+		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z1"}})
 	}
-	f.peers.receive(now, Share{From: Peer{ID: "a", Zone: "z2"}})
+	f.peers.recordShare(now, Share{From: Peer{ID: "a", Zone: "z2"}})
 	is.True(!f.peers.firstOfZone(now, listedPerZone))
-	f.peers.receive(now, Share{From: Peer{ID: "h1", Zone: "z1"}, Stopping: true})
-	f.peers.receive(now, Share{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true})
+	f.peers.recordShare(now, Share{From: Peer{ID: "h1", Zone: "z1"}, Stopping: true})
+	f.peers.recordShare(now, Share{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true})
 	is.True(f.peers.firstOfZone(now, listedPerZone))
-	is.True(f.peers.firstOfZone(now.Add(peerSilent+time.Second), listedPerZone)) // they went silent
+	is.True(f.peers.firstOfZone(now.Add(sameCellSilenceTimeout+time.Second), listedPerZone)) // they went silent
 }
 
 // TestGoneHostsAreForgotten has a host that died be forgotten by all: those who knew it
@@ -179,7 +179,7 @@
 		}
 		kill()
 		s.lose("10.1.0.2:1")
-		time.Sleep(2*peerForgotten + 2*time.Second)
+		time.Sleep(2*peerForgetTimeout + 2*time.Second)
 		for _, f := range s.hosts {
 			is.True(!f.peers.isKnown("z1-h02"))
 		}
@@ -193,10 +193,10 @@
 func TestListAfterForgetting(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	var leader, late Fleet
+	var leader, follower Fleet
 	list := []Upstream{up("a", 1, false), up("b", 2, false), up("c", 3, false)}
 	leader.Replace(now, list, rev(3))
-	late.Replace(now, list, rev(3))
+	follower.Replace(now, list, rev(3))
 	leader.Apply(now, []Change{{Upstream: Upstream{ID: "b", Revision: rev(4)}, Gone: true}, {Upstream: up("c", 5, true)}}, rev(5))
 	_, _, whole := leader.Since(rev(3))
 	is.True(!whole) // all is remembered
@@ -205,12 +205,12 @@
 	is.True(!whole)
 	changes, at, whole := leader.Since(rev(3))
 	is.True(whole)
-	late.TakeOver(now, changes, at)
-	is.Equal(takers(&late, now), map[member.UpstreamID]bool{"a": true})
-	is.Equal(late.Missing(), []member.UpstreamID{"b"}) // its entry may just have run out
-	late.Settle(now.Add(listSettles + time.Second))
-	<-late.Leaving("b")
-	is.Equal(late.Revision(), rev(5))
+	follower.TakeOver(now, changes, at)
+	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"a": true})
+	is.Equal(follower.Missing(), []member.UpstreamID{"b"}) // its entry may just have run out
+	follower.Settle(now.Add(listSettles + time.Second))
+	<-follower.Leaving("b")
+	is.Equal(follower.Revision(), rev(5))
 
 	// A host that read the list anew never knew what came and went in between.
 	leader.Replace(now, list[:1], rev(9))
@@ -222,96 +222,96 @@
 	is.True(!whole)
 }
 
-// TestPlacedIsToldAtOnce has the hosts of a zone hear of a new run before any time has
+// TestPlacementIsSharedAtOnce has the hosts of a zone hear of a new run before any time has
 // passed.
-func TestPlacedIsToldAtOnce(t *testing.T) {
+func TestPlacementIsSharedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, 3, true)
 		ctx, cancel := context.WithCancel(t.Context())
 		s.startAll(ctx)
 		time.Sleep(3100 * time.Millisecond)
-		teller, hearer := s.hosts["10.1.0.1:1"], s.hosts["10.1.0.2:1"]
-		teller.listEngines(time.Now(), teller.Table())
-		hearer.listEngines(time.Now(), hearer.Table())
+		sender, receiver := s.hosts["10.1.0.1:1"], s.hosts["10.1.0.2:1"]
+		sender.listEngines(time.Now(), sender.Table())
+		receiver.listEngines(time.Now(), receiver.Table())
 		now := time.Now()
-		u, run, _ := teller.engines.place(ctx, now, "llm", policy.Request{Run: "r", Prompt: 100})
-		teller.tellRuns(u)
+		u, run, _ := sender.engines.place(ctx, now, "llm", policy.Request{Run: "r", Prompt: 100})
+		sender.shareRunChange(u)
 		synctest.Wait()
 		is.Equal(time.Now(), now)
-		is.Equal(hearer.engines.busy(), []member.UpstreamID{run.engine})
+		is.Equal(receiver.engines.busy(), []member.UpstreamID{run.engine})
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestRunsAreToldToTheirZone has the hosts of an engine's zone hear at once of a run that
+// TestRunsAreSharedWithEngineZone has the hosts of an engine's zone hear at once of a run that
 // a host of another zone placed there, and that it has ended.
-func TestRunsAreToldToTheirZone(t *testing.T) {
+func TestRunsAreSharedWithEngineZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(2, 2, true)
-		s.origin.list = []Upstream{upIn("llm1", "z1"), upIn("llm2", "z2")}
+		s.origin.list = []Upstream{upstreamInZone("llm1", "z1"), upstreamInZone("llm2", "z2")}
 		ctx, cancel := context.WithCancel(t.Context())
 		s.startAll(ctx)
 		time.Sleep(3100 * time.Millisecond)
-		teller := s.hosts["10.1.0.1:1"]
+		sender := s.hosts["10.1.0.1:1"]
 		for _, f := range s.hosts {
 			f.listEngines(time.Now(), f.Table())
 		}
-		far, _ := teller.fleet.Upstream("llm2")
-		_, run, _, ok := teller.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlaceGrant{Engine: far.ID})
+		far, _ := sender.fleet.Upstream("llm2")
+		_, run, _, ok := sender.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlaceGrant{Engine: far.ID})
 		is.True(ok)
 		busy := func() bool {
 			return len(s.hosts["10.2.0.1:1"].engines.busy())+len(s.hosts["10.2.0.2:1"].engines.busy()) == 2
 		}
-		teller.tellRuns(far)
+		sender.shareRunChange(far)
 		synctest.Wait()
 		is.True(busy())
-		teller.engines.finish(time.Now(), "llm", run, true)
-		teller.tellRuns(far)
-		time.Sleep(2 * shareSoon)
+		sender.engines.finish(time.Now(), "llm", run, true)
+		sender.shareRunChange(far)
+		time.Sleep(2 * minShareInterval)
 		is.True(!busy())
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestStartsWithOriginAway has a host that starts while the origin is away serve by what its
+// TestStartDuringOriginOutage has a host that starts while the origin is away serve by what its
 // peers know, bound by what they have acknowledged, and claim no proof by that.
-func TestStartsWithOriginAway(t *testing.T) {
+func TestStartDuringOriginOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(2, 3, false)
-		s.origin.list = []Upstream{upIn("llm1", "z1"), upIn("llm2", "z2"), upIn("llm3", "z2")}
-		late := s.hosts["10.2.0.3:1"]
+		s.origin.list = []Upstream{upstreamInZone("llm1", "z1"), upstreamInZone("llm2", "z2"), upstreamInZone("llm3", "z2")}
+		joiner := s.hosts["10.2.0.3:1"]
 		ctx, cancel := context.WithCancel(t.Context())
 		for _, f := range s.hosts {
-			if f != late {
+			if f != joiner {
 				s.start(ctx, f)
 			}
 		}
 		time.Sleep(3 * time.Second)
-		leaving := Change{Upstream: upIn("llm3", "z2")}
+		leaving := Change{Upstream: upstreamInZone("llm3", "z2")}
 		leaving.Leaving, leaving.Revision = true, rev(20)
 		s.origin.publish(leaving)
-		s.origin.order(out("z1", 21))
+		s.origin.order(outOfService("z1", 21))
 		time.Sleep(time.Second)
 		s.origin.lost.Store(true)
 		time.Sleep(10 * time.Second)
-		is.True(!late.Ready()) // it knows nothing
-		s.start(ctx, late)
+		is.True(!joiner.Ready()) // it knows nothing
+		s.start(ctx, joiner)
 		time.Sleep(joinWait + 100*time.Millisecond)
-		is.True(late.Ready())
-		is.Equal(late.versionInForce(), Version(1))
-		is.Equal(takers(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
-		is.True(late.OriginAge(time.Now()) > originFresh)
-		is.True(!late.listKnown(time.Now()))
+		is.True(joiner.Ready())
+		is.Equal(joiner.versionInForce(), Version(1))
+		is.Equal(takers(joiner.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
+		is.True(joiner.OriginAge(time.Now()) > originFresh)
+		is.True(!joiner.listKnown(time.Now()))
 		s.origin.lost.Store(false)
-		s.origin.order(back("z1", 22))
+		s.origin.order(backInService("z1", 22))
 		time.Sleep(6 * time.Second)
-		is.Equal(takers(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
-		is.True(late.OriginAge(time.Now()) <= originFresh)
+		is.Equal(takers(joiner.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
+		is.True(joiner.OriginAge(time.Now()) <= originFresh)
 		cancel()
 		synctest.Wait()
 	})
--- a/forward/lives_test.go
+++ b/forward/lives_test.go
@@ -37,7 +37,7 @@
 	hear := func(s Share) step {
 		return func(f *Forwarder, _ time.Time) {
 			s.From = Peer{ID: "h2", Zone: "z1"}
-			f.receive(s)
+			f.receiveShare(s)
 		}
 	}
 	leaving := func(life Life) step {
