--- a/forward/clockjump_test.go
+++ b/forward/clockjump_test.go
@@ -11,30 +11,29 @@
 	"github.com/matryer/is"
 )
 
-// withClockJump returns a moment as a host sees it whose time of day has withClockJump: the steady
-// clock's reading in it stays as it was.
+// withClockJump returns a time as a host sees it whose wall clock has jumped. The monotonic reading
+// stays as it was.
 func withClockJump(at time.Time, by time.Duration) time.Time {
-	// A time.Time that has a steady reading holds its seconds of the day from bit 30
-	// of its first word on.
+	// A time.Time with a monotonic reading holds its wall seconds from bit 30 of its first word on.
 	const secondsFrom = 30
 	wall := (*uint64)(unsafe.Pointer(&at))
 	*wall += uint64(int64(by/time.Second) << secondsFrom)
 	return at
 }
 
-// TestWithClockJump holds the helper to what it says.
+// TestWithClockJump checks that withClockJump moves the wall clock and not the monotonic clock.
 func TestWithClockJump(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
 		is := is.New(t)
 		at := time.Now()
-		is.Equal(withClockJump(at, by).Sub(at), time.Duration(0))               // the steady clock didn't move
-		is.Equal(withClockJump(at, by).Unix()-at.Unix(), int64(by/time.Second)) // the time of day did
+		is.Equal(withClockJump(at, by).Sub(at), time.Duration(0))               // the monotonic clock didn't move
+		is.Equal(withClockJump(at, by).Unix()-at.Unix(), int64(by/time.Second)) // the wall clock did
 	}
 }
 
-// TestProofsAcrossClockJump has each proof of a host age by the steady clock when the
-// time of day goes an hour ahead, back again and behind: a host that is cut off then
-// knows that it is.
+// TestProofsAcrossClockJump checks that each proof of a host ages by the monotonic clock when the wall
+// clock jumps an hour ahead or back and returns. Otherwise a host that is cut off after the jump takes
+// its proofs for fresh.
 func TestProofsAcrossClockJump(t *testing.T) {
 	const bound, later = 3 * time.Second, 30 * time.Second
 	proofs := map[string]struct {
@@ -74,8 +73,8 @@
 	}
 }
 
-// TestCutOffAfterClockJump has a host that is cut off after a jump refuse what it
-// can't prove, as it would without.
+// TestCutOffAfterClockJump checks that a host that is cut off after a clock jump doesn't claim what it
+// can't prove, as without a jump.
 func TestCutOffAfterClockJump(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
@@ -84,12 +83,12 @@
 	f.ContactProved(start)
 	cutOffRequest := &exchange{Forwarder: f, call: call("/nowhere/")}
 	refusal := cutOffRequest.unknown(start.Add(10*time.Second), CodeNoRoute)
-	is.Equal(refusal.Code, CodeNotReady) // and not that there is no such route
+	is.Equal(refusal.Code, CodeNotReady) // not CodeNoRoute: the host can't prove that the route doesn't exist
 	is.True(!f.listKnown(start.Add(10 * time.Second)))
 }
 
-// TestRetryBudgetAcrossClockJump has the window of repeats go on sliding when the time
-// of day jumps: what was spent stays spent, and comes back when the window is over.
+// TestRetryBudgetAcrossClockJump checks that the retry window goes on sliding when the wall clock
+// jumps: what was spent stays spent, and becomes available again when the window is over.
 func TestRetryBudgetAcrossClockJump(t *testing.T) {
 	for name, jump := range map[string]time.Duration{"ahead": time.Hour, "back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -107,15 +106,15 @@
 			}
 			all := spend(start)
 			is.True(all > 0)
-			is.Equal(spend(withClockJump(start.Add(2*time.Second), jump)), 0) // the window isn't over
+			is.Equal(spend(withClockJump(start.Add(2*time.Second), jump)), 0) // the window isn't over yet
 			is.Equal(spend(start.Add(4*time.Second)), 0)
-			is.Equal(spend(withClockJump(start.Add(12*time.Second), jump)), all) // now it is
+			is.Equal(spend(withClockJump(start.Add(12*time.Second), jump)), all) // the window is over
 			is.Equal(spend(start.Add(24*time.Second)), all)
 		})
 	}
 }
 
-// TestNegativeProofAge has a peer that tells proofs from the future not be relied on.
+// TestNegativeProofAge checks that a host doesn't rely on a peer that reports proofs of a negative age.
 func TestNegativeProofAge(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -15,8 +15,8 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// TestSiteStart has hosts that start together read the origin few times, know all of
-// their zone within two seconds, and few of them stand in the directory.
+// TestSiteStart checks that hosts that start together read the origin only a few times and know all
+// hosts of their zone within two seconds, and that only a few of them enter the directory.
 func TestSiteStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -31,7 +31,7 @@
 			is.True(f.ContactAge(time.Now()) <= originFresh)
 			is.Equal(len(f.fleet.Takers(time.Now(), "llm")), 2)
 		}
-		is.True(s.origin.reads.Load() <= 6) // the three that others join, and who found these too late
+		is.True(s.origin.reads.Load() <= 6) // the three seed hosts, and those that found them too late
 		time.Sleep(10 * time.Second)
 		listed := 0
 		for _, entries := range s.entries {
@@ -40,14 +40,14 @@
 			}
 		}
 		is.Equal(listed, zones*listedPerZone)
-		is.True(s.origin.watches.Load() < zones*perZone) // one host watches, a second at a time, once all know each other
+		is.True(s.origin.watches.Load() < zones*perZone) // only one host watches, one second per watch, once all hosts know each other
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestJoin has a host that starts in a running site take everything over from a peer,
-// without a call to the origin, and watch from there when its peers are gone.
+// TestJoin checks that a host that starts in a running site takes over all state from a peer without a
+// call to the origin, and watches the origin from that revision on when its peers are gone.
 func TestJoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -71,7 +71,7 @@
 		watches := s.origin.watches.Load()
 		s.lose(s.others("10.2.0.3:1")...)
 		time.Sleep(5 * time.Second)
-		is.Equal(s.origin.reads.Load(), reads) // it had all up to a revision
+		is.Equal(s.origin.reads.Load(), reads) // the host has everything up to a revision, so it only watches
 		is.True(s.origin.watches.Load() > watches)
 		is.True(joiner.OriginAge(time.Now()) <= originFresh)
 		cancel()
@@ -79,7 +79,7 @@
 	})
 }
 
-// TestJoinWithoutPeers has a host that finds no peer read the origin after a short time.
+// TestJoinWithoutPeers checks that a host that finds no peer reads the origin after a short wait.
 func TestJoinWithoutPeers(t *testing.T) {
 	for name, c := range map[string]struct {
 		first bool
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestOutageEnds has hosts that lost the origin with everybody else be told by one that
-// has it again what they missed: they don't all read it.
+// TestOutageEnds checks that hosts that all lost the origin receive what they missed from one that
+// has it again, instead of all reading it.
 func TestOutageEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,14 +124,15 @@
 		s.origin.lost.Store(true)
 		time.Sleep(8 * time.Second)
 		s.origin.lost.Store(false)
-		// Who was about to ask asks; the others are told within half a second.
+		// Hosts that are about to retry read the origin; the others receive the result from them
+		// within half a second.
 		time.Sleep(3 * time.Second)
 		reads := s.origin.reads.Load()
 		time.Sleep(6 * time.Second)
 		is.Equal(s.origin.reads.Load(), reads)
 		for _, f := range s.hosts {
 			if !f.listKnown(time.Now()) {
-				t.Log(f.peers.self, f.OriginAge(time.Now()), f.followed.age(time.Now()), f.ContactAge(time.Now()))
+				t.Log("list not known at host", f.peers.self, "origin age", f.OriginAge(time.Now()), "last followed", f.followed.age(time.Now()), "contact age", f.ContactAge(time.Now()))
 			}
 			is.True(f.listKnown(time.Now()))
 			is.True(f.ContactAge(time.Now()) <= originFresh+time.Second)
@@ -141,13 +142,13 @@
 	})
 }
 
-// TestDirectoryConnectsSeparateHosts has hosts of a zone that don't know of each other each stand in
-// the directory, by which they come to know.
+// TestDirectoryConnectsSeparateHosts checks that hosts of a zone that don't know each other each enter
+// the directory, through which they learn of each other.
 func TestDirectoryConnectsSeparateHosts(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	f := New(Settings{Self: Peer{ID: "h5", Zone: "z1"}}, &fakeTransport{}, silentJournal{}, silentObserver{})
-	is.True(f.peers.firstOfZone(now, listedPerZone)) // as far as it knows
+	is.True(f.peers.firstOfZone(now, listedPerZone)) // it knows no other host
 	for _, id := range []member.HostID{"h1", "h2", "h3"} {
 		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z1"}})
 	}
@@ -156,11 +157,11 @@
 	f.peers.recordShare(now, Share{From: Peer{ID: "h1", Zone: "z1"}, Stopping: true})
 	f.peers.recordShare(now, Share{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true})
 	is.True(f.peers.firstOfZone(now, listedPerZone))
-	is.True(f.peers.firstOfZone(now.Add(sameCellSilenceTimeout+time.Second), listedPerZone)) // they went silent
+	is.True(f.peers.firstOfZone(now.Add(sameCellSilenceTimeout+time.Second), listedPerZone)) // the others went silent
 }
 
-// TestGoneHostsAreForgotten has a host that died be forgotten by all: those who knew it
-// don't tell each other of it in a circle.
+// TestGoneHostsAreForgotten checks that all hosts forget a host that died. It guards against hosts that
+// keep a dead host known by announcing it to each other in a circle.
 func TestGoneHostsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -188,8 +189,8 @@
 	})
 }
 
-// TestListAfterForgetting has a host that was cut off for long be told the whole list
-// by one that doesn't remember all that was dropped meanwhile.
+// TestListAfterForgetting checks that a host that was cut off for long gets the whole list from a peer
+// that no longer remembers everything that was dropped in the meantime.
 func TestListAfterForgetting(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -199,7 +200,7 @@
 	follower.Replace(now, list, rev(3))
 	leader.Apply(now, []Change{{Upstream: Upstream{ID: "b", Revision: rev(4)}, Gone: true}, {Upstream: up("c", 5, true)}}, rev(5))
 	_, _, whole := leader.Since(rev(3))
-	is.True(!whole) // all is remembered
+	is.True(!whole) // the leader still remembers what was dropped
 	leader.Settle(now.Add(forgetGone + time.Second))
 	_, _, whole = leader.Since(rev(4))
 	is.True(!whole)
@@ -207,12 +208,12 @@
 	is.True(whole)
 	follower.TakeOver(now, changes, at)
 	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"a": true})
-	is.Equal(follower.Missing(), []member.UpstreamID{"b"}) // its entry may just have run out
+	is.Equal(follower.Missing(), []member.UpstreamID{"b"}) // the entry of b may only have expired during an outage
 	follower.Settle(now.Add(listSettles + time.Second))
 	<-follower.Leaving("b")
 	is.Equal(follower.Revision(), rev(5))
 
-	// A host that read the list anew never knew what came and went in between.
+	// The leader read the whole list again, and never knew what came and went in between.
 	leader.Replace(now, list[:1], rev(9))
 	_, _, whole = leader.Since(rev(7))
 	is.True(whole)
@@ -222,8 +223,7 @@
 	is.True(!whole)
 }
 
-// TestPlacementIsSharedAtOnce has the hosts of a zone hear of a new run before any time has
-// passed.
+// TestPlacementIsSharedAtOnce checks that the hosts of a zone learn of a new run without any delay.
 func TestPlacementIsSharedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -245,8 +245,8 @@
 	})
 }
 
-// TestRunsAreSharedWithEngineZone has the hosts of an engine's zone hear at once of a run that
-// a host of another zone placed there, and that it has ended.
+// TestRunsAreSharedWithEngineZone checks that the hosts of an engine's zone learn at once that a host of
+// another zone has placed a run there, and that the run has ended.
 func TestRunsAreSharedWithEngineZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -277,8 +277,9 @@
 	})
 }
 
-// TestStartDuringOriginOutage has a host that starts while the origin is away serve by what its
-// peers know, bound by what they have acknowledged, and claim no proof by that.
+// TestStartDuringOriginOutage checks that a host that starts during an outage of the origin serves by
+// the state of its peers, keeps to what they have acknowledged, and doesn't take that state for a proof
+// by the origin.
 func TestStartDuringOriginOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -317,8 +318,8 @@
 	})
 }
 
-// TestNotReadyWithoutUpstreams has a host that knows no upstream say that it isn't ready,
-// and that it is as soon as it knows one.
+// TestNotReadyWithoutUpstreams checks that a host isn't ready while it knows no upstream, and is ready
+// as soon as it knows one.
 func TestNotReadyWithoutUpstreams(t *testing.T) {
 	is := is.New(t)
 	f := New(Settings{}, &fakeTransport{}, silentJournal{}, silentObserver{})
--- a/forward/neighbours.go
+++ b/forward/neighbours.go
@@ -14,28 +14,34 @@
 	"github.com/shedpath/shedpath/roster"
 )
 
-// Which of all hosts this one keeps in touch with. In a site of undivided zones that is every
-// host. Else it is the hosts of its cell, one host of each other cell, and those that it follows:
-// the hosts of a zone form a tree, in which each follows an earlier one.
+// This file selects the neighbours of a host: the hosts with which it exchanges shares.
+//
+// Where no zone is divided into cells, every host is a neighbour. Otherwise the neighbours are:
+//   - the hosts of its own cell,
+//   - one host of each other cell,
+//   - its ancestors in the tree of its zone, in which each host follows its parent,
+//   - for the hosts at the top of that tree, the hosts at the top of every other zone's tree.
 
 const (
-	// maxFollowers is how many hosts follow one, where a zone is divided.
+	// maxFollowers is how many hosts follow the same host where zones are divided: the number of
+	// children of a node in a zone's tree.
 	maxFollowers = 8
-	// maxAncestors is how many of those before it in the tree a host keeps in touch with.
+	// maxAncestors is how many of its ancestors in the tree a host has as neighbours.
 	maxAncestors = 3
-	// rootsPerZone is how many hosts at the top of a zone's tree keep in touch with as many of each
-	// other zone's.
+	// rootsPerZone is how many hosts at the top of a zone's tree have the same number of hosts at
+	// the top of each other zone's tree as neighbours.
 	rootsPerZone = 2
-	// silentRetryInterval is how long after it was forgotten for its silence a host is tried again that is
-	// still announced.
+	// silentRetryInterval is how long after it was forgotten a silent neighbour is tried again, if
+	// it is still in the roster.
 	silentRetryInterval = 2 * peerForgetTimeout
-	// busyRetryDelay is the mean time after which a host that gives its list to others is asked again.
+	// busyRetryDelay is the mean time after which this host asks a peer for its list again that was
+	// busy sending it to others.
 	busyRetryDelay = 200 * time.Millisecond
 	// maxAnnouncementsPerMessage bounds the announcements of hosts in one message.
 	maxAnnouncementsPerMessage = 400
 )
 
-// add has a host be known. The mutex is held.
+// add adds a host to the known peers. The mutex is held.
 func (p *peerSet) add(host Peer) *peerState {
 	s := &peerState{Peer: host, cell: p.layout.OfHost(host)}
 	s.sameCell = s.cell == p.ownCell
@@ -43,8 +49,8 @@
 	return s
 }
 
-// refreshRoster has this host be announced anew when that is due, and forgets hosts that aren't any
-// more.
+// refreshRoster renews this host's announcement when that is due, removes hosts from the roster
+// whose announcements have expired, and updates the neighbours.
 func (p *peerSet) refreshRoster(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +60,7 @@
 	p.trackNeighbours(now)
 }
 
-// updateLayout works out the cells and the neighbours anew when hosts have come or gone. The mutex is
+// updateLayout recomputes the cells and the neighbours after the roster has changed. The mutex is
 // held.
 func (p *peerSet) updateLayout() {
 	if p.layoutRosterVersion == p.roster.Changed() {
@@ -119,8 +125,9 @@
 	delete(p.neighbours, p.self.ID)
 }
 
-// trackNeighbours has the neighbours be known. One that was silent for long is tried again now and
-// then. The mutex is held.
+// trackNeighbours picks another neighbour in each other cell that has no available one, and adds
+// all neighbours to the known peers. A neighbour that was forgotten is added again after
+// silentRetryInterval. The mutex is held.
 func (p *peerSet) trackNeighbours(now time.Time) {
 	unavailable := p.unavailable(now)
 	for id, cellHosts := range p.otherCells {
@@ -145,13 +152,14 @@
 	}
 }
 
-// compareTreeOrder orders the hosts of a zone: those that can carry more are followed by others.
+// compareTreeOrder orders the hosts of a zone's tree: hosts of higher capacity come first, so that
+// others follow them; hosts of equal capacity are in the order of their IDs.
 func compareTreeOrder(a, b Peer) int {
 	return cmp.Or(-cmp.Compare(a.Capacity, b.Capacity), cmp.Compare(a.ID, b.ID))
 }
 
-// ancestors are the hosts before this one in its zone's tree, the one that it follows first, but
-// for those that won't do. The mutex is held.
+// ancestors returns up to maxAncestors hosts above this one in its zone's tree, its parent first.
+// The tree is built without the excluded hosts. The mutex is held.
 func (p *peerSet) ancestors(excluded func(Peer) bool) []Peer {
 	order := p.zoneTree
 	if excluded != nil {
@@ -166,8 +174,9 @@
 	return ancestors
 }
 
-// unavailable reports whether a host was tried and isn't there, as far as this one knows. The mutex is
-// held.
+// unavailable returns a function that reports whether a host is known to be silent or stopping, or
+// was recently forgotten for its silence. A host that was never tried counts as available. The
+// mutex is held, also while the function is called.
 func (p *peerSet) unavailable(now time.Time) func(Peer) bool {
 	return func(h Peer) bool {
 		s := p.known[h.ID]
@@ -175,7 +184,8 @@
 	}
 }
 
-// treeLeader is the nearest of those before this host in its zone's tree whose list is fresh.
+// treeLeader returns the nearest available ancestor in the zone's tree whose list is fresh. The
+// mutex is held.
 func (p *peerSet) treeLeader(now time.Time) (Peer, bool) {
 	for _, h := range p.ancestors(p.unavailable(now)) {
 		s := p.known[h.ID]
@@ -190,7 +200,8 @@
 	return Peer{}, false
 }
 
-// inOtherCell reports whether a host is of another cell of a site whose zones are divided.
+// inOtherCell reports whether a host is known, zones are divided, and the host belongs to another
+// cell.
 func (p *peerSet) inOtherCell(id member.HostID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,7 +209,8 @@
 	return p.layout.Divided() && s != nil && !s.sameCell
 }
 
-// inSameCell reports whether a host is of this one's cell, of a site whose zones are divided.
+// inSameCell reports whether a host is known, zones are divided, and the host belongs to this
+// host's cell.
 func (p *peerSet) inSameCell(id member.HostID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,15 +218,15 @@
 	return p.layout.Divided() && s != nil && s.sameCell
 }
 
-// zonesDivided reports whether this host's zone has more than one cell.
+// zonesDivided reports whether any zone has more than one cell.
 func (p *peerSet) zonesDivided() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.layout.Divided()
 }
 
-// treePosition is this host's treePosition among those of its zone's tree that live, as far as it knows; false
-// where the zone isn't divided.
+// treePosition returns how many available hosts come before this one in its zone's tree. It
+// returns false where no zone is divided.
 func (p *peerSet) treePosition(now time.Time) (int, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -233,7 +245,7 @@
 	return at, true
 }
 
-// receiveAnnouncements takes in what a peer passes on of hosts.
+// receiveAnnouncements records announcements of hosts that a peer forwards.
 func (p *peerSet) receiveAnnouncements(now time.Time, from member.HostID, announcements []roster.Announcement) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -244,8 +256,8 @@
 	p.trackNeighbours(now)
 }
 
-// announcementsForLeader are those that a host which is followed isn't known to have, and up to where
-// they go.
+// announcementsForLeader returns the announcements that a followed host may not have yet, and the
+// roster position up to which they go, for recordAnnouncedUpTo.
 func (p *peerSet) announcementsForLeader(now time.Time, to member.HostID) ([]roster.Announcement, uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -256,7 +268,8 @@
 	return p.roster.Since(now, s.announcedUpTo, to, maxAnnouncementsPerMessage)
 }
 
-// recordAnnouncedUpTo takes in that a host which is followed was told of hosts.
+// recordAnnouncedUpTo records up to which roster position a followed host has received
+// announcements.
 func (p *peerSet) recordAnnouncedUpTo(to member.HostID, upTo uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -265,7 +278,9 @@
 	}
 }
 
-// announcementsForFollower are those for a host that follows this one, since an earlier answer.
+// announcementsForFollower returns the announcements for a host that follows this one since an
+// earlier reply, which had the cursor, and the cursor for the next reply. The cursor of an earlier
+// process of this host starts from the beginning.
 func (p *peerSet) announcementsForFollower(now time.Time, to member.HostID, cursor HostCursor) ([]roster.Announcement, HostCursor) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -276,7 +291,8 @@
 	return announcements, HostCursor{Epoch: p.epoch, Found: upTo}
 }
 
-// announcementsForJoiner are those for a host that has just started, a part in each call.
+// announcementsForJoiner returns announcements for a host that has just started: the next batch
+// with each call.
 func (p *peerSet) announcementsForJoiner(now time.Time, to member.HostID) []roster.Announcement {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -289,7 +305,8 @@
 	return announcements
 }
 
-// firstAvailable is the first host of the first zone's tree that isn't known to be away. The mutex is held.
+// firstAvailable returns the first available host of the first zone's tree that isn't stopping, or
+// this host if there is none. The mutex is held.
 func (p *peerSet) firstAvailable(now time.Time) Peer {
 	unavailable := p.unavailable(now)
 	for _, h := range p.firstZoneTree {
@@ -300,11 +317,12 @@
 	return p.self
 }
 
-// unreachableCooldown is how long a host that a call didn't reach isn't called again that no other call
-// goes to.
+// unreachableCooldown is how long firstAvailable passes over a host after a call to it failed. It
+// is for hosts to which this one makes no other calls, so that nothing else shows that they are
+// back.
 const unreachableCooldown = 5 * time.Second
 
-// markUnreachable takes in that a call to a host failed.
+// markUnreachable records that a call to a host failed.
 func (p *peerSet) markUnreachable(now time.Time, id member.HostID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -319,8 +337,8 @@
 	}
 }
 
-// expectsListFromAncestor reports whether a host before this one in its zone's tree lives, from which it will
-// have the list.
+// expectsListFromAncestor reports whether an ancestor in the zone's tree is live and has been in
+// contact, so that this host can wait for the list of upstreams from it.
 func (p *peerSet) expectsListFromAncestor(now time.Time) bool {
 	if position, divided := p.treePosition(now); !divided || position == 0 {
 		return false
@@ -335,7 +353,8 @@
 	return false
 }
 
-// noPeerHasList reports whether other hosts were heard, and none of them has a list yet.
+// noPeerHasList reports whether other hosts have been in contact, and none of them has a list of
+// upstreams yet.
 func (p *peerSet) noPeerHasList() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -349,17 +368,18 @@
 	return anyFound
 }
 
-// largeSiteHosts is how many hosts a site has whose list takes long to be passed on.
+// largeSiteHosts is the number of hosts above which the list of upstreams takes long to propagate.
 const largeSiteHosts = 200
 
-// isLargeSite reports whether the site is known to have many hosts.
+// isLargeSite reports whether the roster has more than largeSiteHosts hosts.
 func (p *peerSet) isLargeSite() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.Len() > largeSiteHosts
 }
 
-// markBusy has a host that gives its list to others not be asked for it for a while.
+// markBusy keeps this host from asking a peer for its list for a while, as the peer is busy sending
+// it to others. The delay is drawn, so that waiting hosts don't ask at the same time.
 func (p *peerSet) markBusy(now time.Time, id member.HostID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -368,29 +388,30 @@
 	}
 }
 
-// ownAnnouncement is this host's own announcement.
+// ownAnnouncement returns the number of this host's last announcement and how long ago it was made;
+// zeros before the first.
 func (p *peerSet) ownAnnouncement(now time.Time) (count uint64, ago time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.roster.Own(now)
 }
 
-// upstreamCell is the cell whose hosts decide about an upstream.
+// upstreamCell returns the cell whose hosts decide about an upstream.
 func (p *peerSet) upstreamCell(u Upstream) cell.ID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.layout.OfUpstream(u.ID, u.Zone)
 }
 
-// cellLayout is how the zones are divided, and this host's cell.
+// cellLayout returns how the zones are divided, and this host's cell.
 func (p *peerSet) cellLayout() (cell.Layout, cell.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.layout, p.ownCell
 }
 
-// cellHostCounts is how many hosts of this one's cell are heard, and how many there are; both with this
-// one.
+// cellHostCounts returns how many hosts of this host's cell are live and how many are known, both
+// including this one.
 func (p *peerSet) cellHostCounts(now time.Time) (live, known int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/forward/peerdiscovery.go
+++ b/forward/peerdiscovery.go
@@ -9,14 +9,14 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// How hosts come to know of each other: by the directory, and by those that they follow.
+// Hosts learn of each other from the directory and from the hosts that they follow.
 
-// maxPeersFromDirectory is how many hosts are known at which none is taken from the directory any more: who
-// knows so many learns of others by them.
+// maxPeersFromDirectory is the number of known peers from which on no host is added from the
+// directory: a host with that many peers learns of the others from them.
 const maxPeersFromDirectory = 100
 
-// addFromDirectory takes in what the directory told of: hosts that were not known are
-// tried.
+// addFromDirectory adds the hosts of the directory that aren't known yet to the known peers, so
+// that they are tried.
 func (p *peerSet) addFromDirectory(now time.Time, hosts []Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,14 +28,15 @@
 	}
 }
 
-// anyPeerFound reports whether another host was ever heard.
+// anyPeerFound reports whether any other host has ever been in contact.
 func (p *peerSet) anyPeerFound() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.foundCount > 0
 }
 
-// rosterCursor is up to where this host has a peer's peers.
+// rosterCursor returns the cursor up to which this host has received a peer's announcements; zero
+// if the peer isn't known.
 func (p *peerSet) rosterCursor(id member.HostID) HostCursor {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +46,7 @@
 	return HostCursor{}
 }
 
-// setRosterCursor takes in up to where a peer has passed on what it knows of hosts.
+// setRosterCursor records the cursor up to which a peer has sent its announcements.
 func (p *peerSet) setRosterCursor(id member.HostID, c HostCursor) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,7 +55,7 @@
 	}
 }
 
-// recordFollowReply takes in what a peer that is recordFollowReply replied.
+// recordFollowReply records the state of a followed peer as of its reply.
 func (p *peerSet) recordFollowReply(now time.Time, id member.HostID, r FollowReply) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -21,102 +21,104 @@
 // Peer is another entry host.
 type Peer = member.Entry
 
-// Share is what a host tells its peers of itself.
+// Share is the state that a host reports to its peers, periodically and after changes.
 type Share struct {
 	From Peer
-	// AnnouncementCount counts the host's announcements, and AnnouncedAgo is how long ago it made the
-	// last; zero before the first.
+	// AnnouncementCount counts the host's announcements, and AnnouncementAge is how long ago the
+	// last one was made; both are zero before the first.
 	AnnouncementCount uint64
 	AnnouncementAge   time.Duration
-	// Version is the configuration in force, and ConfigAge how long ago it was
+	// Version is the configuration in force, and ConfigAge is how long ago it was
 	// proved to be the newest.
 	Version   Version
 	ConfigAge time.Duration
-	// OriginAge is how long ago the origin proved that the host is up to date,
-	// to it or to the host that it follows.
+	// OriginAge is how long ago the origin proved that the host is up to date, either directly
+	// or to the host that it follows.
 	OriginAge time.Duration
 	Stopping  bool
-	// Runs are all generations of the host.
+	// Runs are all generations in progress on the host.
 	Runs []RunState
-	// EndedRuns are those of its runs that ended by themselves lately.
+	// EndedRuns are the runs of the host whose answers recently ended by themselves.
 	EndedRuns []EndedRun
-	// Leaving are the host's own observations of engines that leave.
+	// Leaving are the host's own observations of upstreams that leave.
 	Leaving []LeavingMark
-	// Failing are its findings of upstreams that lose requests.
+	// Failing are the upstreams that lose requests, as the host itself found.
 	Failing []FailingMark
-	// Cold are the upstreams that it knows to be cold.
+	// Cold are the upstreams that the host knows to be cold.
 	Cold []ColdMark
-	// List is up to where it knows the list of upstreams.
+	// List is the point up to which the host knows the list of upstreams.
 	List history.Point
-	// Zones are the orders about zones that it knows.
+	// Zones are the orders about zones that the host knows.
 	Zones []ZoneOrder
-	// Epoch tells this process of the host from an earlier one, which knew other things.
+	// Epoch identifies the host's process. After a restart the new process has none of the state
+	// of the earlier one.
 	Epoch uint64
-	// Crashes are requests under which upstreams ended, as far as the peer may not know.
+	// Crashes are the requests during which upstreams crashed, those that the peer may not have.
 	Crashes []quarantine.Mark
-	// Limits are the newest words of the limits that upstreams name.
+	// Limits are the newest rate limits that upstreams have given.
 	Limits []ratelimit.Mark
-	// Backoffs are the upstreams that want nothing from the host for a while.
+	// Backoffs are the upstreams that have asked the host to send nothing for a while.
 	Backoffs []backoff.Mark
-	// Announcements are hosts, in reply to one that has just started.
+	// Announcements are announcements of hosts. Only the reply to a host that has just started has
+	// any.
 	Announcements []roster.Announcement
 }
 
 // Peers is the interface to the other hosts.
 type Peers interface {
-	// Share tells a peer about this host and returns the same of the peer, with its runs where both
-	// are of one cell of a divided site.
+	// Share sends this host's state to a peer and returns the peer's. The reply has the peer's runs
+	// where zones are divided and both hosts are in the same cell.
 	Share(ctx context.Context, to Peer, s Share) (Share, error)
+	// Follow asks a peer for what is newer than what this host has.
 	Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error)
-	// Config asks a peer for its configuration, if that is newer than a version.
+	// Config asks a peer for its configuration, if that is newer than the version given.
 	Config(ctx context.Context, to Peer, have Version) (ConfigReply, error)
-	// Ask asks a peer for a place on one of its zone's engines.
+	// Ask asks a peer to place a run on one of the engines of its zone.
 	Ask(ctx context.Context, to Peer, a PlaceAsk) (PlaceGrant, error)
-	// Permit asks a peer for leave to send to an upstream.
+	// Permit asks a peer for permission to send to an upstream.
 	Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error)
-	// Rollout tells the peer that decides about a rollout what was seen of it, and returns how far
-	// it is there.
+	// Rollout reports what this host observed of a rollout to the peer that decides about it, and
+	// returns the rollout's status there.
 	Rollout(ctx context.Context, to Peer, r rollout.Report) (rollout.Status, error)
-	// Turn waits at an arbiter for the turn to move a run; EndTurn gives it
-	// back.
+	// Turn waits at an arbiter for the turn to move a run; EndTurn returns it.
 	Turn(ctx context.Context, to Peer, r TurnRequest) error
 	EndTurn(ctx context.Context, to Peer, r TurnRequest) error
 }
 
-// Timing of what hosts tell each other.
+// Timing of the exchange between hosts. An undivided zone is one cell.
 const (
-	// shareInterval is the period of shares to each peer; a new run is told at
-	// once, to the peers of the own zone.
+	// shareInterval is the period of shares to the peers of the own cell. Changes of runs are
+	// shared at once.
 	shareInterval = 500 * time.Millisecond
-	// startupDuration is how long after its start a host looks for its peers more
-	// often.
+	// startupDuration is how long after its start a host looks for peers at shorter intervals.
 	startupDuration = time.Second
 	// shareTimeout bounds one share.
 	shareTimeout = 700 * time.Millisecond
-	// minShareInterval is the least time between two shares: the changes of a moment go into
-	// one, but the first is told at once, for until then other hosts may place runs on
-	// the same engine.
+	// minShareInterval is the least time between two rounds of shares. Changes in quick
+	// succession go into one round, but the first change is sent at once: until peers have
+	// received it, they may place runs on the same engine.
 	minShareInterval = 3 * time.Millisecond
-	// otherCellSharesPerInterval is how many peers of other zones are told in each period, one
-	// after another: bytes between zones have a price.
+	// otherCellSharesPerInterval is how many peers of other cells get a share in each interval,
+	// in rotation, as traffic between zones is billed. Where zones are divided it is the least
+	// number.
 	otherCellSharesPerInterval = 3
-	// sameCellSilenceTimeout is how long after its last word a peer of the own zone counts
-	// as gone, and farSilent the same for one of another zone.
+	// sameCellSilenceTimeout is how long after its last message a peer of the own cell still
+	// counts as live; otherCellSilenceTimeout is the same for a peer of another cell.
 	sameCellSilenceTimeout  = 1600 * time.Millisecond
 	otherCellSilenceTimeout = 15 * time.Second
-	// peerForgetTimeout is how long a silent peer is still tried, and its runs are
-	// still counted on their engines.
+	// peerForgetTimeout is how long a silent peer is still tried and its runs still count on their
+	// engines.
 	peerForgetTimeout = 20 * time.Second
 )
 
-// shareRunChange tells the peers of the own zone and of the engine's at once that a run was
-// placed there, has ended or was taken off: the hosts of an engine's zone decide about it,
-// for all, and a run that has ended and still counts keeps another away. While such runs
-// were told of within 7 s, hosts took each engine to have 1.4 runs more than its 5.5, and
-// on a quiet day 129 requests of 2,479 were refused for want of room.
+// shareRunChange shares at once that a run was placed on an engine, has ended there or was moved
+// off, with the peers of the own cell and of the engine's cell. The hosts of an engine's cell decide
+// about it for all hosts, and an ended run that still counts takes the place of another. With
+// a delay of up to 7 s hosts overestimate the load of the engines and refuse requests for lack of
+// room, even at low traffic.
 func (f *Forwarder) shareRunChange(u Upstream) { f.peers.notifyCell(f.peers.upstreamCell(u)) }
 
-// RunPeers tells the peers about this host until the context ends.
+// RunPeers exchanges shares with the peers until the context ends.
 func (f *Forwarder) RunPeers(ctx context.Context, peers Peers) {
 	f.peers.mu.Lock()
 	f.peerPort = peers
@@ -160,10 +162,10 @@
 	}
 }
 
-// updateRetryBudgetHosts has the hosts share the slack of the retry budget that were known lately,
-// heard or not: one that hears nobody is behind a cut more often than alone, and has an even
-// part still. A host that has just started and knows nobody has none until it has looked for
-// others.
+// updateRetryBudgetHosts sets the number of hosts that share the slack of the retry budget: all
+// hosts that were known recently, live or not. A host that reaches no peer is more often cut off
+// by a network partition than alone, and still gets only an even part. A host that has just started
+// and knows no peer gets no part until it has looked for others.
 func (f *Forwarder) updateRetryBudgetHosts(now time.Time, sinceStart time.Duration) {
 	hosts := f.peers.recentMaxHosts(now)
 	if hosts == 1 && sinceStart < startupDuration {
@@ -172,8 +174,8 @@
 	f.retries.setHosts(hosts)
 }
 
-// nextShareInterval is the time to the next share: short at first, for a host that
-// knows no peer watches the origin itself.
+// nextShareInterval returns the time until the next periodic share. It is shorter at first, as a
+// host that knows no peer watches the origin itself.
 func nextShareInterval(sinceStart time.Duration) time.Duration {
 	if sinceStart < startupDuration {
 		return shareInterval / 4
@@ -181,7 +183,7 @@
 	return shareInterval
 }
 
-// shareWithSeeds tries the addresses that the settings name while no peer is known.
+// shareWithSeeds sends shares to the seed addresses of the settings while no peer is known.
 func (f *Forwarder) shareWithSeeds(ctx context.Context, pending *sync.WaitGroup, peers Peers, share Share) {
 	f.peers.mu.Lock()
 	known := len(f.peers.known)
@@ -196,13 +198,14 @@
 	}
 }
 
+// newShare returns this host's state for a share to a peer.
 func (f *Forwarder) newShare(now time.Time) Share {
 	s := f.newShareWithoutRuns(now)
 	s.Runs, s.EndedRuns = f.engines.states(now), f.engines.endedRuns(now)
 	return s
 }
 
-// newShareWithoutRuns is what a peer that shares with this host is told in return.
+// newShareWithoutRuns returns this host's state without its runs, for the reply to a share.
 func (f *Forwarder) newShareWithoutRuns(now time.Time) Share {
 	count, age := f.peers.ownAnnouncement(now)
 	return Share{
@@ -213,6 +216,7 @@
 	}
 }
 
+// shareWith sends a share to a peer and processes the reply.
 func (f *Forwarder) shareWith(ctx context.Context, peers Peers, to Peer, share Share) {
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
@@ -233,7 +237,7 @@
 	}
 }
 
-// receiveShare takes in what a peer says of itself.
+// receiveShare processes the state that a peer reports, except its runs and ended runs.
 func (f *Forwarder) receiveShare(s Share) {
 	now := f.now()
 	if s.ConfigAge < 0 || s.OriginAge < 0 {
@@ -273,8 +277,8 @@
 	f.offerConfig(s.From, s.Version)
 }
 
-// ageWithDelay is an age that was told, when the word of it may have been late by a while. One
-// below zero stays: it is an error of the peer's.
+// ageWithDelay returns an age that a peer reported plus the delay that its message may have had. A
+// negative age is an error of the peer and is returned as it is, so that it is still noticed.
 func ageWithDelay(age, delay time.Duration) time.Duration {
 	if age < 0 {
 		return age
@@ -282,9 +286,9 @@
 	return age + delay
 }
 
-// OnShare serves a peer's share.
+// OnShare handles a share from a peer and returns the reply.
 func (f *Forwarder) OnShare(s Share) Share {
-	// It may have waited here while this machine was suspended.
+	// The share may have waited in a socket of this machine while the machine was suspended.
 	delay := f.settings.Clock.Late(f.now())
 	s.ConfigAge, s.OriginAge = ageWithDelay(s.ConfigAge, delay), ageWithDelay(s.OriginAge, delay)
 	f.engines.adopt(f.now(), s.From.ID, s.Runs, s.EndedRuns)
--- a/forward/peerset.go
+++ b/forward/peerset.go
@@ -15,83 +15,94 @@
 	"github.com/shedpath/shedpath/roster"
 )
 
-// peerSet is what a host knows of its peers.
+// peerSet holds the peers that a host knows, their state, and the layout of the cells. Its methods
+// are safe for concurrent use unless they say that the mutex is held.
 type peerSet struct {
 	self Peer
 
 	mu    sync.Mutex
 	known map[member.HostID]*peerState
-	// stopping says that this host does: others take over what it does for all.
+	// stopping says that this host is stopping, so that other hosts take over its duties for the
+	// site.
 	stopping bool
-	// epoch tells this process's counts from those of an earlier one, and foundCount
-	// counts the peers that were heard for the first time, or again after a silence.
+	// epoch identifies this process, as its counts mean nothing after a restart. foundCount counts
+	// how often a peer was found: by its first share, or by one after a long silence.
 	epoch, foundCount uint64
-	// maxKnown is how many hosts were known at once, lately, and mostAt when.
+	// maxKnown is the highest recent number of hosts known at once, and maxKnownAt is when it was
+	// reached.
 	maxKnown   int
 	maxKnownAt time.Time
-	// seeds are addresses of peers whose names aren't known yet.
+	// seeds are addresses of peers whose IDs aren't known yet.
 	seeds []string
-	// wake asks for a share to the own zone at once.
+	// wake requests an immediate share to the own cell and to wokenCells.
 	wake chan struct{}
-	// wakeAll asks for a share to all peers at once.
+	// wakeAll requests an immediate share to all peers.
 	wakeAll chan struct{}
-	// wokenCells are other cells whose peers are to be told at once.
+	// wokenCells are the other cells whose peers get the next share.
 	wokenCells map[cell.ID]bool
-	// roster is which hosts there are, and layout how their zones are divided, as of layoutAt.
+	// roster lists the hosts of the site. layout is how their zones are divided into cells, computed
+	// when the roster's change count was layoutRosterVersion.
 	roster              *roster.Roster
 	layout              cell.Layout
 	layoutRosterVersion uint64
 	// ownCell is this host's cell.
 	ownCell cell.ID
-	// neighbours are the hosts that this one keeps in touch with; zoneOrder the hosts of its zone
-	// in the order in which they follow each other, where the zone is divided.
+	// neighbours are the hosts with which this host exchanges shares, without itself. zoneTree has
+	// the hosts of its zone in tree order, in which each follows an earlier one; it is nil where no
+	// zone is divided.
 	neighbours map[member.HostID]Peer
 	zoneTree   []Peer
-	// otherCells are the hosts of the other otherCells, and firstZone those of the first zone in the order of
-	// its tree; unreached are hosts that a call didn't reach, until when they aren't called.
+	// otherCells are the hosts of the other cells. firstZoneTree has the hosts of the zone that
+	// is first by name, in tree order. unreachableUntil is until when firstAvailable skips a host
+	// to which a call failed.
 	otherCells       map[cell.ID][]Peer
 	firstZoneTree    []Peer
 	unreachableUntil map[member.HostID]time.Time
-	// forgottenAt are when silent neighbours were forgotten.
+	// forgottenAt is when silent peers were forgotten.
 	forgottenAt map[member.HostID]time.Time
 }
 
 // peerState is what a host knows of one peer.
 type peerState struct {
 	Peer
-	// lastSeen is when it last said something.
-	lastSeen  time.Time
+	// lastSeen is when the last share or follow reply came from the peer. A peer that is added
+	// before any contact starts as silent: at the time of adding less sameCellSilenceTimeout.
+	lastSeen time.Time
+	// lastTried is when the last share to the peer was started, or when the peer was added.
 	lastTried time.Time
+	// originAge is the peer's OriginAge as of lastSeen; while the peer is distrusted, an age that is
+	// too old to follow it.
 	originAge time.Duration
-	// listRevision is up to where it knows the listRevision of upstreams.
+	// listRevision is the point up to which the peer knows the list of upstreams.
 	listRevision history.Point
 	stopping     bool
-	// sharePending says that a share to it is under way.
+	// sharePending says that a share to the peer is in progress.
 	sharePending bool
-	// foundNumber is the count of found when it was heard first; zero for one that others
-	// only told of.
+	// foundNumber is the foundCount at which the peer was last found; zero for a peer that was
+	// never in contact and is known only from the directory or from other hosts.
 	foundNumber uint64
-	// rosterCursor is up to where this host has its peers.
+	// rosterCursor is the cursor up to which this host has received the peer's announcements.
 	rosterCursor HostCursor
-	// lastShareFailed says that the last share didn't arrive.
+	// lastShareFailed says that the last share to the peer failed.
 	lastShareFailed bool
-	// lastExchange is when both last told each other all, their runs included.
+	// lastExchange is when both hosts last sent each other their state including their runs.
 	lastExchange time.Time
-	// sameCell says that it is of this host's cell, and of is its cell.
+	// sameCell says that the peer is in this host's cell; cell is the peer's cell.
 	sameCell bool
 	cell     cell.ID
-	// announcedUpTo is up to where it was told of this host's roster when it was followed.
+	// announcedUpTo is the position in this host's roster up to which the peer received
+	// announcements while this host followed it.
 	announcedUpTo uint64
-	// joinAnnouncedUpTo is the same for what it was told when it started, and busyUntil is until when it is
-	// not asked for its list.
+	// joinAnnouncedUpTo is the same for the replies to the peer's shares after it started.
 	joinAnnouncedUpTo uint64
-	busyUntil         time.Time
-	// distrusted says that it couldn't be followed; it may have spoken since
-	// only to others.
+	// busyUntil is until when the peer isn't asked for its list.
+	busyUntil time.Time
+	// distrusted says that following the peer failed. The next share from the peer clears it; until
+	// then the peer may have been in contact with other hosts only.
 	distrusted bool
 }
 
-// hasPeerInZone reports whether another host of this one's zone takes requests.
+// hasPeerInZone reports whether another host of this host's zone is live and not stopping.
 func (p *peerSet) hasPeerInZone(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +114,8 @@
 	return false
 }
 
-// live reports whether the peer is believed to be there.
+// live reports whether the peer counts as live: a peer of the same cell by its last message alone,
+// another peer also by the result of the last share to it.
 func (s *peerState) live(now time.Time) bool {
 	if s.sameCell {
 		return now.Sub(s.lastSeen) <= sameCellSilenceTimeout
@@ -120,7 +132,7 @@
 	}
 }
 
-// recordShare takes in what a peer said.
+// recordShare records a share from a peer. It reports whether the peer was unknown before.
 func (p *peerSet) recordShare(now time.Time, s Share) (isNew bool) {
 	if s.From.ID == p.self.ID || s.From.ID == "" {
 		return false
@@ -144,10 +156,16 @@
 	return isNew
 }
 
-// shareTargets returns the peers to share with now, and marks them as being sent to:
-// those of the own zone, and when the period is over some of the other zones, or
-// every peer when each must know; those of the zones that were woken; and those that
-// are behind with what they hear from nobody else.
+// shareTargets returns the peers that get a share now, and marks a share to each as pending. Peers
+// with a pending share are left out. The targets are:
+//   - all peers, if all is set;
+//   - the peers of the woken cells;
+//   - outside the interval, the live peers of the own cell;
+//   - in a periodic round, the peers of the own cell that are due, live or not;
+//   - in a periodic round, some neighbours in other cells, those first that were tried longest ago;
+//   - in a periodic round, the peers that are behind with what they receive from no other host.
+//
+// shareTargets also forgets the peers that have been silent for peerForgetTimeout.
 func (p *peerSet) shareTargets(now time.Time, periodic, all bool, behind func(member.HostID) bool) []Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,15 +185,17 @@
 		case all || wokenCells[s.cell] || periodic && behind(id) || s.sameCell && !periodic && s.live(now):
 			send(s)
 		case s.sameCell && periodic && (!p.layout.Divided() || now.Sub(s.lastExchange) >= shareInterval-exchangeSlack):
-			// Of two hosts the one calls whose period is over first, and the other answers.
+			// A share and its reply are an exchange in both directions, so of two hosts only the
+			// one whose interval ends first sends a share.
 			send(s)
 		case periodic && !s.sameCell && (!p.layout.Divided() || p.neighbours[id].ID != ""):
-			// Others that chose this host call it by themselves.
+			// Hosts that have this one as a neighbour, but aren't its neighbours, send shares
+			// themselves.
 			farPeers = append(farPeers, s)
 		}
 	}
 	slices.SortFunc(farPeers, func(a, b *peerState) int { return a.lastTried.Compare(b.lastTried) })
-	// As many that each is told well before it would count as silent.
+	// So many that each peer gets a share twice per otherCellSilenceTimeout.
 	count := max(otherCellSharesPerInterval, (2*len(farPeers)*int(shareInterval)+int(otherCellSilenceTimeout)-1)/int(otherCellSilenceTimeout))
 	if !p.layout.Divided() {
 		count = otherCellSharesPerInterval
@@ -186,10 +206,12 @@
 	return to
 }
 
-// exchangeSlack keeps two hosts of about the same period from waiting for each other.
+// exchangeSlack keeps two hosts whose intervals end at about the same time from each waiting for the
+// other's share.
 const exchangeSlack = 50 * time.Millisecond
 
-// recordExchange takes in that a peer and this host have told each other all.
+// recordExchange records that a peer and this host have just sent each other their state including
+// their runs.
 func (p *peerSet) recordExchange(now time.Time, id member.HostID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,15 +220,16 @@
 	}
 }
 
-// markStopping has this host do nothing more for all.
+// markStopping withdraws this host from the duties that one host has for others.
 func (p *peerSet) markStopping() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopping = true
 }
 
-// forget drops a peer. Where its zone isn't divided, the peers that are followed tell all of
-// theirs again: it may be there still, behind a link that was cut.
+// forget removes a peer. Where no zone is divided, followed peers then send all their
+// announcements again: the forgotten peer may still be there, behind a link that was cut. The mutex
+// is held.
 func (p *peerSet) forget(now time.Time, id member.HostID) {
 	delete(p.known, id)
 	p.forgottenAt[id] = now
@@ -218,6 +241,7 @@
 	}
 }
 
+// recordShareResult records the end of a share to a peer and whether it failed.
 func (p *peerSet) recordShareResult(id member.HostID, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,7 +250,7 @@
 	}
 }
 
-// count counts the peers for which something holds.
+// count returns the number of peers for which holds returns true.
 func (p *peerSet) count(holds func(*peerState) bool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -239,15 +263,15 @@
 	return n
 }
 
-// liveHosts counts this host and the peers that were heard lately.
+// liveHosts returns the number of live peers, plus one for this host.
 func (p *peerSet) liveHosts(now time.Time) int {
 	return 1 + p.count(func(s *peerState) bool { return s.live(now) })
 }
 
-// LivePeers counts the other hosts that were heard lately.
+// LivePeers returns the number of live peers, without this host.
 func (f *Forwarder) LivePeers() int { return f.peers.liveHosts(f.now()) - 1 }
 
-// zoneByHost tells the zone of each known peer.
+// zoneByHost returns the zone of each known peer.
 func (p *peerSet) zoneByHost() map[member.HostID]member.Zone {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,7 +282,9 @@
 	return zones
 }
 
-// liveHostsInZone counts this host and the peers of its zone that were heard lately.
+// liveHostsInZone returns the number of live peers in this host's zone, plus one for this host.
+// Where zones are divided, no host exchanges shares with the whole zone, and the number is at least
+// that of all hosts in the zone's tree.
 func (p *peerSet) liveHostsInZone(now time.Time) int {
 	n := 1 + p.count(func(s *peerState) bool { return s.Zone == p.self.Zone && s.live(now) })
 	p.mu.Lock()
@@ -266,10 +292,10 @@
 	return max(n, len(p.zoneTree))
 }
 
-// siteDutyHost names the live host that has a duty of which there is one for the whole site.
+// siteDutyHost returns the ID of the live host that has a duty which one host has for the site.
 func (p *peerSet) siteDutyHost(now time.Time, duty string) member.HostID {
 	if p.zonesDivided() {
-		// No host knows all others that live.
+		// No host knows which of all others are live.
 		return p.firstHost(now).ID
 	}
 	p.mu.Lock()
@@ -283,15 +309,14 @@
 	return member.Rank(duty, candidates)[0].ID
 }
 
-// isKnown reports whether a peer is still remembered; the runs of one that isn't are
-// no longer counted.
+// isKnown reports whether a peer is known. The runs of a forgotten peer no longer count.
 func (p *peerSet) isKnown(id member.HostID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.known[id] != nil
 }
 
-// notifyOwnCell asks for a share to the own zone at once.
+// notifyOwnCell requests an immediate share to the own cell.
 func (p *peerSet) notifyOwnCell() {
 	select {
 	case p.wake <- struct{}{}:
@@ -299,7 +324,7 @@
 	}
 }
 
-// notifyCell asks for a share to the own cell and another at once.
+// notifyCell requests an immediate share to the own cell and to another.
 func (p *peerSet) notifyCell(id cell.ID) {
 	p.mu.Lock()
 	if id != p.ownCell {
@@ -312,7 +337,7 @@
 	p.notifyOwnCell()
 }
 
-// notifyAll asks for a share to all peers at once.
+// notifyAll requests an immediate share to all peers.
 func (p *peerSet) notifyAll() {
 	select {
 	case p.wakeAll <- struct{}{}:
@@ -320,11 +345,12 @@
 	}
 }
 
-// hostCountWindow is how long hosts that were once known are counted: hosts behind a cut
-// still send.
+// hostCountWindow is how long hosts that were once known still count: hosts behind a network
+// partition still send.
 const hostCountWindow = 5 * time.Minute
 
-// recentMaxHosts is how many hosts, with this one, were known at once in the last minutes.
+// recentMaxHosts returns the highest number of hosts, with this one, known at once within about
+// hostCountWindow.
 func (p *peerSet) recentMaxHosts(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/forward/share_bench_test.go
+++ b/forward/share_bench_test.go
@@ -12,10 +12,11 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// BenchmarkShare is what it costs a host to take a peer's share in and to answer it, with
-// 120 upstreams and 20 runs of its own: 300 hosts do so some 500 times a second each. Before
-// the marks of all upstreams were looked at only where there are some, and the runs listed
-// only for those that are told them, 14 us (the median of three); since, 0.9.
+// BenchmarkShare measures how long a host takes to process a peer's share and to answer it, with
+// 120 upstreams and 20 runs of its own. In a site of 300 hosts each host does so about 500 times a
+// second. It shows two costs to avoid, which make a share more than ten times as expensive: looking
+// through all upstreams for marks when there are none, and listing the runs for a peer that doesn't
+// receive them.
 func BenchmarkShare(b *testing.B) {
 	f := New(Settings{Self: Peer{ID: "h1", Zone: "z1"}}, &fakeTransport{}, silentJournal{}, silentObserver{})
 	now := time.Now()
--- a/forward/storerejects_test.go
+++ b/forward/storerejects_test.go
@@ -18,27 +18,30 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// inForceTimeout is how soon a configuration, or an order about a zone, is kept to at every
-// host: 2 s, which a store that turns some hosts away may lengthen by 5 s.
+// inForceTimeout bounds the time until a configuration or an order about a zone is in force at every
+// host: 2 s, and 5 s more while the store rejects some hosts.
 const inForceTimeout = 7 * time.Second
 
-var errHostRejected = errors.New("turned away")
+// errHostRejected is the error of a rejected call.
+var errHostRejected = errors.New("the store rejects this host")
 
-// rejectingOrigin is an origin that turns a host away while that is among those named.
+// rejectingOrigin is an origin as seen by one host. It rejects the host's calls while rejects returns
+// true.
 type rejectingOrigin struct {
 	*siteOrigin
 	rejects func() bool
-	// hangs has it not answer rather than refuse.
+	// hangs makes a rejected call wait for its timeout before it fails.
 	hangs bool
 }
 
-// For how long calls wait for an answer: those of an adapter's store.
+// How long a rejected call hangs: the timeouts of an adapter's calls to its store.
 const (
 	readHangTimeout = 3 * time.Second
 	watchHangMargin = 600 * time.Millisecond
 	keepHangTimeout = time.Second
 )
 
+// reject returns the error of a rejected call, after a wait if calls hang.
 func (o rejectingOrigin) reject(ctx context.Context, wait time.Duration) error {
 	if o.hangs {
 		PauseFor(ctx, wait)
@@ -59,7 +62,7 @@
 	}
 	news, err := o.siteOrigin.Watch(ctx, after, wait)
 	if o.rejects() {
-		// The answer was under way.
+		// The host was rejected while the watch waited, and the answer is lost.
 		return News{}, o.reject(ctx, watchHangMargin)
 	}
 	return news, err
@@ -72,7 +75,7 @@
 	return o.siteOrigin.Keep(ctx, m)
 }
 
-// shiftedHosts are as many hosts, others of all.
+// shiftedHosts replaces each host by the one that stands by places later in all, cyclically.
 func shiftedHosts(all, some []string, by int) []string {
 	result := make([]string, len(some))
 	for i := range some {
@@ -81,9 +84,9 @@
 	return result
 }
 
-// TestChangesInForceWhenStoreRejectsHosts has every configuration and every order about a zone be
-// kept to at each host in time, whichever hosts the store turns away: those hear of them
-// from others.
+// TestChangesInForceWhenStoreRejectsHosts checks that each configuration and each order about a zone is
+// in force at every host in time, whichever hosts the store rejects: these receive the changes from
+// other hosts.
 func TestChangesInForceWhenStoreRejectsHosts(t *testing.T) {
 	const zones, hostsPerZone = 3, 3
 	address := func(zone, host int) string { return fmt.Sprintf("10.%d.0.%d:1", zone, host) }
@@ -143,7 +146,7 @@
 						}
 						for host, f := range s.hosts {
 							if f.versionInForce() < version || f.fleet.InService("z1") == order.OutOfService {
-								t.Errorf("%s doesn't keep to change %d after %v", host, n, inForceTimeout)
+								t.Errorf("host %s: change %d is not in force after %v", host, n, inForceTimeout)
 							}
 						}
 						slowest = max(slowest, time.Since(published))
@@ -151,7 +154,7 @@
 							rejectOnly(shiftedHosts(all, rejectedAtFirst, n))
 						}
 					}
-					t.Logf("in force within %v", slowest)
+					t.Logf("slowest change in force at every host after %v", slowest)
 					is.True(slowest <= inForceTimeout)
 					cancel()
 					synctest.Wait()
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -20,13 +20,13 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// What may happen: a host's machine is suspended for seconds. Its steady clock stands still
-// meanwhile, and with it every duration that the host has measured: a proof of contact of
-// half a minute ago seems fresh when it goes on, and it refuses a route that has been there
-// for long, sends to engines that have left, and holds requests that its callers have
+// These tests guard against the effects of a machine that is suspended for seconds. The monotonic
+// clock stops meanwhile, and so does every duration that the host measures. After the machine
+// resumes, a proof of contact that is half a minute old seems fresh, so the host refuses a route
+// that has long existed, sends to engines that have left, and keeps requests that its callers have
 // given up.
 
-// withSuspendableHost plays a test on a host whose machine can be suspended.
+// withSuspendableHost runs a test on a host whose machine can be suspended.
 func withSuspendableHost(t *testing.T, transport Transport, test func(is *is.I, f *Forwarder, s *clocktest.Machine)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -37,8 +37,8 @@
 	})
 }
 
-// TestProofsAcrossSuspension has each proof, and each age that is told of one, be older by
-// the time for which the machine was suspended.
+// TestProofsAcrossSuspension checks that each proof, and each age that is reported of one, grows by the
+// time for which the machine was suspended.
 func TestProofsAcrossSuspension(t *testing.T) {
 	for _, slept := range clocktest.Durations {
 		for name, age := range map[string]func(f *Forwarder) time.Duration{
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestUnknownAfterSuspension has a host that was suspended for longer than its proof holds
-// not say that there is no such route or key: what it knows may be out of date.
+// TestUnknownAfterSuspension checks that a host that was suspended for longer than its proof is valid
+// doesn't deny that a route or a key exists, as its configuration may be out of date.
 func TestUnknownAfterSuspension(t *testing.T) {
 	for _, slept := range clocktest.Durations {
 		for name, c := range map[string]struct {
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestTimedStateAcrossSuspension has what a host believes for a time be over when that time
-// has really passed, and not before.
+// TestTimedStateAcrossSuspension checks that state with a time limit expires when that time has really
+// passed, suspension included, and not before.
 func TestTimedStateAcrossSuspension(t *testing.T) {
 	const engine = member.UpstreamID("llm1")
 	for _, slept := range clocktest.Durations {
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestMessagesFromBeforeSuspension has a host that was suspended not take for new what a peer
-// or the origin told before: an answer that came meanwhile, or a message that waited in
+// TestMessagesFromBeforeSuspension checks that a host that was suspended doesn't take old reports of a
+// peer or of the origin for new: answers that arrived during the suspension, and messages that waited in
 // its sockets.
 func TestMessagesFromBeforeSuspension(t *testing.T) {
 	for _, slept := range clocktest.Durations {
@@ -203,7 +203,8 @@
 	}
 }
 
-// suspendingPeers answer at once, but the host that asked is suspended before it has read that.
+// suspendingPeers answers at once, but the machine of the calling host is suspended before it reads the
+// answer.
 type suspendingPeers struct {
 	Peers
 	machine  *clocktest.Machine
@@ -220,7 +221,7 @@
 	return FollowReply{Version: 1, List: rev(1)}, nil
 }
 
-// suspendingOrigin answers a watch while the host is suspended.
+// suspendingOrigin answers a watch while the machine of the calling host is suspended.
 type suspendingOrigin struct {
 	Origin
 	machine  *clocktest.Machine
@@ -232,9 +233,9 @@
 	return News{At: rev(1)}, nil
 }
 
-// TestRequestQueuedDuringSuspension has a request that is read just after the machine went on
-// be refused if its caller may have given it up while it waited, and else have only the
-// time that is left; one that comes later isn't minded.
+// TestRequestQueuedDuringSuspension checks a request that is read just after the machine has resumed: it
+// is refused if its caller may have given it up while it was queued, and otherwise has only the
+// time that is left. A request that is read later has its full time.
 func TestRequestQueuedDuringSuspension(t *testing.T) {
 	for _, slept := range clocktest.Durations {
 		for _, patience := range []time.Duration{600 * time.Millisecond, 3 * time.Second, 39 * time.Second} {
@@ -256,7 +257,7 @@
 					if patience <= slept {
 						is.Equal(*sink.refused, Refusal{Code: CodeLate, RetryAfter: retryElsewhere})
 					} else {
-						// Until the engines' state is brought up to date it may wait.
+						// The request may wait until the state of the engines is refreshed.
 						is.True(patience-slept-left <= refreshEvery && left <= patience-slept)
 					}
 					time.Sleep(time.Second)
@@ -269,9 +270,8 @@
 	}
 }
 
-// TestRequestAcrossSuspension has a request that was under way when the machine was
-// suspended end when its time is really over, and an upstream be told no more time than
-// is left.
+// TestRequestAcrossSuspension checks that a request in progress when the machine is suspended ends when
+// its time is really over, and that an upstream is given no more time than is left.
 func TestRequestAcrossSuspension(t *testing.T) {
 	for _, slept := range clocktest.Durations {
 		t.Run(fmt.Sprint("ends in time ", slept), func(t *testing.T) {
@@ -312,7 +312,7 @@
 				sink := &fakeSink{}
 				f.Serve(context.Background(), call("/llm/"), sink)
 				if len(left) == 1 {
-					// It would begin too late, so it isn't sent again.
+					// It would start too late, so it isn't sent again.
 					is.True(slept > 1800*time.Millisecond && !sink.refused.MayHaveRun)
 					return
 				}
--- a/forward/zones.go
+++ b/forward/zones.go
@@ -12,35 +12,35 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// ZoneOrder is an operator's word on whether the upstreams of an availability zone
-// are in service.
+// ZoneOrder is an operator's order that takes the upstreams of an availability zone out of service,
+// or the revocation of one, which puts them back in service.
 type ZoneOrder struct {
 	Zone member.Zone
-	// OutOfService says that they get nothing new until the order is taken back.
+	// OutOfService says that the zone's upstreams get no new work until the order is revoked.
 	OutOfService bool
-	// Unreadable says that there is an order that can't be read: nothing changes by it.
+	// Unreadable says that there is an order that can't be decoded. It changes nothing.
 	Unreadable bool
-	// Revision is where in the list's history the order was given, or was found to be taken
-	// back.
+	// Revision is the point in the list's history at which the order was given, or at which it was
+	// found to be revoked.
 	Revision history.Point
-	// BelievedFrom is when an order that a restored list tells otherwise than before the restore
-	// is believed; zero for others.
+	// BelievedFrom is when an order takes effect that comes from a restored list and differs from
+	// what was known before the restore; zero for others.
 	BelievedFrom time.Time
 }
 
 // zoneState is the newest order about a zone that this host knows.
 type zoneState struct {
 	ZoneOrder
-	// learnedAt is when this host learnedAt of it.
+	// learnedAt is when this host learned of the order.
 	learnedAt time.Time
-	// pending is what the copy says that the list was restored from, which is believed from its
-	// BelievedFrom on; nil for nothing else.
+	// pending is the differing order in the copy from which the list was restored. It takes effect
+	// at its BelievedFrom; nil for none.
 	pending *ZoneOrder
 }
 
-// ApplyZoneOrders takes in orders that the list told, which are all that there were since
-// the revision that was known. It is to be called before Apply raises that. It returns
-// those that made a difference.
+// ApplyZoneOrders applies the orders that the list has had since the known revision; none may be
+// missing. It must be called before Apply, which raises that revision. It returns the orders that
+// changed whether a zone is in service.
 func (f *Fleet) ApplyZoneOrders(now time.Time, orders []ZoneOrder) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,8 +54,9 @@
 	return changed
 }
 
-// ReplaceZoneOrders takes in every order that the whole list has as of a revision: a zone
-// without one is back in service. It is to be called before Replace or TakeOver.
+// ReplaceZoneOrders applies all orders of the whole list as of a revision: a zone without an order
+// is back in service. It must be called before the list of upstreams itself is replaced. It returns
+// the orders and revocations that changed whether a zone is in service.
 func (f *Fleet) ReplaceZoneOrders(now time.Time, orders []ZoneOrder, at history.Point) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,8 +86,9 @@
 	return changed
 }
 
-// impliedZoneOrders are a reply's orders, and that there is none for zones of which this host has heard
-// in advance: an order that still held would be among them.
+// impliedZoneOrders returns the orders of a follow reply, and a revocation for each zone that is out
+// of service by an order which this host received ahead of the list and which the reply lacks: an
+// order still in force would be in the reply.
 func (f *Fleet) impliedZoneOrders(r FollowReply) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,8 +102,10 @@
 	return orders
 }
 
-// ReceiveZoneOrders takes in what a peer says of its own accord, which may be older than what
-// this host has: orders up to the revision that is known here are known as they are.
+// ReceiveZoneOrders applies orders from a peer's share, which may be older than what this host
+// has. Orders up to the revision that is known here are ignored, as this host has them already,
+// unless an order of a restored list is pending for the zone. It returns the orders that changed
+// whether a zone is in service.
 func (f *Fleet) ReceiveZoneOrders(now time.Time, orders []ZoneOrder) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,20 +120,22 @@
 	return changed
 }
 
-// applyZoneOrder takes in one applyZoneOrder, unless it is no newer than what is known of its zone.
+// applyZoneOrder applies one order, unless it is no newer than the known one of its zone. An order of
+// a restored list that differs from what was known before the restore stays pending until its
+// BelievedFrom. It reports whether the zone's state of service changed. The mutex is held.
 func (f *Fleet) applyZoneOrder(now time.Time, o ZoneOrder) bool {
-	known, exists := f.zones[o.Zone]
+	known, any := f.zones[o.Zone]
 	switch {
-	case o.Unreadable || o.Zone == "" || exists && o.Revision == known.Revision:
+	case o.Unreadable || o.Zone == "" || any && o.Revision == known.Revision:
 		return false
 	case known.pending != nil && !o.Revision.After(known.pending.Revision):
 		return false
-	case !o.BelievedFrom.IsZero() && (!exists || ofEarlierEra(known.Revision, o.Revision) && known.OutOfService != o.OutOfService):
+	case !o.BelievedFrom.IsZero() && (!any || ofEarlierEra(known.Revision, o.Revision) && known.OutOfService != o.OutOfService):
 		wasOut := known.OutOfService
 		known.Zone, known.OutOfService, known.pending = o.Zone, !o.OutOfService, &o
 		f.setZoneState(known)
 		return wasOut != known.OutOfService
-	case exists && !f.restore.Supersedes(o.Revision, known.Revision):
+	case any && !f.restore.Supersedes(o.Revision, known.Revision):
 		switch {
 		case !ofEarlierEra(known.Revision, o.Revision):
 		case o.OutOfService != known.OutOfService:
@@ -152,7 +158,8 @@
 	f.zones[z.Zone] = z
 }
 
-// ZoneOrdersSince returns the orders after a revision, or all of them, in the zones' order.
+// ZoneOrdersSince returns the orders after a revision, or all orders if whole is set, sorted by
+// zone. A pending order is returned in place of the one in force.
 func (f *Fleet) ZoneOrdersSince(after history.Point, whole bool) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,10 +181,10 @@
 	return orders
 }
 
-// handoverGrace is how long after this host has heard that a zone is out of service a
-// run that is already on its way there is still taken up: a copy takes up to a second,
-// and the caller would lose the stream. A host hears of an order within some 1.5 s, and
-// it has to hold within 5.
+// handoverGrace is how long after this host has learned that a zone is out of service it still
+// resumes a run there that is already being moved to the zone. Copying a run takes up to a second,
+// and the caller would lose the stream. A host learns of an order within about 1.5 s, and the order
+// must be in force within 5 s.
 const handoverGrace = time.Second
 
 // InService reports whether a zone's upstreams may get new work.
@@ -187,7 +194,7 @@
 	return !f.zones[zone].OutOfService
 }
 
-// logZoneChanges logs orders that made a difference.
+// logZoneChanges logs orders that changed whether a zone is in service.
 func (f *Forwarder) logZoneChanges(changed []ZoneOrder) {
 	for _, o := range changed {
 		event := "zone back in service"
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -18,23 +18,25 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// upstreamInZone is an upstream of a zone.
+// upstreamInZone returns an upstream in a zone.
 func upstreamInZone(id member.UpstreamID, zone member.Zone) Upstream {
 	u := up(id, 1, false)
 	u.Zone = zone
 	return u
 }
 
+// outOfService returns an order that takes a zone out of service.
 func outOfService(zone member.Zone, at history.Revision) ZoneOrder {
 	return ZoneOrder{Zone: zone, OutOfService: true, Revision: rev(at)}
 }
 
+// backInService returns the revocation of an order.
 func backInService(zone member.Zone, at history.Revision) ZoneOrder {
 	return ZoneOrder{Zone: zone, Revision: rev(at)}
 }
 
-// TestZoneOrders has orders taken in by their revision, from the list and from peers, in
-// whatever order they come.
+// TestZoneOrders checks that orders are applied by revision, from the list and from peers, in
+// whatever order they arrive.
 func TestZoneOrders(t *testing.T) {
 	unread := ZoneOrder{Zone: "a", OutOfService: true, Unreadable: true, Revision: rev(30)}
 	type step = func(f *Fleet, now time.Time)
@@ -88,8 +90,8 @@
 	}
 }
 
-// TestFollowerReceivesZoneOrders has a host that follows another know its orders, whole or by
-// what is new, also those that were taken back before it asked.
+// TestFollowerReceivesZoneOrders checks that a host that follows another receives its orders, in whole
+// or as changes, and also learns of revocations made before its request.
 func TestFollowerReceivesZoneOrders(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -112,14 +114,14 @@
 	leader.Apply(now, nil, rev(12))
 	catchUp()
 	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"ub": true})
-	// A new leader has read the list after the order was taken back, and never knew it.
+	// The new leader reads the list after the order was revoked, and never knew the order.
 	leader = Fleet{}
 	leader.Replace(now, list, rev(20))
 	catchUp()
 	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"ua": true, "ub": true})
 }
 
-// newTwoZoneForwarder is a forwarder whose upstreams llm1, app1 are in z1 and the others in z2.
+// newTwoZoneForwarder returns a forwarder whose upstreams llm1 and app1 are in z1, the others in z2.
 func newTwoZoneForwarder(t *testing.T, transport Transport) *Forwarder {
 	f := newForwarder(t, transport)
 	now := time.Now()
@@ -133,7 +135,7 @@
 	return f
 }
 
-// applyZoneOrders takes an applyZoneOrders in as a watch tells it.
+// applyZoneOrders applies orders as a watch of the list returns them.
 func (f *Forwarder) applyZoneOrders(orders ...ZoneOrder) {
 	now := time.Now()
 	f.fleet.ApplyZoneOrders(now, orders)
@@ -141,8 +143,8 @@
 	f.listEngines(now, f.Table())
 }
 
-// TestZoneOutOfServiceGetsNothing has calls, streams, repeats and second tries go to the
-// other zones' upstreams only, and requests be refused at once when every zone is out.
+// TestZoneOutOfServiceGetsNothing checks that calls, streams, retries and second attempts go only to
+// upstreams of zones in service, and that requests are refused at once when every zone is out.
 func TestZoneOutOfServiceGetsNothing(t *testing.T) {
 	for _, path := range []string{"/status/", "/order/", "/llm/"} {
 		t.Run(path, func(t *testing.T) {
@@ -181,15 +183,15 @@
 	}
 }
 
-// TestQueuedForZoneOutOfService has what waits for a place not get it on an engine of a
-// zone that has been taken out meanwhile.
+// TestQueuedForZoneOutOfService checks that a queued request isn't placed on an engine of a zone
+// that was taken out of service while the request waited.
 func TestQueuedForZoneOutOfService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newTwoZoneForwarder(t, &fakeTransport{})
 		now := time.Now()
 		f.applyZoneOrders(outOfService("z2", 3))
-		// A run that leaves no room for another holds the engine of z1.
+		// A run that leaves no room for another occupies the engine of z1.
 		big := policy.Request{Run: "big", Prompt: 33000, Deadline: now.Add(time.Second), Arrived: now}
 		u, run, _ := f.engines.place(t.Context(), now, "llm", big)
 		is.Equal(u.ID, member.UpstreamID("llm1"))
@@ -209,8 +211,8 @@
 	})
 }
 
-// TestHandoverToZoneOutOfService has a run that is being moved taken up in a zone that has just
-// been taken out, but not later.
+// TestHandoverToZoneOutOfService checks that a run that is being moved is still resumed in a zone that
+// was taken out of service less than handoverGrace ago, but not later.
 func TestHandoverToZoneOutOfService(t *testing.T) {
 	for name, c := range map[string]struct {
 		heard time.Duration
@@ -240,10 +242,10 @@
 	}
 }
 
-// TestZoneOrderReachesEveryHost has every host that isn't cut off keep new work from a
-// zone within 3 s of the order, and give it work again within 3 s, while the host that
-// watches the list, or a whole zone of hosts, can't be reached; without the origin all
-// stay with what they know.
+// TestZoneOrderReachesEveryHost checks that every reachable host sends no new work to a zone within
+// 3 s of an order, and sends work again within 3 s of its revocation, while the host that watches the
+// list, or a whole zone of hosts, can't be reached. Without the origin all hosts keep the orders that
+// they know.
 func TestZoneOrderReachesEveryHost(t *testing.T) {
 	const bound = 3 * time.Second
 	for name, gone := range map[string][]string{
@@ -293,7 +295,8 @@
 	}
 }
 
-// TestRevokedZoneOrderStaysRevoked: a list that is older than what was received in advance doesn't take that back.
+// TestRevokedZoneOrderStaysRevoked guards against a zone going out of service by an order that was
+// already revoked: a list that is older than a revocation received ahead of it must not undo that.
 func TestRevokedZoneOrderStaysRevoked(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
