--- a/forward/clock_test.go
+++ b/forward/clockjump_test.go
@@ -11,30 +11,29 @@
 	"github.com/matryer/is"
 )
 
-// jumped returns a moment as a host sees it whose time of day has jumped: the steady
-// clock's reading in it stays as it was.
-func jumped(at time.Time, by time.Duration) time.Time {
-	// A time.Time that has a steady reading holds its seconds of the day from bit 30
-	// of its first word on.
+// withClockJump returns a time as a host sees it whose wall clock has jumped. The monotonic reading
+// stays as it was.
+func withClockJump(at time.Time, by time.Duration) time.Time {
+	// A time.Time with a monotonic reading holds its wall seconds from bit 30 of its first word on.
 	const secondsFrom = 30
 	wall := (*uint64)(unsafe.Pointer(&at))
 	*wall += uint64(int64(by/time.Second) << secondsFrom)
 	return at
 }
 
-// TestJumped holds the helper to what it says.
-func TestJumped(t *testing.T) {
+// TestWithClockJump checks that withClockJump moves the wall clock and not the monotonic clock.
+func TestWithClockJump(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
 		is := is.New(t)
 		at := time.Now()
-		is.Equal(jumped(at, by).Sub(at), time.Duration(0))               // the steady clock didn't move
-		is.Equal(jumped(at, by).Unix()-at.Unix(), int64(by/time.Second)) // the time of day did
+		is.Equal(withClockJump(at, by).Sub(at), time.Duration(0))               // the monotonic clock didn't move
+		is.Equal(withClockJump(at, by).Unix()-at.Unix(), int64(by/time.Second)) // the wall clock did
 	}
 }
 
-// TestProofsAcrossClockJump has each proof of a host age by the steady clock when the
-// time of day goes an hour ahead, back again and behind: a host that is cut off then
-// knows that it is.
+// TestProofsAcrossClockJump checks that each proof of a host ages by the monotonic clock when the wall
+// clock jumps an hour ahead or back and returns. Otherwise a host that is cut off after the jump takes
+// its proofs for fresh.
 func TestProofsAcrossClockJump(t *testing.T) {
 	const bound, later = 3 * time.Second, 30 * time.Second
 	proofs := map[string]struct {
@@ -64,32 +63,32 @@
 				is := is.New(t)
 				f := newForwarder(t, &fakeTransport{})
 				start := time.Now()
-				p.prove(f, jumped(start.Add(time.Second), jump))
+				p.prove(f, withClockJump(start.Add(time.Second), jump))
 				p.prove(f, start.Add(2*time.Second)) // the jump is over
 				is.Equal(p.age(f, start.Add(2*time.Second+bound)), bound)
 				is.Equal(p.age(f, start.Add(2*time.Second+later)), later)
-				is.Equal(p.age(f, jumped(start.Add(2*time.Second+later), -jump)), later)
+				is.Equal(p.age(f, withClockJump(start.Add(2*time.Second+later), -jump)), later)
 			})
 		}
 	}
 }
 
-// TestCutOffAfterClockJump has a host that is cut off after a jump refuse what it
-// can't prove, as it would without.
+// TestCutOffAfterClockJump checks that a host that is cut off after a clock jump doesn't claim what it
+// can't prove, as without a jump.
 func TestCutOffAfterClockJump(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	start := time.Now()
-	f.ContactProved(jumped(start, time.Hour))
+	f.ContactProved(withClockJump(start, time.Hour))
 	f.ContactProved(start)
-	cutOff := &exchange{Forwarder: f, call: call("/nowhere/")}
-	refusal := cutOff.unknown(start.Add(10*time.Second), CodeNoRoute)
-	is.Equal(refusal.Code, CodeNotReady) // and not that there is no such route
+	cutOffRequest := &exchange{Forwarder: f, call: call("/nowhere/")}
+	refusal := cutOffRequest.unknown(start.Add(10*time.Second), CodeNoRoute)
+	is.Equal(refusal.Code, CodeNotReady) // not CodeNoRoute: the host can't prove that the route doesn't exist
 	is.True(!f.listKnown(start.Add(10 * time.Second)))
 }
 
-// TestRetryBudgetAcrossClockJump has the window of repeats go on sliding when the time
-// of day jumps: what was spent stays spent, and comes back when the window is over.
+// TestRetryBudgetAcrossClockJump checks that the retry window goes on sliding when the wall clock
+// jumps: what was spent stays spent, and becomes available again when the window is over.
 func TestRetryBudgetAcrossClockJump(t *testing.T) {
 	for name, jump := range map[string]time.Duration{"ahead": time.Hour, "back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -107,20 +106,20 @@
 			}
 			all := spend(start)
 			is.True(all > 0)
-			is.Equal(spend(jumped(start.Add(2*time.Second), jump)), 0) // the window isn't over
+			is.Equal(spend(withClockJump(start.Add(2*time.Second), jump)), 0) // the window isn't over yet
 			is.Equal(spend(start.Add(4*time.Second)), 0)
-			is.Equal(spend(jumped(start.Add(12*time.Second), jump)), all) // now it is
+			is.Equal(spend(withClockJump(start.Add(12*time.Second), jump)), all) // the window is over
 			is.Equal(spend(start.Add(24*time.Second)), all)
 		})
 	}
 }
 
-// TestAgeBelowZero has a peer that tells proofs from the future not be relied on.
-func TestAgeBelowZero(t *testing.T) {
+// TestNegativeProofAge checks that a host doesn't rely on a peer that reports proofs of a negative age.
+func TestNegativeProofAge(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	f.contact.clear()
-	f.receive(Share{From: Peer{ID: "h9", Zone: "z1"}, Version: 1, ConfigAge: -time.Hour, OriginAge: -time.Hour})
+	f.receiveShare(Share{From: Peer{ID: "h9", Zone: "z1"}, Version: 1, ConfigAge: -time.Hour, OriginAge: -time.Hour})
 	is.Equal(f.ContactAge(time.Now()), neverProved)
 	_, found := f.peers.leader(time.Now(), true)
 	is.True(!found)
