--- a/forward/asking.go
+++ b/forward/asking.go
@@ -212,7 +212,7 @@
 	if !someBlind {
 		return Upstream{}, false
 	}
-	u, found = x.engines.relocate(x.now(), service, run, policy.Target{FarCost: farCostToMove, Avoid: slices.Concat(avoid, kept), OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup})
+	u, found = x.engines.relocate(x.now(), service, run, policy.Target{FarCost: crossZoneMoveCost, Avoid: slices.Concat(avoid, kept), OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup})
 	return u, found
 }
 
@@ -232,7 +232,7 @@
 	if !x.peers.divided() {
 		return near, far
 	}
-	far = x.fleet.ZonesWith(service)
+	far = x.fleet.ZonesServing(service)
 	if i := slices.Index(far, x.peers.self.Zone); i > 0 {
 		far[0], far[i] = far[i], far[0]
 	}
@@ -242,7 +242,7 @@
 // borrow has an engine be known to the placement that another host has given a place on.
 func (x *exchange) borrow(service ServiceName, id member.UpstreamID) {
 	if u, known := x.fleet.Upstream(id); known && x.peers.divided() {
-		x.engines.borrow(service, u)
+		x.engines.addRemoteEngine(service, u)
 	}
 }
 
--- a/forward/asking_test.go
+++ b/forward/asking_test.go
@@ -121,7 +121,7 @@
 				is.Equal(peer.asked, c.asked)
 				is.Equal(run != nil, c.want != "")
 				if c.verdict == policy.Granted && c.asked == 1 && !c.silent {
-					is.Equal(far.engines.pools["llm"].theirs["r"], near.peers.self.ID) // counted there at once
+					is.Equal(far.engines.pools["llm"].peerRuns["r"], near.peers.self.ID) // counted there at once
 				}
 			})
 		})
--- a/forward/call.go
+++ b/forward/call.go
@@ -194,7 +194,7 @@
 	// ColdFor is how much longer it is cold; zero when it isn't.
 	ColdFor time.Duration
 	// Life is its present one; zero when it doesn't say.
-	Life    Life
+	Life    Incarnation
 	Signals Signals
 }
 
--- a/forward/coldupstream_test.go
+++ b/forward/coldupstream_test.go
@@ -114,7 +114,7 @@
 // all hosts together, while they reach each other, and while half of them reach it and
 // nobody else.
 func TestColdEngineIsShared(t *testing.T) {
-	const bears = 20
+	const maxRate = 20
 	for name, cut := range map[string]bool{"in touch": false, "half is cut off": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -124,7 +124,7 @@
 				fleet := newNeedyFleet()
 				s := newNeedySite(fleet, 1, 10, 2)
 				config := testConfig(2)
-				config.Services[1].ColdRate = bears
+				config.Services[1].ColdRate = maxRate
 				s.origin.configure(2, rev(20))
 				s.origin.config.Services = config.Services
 				s.serveAll(ctx)
@@ -156,7 +156,7 @@
 					}
 					most = max(most, last-first+1)
 				}
-				is.True(most <= bears)
+				is.True(most <= maxRate)
 				is.True(len(at) >= 30)
 				cancel()
 				synctest.Wait()
--- a/forward/drillstore_test.go
+++ b/forward/drillstore_test.go
@@ -374,7 +374,7 @@
 // takes reports whether a host gives an upstream new work.
 func takes(id member.UpstreamID) func(f *Forwarder) bool {
 	return func(f *Forwarder) bool {
-		return slices.ContainsFunc(f.fleet.Takers(f.now(), "app"), func(u Upstream) bool { return u.ID == id })
+		return slices.ContainsFunc(f.fleet.Available(f.now(), "app"), func(u Upstream) bool { return u.ID == id })
 	}
 }
 
--- a/forward/failingupstream_test.go
+++ b/forward/failingupstream_test.go
@@ -20,11 +20,11 @@
 // TestFailingEngine has an engine that loses requests, or that is silent, get no
 // new streams for a while, longer each time, and then be tried again.
 func TestFailingEngine(t *testing.T) {
-	for name, lose := range map[string]func(ctx context.Context) (*Answer, error){
+	for name, loseStream := range map[string]func(ctx context.Context) (*Answer, error){
 		"resets": func(context.Context) (*Answer, error) { return nil, io.ErrUnexpectedEOF },
 		"breaks streams off": func(context.Context) (*Answer, error) {
 			a := answer(200, "")
-			a.Body = io.NopCloser(io.MultiReader(&chunked{from: &oneEvent{}, n: 64}, errReader{}))
+			a.Body = io.NopCloser(io.MultiReader(&chunked{from: &oneEventReader{}, n: 64}, errReader{}))
 			return a, nil
 		},
 		"is silent": func(ctx context.Context) (*Answer, error) {
@@ -37,14 +37,14 @@
 				is := is.New(t)
 				transport := &fakeTransport{send: func(ctx context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
 					if u.ID == "llm1" {
-						return lose(ctx)
+						return loseStream(ctx)
 					}
 					return answer(200, "id: 1\n\n"), nil
 				}}
 				f := newForwarder(t, transport)
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Run(ctx)
-				lost := func(streams int) int {
+				lostStreams := func(streams int) int {
 					before := len(transport.sentTo())
 					for n := range streams {
 						c := call("/llm/")
@@ -65,15 +65,15 @@
 				f.fleet.Suspect(time.Now(), "llm2")
 				f.fleet.Suspect(time.Now(), "llm3")
 				synctest.Wait()
-				is.Equal(lost(1), 1)
+				is.Equal(lostStreams(1), 1)
 				is.Equal(len(f.fleet.FailingMarks(time.Now())), 1) // its loss was noted
-				time.Sleep(suspectFor)                             // the others are back
-				f.fleet.Failed(time.Now(), "llm1")
+				time.Sleep(suspectDuration)                        // the others are back
+				f.fleet.RecordFailure(time.Now(), "llm1")
 				synctest.Wait()
-				is.Equal(lost(6), 0)
-				time.Sleep(failingMost)
+				is.Equal(lostStreams(6), 0)
+				time.Sleep(maxFailingHold)
 				synctest.Wait()
-				is.True(!f.fleet.Failing(time.Now(), "llm1")) // it is tried again
+				is.True(!f.fleet.IsFailing(time.Now(), "llm1")) // it is tried again
 				cancel()
 				synctest.Wait()
 			})
@@ -81,10 +81,10 @@
 	}
 }
 
-// oneEvent reads as one event, once.
-type oneEvent struct{ read bool }
+// oneEventReader reads as one event, once.
+type oneEventReader struct{ read bool }
 
-func (e *oneEvent) Read(p []byte) (int, error) {
+func (e *oneEventReader) Read(p []byte) (int, error) {
 	if e.read {
 		return 0, io.EOF
 	}
@@ -92,16 +92,16 @@
 	return copy(p, "id: 1\n\n"), nil
 }
 
-// TestHearFailing has a host believe what a peer of its zone found about an
+// TestReceiveFailing has a host believe what a peer of its zone found about an
 // upstream, but no host of another zone: its links are others.
-func TestHearFailing(t *testing.T) {
+func TestReceiveFailing(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
-	marks := []FailingMark{{Upstream: "llm1", For: time.Second}, {Upstream: "unknown", For: time.Second}}
+	marks := []FailingMark{{Upstream: "llm1", Remaining: time.Second}, {Upstream: "unknown", Remaining: time.Second}}
 	f.receive(Share{From: Peer{ID: "h2", Zone: "z2"}, Failing: marks})
-	is.True(!f.fleet.Failing(time.Now(), "llm1"))
+	is.True(!f.fleet.IsFailing(time.Now(), "llm1"))
 	f.receive(Share{From: Peer{ID: "h3", Zone: "z1"}, Failing: marks})
-	is.True(f.fleet.Failing(time.Now(), "llm1"))
+	is.True(f.fleet.IsFailing(time.Now(), "llm1"))
 	is.Equal(len(f.fleet.FailingMarks(time.Now())), 0) // it isn't told on: who found it does
 }
 
@@ -111,10 +111,10 @@
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	now := time.Now()
-	hold := func(id member.UpstreamID) time.Duration { return f.fleet.Failed(now, id) }
+	hold := func(id member.UpstreamID) time.Duration { return f.fleet.RecordFailure(now, id) }
 	is.Equal([]time.Duration{hold("llm1"), hold("llm1"), hold("llm1"), hold("llm1")}, []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second})
-	f.fleet.Worked("llm1")
-	is.Equal(hold("llm1"), failingFor)
+	f.fleet.RecordSuccess("llm1")
+	is.Equal(hold("llm1"), initialFailingHold)
 	f.fleet.MarkLeaving(now, "llm2", 0, true)
 	is.Equal(hold("llm2"), time.Duration(0)) // it leaves anyway
 }
@@ -146,7 +146,7 @@
 		peer := newForwarder(t, transport)
 		peer.fleet.Replace(time.Now(), list, rev(2))
 		peer.receive(f.share(time.Now()))
-		is.Equal(len(peer.fleet.Takers(time.Now(), "llm")), 2) // e3 and e4
+		is.Equal(len(peer.fleet.Available(time.Now(), "llm")), 2) // e3 and e4
 		cancel()
 		synctest.Wait()
 	})
@@ -156,10 +156,10 @@
 // none of its other runs gets on.
 func TestLateButWorking(t *testing.T) {
 	for name, c := range map[string]struct {
-		// worksFor is how long another run there makes tokens, as a peer tells.
-		worksFor time.Duration
-		// failing is after how long the engine has to count as failing.
-		failing time.Duration
+		// progressFor is how long another run there makes tokens, as a peer tells.
+		progressFor time.Duration
+		// failingAfter is after how long the engine has to count as failingAfter.
+		failingAfter time.Duration
 	}{
 		"nothing there gets on":        {0, 3 * time.Second},
 		"another run gets on":          {20 * time.Second, 0},
@@ -184,7 +184,7 @@
 				began := time.Now()
 				var failed time.Duration
 				for made := policy.Tokens(100); time.Since(began) < 10*time.Second; made += 50 {
-					if time.Since(began) < c.worksFor {
+					if time.Since(began) < c.progressFor {
 						f.engines.adopt(time.Now(), "h2", []RunState{{Run: "other", Service: "llm", Engine: on, Prompt: 100, Made: made, Limit: 5000}}, nil)
 					}
 					if len(f.fleet.FailingMarks(time.Now())) > 0 && failed == 0 {
@@ -192,8 +192,8 @@
 					}
 					time.Sleep(shareEvery)
 				}
-				is.Equal(failed > 0, c.failing > 0)
-				is.True(failed <= c.failing)
+				is.Equal(failed > 0, c.failingAfter > 0)
+				is.True(failed <= c.failingAfter)
 				cancel()
 				synctest.Wait()
 			})
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -366,7 +366,7 @@
 	// The proof is withdrawn, so that followers turn elsewhere at once and
 	// engines are asked themselves.
 	w.originContact.clear()
-	w.fleet.Wake()
+	w.fleet.WakeWaiters()
 	w.takeStale(ctx)
 	pause := w.dep.failed(ctx, err)
 	more := pause * time.Duration(w.peers.liveInZone(now)/hostsAtOnce)
@@ -413,7 +413,7 @@
 // noteList logs what is new on the list and drops what was believed of lives that are
 // over.
 func (f *Forwarder) noteList(news []Change) {
-	f.dropOldLives()
+	f.resetRestartedUpstreams()
 	f.noteRestore()
 	for _, n := range news {
 		f.journal.Belief("upstream listed", "upstream", n.ID, "service", n.Service, "zone", n.Zone,
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -70,7 +70,7 @@
 	if o.lost.Load() {
 		return News{}, errGone
 	}
-	return News{Changes: []Change{{Upstream: up("llm1", 1, false)}}, At: rev(1)}, nil
+	return News{Changes: []Change{{Upstream: llmUpstream("llm1", 1, false)}}, At: rev(1)}, nil
 }
 
 func (o *failingOrigin) Watch(ctx context.Context, after history.Point, _ time.Duration) (News, error) {
@@ -215,11 +215,11 @@
 	f.fleet.ListRegained(time.Now(), 10*time.Second)
 	is.True(f.followPeer(t.Context(), Peer{ID: "h0"}, zoneBounds))
 	select {
-	case <-f.fleet.Leaving("llm1"):
+	case <-f.fleet.LeavingStarted("llm1"):
 	default:
 		t.Error("llm1 is gone")
 	}
-	changes, _, _ := f.fleet.Since(rev(4))
+	changes, _, _ := f.fleet.ChangesSince(rev(4))
 	is.Equal(len(changes), 1) // and those that follow this host are told
 }
 
--- a/forward/followpeer.go
+++ b/forward/followpeer.go
@@ -244,7 +244,7 @@
 	if f.givenUntil.Sub(now) > listBacklog {
 		return true
 	}
-	f.givenUntil = later(f.givenUntil, now).Add(takes)
+	f.givenUntil = laterOf(f.givenUntil, now).Add(takes)
 	return false
 }
 
@@ -258,13 +258,13 @@
 func (f *Fleet) fillReply(now time.Time, after history.Point, r *FollowReply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r.Changes, r.List, r.Whole = f.since(after)
+	r.Changes, r.List, r.Whole = f.changesSince(after)
 	r.Generation = f.generation
 	r.Zones = f.zonesSince(after, r.Whole)
 	r.Gaps = slices.ContainsFunc(f.gaps, func(g gap) bool { return g.from.Before(r.List) && after.Before(g.to) })
 	r.EraFrom = f.restore.First()
-	if !f.eraSince.IsZero() {
-		r.EraAge = now.Sub(f.eraSince)
+	if !f.eraFirstSeen.IsZero() {
+		r.EraAge = now.Sub(f.eraFirstSeen)
 	}
 }
 
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -29,7 +29,7 @@
 			is.Equal(f.versionInForce(), Version(1))
 			is.Equal(f.peers.liveInZone(time.Now()), perZone)
 			is.True(f.ContactAge(time.Now()) <= originFresh)
-			is.Equal(len(f.fleet.Takers(time.Now(), "llm")), 2)
+			is.Equal(len(f.fleet.Available(time.Now(), "llm")), 2)
 		}
 		is.True(s.origin.reads.Load() <= 6) // the three that others join, and who found these too late
 		time.Sleep(10 * time.Second)
@@ -64,7 +64,7 @@
 		s.start(ctx, late)
 		time.Sleep(50 * time.Millisecond)
 		is.True(late.Ready())
-		is.Equal(len(late.fleet.Takers(time.Now(), "llm")), 2)
+		is.Equal(len(late.fleet.Available(time.Now(), "llm")), 2)
 		time.Sleep(time.Second)
 		is.Equal(late.peers.liveInZone(time.Now()), 3)
 		is.Equal(s.origin.reads.Load(), reads)
@@ -194,31 +194,31 @@
 	is := is.New(t)
 	now := time.Now()
 	var leader, late Fleet
-	list := []Upstream{up("a", 1, false), up("b", 2, false), up("c", 3, false)}
+	list := []Upstream{llmUpstream("a", 1, false), llmUpstream("b", 2, false), llmUpstream("c", 3, false)}
 	leader.Replace(now, list, rev(3))
 	late.Replace(now, list, rev(3))
-	leader.Apply(now, []Change{{Upstream: Upstream{ID: "b", Revision: rev(4)}, Gone: true}, {Upstream: up("c", 5, true)}}, rev(5))
-	_, _, whole := leader.Since(rev(3))
+	leader.Apply(now, []Change{{Upstream: Upstream{ID: "b", Revision: rev(4)}, Gone: true}, {Upstream: llmUpstream("c", 5, true)}}, rev(5))
+	_, _, whole := leader.ChangesSince(rev(3))
 	is.True(!whole) // all is remembered
-	leader.Settle(now.Add(forgetGone + time.Second))
-	_, _, whole = leader.Since(rev(4))
+	leader.Settle(now.Add(goneRetention + time.Second))
+	_, _, whole = leader.ChangesSince(rev(4))
 	is.True(!whole)
-	changes, at, whole := leader.Since(rev(3))
+	changes, at, whole := leader.ChangesSince(rev(3))
 	is.True(whole)
 	late.TakeOver(now, changes, at)
-	is.Equal(takers(&late, now), map[member.UpstreamID]bool{"a": true})
+	is.Equal(availableIDs(&late, now), map[member.UpstreamID]bool{"a": true})
 	is.Equal(late.Missing(), []member.UpstreamID{"b"}) // its entry may just have run out
 	late.Settle(now.Add(listSettles + time.Second))
-	<-late.Leaving("b")
+	<-late.LeavingStarted("b")
 	is.Equal(late.Revision(), rev(5))
 
 	// A host that read the list anew never knew what came and went in between.
 	leader.Replace(now, list[:1], rev(9))
-	_, _, whole = leader.Since(rev(7))
+	_, _, whole = leader.ChangesSince(rev(7))
 	is.True(whole)
-	_, _, whole = leader.Since(rev(5))
+	_, _, whole = leader.ChangesSince(rev(5))
 	is.True(!whole)
-	_, _, whole = leader.Since(rev(9))
+	_, _, whole = leader.ChangesSince(rev(9))
 	is.True(!whole)
 }
 
@@ -239,7 +239,7 @@
 		teller.tellRuns(u)
 		synctest.Wait()
 		is.Equal(time.Now(), now)
-		is.Equal(hearer.engines.busy(), []member.UpstreamID{run.engine})
+		is.Equal(hearer.engines.enginesWithRuns(), []member.UpstreamID{run.engine})
 		cancel()
 		synctest.Wait()
 	})
@@ -263,7 +263,7 @@
 		_, run, _, ok := teller.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlaceGrant{Engine: far.ID})
 		is.True(ok)
 		busy := func() bool {
-			return len(s.hosts["10.2.0.1:1"].engines.busy())+len(s.hosts["10.2.0.2:1"].engines.busy()) == 2
+			return len(s.hosts["10.2.0.1:1"].engines.enginesWithRuns())+len(s.hosts["10.2.0.2:1"].engines.enginesWithRuns()) == 2
 		}
 		teller.tellRuns(far)
 		synctest.Wait()
@@ -304,13 +304,13 @@
 		time.Sleep(joinWait + 100*time.Millisecond)
 		is.True(late.Ready())
 		is.Equal(late.versionInForce(), Version(1))
-		is.Equal(takers(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
+		is.Equal(availableIDs(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
 		is.True(late.OriginAge(time.Now()) > originFresh)
 		is.True(!late.listKnown(time.Now()))
 		s.origin.lost.Store(false)
 		s.origin.order(back("z1", 22))
 		time.Sleep(6 * time.Second)
-		is.Equal(takers(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
+		is.Equal(availableIDs(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
 		is.True(late.OriginAge(time.Now()) <= originFresh)
 		cancel()
 		synctest.Wait()
@@ -324,6 +324,6 @@
 	f := New(Settings{}, &fakeTransport{}, silentJournal{}, silentObserver{})
 	f.Configure(time.Now(), testConfig(1))
 	is.True(!f.Ready())
-	f.fleet.Replace(time.Now(), []Upstream{up("llm1", 1, false)}, rev(1))
+	f.fleet.Replace(time.Now(), []Upstream{llmUpstream("llm1", 1, false)}, rev(1))
 	is.True(f.Ready())
 }
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -245,11 +245,11 @@
 		f.receiveLeaving(now, s.From.ID, mark)
 	}
 	if s.From.Zone == f.peers.self.Zone {
-		f.fleet.ReceiveFailing(now, s.Failing)
+		f.fleet.ReceiveFailingMarks(now, s.Failing)
 	}
 	for _, mark := range s.Cold {
-		if f.fleet.ReceiveLife(mark.Upstream, mark.Life) {
-			f.fleet.MarkCold(mark.Upstream, now.Add(mark.For))
+		if f.fleet.ReceiveIncarnation(mark.Upstream, mark.Incarnation) {
+			f.fleet.MarkCold(mark.Upstream, now.Add(mark.Remaining))
 		}
 	}
 	for _, mark := range s.Limits {
@@ -258,7 +258,7 @@
 	for _, mark := range s.Backoffs {
 		f.receiveBackoff(now, s.From.ID, mark)
 	}
-	f.dropOldLives()
+	f.resetRestartedUpstreams()
 	f.crashes.Met(s.From.ID, s.Epoch)
 	f.receiveCrashes(now, s.Crashes)
 	if len(s.Announced) > 0 {
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -19,7 +19,7 @@
 // bounds it.
 func (f *Forwarder) bound(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
 	named, isNamed := f.limiter.Words.Bound(now, u.ID)
-	cold, isCold := f.coldBound(now, s, u)
+	cold, isCold := f.coldRateLimit(now, s, u)
 	switch {
 	case !isNamed:
 		return cold, isCold
--- a/forward/plain.go
+++ b/forward/plain.go
@@ -209,7 +209,7 @@
 		return "not_sent"
 	case t.err != nil:
 		p.lastCode = CodeLost
-		p.noteBroken(ctx, now, t.upstream, time.Time{}, t.err)
+		p.recordBrokenConnection(ctx, now, t.upstream, time.Time{}, t.err)
 		return "lost"
 	case t.answer.OtherInstance:
 		p.fleet.MarkLeaving(now, t.upstream.ID, 0, true)
--- a/forward/regions.go
+++ b/forward/regions.go
@@ -57,7 +57,7 @@
 
 // takers are the service's upstreams that take new work and may serve the request.
 func (x *exchange) takers(now time.Time) []Upstream {
-	return x.allowedOf(x.fleet.Takers(now, x.service.Name))
+	return x.allowedOf(x.fleet.Available(now, x.service.Name))
 }
 
 // noneInRegion reports whether the request is bound to regions in which no upstream takes work.
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -84,7 +84,7 @@
 		}
 		f.seen.Begin(s)
 		f.journal.Belief("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.Given, "age", s.Age)
-		f.fleet.Wake()
+		f.fleet.WakeWaiters()
 	}
 }
 
@@ -93,7 +93,7 @@
 	for _, r := range records {
 		if f.rollouts.Record(r) {
 			f.journal.Belief("rollout", "service", r.Service, "target", r.Target, "phase", r.Phase, "recorded", r.Recorded)
-			f.fleet.Wake()
+			f.fleet.WakeWaiters()
 		}
 	}
 }
@@ -123,7 +123,7 @@
 
 // hasVersion reports whether upstreams of a version, and of others, take new work.
 func (f *Forwarder) hasVersion(now time.Time, service ServiceName, v rollout.Version) (has, others bool) {
-	for _, u := range f.fleet.Takers(now, service) {
+	for _, u := range f.fleet.Available(now, service) {
 		has, others = has || u.Version == v, others || u.Version != v
 	}
 	return has, others
@@ -146,10 +146,10 @@
 	for _, k := range f.upstreams {
 		switch retire := wanted(k.Upstream); {
 		case retire && !k.Leaving && !k.gone:
-			k.leave(now, SourceRollout)
-			k.hinted, k.retired, changed = true, true, true
-		case !retire && k.retired && !k.declared && !k.gone:
-			k.stay()
+			k.startLeaving(now, SourceRollout)
+			k.leavingUnconfirmed, k.retiredByRollout, changed = true, true, true
+		case !retire && k.retiredByRollout && !k.leavingDeclared && !k.gone:
+			k.cancelLeaving()
 			changed = true
 		}
 	}
@@ -159,7 +159,7 @@
 // noteAnswer takes in an answer of an upstream whose service has a rollout. Cold upstreams are
 // slow whatever their version.
 func (x *exchange) noteAnswer(now time.Time, u Upstream, m rollout.Measure, failed bool, took time.Duration) {
-	if !x.rollouts.Any() || x.fleet.Cold(now, u.ID) {
+	if !x.rollouts.Any() || x.fleet.IsCold(now, u.ID) {
 		return
 	}
 	for _, s := range x.rollouts.Statuses(now) {
@@ -334,11 +334,11 @@
 }
 
 // countOwn tells how many of this host's runs each engine has.
-func (e *engines) countOwn(count func(member.UpstreamID, int)) {
+func (e *enginePlacer) countOwn(count func(member.UpstreamID, int)) {
 	e.mu.Lock()
 	var on []member.UpstreamID
 	for _, p := range e.pools {
-		for _, run := range p.own {
+		for _, run := range p.ownRuns {
 			on = append(on, run.engine)
 		}
 	}
--- a/forward/send.go
+++ b/forward/send.go
@@ -184,7 +184,7 @@
 // takeBackoff takes in that an upstream wants nothing from this host for a while. It reports
 // whether that is news.
 func (f *Forwarder) takeBackoff(now time.Time, u Upstream, d time.Duration) bool {
-	if f.backoffs.Ask(now, u.ID, int64(u.Life), d, spreadOf(d)) {
+	if f.backoffs.Ask(now, u.ID, int64(u.Incarnation), d, spreadOf(d)) {
 		return false
 	}
 	f.relistEngines()
@@ -198,7 +198,7 @@
 
 // receiveBackoff takes in that an upstream wants nothing from a peer for a while.
 func (f *Forwarder) receiveBackoff(now time.Time, from member.HostID, mark backoff.Mark) {
-	if !f.fleet.ReceiveLife(mark.Upstream, Life(mark.Life)) || !f.backoffs.Receive(now, from, mark, spreadOf(mark.For)) {
+	if !f.fleet.ReceiveIncarnation(mark.Upstream, Incarnation(mark.Life)) || !f.backoffs.Receive(now, from, mark, spreadOf(mark.For)) {
 		return
 	}
 	f.relistEngines()
@@ -227,9 +227,9 @@
 // the windows of those that return after a backoff.
 func (f *Forwarder) candidates(now time.Time, service ServiceName) []Upstream {
 	if !f.backoffs.Any() {
-		return f.fleet.Takers(now, service)
+		return f.fleet.Available(now, service)
 	}
-	return f.fleet.TakersBut(now, service, func(id member.UpstreamID) bool { return f.backoffs.Remaining(now, id) > 0 })
+	return f.fleet.AvailableExcept(now, service, func(id member.UpstreamID) bool { return f.backoffs.Remaining(now, id) > 0 })
 }
 
 // BackoffEntries lists the upstreams that asked this host for backoff.
--- a/forward/stopping.go
+++ b/forward/stopping.go
@@ -166,7 +166,7 @@
 	if out <= 0 {
 		return false
 	}
-	takes := x.engines.takes(x.service.Name, p.Tokens, out)
+	takes := x.engines.expectedDuration(x.service.Name, p.Tokens, out)
 	return now.Add(stopTimes*takes + stopMargin).Before(by)
 }
 
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -140,7 +140,7 @@
 			s.avoid = append(s.avoid, other.ID)
 		}
 	}
-	s.fleet.ZoneUnreachable(now, s.service.Name, u.Zone)
+	s.fleet.MarkZoneUnreachable(now, s.service.Name, u.Zone)
 	s.peers.notify()
 }
 
@@ -178,7 +178,7 @@
 		}
 		// One whose backoff has just ended isn't listed until the next tick.
 		layout, own := s.peers.cellLayout()
-		s.engines.list(now, s.service.Name, s.placedOn(now, s.service.Name, layout, own))
+		s.engines.setAvailable(now, s.service.Name, s.placedOn(now, s.service.Name, layout, own))
 	}
 	p := s.call.Prompt
 	r := policy.Request{
@@ -223,7 +223,7 @@
 	case heldBack:
 		return heldRefusal
 	}
-	wait := min(max(d.RetryAfter, retryLeast), retryMost)
+	wait := min(max(d.RetryAfter, minRetryAfter), maxRetryAfter)
 	if d.Reason == policy.ReasonNoEngine {
 		return Refusal{Code: CodeNoUpstream, RetryAfter: wait}
 	}
@@ -281,8 +281,8 @@
 		// The engine counts as failing already.
 		return Refusal{Code: CodeLost, MayHaveRun: true}
 	case err != nil:
-		s.failed(now, u.ID, "it lost a request")
-		s.noteBroken(ctx, now, u, time.Time{}, err)
+		s.recordEngineFailure(now, u.ID, "it lost a request")
+		s.recordBrokenConnection(ctx, now, u, time.Time{}, err)
 		return Refusal{Code: CodeLost, MayHaveRun: true}
 	case a.OtherInstance:
 		s.fleet.MarkLeaving(now, u.ID, 0, true)
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -98,8 +98,8 @@
 			lasts   time.Duration
 		}{
 			"an upstream fails": {
-				func(f *Forwarder) { f.fleet.Failed(f.now(), engine) },
-				func(f *Forwarder) bool { return f.fleet.Failing(f.now(), engine) }, failingFor,
+				func(f *Forwarder) { f.fleet.RecordFailure(f.now(), engine) },
+				func(f *Forwarder) bool { return f.fleet.IsFailing(f.now(), engine) }, initialFailingHold,
 			},
 			"an upstream is cold": {
 				func(f *Forwarder) { f.fleet.MarkCold(engine, f.now().Add(10*time.Second)) },
@@ -257,7 +257,7 @@
 						is.Equal(*sink.refused, Refusal{Code: CodeLate, RetryAfter: retryElsewhere})
 					} else {
 						// Until the engines' state is brought up to date it may wait.
-						is.True(patience-slept-left <= refreshEvery && left <= patience-slept)
+						is.True(patience-slept-left <= poolRefreshInterval && left <= patience-slept)
 					}
 					time.Sleep(time.Second)
 					asked.Arrived = f.now()
--- a/forward/unserved.go
+++ b/forward/unserved.go
@@ -25,7 +25,7 @@
 		return Refusal{Code: CodeNoUpstream, RetryAfter: retryUnknown}
 	}
 	wait = max(wait, x.pickReturnTime(now, takers))
-	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, retryLeast), retryKeptMost) + rand.N(min(wait, retryKeptSpread)+1)}
+	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), retryKeptMost) + rand.N(min(wait, retryKeptSpread)+1)}
 	// Near its end every host may be alone with some upstream's.
 	alone := func(u Upstream) bool {
 		return x.backoffs.Alone(now, u.ID) && x.backoffs.Remaining(now, u.ID) > retryKeptSpread
--- a/forward/zones.go
+++ b/forward/zones.go
@@ -145,7 +145,7 @@
 }
 
 func (f *Fleet) setZone(z zoneState) {
-	f.touch()
+	f.invalidate()
 	if f.zones == nil {
 		f.zones = map[member.Zone]zoneState{}
 	}
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -20,7 +20,7 @@
 
 // upIn is an upstream of a zone.
 func upIn(id member.UpstreamID, zone member.Zone) Upstream {
-	u := up(id, 1, false)
+	u := llmUpstream(id, 1, false)
 	u.Zone = zone
 	return u
 }
@@ -83,7 +83,7 @@
 			for _, s := range c.steps {
 				s(&f, now)
 			}
-			is.Equal(takers(&f, now), c.want)
+			is.Equal(availableIDs(&f, now), c.want)
 		})
 	}
 }
@@ -96,7 +96,7 @@
 	var leader, follower Fleet
 	list := []Upstream{upIn("ua", "a"), upIn("ub", "b")}
 	catchUp := func() {
-		changes, at, whole := leader.Since(follower.Revision())
+		changes, at, whole := leader.ChangesSince(follower.Revision())
 		orders := leader.ZonesSince(follower.Revision(), whole)
 		if whole {
 			follower.ReplaceZones(now, orders, at)
@@ -111,12 +111,12 @@
 	leader.ApplyZones(now, []ZoneOrder{out("a", 12)})
 	leader.Apply(now, nil, rev(12))
 	catchUp()
-	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"ub": true})
+	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"ub": true})
 	// A new leader has read the list after the order was taken back, and never knew it.
 	leader = Fleet{}
 	leader.Replace(now, list, rev(20))
 	catchUp()
-	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"ua": true, "ub": true})
+	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"ua": true, "ub": true})
 }
 
 // zoneForwarder is a forwarder whose upstreams llm1, app1 are in z1 and the others in z2.
@@ -270,7 +270,7 @@
 					}
 					for address, f := range s.hosts {
 						if !s.gone[address] {
-							is.Equal(takers(f.fleet, time.Now()), expected)
+							is.Equal(availableIDs(f.fleet, time.Now()), expected)
 						}
 					}
 				}
--- a/internal/peer/share.go
+++ b/internal/peer/share.go
@@ -156,10 +156,10 @@
 		w.Backoffs = append(w.Backoffs, wireBackoff{Upstream: string(mark.Upstream), Life: mark.Life, For: mark.For.Milliseconds()})
 	}
 	for _, mark := range s.Cold {
-		w.Cold = append(w.Cold, wireCold{Upstream: string(mark.Upstream), Life: int64(mark.Life), For: mark.For.Milliseconds()})
+		w.Cold = append(w.Cold, wireCold{Upstream: string(mark.Upstream), Life: int64(mark.Incarnation), For: mark.Remaining.Milliseconds()})
 	}
 	for _, mark := range s.Failing {
-		w.Failing = append(w.Failing, wireFailing{Upstream: string(mark.Upstream), Life: int64(mark.Life), For: mark.For.Milliseconds()})
+		w.Failing = append(w.Failing, wireFailing{Upstream: string(mark.Upstream), Life: int64(mark.Incarnation), For: mark.Remaining.Milliseconds()})
 	}
 	return w
 }
@@ -175,7 +175,7 @@
 	}
 	for _, r := range w.Runs {
 		s.Runs = append(s.Runs, forward.RunState{
-			Run: policy.RunID(r.Run), Service: forward.ServiceName(r.Service), Engine: member.UpstreamID(r.Engine), Life: forward.Life(r.Life),
+			Run: policy.RunID(r.Run), Service: forward.ServiceName(r.Service), Engine: member.UpstreamID(r.Engine), Life: forward.Incarnation(r.Life),
 			Route: resource.Name(r.Route), Account: resource.Account(r.Account),
 			Prompt: policy.Tokens(r.Prompt), Made: policy.Tokens(r.Made), Limit: policy.Tokens(r.Limit),
 			Begun: time.Duration(r.Begun) * time.Microsecond,
@@ -186,7 +186,7 @@
 	}
 	for _, mark := range w.Leaving {
 		s.Leaving = append(s.Leaving, forward.LeavingMark{
-			Engine: member.UpstreamID(mark.Engine), Life: forward.Life(mark.Life), In: time.Duration(mark.In) * time.Millisecond, Said: mark.Said,
+			Engine: member.UpstreamID(mark.Engine), Life: forward.Incarnation(mark.Life), In: time.Duration(mark.In) * time.Millisecond, Said: mark.Said,
 		})
 	}
 	for _, mark := range w.Backoffs {
@@ -196,12 +196,12 @@
 	}
 	for _, mark := range w.Cold {
 		s.Cold = append(s.Cold, forward.ColdMark{
-			Upstream: member.UpstreamID(mark.Upstream), Life: forward.Life(mark.Life), For: time.Duration(mark.For) * time.Millisecond,
+			Upstream: member.UpstreamID(mark.Upstream), Incarnation: forward.Incarnation(mark.Life), Remaining: time.Duration(mark.For) * time.Millisecond,
 		})
 	}
 	for _, mark := range w.Failing {
 		s.Failing = append(s.Failing, forward.FailingMark{
-			Upstream: member.UpstreamID(mark.Upstream), Life: forward.Life(mark.Life), For: time.Duration(mark.For) * time.Millisecond,
+			Upstream: member.UpstreamID(mark.Upstream), Incarnation: forward.Incarnation(mark.Life), Remaining: time.Duration(mark.For) * time.Millisecond,
 		})
 	}
 	return s
