--- a/forward/brokenconnection.go
+++ b/forward/brokenconnection.go
@@ -13,12 +13,12 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// reachTimeout bounds the look at an upstream whose connection broke: one that ended
-// refuses a connection within a round trip, and a link that is cut says nothing.
+// reachTimeout bounds the probe of an upstream whose connection broke. An upstream that has
+// ended refuses the connection within a round trip; over a link that is cut there is no answer.
 const reachTimeout = 50 * time.Millisecond
 
-// closedByUpstream reports whether an error says that the other side ended the connection. A link
-// that fell silent, and bytes that are no answer, are something else.
+// closedByUpstream reports whether an error means that the upstream ended the connection, as
+// opposed to a link without traffic or an invalid answer.
 func closedByUpstream(err error) bool {
 	for _, closeErr := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, closeErr) {
@@ -28,7 +28,8 @@
 	return false
 }
 
-// requestIdentity is what the request asks, for telling it from others.
+// requestIdentity is what identifies the content of the request, so that repeats of it under
+// other request IDs are recognised.
 func (x *exchange) requestIdentity() quarantine.Asked {
 	a := quarantine.Asked{
 		Caller: string(x.account.Name), Method: x.call.Method, Host: hostName(x.call.Host), Target: x.call.Target, Body: x.call.Body,
@@ -39,16 +40,18 @@
 	return a
 }
 
-// recordBrokenConnection looks what became of an upstream whose connection broke before its answer
-// had ended, and notes it with what the request asks: two requests with different ids may
-// ask the same. begun is when the upstream's first event came; zero before that.
+// recordBrokenConnection finds out whether an upstream ended when its connection broke before
+// the end of the answer. It logs that with the request's fingerprint, because two requests with
+// different IDs may have the same content. If the upstream ended without notice while the
+// request was beginning to run there, the request is recorded as a possible cause. firstEventAt
+// is when the upstream's first event arrived; zero if none did.
 func (x *exchange) recordBrokenConnection(ctx context.Context, now time.Time, u Upstream, firstEventAt time.Time, cause error) {
 	if !closedByUpstream(cause) || ctx.Err() != nil {
 		return
 	}
 	ended, err := x.upstreamEnded(ctx, u)
 	x.observer.Broken(ended)
-	// One that had said that it leaves has ended as it said.
+	// An upstream that had announced that it leaves ended as announced.
 	announced := x.fleet.LeavingFor(now, u.ID) >= noticeLeast
 	keyvals := []any{"upstream", u.ID, "life", u.Incarnation, "ended", ended, "leaving", announced, "asks", x.fingerprint(), "runs_beside", x.engines.otherRuns(x.service.Name, u.ID, x.runID())}
 	if !firstEventAt.IsZero() {
--- a/forward/brokenconnection_test.go
+++ b/forward/brokenconnection_test.go
@@ -15,7 +15,7 @@
 	"github.com/matryer/is"
 )
 
-// recordingJournal keeps the lines.
+// recordingJournal is a Journal that keeps its lines in memory.
 type recordingJournal struct {
 	mu    sync.Mutex
 	lines []string
@@ -35,7 +35,7 @@
 	j.lines = append(j.lines, line)
 }
 
-// linesWithPrefix returns the lines that begin so.
+// linesWithPrefix returns the lines that begin with an event.
 func (j *recordingJournal) linesWithPrefix(event string) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -48,8 +48,9 @@
 	return found
 }
 
-// TestBrokenConnectionIsLogged has the log tell of each connection that broke before its
-// answer had ended whether the upstream itself had, and what was asked.
+// TestBrokenConnectionIsLogged checks that each connection that breaks before the end of its
+// answer is logged with a fingerprint of the request, and with whether the upstream itself has
+// ended.
 func TestBrokenConnectionIsLogged(t *testing.T) {
 	closed := func(Upstream) error { return fmt.Errorf("%w: refused", ErrPortClosed) }
 	breaks := func(body io.Reader, err error) func(context.Context, Upstream, *Outgoing) (*Answer, error) {
--- a/forward/coldupstream.go
+++ b/forward/coldupstream.go
@@ -10,15 +10,15 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// A cold upstream bears only so many requests in a second from all hosts together, and
-// falls over when it gets many more. It is bounded as one is that names a limit.
+// A cold upstream can take only a limited rate of requests from all hosts together, and fails
+// under many more. It is limited in the same way as an upstream that announces a limit.
 
-// coldRateShare of what a cold upstream bears is given out: for a moment, while hosts haven't
-// heard of each other, two may give it out at once.
+// coldRateShare is the share of a cold upstream's rate that is granted. It is half, because two
+// hosts that have not discovered each other yet may both grant that rate for a moment.
 const coldRateShare = 0.5
 
-// coldRateLimit is what a cold upstream is given at most; false for one that isn't cold, or
-// whose service sets no bound.
+// coldRateLimit is the rate limit of a cold upstream; false if the upstream is not cold or its
+// service sets no limit.
 func (f *Forwarder) coldRateLimit(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
 	if s.ColdRate <= 0 || !f.fleet.IsCold(now, u.ID) {
 		return 0, false
@@ -34,14 +34,14 @@
 	return k != nil && now.Before(k.coldUntil)
 }
 
-// AnyCold reports whether some upstream may be cold.
+// AnyCold reports whether any upstream may be cold.
 func (f *Fleet) AnyCold(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return now.Before(f.coldUntil)
 }
 
-// MarkCold takes in from another than the list that an upstream is cold.
+// MarkCold records that an upstream is cold, as learned from another source than the list.
 func (f *Fleet) MarkCold(id member.UpstreamID, until time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,15 +51,15 @@
 	}
 }
 
-// ColdMark is a host's word that an upstream is cold, for its peers.
+// ColdMark reports to the peers of a host that an upstream is cold.
 type ColdMark struct {
 	Upstream    member.UpstreamID
 	Incarnation Incarnation
-	// Remaining is how much longer it is.
+	// Remaining is for how much longer the upstream is cold.
 	Remaining time.Duration
 }
 
-// ColdMarks returns what this host knows of cold upstreams.
+// ColdMarks returns the cold upstreams that this host knows of.
 func (f *Fleet) ColdMarks(now time.Time) []ColdMark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/coldupstream_test.go
+++ b/forward/coldupstream_test.go
@@ -16,7 +16,8 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// TestCutOffHostsAreCounted has the hosts that aren't heard any more count for the shares.
+// TestCutOffHostsAreCounted checks that hosts which are no longer heard from still count when a
+// rate is divided.
 func TestCutOffHostsAreCounted(t *testing.T) {
 	is := is.New(t)
 	p := newPeerSet(Peer{ID: "h0", Zone: "z1"}, nil)
@@ -26,15 +27,15 @@
 	}
 	is.Equal(p.mostKnown(now), 66)
 	now = now.Add(30 * time.Second)
-	p.targets(now, true, false, func(member.HostID) bool { return false }) // forgets who was silent for long
+	p.targets(now, true, false, func(member.HostID) bool { return false }) // forgets the peers that have been silent for long
 	is.Equal(p.live(now), 1)
 	is.Equal(p.mostKnown(now), 66)
 	is.Equal(p.mostKnown(now.Add(mostKnownFor)), 1)
 }
 
-// TestColdUpstreams has calls, streams and moves go to upstreams that are warm while this
-// host has no turn at the cold ones, and a request that only cold ones could take be
-// refused at once with the time of the next turn.
+// TestColdUpstreams checks that calls and streams go to warm upstreams while this host has no
+// turn at the cold ones, and that a request which only cold upstreams could take is refused at
+// once with the time of the next turn.
 func TestColdUpstreams(t *testing.T) {
 	for path, service := range map[string]string{"/order/": "app", "/llm/": "llm"} {
 		t.Run(path, func(t *testing.T) {
@@ -50,8 +51,8 @@
 				f.Configure(now, c)
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Run(ctx)
-				// One of the cold upstreams' zone gives out what they take, and can't be asked
-				// here: this host has its own turns, and never the place of who gives out.
+				// A host in the cold upstreams' zone grants their rate, and cannot be asked
+				// here. So this host has its own turns, and never those of the granting host.
 				for n := range 9 {
 					f.peers.receive(now, Share{From: Peer{ID: member.HostID(fmt.Sprint("p", n)), Zone: "z2"}})
 				}
@@ -60,7 +61,8 @@
 					for _, id := range ids {
 						u, _ := f.fleet.Upstream(member.UpstreamID(id))
 						u.Revision = rev(u.Revision.Revision() + 1)
-						// Hosts of its zone would know of each other's runs there.
+						// Within one zone, hosts would know of each other's runs on the
+						// upstream.
 						u.Zone = "z2"
 						changes = append(changes, Change{Upstream: u, ColdUntil: time.Now().Add(10 * time.Second)})
 					}
@@ -71,8 +73,9 @@
 					c.Prompt.Tokens = 50
 					return c
 				}
-				// Ten hosts share, in turns, half of the five a second that are given out of the
-				// ten that it bears: one of this host's in 4 s.
+				// An upstream bears 10 requests a second, and half of that is granted. Ten
+				// hosts share half of these 5 a second in turns, which is one turn of this host
+				// in 4 s.
 				cold(service+"1", service+"2")
 				for range 40 {
 					f.Serve(t.Context(), small(), &fakeSink{})
@@ -99,7 +102,7 @@
 					time.Sleep(50 * time.Millisecond)
 				}
 				is.True(refused > 20)
-				time.Sleep(10 * time.Second) // all are warm again
+				time.Sleep(10 * time.Second) // all upstreams are warm again
 				sink := &fakeSink{}
 				f.Serve(t.Context(), call(path), sink)
 				is.Equal(sink.refused, nil)
@@ -110,9 +113,9 @@
 	}
 }
 
-// TestColdEngineIsShared has a cold engine get no more runs in a second than it bears, from
-// all hosts together, while they reach each other, and while half of them reach it and
-// nobody else.
+// TestColdEngineIsShared checks that a cold engine gets no more runs per second from all hosts
+// together than it bears, both while the hosts reach each other and while half of them reach
+// only the engine.
 func TestColdEngineIsShared(t *testing.T) {
 	const maxRate = 20
 	for name, cut := range map[string]bool{"in touch": false, "half is cut off": true} {
@@ -143,21 +146,21 @@
 					go s.nth(n%10).Serve(ctx, c, &fakeSink{})
 					time.Sleep(10 * time.Millisecond)
 				}
-				var at []time.Duration
+				var arrivals []time.Duration
 				fleet.mu.Lock()
 				for _, r := range fleet.got["llm00"] {
-					at = append(at, r.at)
+					arrivals = append(arrivals, r.at)
 				}
 				fleet.mu.Unlock()
 				most, first := 0, 0
-				for last := range at {
-					for at[last]-at[first] >= time.Second {
+				for last := range arrivals {
+					for arrivals[last]-arrivals[first] >= time.Second {
 						first++
 					}
 					most = max(most, last-first+1)
 				}
 				is.True(most <= maxRate)
-				is.True(len(at) >= 30)
+				is.True(len(arrivals) >= 30)
 				cancel()
 				synctest.Wait()
 			})
--- a/forward/engineplacer.go
+++ b/forward/engineplacer.go
@@ -16,50 +16,53 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// enginePlacer places generations on the enginePlacer of each service. Each host decides
-// by itself on what it knows: its own runs exactly, and its peers' runs as they
-// tell them.
+// enginePlacer places runs on the engines of each service. A run is one generation on an
+// engine. Each host decides on its own: it knows its own runs exactly, and those of its peers
+// as far as they report them.
 type enginePlacer struct {
 	self member.HostID
 	zone member.Zone
-	// clock tells the present time; nil is the usual one.
+	// clock gives the current time; nil stands for the system clock.
 	clock *clock.Clock
 
 	mu    sync.Mutex
 	pools map[ServiceName]*enginePool
-	// lastReported is when each peer last told its runs.
+	// lastReported is when each peer last reported its runs.
 	lastReported map[member.HostID]time.Time
-	// recentlyEnded are this host's runs whose answers recentlyEnded by themselves lately.
+	// recentlyEnded are the runs of this host whose answers recently completed.
 	recentlyEnded []EndedRun
 }
 
-// enginePool is the placement of one service's engines.
+// enginePool is the placement state of one service's engines.
 type enginePool struct {
 	pool *policy.Pool
 	spec Engine
-	// available are the engines that this host places on, as it was told last.
+	// available are the engines that this host places new runs on, as set by setAvailable.
 	available []Upstream
-	// remote are engines of other cells on which this host has runs.
+	// remote are engines of other cells, on which hosts of these cells granted places to runs
+	// of this host. They are dropped when this host has no run on them.
 	remote map[member.UpstreamID]Upstream
-	// poolEngines are the engines that take work, as the pool was told.
+	// poolEngines are the engines that the policy pool knows: available and remote.
 	poolEngines map[member.UpstreamID]Upstream
-	// waiting are the requests that wait for a place.
+	// waiting holds, for each queued request, the channel that receives its decision.
 	waiting map[policy.RunID]chan policy.Decision
-	// ownRuns are this host's runs, theirs those of its peers.
+	// ownRuns are the runs of this host; peerRuns are those of its peers, with the host of
+	// each.
 	ownRuns  map[policy.RunID]*ownRun
 	peerRuns map[policy.RunID]member.HostID
-	// unconfirmedGrants are when places were given to runs of peers that haven't told of them yet.
+	// unconfirmedGrants is when places were granted to peers' runs that the peers have not
+	// reported yet.
 	unconfirmedGrants map[policy.RunID]time.Time
-	// averageStep is the time of a step as it was observed of all engines; zero
-	// before the first.
+	// averageStep is the moving average of the decoding steps observed on all engines of the
+	// service; zero before the first observation.
 	averageStep time.Duration
-	// stepSamples counts the pauses that steps were learnt from, and learntAt is
-	// when anything was last learnt of the engines.
+	// stepSamples counts the observations in averageStep; lastObserved is when anything about
+	// the engines was last observed.
 	stepSamples  uint64
 	lastObserved time.Time
 }
 
-// expectedStep is the usual time of a expectedStep as far as it is known.
+// expectedStep is how long a decoding step is expected to take.
 func (p *enginePool) expectedStep() time.Duration {
 	if p.averageStep > 0 {
 		return p.averageStep
@@ -67,57 +70,56 @@
 	return assumedStep
 }
 
-// shortAnswerLength is the length below which answers count as shortAnswerLength.
+// shortAnswerLength is the length below which answers count as short.
 func (p *enginePool) shortAnswerLength() policy.Tokens {
 	return policy.Tokens(shortAnswerDuration / p.expectedStep())
 }
 
-// ownRun is one generation of this host that holds a place.
+// ownRun is a run of this host that holds a place on an engine.
 type ownRun struct {
 	request policy.Request
-	// engine changes under the lock of engines.
+	// engine is guarded by enginePlacer.mu.
 	engine member.UpstreamID
-	// incarnation is the engine's; it changes with it.
+	// incarnation is that of engine and changes with it.
 	incarnation Incarnation
-	// firstTokenAt is when its firstTokenAt token came; zero before. It changes under the lock of
-	// engines.
+	// firstTokenAt is when the first token arrived; zero before. It is guarded by
+	// enginePlacer.mu.
 	firstTokenAt time.Time
-	// generatedTokens counts the tokens passed on so far.
+	// generatedTokens counts the tokens passed on to the caller so far.
 	generatedTokens atomic.Int64
 }
 
 // Placement settings.
 const (
-	// crossZoneStartCost is what an engine of another zone costs a new run, as a
-	// share of an engine's memory: a stream across zones is cut when the zones
-	// are, so it goes there only when the own zone's engines are much fuller. Short
-	// answers pay it, too: hosts hear of each run on their own zone's engines at
-	// once, but of another's only now and then, so an engine that looks idle from
-	// afar mostly isn't.
+	// crossZoneStartCost is what an engine of another zone costs a new run, as a share of an
+	// engine's memory. A stream between zones breaks when the zones are partitioned, so a run
+	// starts there only if the engines of the own zone are much fuller. Short answers pay the
+	// cost, too: hosts learn of runs in their own zone at once, but of those in other zones
+	// only from time to time, so a remote engine that looks idle usually is not.
 	crossZoneStartCost = 0.7
-	// crossZoneMoveCost is the same for a run that moves; a move between zones also
-	// takes the links twice as long.
+	// crossZoneMoveCost is the same cost for a run that moves. A move between zones also
+	// occupies the links for twice as long.
 	crossZoneMoveCost = 0.8
-	// assumedStep is assumed of engines until any run has shown a step.
+	// assumedStep is the duration of a decoding step until one has been observed.
 	assumedStep = 10 * time.Millisecond
-	// stepWeight is the weight of the newest observation of a step.
+	// stepWeight is the weight of the newest observation in the moving average of steps.
 	stepWeight = 0.01
-	// shortAnswerDuration is how long short answers take: an engine that leaves mostly
-	// still ends them.
+	// shortAnswerDuration is how long the answers take that count as short. An engine that
+	// leaves usually still completes them.
 	shortAnswerDuration = 500 * time.Millisecond
-	// assumedReadRate is how many prompt tokens an engine is taken to read in a
-	// second beside its decoding until that is learnt: half of the 14,000 of the
-	// first engines' sheets, for a step in which a part of a prompt is read takes
-	// about twice as long.
+	// assumedReadRate is how many prompt tokens per second an engine is assumed to read beside
+	// decoding, until the rate has been observed: half of the 14,000 that the data sheets of
+	// the first engines give, because a step that also reads part of a prompt takes about twice
+	// as long.
 	assumedReadRate = 7000.0
-	// queueStagger spreads over a zone's hosts when what waits at each goes to an engine
-	// that has just begun to take work: they hear of each other's runs within some 5 ms,
-	// and a zone has some ten or twenty hosts.
+	// queueStagger is the period over which the hosts of a zone spread their queued requests
+	// when an engine begins to take work. Hosts learn of each other's runs within about 5 ms,
+	// and a zone has ten to twenty hosts.
 	queueStagger = 100 * time.Millisecond
-	// poolRefreshInterval is how often the pools are told where their runs stand.
+	// poolRefreshInterval is how often the pools are updated with the progress of their runs.
 	poolRefreshInterval = 100 * time.Millisecond
-	// maxRetryAfter bounds what a refused caller is told to wait: engines that
-	// leave are replaced within a few seconds.
+	// maxRetryAfter and minRetryAfter bound the delay after which a refused caller is asked to
+	// retry. Engines that leave are replaced within a few seconds.
 	maxRetryAfter = 2 * time.Second
 	minRetryAfter = 50 * time.Millisecond
 )
@@ -128,7 +130,7 @@
 
 func (e *enginePlacer) now() time.Time { return e.clock.Now() }
 
-// configure takes in the engine services of a new configuration.
+// configure creates and updates the pools of the engine services of a configuration.
 func (e *enginePlacer) configure(t *Table) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -153,13 +155,16 @@
 }
 
 const (
-	// stepShareOfPause of the shortest pause that a route allows between two events is
-	// the longest step that placement aims at, for each token of an event.
+	// stepShareOfPause sets the longest step that placement aims at: this share of the shortest
+	// pause that any route to the service allows between two events, divided by the tokens of
+	// an event.
 	stepShareOfPause = 0.9
-	// defaultMaxStep is the same where no route sets a pause.
+	// defaultMaxStep is the longest step that placement aims at if no route limits the pause.
 	defaultMaxStep = 40 * time.Millisecond
 )
 
+// poolSettings returns the settings of an engine's pool. shortestPause is the shortest pause
+// that any route to the service allows between two events; zero if no route limits it.
 func poolSettings(e Engine, shortestPause time.Duration) policy.Settings {
 	s := policy.Settings{BetweenTokens: defaultMaxStep, MaxBatch: e.Batch, ReadRate: assumedReadRate, Stagger: queueStagger}
 	if shortestPause > 0 {
@@ -171,11 +176,12 @@
 	return s
 }
 
-// minMoveWindow is the shortest notice of an engine that leaves, less what the first move
-// waits.
+// minMoveWindow is the shortest time in which runs can be moved off an engine that leaves: the
+// shortest notice of such an engine, less the delay before the first move.
 const minMoveWindow = 1400 * time.Millisecond
 
-// setAvailable tells which engines take work now.
+// setAvailable sets the engines of a service that new runs are placed on, and refreshes its
+// pool. A slice that is passed again counts as unchanged.
 func (e *enginePlacer) setAvailable(now time.Time, service ServiceName, available []Upstream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -190,7 +196,7 @@
 	p.refresh(now)
 }
 
-// updatePoolEngines tells the pool which engines there are.
+// updatePoolEngines passes the available and remote engines to the policy pool.
 func (p *enginePool) updatePoolEngines() {
 	ids := make([]member.UpstreamID, 0, len(p.available)+len(p.remote))
 	clear(p.poolEngines)
@@ -206,7 +212,8 @@
 		}
 	}
 	p.pool.SetEngines(ids)
-	// Hosts of other cells place on these, and this one doesn't know what they have to do.
+	// Hosts of other cells place runs on these engines; this host does not know their load, so
+	// it must not place new runs there.
 	p.pool.Withhold(remote)
 	for _, u := range p.poolEngines {
 		p.pool.SetZone(u.ID, u.Zone)
@@ -214,7 +221,8 @@
 	}
 }
 
-// dropUnusedRemote drops the borrowed engines on which this host has no run any more.
+// dropUnusedRemote drops the remote engines on which this host has no runs. It reports whether
+// it dropped any.
 func (p *enginePool) dropUnusedRemote() bool {
 	if len(p.remote) == 0 {
 		return false
@@ -228,7 +236,7 @@
 	return len(p.remote) < before
 }
 
-// addRemoteEngine has an engine of another cell be known, on which a host of that has given a place.
+// addRemoteEngine adds an engine of another cell, on which a host of that cell granted a place.
 func (e *enginePlacer) addRemoteEngine(service ServiceName, u Upstream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -244,7 +252,8 @@
 	p.pool.Report(e.now(), policy.Report{Engine: u.ID, Memory: p.spec.Memory, Step: p.expectedStep()})
 }
 
-// refresh tells the pool how its engines stand and decides what waits.
+// refresh passes the state of the engines and runs to the policy pool, and delivers decisions
+// on queued requests.
 func (p *enginePool) refresh(now time.Time) {
 	p.revokeUnused(now)
 	for id, run := range p.ownRuns {
@@ -257,6 +266,7 @@
 	p.advance(now)
 }
 
+// advance delivers the decisions that the policy pool makes on queued requests.
 func (p *enginePool) advance(now time.Time) {
 	for _, d := range p.pool.Advance(now) {
 		if waiting := p.waiting[d.Run]; waiting != nil {
@@ -266,22 +276,23 @@
 	}
 }
 
-// place finds an engine for a generation; it waits until the request's
-// deadline at most.
+// place places a generation on an engine. It waits for a place until the request's deadline at
+// most.
 func (e *enginePlacer) place(ctx context.Context, now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision) {
 	for {
 		u, run, d := e.placeOnce(ctx, now, service, r)
 		if run == nil || u.ID != "" {
 			return u, run, d
 		}
-		// The engine left between the grant and now. The request isn't sent to it, nor
-		// refused for that.
+		// The engine left after the grant. The request is neither sent there nor refused for
+		// that reason, but placed again.
 		now = e.now()
 		e.finish(now, service, run, false)
 	}
 }
 
-// placeOnce is place; its upstream is zero when the engine that was granted has left.
+// placeOnce makes one attempt for place. It returns a run with a zero Upstream if the granted
+// engine has left since.
 func (e *enginePlacer) placeOnce(ctx context.Context, now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision) {
 	e.mu.Lock()
 	p := e.pools[service]
@@ -309,7 +320,7 @@
 	return p.poolEngines[d.Engine], p.carry(r, d.Engine), d
 }
 
-// withdraw takes back a request whose caller left while it waited.
+// withdraw cancels a queued request whose context has ended.
 func (e *enginePlacer) withdraw(p *enginePool, run policy.RunID, decision chan policy.Decision) policy.Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -322,7 +333,8 @@
 	return policy.Decision{Run: run, Verdict: policy.Refused, Reason: policy.ReasonDeadline}
 }
 
-// finish frees a run's place; whole says that its length is known.
+// finish frees a run's place. complete says that the answer completed, so that its length is
+// known.
 func (e *enginePlacer) finish(now time.Time, service ServiceName, run *ownRun, complete bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -330,17 +342,17 @@
 	if p == nil {
 		return
 	}
-	made := policy.Tokens(run.generatedTokens.Load())
+	generated := policy.Tokens(run.generatedTokens.Load())
 	delete(p.ownRuns, run.request.Run)
-	p.pool.Finish(now, policy.Finish{Run: run.request.Run, Made: made, Whole: complete})
+	p.pool.Finish(now, policy.Finish{Run: run.request.Run, Made: generated, Whole: complete})
 	if complete {
-		e.recentlyEnded = append(e.recentlyEnded, EndedRun{Run: run.request.Run, Made: made, at: now})
+		e.recentlyEnded = append(e.recentlyEnded, EndedRun{Run: run.request.Run, Made: generated, at: now})
 	}
 	p.advance(now)
 }
 
-// relocate finds another engine for a run whose engine leaves, not one of those
-// to be avoided.
+// relocate finds another engine for a run whose engine leaves. It skips the engines that t
+// excludes.
 func (e *enginePlacer) relocate(now time.Time, service ServiceName, run *ownRun, t policy.Target) (Upstream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -357,9 +369,10 @@
 	return p.poolEngines[id], true
 }
 
-// movePriority orders the runs that have to leave an engine: those of routes with long
-// answers first, for short ones end by themselves; among them the smallest, so
-// that most are moved in the time that there is.
+// movePriority ranks the runs that have to move off an engine; the highest moves first. Runs of
+// routes with long answers precede those with short answers, which complete before the engine
+// has left. Within each group the smallest precede, so that most runs move in the time
+// available.
 func (e *enginePlacer) movePriority(service ServiceName, run *ownRun) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -374,7 +387,7 @@
 	return -memory
 }
 
-// recordFirstToken takes in that a run has made its first token.
+// recordFirstToken records that a run has generated its first token.
 func (e *enginePlacer) recordFirstToken(now time.Time, service ServiceName, run *ownRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -385,7 +398,7 @@
 	}
 }
 
-// otherRuns is how many runs an engine has besides one, as far as is known.
+// otherRuns counts the runs known on an engine, without the run except.
 func (e *enginePlacer) otherRuns(service ServiceName, id member.UpstreamID, except policy.RunID) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -400,7 +413,8 @@
 	return n
 }
 
-// hasRecentProgress reports whether an engine was known to make tokens lately.
+// hasRecentProgress reports whether a run on the engine is known to have generated a token
+// within engineProgressTimeout.
 func (e *enginePlacer) hasRecentProgress(now time.Time, service ServiceName, id member.UpstreamID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -408,7 +422,7 @@
 	return p != nil && now.Sub(p.pool.Progressed(id)) <= engineProgressTimeout
 }
 
-// observeStep takes in how long an engine took for each of some tokens.
+// observeStep updates the average step with the time that an engine took per token.
 func (e *enginePlacer) observeStep(now time.Time, service ServiceName, step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -424,7 +438,8 @@
 	p.lastObserved = now
 }
 
-// expectedDuration is how long an engine is expected to take for a prompt and an answer.
+// expectedDuration is how long an engine is expected to take to read a prompt and generate an
+// output.
 func (e *enginePlacer) expectedDuration(service ServiceName, prompt, output policy.Tokens) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -435,7 +450,7 @@
 	return p.pool.TakesToRead(prompt) + time.Duration(output)*p.expectedStep()
 }
 
-// returnToEngine counts a run on an engine again that it wasn't moved from.
+// returnToEngine counts a run on its engine again after a move that did not take place.
 func (e *enginePlacer) returnToEngine(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -444,7 +459,8 @@
 	}
 }
 
-// resetEngine forgets what is believed of an engine whose life is over.
+// resetEngine discards what is known about an engine that started again, including the runs
+// counted on it.
 func (e *enginePlacer) resetEngine(id member.UpstreamID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -455,7 +471,7 @@
 	}
 }
 
-// enginesWithRuns lists the engines that carry runs, of this host or its peers.
+// enginesWithRuns lists the engines that have runs of this host or its peers.
 func (e *enginePlacer) enginesWithRuns() []member.UpstreamID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/forward/engineplacer_test.go
+++ b/forward/engineplacer_test.go
@@ -15,8 +15,9 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// TestStepLearnt has the time of an answer, and what counts as a short one,
-// follow the steps that engines show, three times faster and slower ones alike.
+// TestStepLearnt checks that the expected duration of an answer, and the length that counts as
+// short, follow the observed steps, whether these are three times faster or slower than
+// assumed.
 func TestStepLearnt(t *testing.T) {
 	for name, c := range map[string]struct {
 		step  time.Duration
@@ -46,8 +47,8 @@
 	}
 }
 
-// TestShortestPause has the longest step that placement aims at follow the
-// shortest pause that a route to the engines allows.
+// TestShortestPause checks that the longest step that placement aims at follows the shortest
+// pause that a route to the engines allows.
 func TestShortestPause(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(1)
@@ -60,12 +61,12 @@
 	is.Equal(table.ShortestPause("llm"), 120*time.Millisecond)
 	is.Equal(table.ShortestPause("app"), time.Duration(0))
 	is.Equal(poolSettings(*c.Services[1].Engine, 0).BetweenTokens, defaultMaxStep)
-	// 120 ms for four tokens are 30 ms a step, and a tenth is kept back.
+	// 120 ms for four tokens are 30 ms per step, of which a tenth is kept in reserve.
 	is.Equal(poolSettings(*c.Services[1].Engine, 120*time.Millisecond).BetweenTokens, 27*time.Millisecond)
 }
 
-// TestKnownZones has placement know how much of each zone it hears: a peer's runs are
-// known for a second after it told them.
+// TestKnownZones checks that placement knows which share of a zone's hosts reported their runs:
+// a report counts for a second.
 func TestKnownZones(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
@@ -97,13 +98,13 @@
 		}
 		f.engines.noteKnown(c.at, f.peers.zones())
 		if got := pool.KnownPart("z2"); got != c.want {
-			t.Errorf("%s: %v of the zone is known, not %v", name, got, c.want)
+			t.Errorf("%s: known share of zone z2 is %v, expected %v", name, got, c.want)
 		}
 	}
 }
 
-// TestLengthsLearntTogether has a host learn how long answers get from the runs of its
-// peers that end by themselves, each once, and not from those that are cut.
+// TestLengthsLearntTogether checks that a host learns the length of answers from its peers'
+// runs that complete, each once, and not from runs that are cut off.
 func TestLengthsLearntTogether(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -128,15 +129,15 @@
 		now = now.Add(100 * time.Millisecond)
 		sender.engines.finish(now, "llm", run, i%2 == 0)
 		share()
-		share() // an answer that is told again isn't learnt again
+		share() // a repeated report must not count twice
 	}
 	is.True(before < 600)
-	is.True(mean() > 800 && mean() < 1000) // a hundred answers of 1,000 tokens, and the prior
+	is.True(mean() > 800 && mean() < 1000) // a hundred answers of 1,000 tokens, and the initial estimate
 	is.Equal(len(receiver.engines.enginesWithRuns()), 0)
 }
 
-// TestGrantedEngineLeft has a request that waited be placed anew when the engine that
-// it was granted was taken off the list before it could take the place.
+// TestGrantedEngineLeft checks that a queued request is placed again if the engine that it was
+// granted is removed from the list before the request takes its place.
 func TestGrantedEngineLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -156,12 +157,12 @@
 			u, run, _ := e.place(t.Context(), now, "llm", policy.Request{Run: "waiting", Prompt: 3000, Deadline: now.Add(time.Minute)})
 			placed <- placing{u, run}
 		}()
-		time.Sleep(queueStagger) // llm1 takes what waits
+		time.Sleep(queueStagger) // from now on llm1 takes queued requests
 		later := time.Now()
 		p := e.pools["llm"]
 		e.mu.Lock()
 		p.pool.Finish(later, policy.Finish{Run: filling.request.Run})
-		p.advance(later) // llm1 is granted; before the request can go on, it leaves
+		p.advance(later) // llm1 is granted, and leaves before the request can go on
 		clear(p.poolEngines)
 		p.poolEngines[second.ID] = second
 		p.pool.SetEngines([]member.UpstreamID{second.ID})
@@ -171,6 +172,6 @@
 		got := <-placed
 		is.Equal(got.upstream, second)
 		is.Equal(got.run.engine, second.ID)
-		is.Equal(len(p.ownRuns), 2) // the one that fills llm1, whose end wasn't told, and this
+		is.Equal(len(p.ownRuns), 2) // this run, and the one that fills llm1, whose end the placer has not been told
 	})
 }
--- a/forward/failingupstream.go
+++ b/forward/failingupstream.go
@@ -9,31 +9,32 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// FailingMark is a host's finding that an upstream loses requests, for the peers
-// of its zone: they have the same links to it.
+// FailingMark reports to the peers of a host's zone that an upstream loses requests. The peers
+// reach it over the same links.
 type FailingMark struct {
 	Upstream    member.UpstreamID
 	Incarnation Incarnation
-	// Remaining is how much longer it is to get no new work.
+	// Remaining is for how much longer the upstream is to get no new work.
 	Remaining time.Duration
 }
 
 const (
-	// initialFailingHold is how long an upstream that lost a request gets no new work. It
-	// doubles with each that is lost in a row, up to failingMost: one that goes
-	// bad for some seconds costs a request a host and zone then, not each one.
+	// initialFailingHold is how long an upstream that lost a request gets no new work. The
+	// period doubles with each further loss in a row, up to maxFailingHold. An upstream that
+	// fails for some seconds then costs one request per host and zone, not every request.
 	initialFailingHold = 2 * time.Second
 	maxFailingHold     = 8 * time.Second
-	// firstEventTimeoutFactor of its objective is how late a first event may be before
-	// the engine counts as failing: callers leave at four times the objective.
+	// firstEventTimeoutFactor times a route's objective is how late a first event may be before
+	// its engine counts as failing. Callers give up at four times the objective.
 	firstEventTimeoutFactor = 1.5
-	// engineProgressTimeout is how long after a token of any of its runs an engine is taken to work:
-	// peers tell of theirs twice a second.
+	// engineProgressTimeout is how long after the last token of any of its runs an engine still
+	// counts as working. Peers report their runs twice a second.
 	engineProgressTimeout = 1200 * time.Millisecond
 )
 
-// RecordFailure notes that an upstream took a request and lost it, or is silent. It
-// returns for how long it gets no new work.
+// RecordFailure records that an upstream lost a request that it had taken, or does not answer.
+// It returns for how long the upstream gets no new work; zero if the upstream is unknown or
+// leaving.
 func (f *Fleet) RecordFailure(now time.Time, id member.UpstreamID) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,9 +51,9 @@
 	return hold
 }
 
-// MarkZoneUnreachable notes that an upstream of another zone couldn't be connected to:
-// a link that is cut leads to all of that zone, and finding that out takes time each
-// time.
+// MarkZoneUnreachable records that a connection to an upstream in another zone failed. A broken
+// link affects all upstreams of that zone, and each of them would cost the time of a connection
+// attempt.
 func (f *Fleet) MarkZoneUnreachable(now time.Time, service ServiceName, zone member.Zone) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,7 +73,7 @@
 	f.notify(true)
 }
 
-// RecordSuccess notes that an upstream answered.
+// RecordSuccess records that an upstream answered.
 func (f *Fleet) RecordSuccess(id member.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,8 +82,8 @@
 	}
 }
 
-// IsFailing reports whether an upstream is kept from new work, by this host's own
-// finding or a peer's.
+// IsFailing reports whether an upstream gets no new work because of a finding of this host or a
+// peer.
 func (f *Fleet) IsFailing(now time.Time, id member.UpstreamID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,7 +91,7 @@
 	return k != nil && now.Before(k.suspectUntil)
 }
 
-// FailingMarks returns this host's own findings.
+// FailingMarks returns the findings of this host itself.
 func (f *Fleet) FailingMarks(now time.Time) []FailingMark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +108,8 @@
 	return marks
 }
 
-// ReceiveFailingMarks takes in what a peer of the zone found.
+// ReceiveFailingMarks applies the findings of a peer of the own zone. Marks about a past
+// incarnation of an upstream, or one that started before the present one, are ignored.
 func (f *Fleet) ReceiveFailingMarks(now time.Time, marks []FailingMark) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,6 +125,7 @@
 	f.notify(changed)
 }
 
+// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -130,7 +133,8 @@
 	return b
 }
 
-// recordEngineFailure notes that the engine of this stream lost it, and tells the zone.
+// recordEngineFailure records that the engine of this stream lost the run, and notifies the
+// zone.
 func (s *streamExchange) recordEngineFailure(now time.Time, id member.UpstreamID, reason string) {
 	hold := s.fleet.RecordFailure(now, id)
 	if hold == 0 {
@@ -140,24 +144,25 @@
 	s.peers.notify()
 }
 
-// recordBrokenStream notes that an engine broke a stream off in its midst. Where nothing had
-// told that it leaves, the list may be behind.
+// recordBrokenStream records that an engine broke off a stream before its end. If nothing had
+// announced that the engine leaves, the list may be out of date.
 func (s *streamExchange) recordBrokenStream(now time.Time, id member.UpstreamID) {
 	if u, known := s.fleet.Upstream(id); known && !u.Leaving {
 		s.suspectList(now)
 	}
-	s.recordEngineFailure(now, id, "it broke a stream off")
+	s.recordEngineFailure(now, id, "the upstream broke off a stream")
 }
 
-// firstEventTimeout is after how long an engine without a first event is silent.
+// firstEventTimeout is how long an engine may take to send the first event before it counts as
+// silent.
 func firstEventTimeout(objective time.Duration) time.Duration {
 	return time.Duration(firstEventTimeoutFactor * float64(objective))
 }
 
-// watchFirstEvent has the engine count as failing when the first event is late and none of
-// its other runs gets on either: one that is only full would be given up by all hosts of
-// the zone for seconds, and the others have to take what it would have.
-// The returned function ends that.
+// watchFirstEvent records the engine as failing if its first event is late and none of its
+// other runs makes progress. A late first event alone may just mean that the engine is full:
+// all hosts of the zone would avoid it for seconds, and the other engines would have to take
+// its load. stop ends the watch.
 func (s *streamExchange) watchFirstEvent(id member.UpstreamID) (stop func()) {
 	if s.route.Objective <= 0 {
 		return func() {}
@@ -173,7 +178,7 @@
 			case <-timer.C:
 			}
 			if now := s.now(); !s.engines.hasRecentProgress(now, s.service.Name, id) {
-				s.recordEngineFailure(now, id, "its first event is late")
+				s.recordEngineFailure(now, id, "the first event is late")
 				return
 			}
 			timer.Reset(engineProgressTimeout)
--- a/forward/failingupstream_test.go
+++ b/forward/failingupstream_test.go
@@ -17,8 +17,8 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// TestFailingEngine has an engine that loses requests, or that is silent, get no
-// new streams for a while, longer each time, and then be tried again.
+// TestFailingEngine checks that an engine that loses requests or does not answer gets no new
+// streams for a while, longer each time, and is then tried again.
 func TestFailingEngine(t *testing.T) {
 	for name, loseStream := range map[string]func(ctx context.Context) (*Answer, error){
 		"resets": func(context.Context) (*Answer, error) { return nil, io.ErrUnexpectedEOF },
@@ -66,14 +66,14 @@
 				f.fleet.Suspect(time.Now(), "llm3")
 				synctest.Wait()
 				is.Equal(lostStreams(1), 1)
-				is.Equal(len(f.fleet.FailingMarks(time.Now())), 1) // its loss was noted
-				time.Sleep(suspectDuration)                        // the others are back
+				is.Equal(len(f.fleet.FailingMarks(time.Now())), 1) // the loss was recorded
+				time.Sleep(suspectDuration)                        // llm2 and llm3 are available again
 				f.fleet.RecordFailure(time.Now(), "llm1")
 				synctest.Wait()
 				is.Equal(lostStreams(6), 0)
 				time.Sleep(maxFailingHold)
 				synctest.Wait()
-				is.True(!f.fleet.IsFailing(time.Now(), "llm1")) // it is tried again
+				is.True(!f.fleet.IsFailing(time.Now(), "llm1")) // llm1 is tried again
 				cancel()
 				synctest.Wait()
 			})
@@ -81,7 +81,7 @@
 	}
 }
 
-// oneEventReader reads as one event, once.
+// oneEventReader yields one event and then io.EOF.
 type oneEventReader struct{ read bool }
 
 func (e *oneEventReader) Read(p []byte) (int, error) {
@@ -92,8 +92,8 @@
 	return copy(p, "id: 1\n\n"), nil
 }
 
-// TestReceiveFailing has a host believe what a peer of its zone found about an
-// upstream, but no host of another zone: its links are others.
+// TestReceiveFailing checks that a host accepts a finding about an upstream from a peer of its
+// zone, but not from a host of another zone, which has other links to the upstream.
 func TestReceiveFailing(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
@@ -102,11 +102,11 @@
 	is.True(!f.fleet.IsFailing(time.Now(), "llm1"))
 	f.receive(Share{From: Peer{ID: "h3", Zone: "z1"}, Failing: marks})
 	is.True(f.fleet.IsFailing(time.Now(), "llm1"))
-	is.Equal(len(f.fleet.FailingMarks(time.Now())), 0) // it isn't told on: who found it does
+	is.Equal(len(f.fleet.FailingMarks(time.Now())), 0) // peers' findings are not forwarded; the host that made them shares them
 }
 
-// TestFailedHold has the time without new work double with each failure in a row,
-// up to a bound, and start anew once the upstream has worked.
+// TestFailedHold checks that the period without new work doubles with each failure in a row, up
+// to a maximum, and starts over once the upstream has answered.
 func TestFailedHold(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
@@ -116,11 +116,11 @@
 	f.fleet.RecordSuccess("llm1")
 	is.Equal(hold("llm1"), initialFailingHold)
 	f.fleet.MarkLeaving(now, "llm2", 0, true)
-	is.Equal(hold("llm2"), time.Duration(0)) // it leaves anyway
+	is.Equal(hold("llm2"), time.Duration(0)) // a leaving upstream gets no new work anyway
 }
 
-// TestZoneUnreachable has a failed connection to another zone keep new work from all
-// of that zone, here and at the peers of the own zone.
+// TestZoneUnreachable checks that a failed connection to another zone keeps new work from all
+// upstreams of that zone, on this host and on its peers in the own zone.
 func TestZoneUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -136,7 +136,7 @@
 			list = append(list, Upstream{ID: member.UpstreamID(fmt.Sprint("e", n)), Service: "llm", Zone: zone, Slots: 24, Revision: rev(2)})
 		}
 		f.fleet.Replace(time.Now(), list, rev(2))
-		f.fleet.Suspect(time.Now(), "e3") // the own zone's engine is tried last
+		f.fleet.Suspect(time.Now(), "e3") // the engine of the own zone is tried last
 		f.fleet.Suspect(time.Now(), "e4")
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
@@ -152,13 +152,14 @@
 	})
 }
 
-// TestLateButWorking has an engine whose first event is late count as failing only when
-// none of its other runs gets on.
+// TestLateButWorking checks that an engine whose first event is late counts as failing only if
+// none of its other runs makes progress.
 func TestLateButWorking(t *testing.T) {
 	for name, c := range map[string]struct {
-		// progressFor is how long another run there makes tokens, as a peer tells.
+		// progressFor is for how long a peer reports progress of another run on the engine.
 		progressFor time.Duration
-		// failingAfter is after how long the engine has to count as failingAfter.
+		// failingAfter is the time within which the engine must count as failing; zero if it
+		// must not.
 		failingAfter time.Duration
 	}{
 		"nothing there gets on":        {0, 3 * time.Second},
@@ -180,12 +181,12 @@
 				synctest.Wait()
 				go f.Serve(ctx, call("/llm/"), &fakeSink{})
 				synctest.Wait()
-				on := transport.sentTo()[0]
+				engine := transport.sentTo()[0]
 				began := time.Now()
 				var failed time.Duration
 				for made := policy.Tokens(100); time.Since(began) < 10*time.Second; made += 50 {
 					if time.Since(began) < c.progressFor {
-						f.engines.adopt(time.Now(), "h2", []RunState{{Run: "other", Service: "llm", Engine: on, Prompt: 100, Made: made, Limit: 5000}}, nil)
+						f.engines.adopt(time.Now(), "h2", []RunState{{Run: "other", Service: "llm", Engine: engine, Prompt: 100, Made: made, Limit: 5000}}, nil)
 					}
 					if len(f.fleet.FailingMarks(time.Now())) > 0 && failed == 0 {
 						failed = time.Since(began)
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -13,163 +13,171 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// Upstream is one engine or plain service instance as the host list has it.
+// Upstream is one engine or instance of a plain service, as it stands in the host list.
 type Upstream struct {
 	ID      member.UpstreamID
 	Service ServiceName
 	// Address is IP:port.
 	Address string
 	Zone    member.Zone
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the upstream processes at once.
 	Slots   int
 	Leaving bool
-	// Version is of its software; empty where that isn't told.
+	// Version is the version of the upstream's software; empty if not reported.
 	Version rollout.Version
-	// Incarnation tells this start of the upstream from others under the same id.
+	// Incarnation tells this start of the upstream from others under the same ID.
 	Incarnation Incarnation
-	// Revision is where in the list's history this was written.
+	// Revision is the point in the list's history at which the entry was written.
 	Revision history.Point
 }
 
-// Change is one change of the host list: an upstream as it now is, or, with
-// Gone, one that was dropped from the list at Upstream.Revision.
+// Change is one change of the host list: the new state of an upstream or, with Gone, its
+// removal from the list at Upstream.Revision.
 type Change struct {
 	Upstream
 	Gone bool
-	// Missing says that the list lacks it, but that who tells so doesn't believe
-	// yet that it is gone.
+	// Missing says that the upstream is not on the list, but that the host which reports the
+	// change does not treat it as gone yet.
 	Missing bool
-	// Unusable says that its entry names no upstream that could be used: nothing else
-	// than the id and the revision is known, and it gets no new work.
+	// Unusable says that the entry does not describe an upstream that could be used. Only the
+	// ID and the revision are known, and the upstream gets no new work.
 	Unusable bool
-	// ColdUntil is when it will be warm; zero for one that isn't cold.
+	// ColdUntil is when the upstream will have warmed up; zero if it is not cold.
 	ColdUntil time.Time
-	// BelievedFrom is when this is believed of an upstream that had ended before the list was
-	// restored from a copy, which still has it; zero for others.
+	// BelievedFrom is when the change takes effect if the list was restored from a backup that
+	// contains an upstream which had already ended; zero for other changes.
 	BelievedFrom time.Time
 }
 
-// Fleet is what this host believes about the upstreams. The zero value knows
-// none and works. It is safe for use by several goroutines.
+// Fleet is what this host knows about the upstreams. The zero value is an empty fleet that is
+// ready for use. It is safe for concurrent use.
 //
-// An upstream that the list dropped stays known as leaving for a while, for it
-// goes on serving what it already runs.
+// An upstream that was removed from the list is remembered as leaving for a while, because it
+// keeps serving the requests that it already has.
 type Fleet struct {
 	mu        sync.Mutex
 	upstreams map[member.UpstreamID]*knownUpstream
-	// revision is the one up to which every change is known. A single upstream may be
-	// known as of a newer one: a list that is read in pages isn't of one moment.
+	// revision is the revision up to which every change is known. A single upstream may be
+	// known at a newer revision, because a list that is read in pages is not a snapshot of one
+	// moment.
 	revision history.Point
-	// restore tells what the origin wrote in the present era, which was first seen at eraSince by
-	// this host or who told it; restored counts what came of the last restore.
+	// restore holds what is known of writes to the origin in the present era. eraFirstSeen is
+	// when the era was first seen, by this host or by the host that reported it. restoreStats
+	// counts the effects of the last restore until takeRestored collects them.
 	restore      history.Restore
 	eraFirstSeen time.Time
 	restoreStats *restoreCounts
-	// forgottenUpTo is the newest revision at which something was dropped that isn't
-	// remembered any more.
+	// forgottenUpTo is the newest revision of the removed upstreams that this host has
+	// forgotten.
 	forgottenUpTo history.Point
-	// coldUntil is when the last upstream will be warm that was ever cold.
+	// coldUntil is when the last of the upstreams that are or were cold will have warmed up.
 	coldUntil time.Time
-	// ownFailingUntil and shareLeavingUntil are the latest of all upstreams', so that hosts which have
-	// found nothing lately needn't look through them for each share.
+	// ownFailingUntil and shareLeavingUntil are the latest values of all upstreams. They save a
+	// scan of the upstreams for each message to peers if this host has no recent findings.
 	ownFailingUntil, shareLeavingUntil time.Time
-	// restarted are upstreams that have begun a new life since TakeRenewed.
+	// restarted are the upstreams that started a new incarnation since the last TakeRestarted.
 	restarted []member.UpstreamID
-	// gaps are passed over by readings of the whole list, and maybe by who told what is new: what
-	// came and went in them was never known here.
+	// gaps are the parts of the list's history that this host does not know in full: after a
+	// read of the whole list, or changes from a peer that has gaps itself. Upstreams that were
+	// added and removed within a gap were never known here.
 	gaps []gap
-	// trustMissingFrom is when a missing upstream is believed to be gone: during
-	// and shortly after an outage the list may lack upstreams that live.
+	// trustMissingFrom is when upstreams that are missing from the list count as gone. During
+	// and shortly after an outage the list may lack upstreams that are alive.
 	trustMissingFrom time.Time
-	// zones holds the newest order about each zone that there ever was one about.
+	// zones holds the newest order about each zone that has ever had one.
 	zones map[member.Zone]zoneState
-	// generation rises with each change.
+	// generation increases with each change.
 	generation uint64
 	// index finds upstreams by service and cell.
 	index fleetIndex
-	// changed closes at the next change and is made anew.
+	// changed is closed at the next change; nil if nobody waits.
 	changed chan struct{}
 }
 
-// knownUpstream is an upstream and the marks that this host has put on it.
+// knownUpstream is an upstream with what this host has recorded about it.
 type knownUpstream struct {
 	Upstream
-	// gone says that the list no longer has it; missing, that the list lacks
-	// it but isn't believed yet.
+	// gone says that the upstream was removed from the list. missing says that the list lacks
+	// the upstream, but that it does not count as gone yet.
 	gone, missing bool
-	// missingSinceRestore says that it is missing because the copy that the list was restored from lacks
-	// it: it takes work until relistedBy.
+	// missingSinceRestore says that the upstream is missing because the backup from which the
+	// list was restored lacks it. The upstream takes work while mayBeRelisted holds.
 	missingSinceRestore bool
-	// pendingChange is what the copy says of an upstream that was gone, which is believed from its
-	// BelievedFrom on; nil for none.
+	// pendingChange is the entry that the backup holds for an upstream which was gone; it takes
+	// effect at its BelievedFrom. It is nil if there is none.
 	pendingChange *Change
-	// droppedAt is when it was dropped last.
+	// droppedAt is when the upstream was last recorded as gone.
 	droppedAt time.Time
-	// leavingDeclared says that the list told that it leaves, and didn't just drop it.
+	// leavingDeclared says that the list or the upstream itself reported that it leaves, rather
+	// than that the list just dropped it or that this host inferred it.
 	leavingDeclared bool
-	// leavingSince is when it was first known to be leaving; zero while it isn't.
+	// leavingSince is when the upstream was first known to be leaving; zero if it is not.
 	leavingSince time.Time
-	// unusable says that its entry can't be used any more.
+	// unusable says that the upstream's current entry cannot be used.
 	unusable bool
-	// coldUntil is when it will be warm; zero for one that isn't cold.
+	// coldUntil is when the upstream will have warmed up; zero if it is not cold.
 	coldUntil time.Time
-	// incarnationEnded closes when its life is incarnationEnded and another has begun under its id; nil while nobody has
-	// asked for it.
+	// incarnationEnded is closed when a new incarnation replaces the present one; nil until
+	// IncarnationEnded is called.
 	incarnationEnded chan struct{}
-	// pastIncarnations are the lives before, the latest last.
+	// pastIncarnations are the previous incarnations, the latest last.
 	pastIncarnations []Incarnation
-	// expectedEnd is when it ends; zero while that isn't known.
+	// expectedEnd is when the upstream is expected to end; zero if unknown.
 	expectedEnd time.Time
-	// shareLeavingUntil is until when peers are told of this host's own word that it leaves, which
-	// isn't the list's; zero where it has none.
+	// shareLeavingUntil is until when this host tells its peers that the upstream leaves, where
+	// the list does not say so; zero if it has nothing to tell.
 	shareLeavingUntil time.Time
-	// leavingSelfReported says that the upstream itself told that it leaves; nothing but a new life takes
-	// that back.
+	// leavingSelfReported says that the upstream itself reported that it leaves. Only a new
+	// incarnation clears that.
 	leavingSelfReported bool
-	// leavingSource is who told first that it leaves; empty while it doesn't.
+	// leavingSource is the first source that reported that the upstream leaves; empty if it
+	// does not.
 	leavingSource LeavingSource
-	// retiredByRollout says that a rollout has it be left.
+	// retiredByRollout says that the upstream is leaving because a rollout retired its version.
 	retiredByRollout bool
-	// leavingUnconfirmed says that only another sign than the list's tells that it leaves.
+	// leavingUnconfirmed says that a source other than the list indicates that the upstream
+	// leaves; the list may take that back.
 	leavingUnconfirmed bool
-	// leavingStarted closes when it starts leavingStarted; nil while nobody has asked for it.
+	// leavingStarted is closed when the upstream starts leaving; nil until leavingChannel is
+	// called.
 	leavingStarted chan struct{}
-	// suspectUntil keeps new work away after a connection failed.
+	// suspectUntil is until when the upstream gets no new work after a failure that this host
+	// or a peer of its zone found.
 	suspectUntil time.Time
-	// consecutiveFailures counts the requests that were lost there in a row.
+	// consecutiveFailures counts the requests that the upstream lost in a row.
 	consecutiveFailures int
-	// ownFailingUntil is how long this host's own finding keeps new work away.
+	// ownFailingUntil is until when findings of this host itself keep new work away.
 	ownFailingUntil time.Time
 }
 
 const (
-	// goneRetention is how long a dropped upstream is remembered. Its address may
-	// be another's by then; the id guards against that.
+	// goneRetention is how long a removed upstream is remembered. Its address may belong to
+	// another upstream by then; the ID tells them apart.
 	goneRetention = 30 * time.Second
-	// suspectDuration is how long an upstream that refused a connection gets no new
-	// work: about two heartbeats of the upstreams.
+	// suspectDuration is how long an upstream that refused a connection gets no new work: about
+	// two heartbeats of the upstreams.
 	suspectDuration = 2 * time.Second
 )
 
-// Apply takes changes of the list in, which are all that there were since the revision
-// that was known up to another. Older ones than what is known of the same upstream change
-// nothing. It returns those that made a difference.
-func (f *Fleet) Apply(now time.Time, changes []Change, at history.Point) []Change {
+// Apply applies changes of the list, which must be all changes from the known revision up to
+// the given one. A change that is older than what is known of its upstream has no effect. Apply
+// returns the changes that had an effect.
+func (f *Fleet) Apply(now time.Time, changes []Change, revision history.Point) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.applyAll(now, changes, at)
+	return f.applyAll(now, changes, revision)
 }
 
-// applyWithGaps is Apply for what may lack some of the changes.
-func (f *Fleet) applyWithGaps(now time.Time, changes []Change, at history.Point) []Change {
+// applyWithGaps is like Apply for changes that may be incomplete.
+func (f *Fleet) applyWithGaps(now time.Time, changes []Change, revision history.Point) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recordGap(f.revision, at)
-	return f.applyAll(now, changes, at)
+	f.recordGap(f.revision, revision)
+	return f.applyAll(now, changes, revision)
 }
 
-func (f *Fleet) applyAll(now time.Time, changes []Change, at history.Point) []Change {
-	f.revision = history.Latest(f.revision, at)
+func (f *Fleet) applyAll(now time.Time, changes []Change, revision history.Point) []Change {
+	f.revision = history.Latest(f.revision, revision)
 	var news []Change
 	for _, c := range changes {
 		if f.apply(now, c) {
@@ -180,17 +188,18 @@
 	return news
 }
 
-// Replace takes in the whole list of upstreams as of a revision: what it lacks is gone.
-func (f *Fleet) Replace(now time.Time, list []Upstream, at history.Point) []Change {
+// Replace replaces the list of upstreams by the whole list as of a revision; upstreams that it
+// lacks are gone. It returns the changes that had an effect.
+func (f *Fleet) Replace(now time.Time, list []Upstream, revision history.Point) []Change {
 	changes := make([]Change, len(list))
 	for i, u := range list {
 		changes[i].Upstream = u
 	}
-	return f.ReplaceEntries(now, changes, at)
+	return f.ReplaceEntries(now, changes, revision)
 }
 
-// ReplaceEntries is Replace for a list of which not every entry can be used.
-func (f *Fleet) ReplaceEntries(now time.Time, list []Change, at history.Point) []Change {
+// ReplaceEntries is like Replace, for a list that may contain unusable entries.
+func (f *Fleet) ReplaceEntries(now time.Time, list []Change, revision history.Point) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.invalidate()
@@ -204,39 +213,38 @@
 		}
 	}
 	for id, k := range f.upstreams {
-		if listed[id] || k.Revision.After(at) {
+		if listed[id] || k.Revision.After(revision) {
 			continue
 		}
-		if k.confirmEnded(at) || f.unlist(now, k, at) {
+		if k.confirmEnded(revision) || f.unlist(now, k, revision) {
 			continue
 		}
 		gone := Change{Upstream: k.Upstream, Gone: true}
-		gone.Revision = at
+		gone.Revision = revision
 		if f.apply(now, gone) {
 			news = append(news, gone)
 		}
 	}
-	f.recordGap(before, at)
+	f.recordGap(before, revision)
 	f.notify(len(news) > 0)
 	return news
 }
 
-// gap is a part of the list's history, without its ends.
+// gap is an interval of the list's history, without its end points.
 type gap struct{ from, to history.Point }
 
-// maxGaps bounds how many are remembered; the oldest are joined.
+// maxGaps bounds the number of gaps that are remembered. Above it the oldest two are merged.
 const maxGaps = 32
 
 func (g gap) contains(p history.Point) bool { return g.from.Before(p) && p.Before(g.to) }
 
-// recordGap takes in that the list is known as of a revision, but not each change since
-// the one that was known before.
-func (f *Fleet) recordGap(before, at history.Point) {
-	f.revision = history.Latest(f.revision, at)
-	if !at.After(before) {
+// recordGap records that the list is known as of a revision, but not every change since before.
+func (f *Fleet) recordGap(before, revision history.Point) {
+	f.revision = history.Latest(f.revision, revision)
+	if !revision.After(before) {
 		return
 	}
-	f.gaps = append(slices.DeleteFunc(f.gaps, func(g gap) bool { return !g.to.SameEra(at) }), gap{before, at})
+	f.gaps = append(slices.DeleteFunc(f.gaps, func(g gap) bool { return !g.to.SameEra(revision) }), gap{before, revision})
 	if len(f.gaps) > maxGaps {
 		f.gaps[1].from = f.gaps[0].from
 		f.gaps = f.gaps[1:]
@@ -250,7 +258,8 @@
 	}
 	k := f.upstreams[c.ID]
 	if k == nil {
-		// Also one that isn't there any more: those who follow this host may know it.
+		// A removed upstream is added as well: hosts that follow this one may know the
+		// upstream.
 		k = newKnownUpstream(c.Upstream)
 		if c.Missing {
 			k.Revision = history.Point{}
@@ -272,7 +281,8 @@
 	}
 }
 
-// applyNewest takes in what is the newest known of an upstream.
+// applyNewest applies a change that is newer than what is known of the upstream. It reports
+// whether the change had an effect.
 func (f *Fleet) applyNewest(now time.Time, k *knownUpstream, c Change) bool {
 	if c.Missing && k.confirmEnded(c.Revision) {
 		return false
@@ -288,8 +298,9 @@
 	case c.Incarnation == 0:
 		c.Incarnation = k.Incarnation
 	case k.Incarnation != 0 && c.Incarnation != k.Incarnation:
-		// Also one that was born earlier by its clock, which may have been set back: the
-		// order of the list's entries decides, not that of births.
+		// The start time of the new incarnation may be the earlier one, as the upstream's clock
+		// may have been set back. The order of the list's entries decides, not that of the
+		// start times.
 		f.startIncarnation(k, c.Incarnation)
 	}
 	before := k.Upstream
@@ -298,12 +309,11 @@
 	}
 	same := !k.gone && !k.missing && !k.unusable && before == c.Upstream
 	if !c.Leaving && !k.leavingDeclared && (k.leavingUnconfirmed || k.gone && c.Revision.After(k.Revision)) {
-		// The list knows better than other signs; and an entry that ran out
-		// while its upstream was cut off comes back.
+		// The list overrides other sources, and an entry that expired while its upstream was
+		// partitioned comes back.
 		k.cancelLeaving()
 	}
-	// An id is of one incarnation: once it has said that it leaves, it never
-	// comes back.
+	// An incarnation that reported that it leaves never comes back.
 	k.leavingDeclared = k.leavingDeclared || c.Leaving
 	c.Leaving = c.Leaving || k.Leaving
 	k.gone = k.gone && c.Revision == k.Revision
@@ -323,10 +333,10 @@
 	return &knownUpstream{Upstream: u}
 }
 
-// markUnusable takes in that the upstream's entry can't be used as of a revision. What runs
-// there goes on, and an entry that can be used gives it work again.
-func (k *knownUpstream) markUnusable(at history.Point) bool {
-	k.Revision = at
+// markUnusable records that the upstream's entry cannot be used as of a revision. Requests that
+// it already has go on, and a usable entry makes it take work again.
+func (k *knownUpstream) markUnusable(revision history.Point) bool {
+	k.Revision = revision
 	if k.unusable || k.gone {
 		return false
 	}
@@ -334,24 +344,29 @@
 	return true
 }
 
-// markMissing takes in that whom this host follows doesn't find an upstream on the list,
-// and doesn't believe yet that it is gone.
-func (f *Fleet) markMissing(now time.Time, k *knownUpstream, at history.Point) bool {
-	if f.unlist(now, k, at) {
+// markMissing records that the followed peer does not find the upstream on the list, but does
+// not treat it as gone yet. It always returns false, as the upstream does not count as gone
+// here, either.
+func (f *Fleet) markMissing(now time.Time, k *knownUpstream, revision history.Point) bool {
+	if f.unlist(now, k, revision) {
 		return false
 	}
-	if k.gone || k.Leaving || at == k.Revision && !k.missing {
+	if k.gone || k.Leaving || revision == k.Revision && !k.missing {
 		return false
 	}
-	k.Revision, k.missing = at, true
+	k.Revision, k.missing = revision, true
 	f.trustMissingFrom = laterOf(f.trustMissingFrom, now.Add(listSettles))
 	return false
 }
 
-func (f *Fleet) markGone(now time.Time, k *knownUpstream, at history.Point) bool {
-	// Also of one that is gone already: those who follow this host may know it as it
-	// was before this revision, and are told what is newer than theirs.
-	k.Revision = history.Latest(k.Revision, at)
+// markGone records that the upstream was removed from the list at a revision. It only marks the
+// upstream as missing if it may be listed again after a restore, or, unless it is leaving, if
+// there was an outage. It reports whether the upstream is newly gone.
+func (f *Fleet) markGone(now time.Time, k *knownUpstream, revision history.Point) bool {
+	// The revision rises even if the upstream is gone already: hosts that follow this one may
+	// know the upstream as it was before this revision, and receive only what is newer than
+	// their own state.
+	k.Revision = history.Latest(k.Revision, revision)
 	if k.gone {
 		return false
 	}
@@ -365,8 +380,9 @@
 	return true
 }
 
-// changeForPeers is the upstream as a peer that follows this host is told of it. Signs other than
-// the list's travel by themselves, and are taken back; what came with the list stays.
+// changeForPeers is the state of the upstream as sent to hosts that follow this one, or its
+// pending change. Signs of leaving from other sources than the list can be taken back and are
+// shared separately, so the change contains only what came with the list.
 func (k *knownUpstream) changeForPeers() Change {
 	c := Change{Upstream: k.Upstream, Gone: k.gone, Missing: k.missing, Unusable: k.unusable, ColdUntil: k.coldUntil}
 	c.Leaving = k.Leaving && (k.leavingDeclared || !k.leavingUnconfirmed)
@@ -376,12 +392,12 @@
 	return c
 }
 
-// cancelLeaving takes back that the upstream leaves.
+// cancelLeaving records that the upstream does not leave after all.
 func (k *knownUpstream) cancelLeaving() {
 	k.Leaving, k.leavingUnconfirmed, k.retiredByRollout, k.leavingSince, k.leavingStarted, k.leavingSource = false, false, false, time.Time{}, nil, ""
 }
 
-// startLeaving marks the upstream as leaving, for good.
+// startLeaving marks the upstream as leaving. source is recorded if it is the first one.
 func (k *knownUpstream) startLeaving(now time.Time, source LeavingSource) {
 	k.Leaving = true
 	if k.leavingSince.IsZero() {
@@ -392,7 +408,7 @@
 	}
 }
 
-// leavingChannel closes when the upstream starts leaving.
+// leavingChannel returns a channel that is closed when the upstream starts leaving.
 func (k *knownUpstream) leavingChannel() <-chan struct{} {
 	if k.leavingStarted == nil {
 		k.leavingStarted = make(chan struct{})
@@ -403,9 +419,10 @@
 	return k.leavingStarted
 }
 
-// MarkLeaving takes in another sign than the list's that an upstream leaves; in
-// is how long it will still serve, zero when that isn't known. Own observations
-// are told to the peers. It reports whether that is new.
+// MarkLeaving records that a source other than the list indicates that an upstream leaves.
+// remaining is how long the upstream will still serve; zero if unknown. With ownFinding the
+// sign was observed by this host, which shares it with its peers. MarkLeaving reports whether
+// the sign is new.
 func (f *Fleet) MarkLeaving(now time.Time, id member.UpstreamID, remaining time.Duration, ownFinding bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -427,7 +444,7 @@
 	return true
 }
 
-// Suspect keeps new work from an upstream for a while.
+// Suspect keeps new work from an upstream for suspectDuration.
 func (f *Fleet) Suspect(now time.Time, id member.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -437,12 +454,13 @@
 	}
 }
 
-// invalidate has who takes work be worked out anew.
+// invalidate discards the cached available upstreams and increments the generation.
 func (f *Fleet) invalidate() {
 	f.generation++
 	f.index.availableCache = nil
 }
 
+// notify wakes those that wait for a change if changed is true.
 func (f *Fleet) notify(changed bool) {
 	if changed {
 		f.invalidate()
@@ -453,14 +471,14 @@
 	}
 }
 
-// WakeWaiters closes the channel of Changed although nothing has changed here.
+// WakeWaiters closes the channel of Changed although nothing has changed in the fleet.
 func (f *Fleet) WakeWaiters() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.notify(true)
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed at the next change.
 func (f *Fleet) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/fleet_test.go
+++ b/forward/fleet_test.go
@@ -13,10 +13,12 @@
 	"github.com/shedpath/shedpath/member"
 )
 
+// llmUpstream returns an upstream of the service "llm" with an entry written at a revision.
 func llmUpstream(id member.UpstreamID, revision history.Revision, leaving bool) Upstream {
 	return Upstream{ID: id, Service: "llm", Address: "10.0.0.9:1", Revision: rev(revision), Leaving: leaving}
 }
 
+// availableIDs returns the IDs of the upstreams of the service "llm" that take new work.
 func availableIDs(f *Fleet, now time.Time) map[member.UpstreamID]bool {
 	available := map[member.UpstreamID]bool{}
 	for _, u := range f.Available(now, "llm") {
@@ -25,7 +27,7 @@
 	return available
 }
 
-// TestFleet has the list's changes taken in, in whatever order they come.
+// TestFleet checks that changes of the list are applied, in whatever order they arrive.
 func TestFleet(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -36,23 +38,23 @@
 	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"b": true})
 	is.Equal(len(f.Apply(now, []Change{{Upstream: llmUpstream("a", 6, false)}}, rev(7))), 0) // older
 	f.Apply(now, []Change{{Upstream: llmUpstream("a", 8, false)}}, rev(8))
-	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"b": true}) // leaving is for good
+	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"b": true}) // leaving by the list is final
 	f.Apply(now, []Change{{Upstream: Upstream{ID: "b", Revision: rev(9)}, Gone: true}}, rev(9))
 	is.Equal(len(availableIDs(&f, now)), 0)
 	select {
-	case <-f.LeavingStarted("b"): // dropped without a notice: it leaves now
+	case <-f.LeavingStarted("b"): // removed without notice: it counts as leaving
 	default:
-		t.Fatal("b should be leaving")
+		t.Fatal("upstream b was removed from the list, but LeavingStarted is not closed")
 	}
 	f.Replace(now, []Upstream{llmUpstream("c", 10, false)}, rev(11))
 	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"c": true})
 	changes, at, _ := f.ChangesSince(rev(9))
 	is.Equal(at, rev(11))
-	is.Equal(len(changes), 2) // c, and a, which this list lacks
+	is.Equal(len(changes), 2) // c, and a, which the new list lacks
 }
 
-// TestFleetOutage has an upstream that the list lacks after a long outage kept
-// until the list has settled, and told to peers as missing.
+// TestFleetOutage checks that an upstream which the list lacks after a long outage is kept
+// until the list has settled, and reported to peers as missing.
 func TestFleetOutage(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -72,11 +74,11 @@
 	follower.Apply(now, changes, at)
 	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"a": true})
 	is.Equal(len(follower.Settle(now.Add(time.Second))), 0)
-	is.Equal(len(follower.Settle(now.Add(3*time.Second))), 1) // gone there, too, if it stays missing
+	is.Equal(len(follower.Settle(now.Add(3*time.Second))), 1) // gone on the follower, too, if it stays missing
 	is.Equal(len(f.Settle(now.Add(time.Second))), 0)
 	select {
 	case <-f.LeavingStarted("b"):
-		t.Fatal("b may come back")
+		t.Fatal("upstream b is only missing and may come back, but LeavingStarted is closed")
 	default:
 	}
 	f.Apply(now, []Change{{Upstream: llmUpstream("b", 10, false)}}, rev(0))
@@ -86,7 +88,8 @@
 	<-f.LeavingStarted("b")
 }
 
-// TestFleetShortOutage has a list that was lost for a moment believed at once.
+// TestFleetShortOutage checks that removals take effect at once if the list was unreadable only
+// for a moment.
 func TestFleetShortOutage(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -99,8 +102,8 @@
 	is.Equal(len(availableIDs(&f, now)), 0)
 }
 
-// TestFleetReturns has an upstream whose entry ran out, and came back, take work
-// again, also on hosts that follow; one that had said that it leaves doesn't.
+// TestFleetReturns checks that an upstream whose entry expired and was written again takes work
+// again, on hosts that follow as well, but not if it had reported that it leaves.
 func TestFleetReturns(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -114,7 +117,7 @@
 	follower.Apply(now, changes, at)
 	is.Equal(len(availableIDs(&follower, now)), 0)
 	f.Apply(now, []Change{{Upstream: llmUpstream("a", 2, false)}}, rev(3))
-	is.Equal(len(availableIDs(&f, now)), 0) // no newer than its end
+	is.Equal(len(availableIDs(&f, now)), 0) // not newer than its removal
 	f.Apply(now, []Change{{Upstream: llmUpstream("a", 5, false)}, {Upstream: llmUpstream("b", 6, false)}}, rev(6))
 	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"a": true})
 	changes, at, _ = f.ChangesSince(rev(3))
@@ -122,15 +125,15 @@
 	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"a": true})
 	select {
 	case <-f.LeavingStarted("a"):
-		t.Fatal("it doesn't leave any more")
+		t.Fatal("upstream a was listed again and takes work, but LeavingStarted is closed")
 	default:
 	}
 	f.Apply(now, []Change{{Upstream: llmUpstream("a", 7, true)}}, rev(7))
 	<-f.LeavingStarted("a")
 }
 
-// TestUnconfirmedLeaving has a sign that an upstream leaves taken back when the list
-// knows better.
+// TestUnconfirmedLeaving checks that the list takes back another source's sign that an upstream
+// leaves.
 func TestUnconfirmedLeaving(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -145,9 +148,9 @@
 	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"a": true})
 }
 
-// TestUnconfirmedLeavingIsNotForwarded has an upstream that leaves by another sign than the list's be
-// told to who follows as the list has it: a sign can be wrong and is taken back, and what
-// the list says is for good.
+// TestUnconfirmedLeavingIsNotForwarded checks that followers receive an upstream as the list
+// has it if only another source indicates that it leaves. Such a sign can be wrong and be taken
+// back, whereas leaving by the list is final.
 func TestUnconfirmedLeavingIsNotForwarded(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/forward/fleetindex.go
+++ b/forward/fleetindex.go
@@ -12,14 +12,14 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// fleetIndex finds the upstreams of a service and a cell, among all that a large fleet has. The
-// zero value is empty.
+// fleetIndex maps a service and a cell to their upstreams, so that a lookup need not scan a
+// large fleet. The zero value is empty.
 type fleetIndex struct {
 	layout cell.Layout
-	// ownCell is this host's cell.
+	// ownCell is the cell of this host.
 	ownCell  cell.ID
 	services map[ServiceName]map[cell.ID]map[member.UpstreamID]*knownUpstream
-	// availableCache are the answers to what was asked since the last change, by service.
+	// availableCache holds the results of Available since the last change, by service.
 	availableCache map[ServiceName][]Upstream
 }
 
@@ -42,7 +42,7 @@
 	cells[cellID][k.ID] = k
 }
 
-// remove drops an upstream as it is indexed.
+// remove removes an upstream. Its service and zone must be those under which it was added.
 func (x *fleetIndex) remove(k *knownUpstream) {
 	cells, cellID := x.services[k.Service], x.layout.OfUpstream(k.ID, k.Zone)
 	delete(cells[cellID], k.ID)
@@ -51,12 +51,12 @@
 	}
 }
 
-// maxMarksPerKind bounds how many upstreams a host tells its peers of in one message, of each kind: all of a
-// zone may be cold or out of reach at once.
+// maxMarksPerKind bounds how many marks of each kind a message to peers contains: all upstreams
+// of a zone may be cold or out of reach at once.
 const maxMarksPerKind = 256
 
-// visitOwnCellFirst visits the upstreams of which peers are told, until told to stop: those of this host's
-// cell first. The mutex is held.
+// visitOwnCellFirst calls visit for each upstream, those of this host's cell first if zones are
+// divided into cells, until visit returns false. f.mu must be held.
 func (f *Fleet) visitOwnCellFirst(visit func(*knownUpstream) bool) {
 	if !f.index.layout.Divided() {
 		for _, k := range f.upstreams {
@@ -82,7 +82,8 @@
 	}
 }
 
-// SetLayout has the upstreams be found by a division of the zones, of whose cells one is this host's.
+// SetLayout sets the division of the zones into cells by which upstreams are indexed, and this
+// host's cell.
 func (f *Fleet) SetLayout(l cell.Layout, own cell.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,14 +98,15 @@
 	f.notify(true)
 }
 
-// AvailableInCell is Takers of one cell, in no order.
+// AvailableInCell is like Available for the upstreams of one cell, in no particular order.
 func (f *Fleet) AvailableInCell(now time.Time, service ServiceName, cellID cell.ID) []Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.availableOf(now, f.index.services[service][cellID])
 }
 
-// ZonesServing lists the zones in which upstreams of a service may take work, in no order.
+// ZonesServing lists the zones with upstreams of a service that may take work, in no particular
+// order.
 func (f *Fleet) ZonesServing(service ServiceName) []member.Zone {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,7 +125,7 @@
 	return zones
 }
 
-// availableOf are those of some upstreams that take new work.
+// availableOf returns those of the given upstreams that take new work, in no particular order.
 func (f *Fleet) availableOf(now time.Time, upstreams map[member.UpstreamID]*knownUpstream) []Upstream {
 	var healthy, suspects []Upstream
 	for _, k := range upstreams {
@@ -137,11 +139,12 @@
 	if len(healthy) > 0 {
 		return healthy
 	}
-	// With nobody else, those under suspicion are better than nothing.
+	// If no other upstream is left, suspect ones are better than none.
 	return suspects
 }
 
-// availability says whether an upstream takes new work.
+// availability says whether an upstream takes new work. A suspect upstream takes it only if
+// there is no available one.
 type availability int
 
 const (
--- a/forward/fleetview.go
+++ b/forward/fleetview.go
@@ -11,9 +11,9 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// What others ask of a Fleet; how it changes is in fleet.go.
+// Queries of a Fleet.
 
-// Upstream returns what is known of an upstream.
+// Upstream returns what is known of an upstream, and whether it is known at all.
 func (f *Fleet) Upstream(id member.UpstreamID) (Upstream, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -23,15 +23,16 @@
 	return Upstream{}, false
 }
 
-// Revision is the newest revision of the list that was taken in.
+// Revision is the newest revision of the list that is known.
 func (f *Fleet) Revision() history.Point {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.revision
 }
 
-// Available returns a service's upstreams that take new work, in the order of their
-// ids, so that decisions don't depend on the order of a map. They aren't to be changed.
+// Available returns the upstreams of a service that take new work, or the suspect ones if there
+// are no others. They are sorted by ID, so that decisions do not depend on the order of a map.
+// The slice may be cached and must not be modified.
 func (f *Fleet) Available(now time.Time, service ServiceName) []Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -48,7 +49,7 @@
 	return upstreams
 }
 
-// AvailableExcept is Takers without some upstreams.
+// AvailableExcept is like Available, without the upstreams for which except returns true.
 func (f *Fleet) AvailableExcept(now time.Time, service ServiceName, except func(member.UpstreamID) bool) []Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,7 +57,8 @@
 	return upstreams
 }
 
-// availableForService reports besides whether they stay the same until something is learnt.
+// availableForService returns the upstreams that Available describes. cacheable says that the
+// result stays the same until the fleet changes.
 func (f *Fleet) availableForService(now time.Time, service ServiceName, except func(member.UpstreamID) bool) (healthy []Upstream, cacheable bool) {
 	var suspects []Upstream
 	cacheable = true
@@ -75,23 +77,27 @@
 		}
 	}
 	if len(healthy) == 0 {
-		// With nobody else, those under suspicion are better than nothing.
+		// If no other upstream is left, suspect ones are better than none.
 		healthy = suspects
 	}
 	slices.SortFunc(healthy, compareUpstreamIDs)
 	return healthy, cacheable
 }
 
-// ChangesSince returns what changed after a revision, for a peer that follows this host,
-// and this host's own revision. It is the whole list where this host doesn't remember
-// all that was dropped since, and where the peer knows another era or nothing.
-func (f *Fleet) ChangesSince(after history.Point) (changes []Change, at history.Point, whole bool) {
+// ChangesSince returns the changes after a revision and this host's own revision, for a peer
+// that follows this host. whole says that the changes are the whole list, because of one of
+// these:
+//   - the peer knows no revision, or one of another era
+//   - this host has forgotten upstreams that were removed since
+//   - the revision lies in a gap of this host's history of the list
+func (f *Fleet) ChangesSince(after history.Point) (changes []Change, revision history.Point, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changesSince(after)
 }
 
-func (f *Fleet) changesSince(after history.Point) (changes []Change, at history.Point, whole bool) {
+// changesSince is ChangesSince with f.mu held.
+func (f *Fleet) changesSince(after history.Point) (changes []Change, revision history.Point, whole bool) {
 	whole = after.IsZero() || after.Before(f.forgottenUpTo) || slices.ContainsFunc(f.gaps, func(g gap) bool { return g.contains(after) }) ||
 		!after.SameEra(f.revision)
 	for _, k := range f.upstreams {
@@ -102,8 +108,9 @@
 	return changes, f.revision, whole
 }
 
-// ExpectedEnd is when an upstream that leaves will be gone: by its own word, or drain
-// after the first sign.
+// ExpectedEnd is when an upstream that leaves is expected to end: the reported time, or else
+// drain after the first sign that the upstream leaves. For an upstream that is not known to
+// leave it is drain from now.
 func (f *Fleet) ExpectedEnd(id member.UpstreamID, now time.Time, drain time.Duration) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +125,7 @@
 	}
 }
 
-// LeavingFor is for how long an upstream has been known to leave; zero for one that isn't.
+// LeavingFor is for how long an upstream has been known to leave; zero if it is not leaving.
 func (f *Fleet) LeavingFor(now time.Time, id member.UpstreamID) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,8 +135,8 @@
 	return 0
 }
 
-// LeavingStarted returns a channel that closes when the upstream starts leaving, and
-// nil for one that isn't known.
+// LeavingStarted returns a channel that is closed when the upstream starts leaving; nil if the
+// upstream is unknown.
 func (f *Fleet) LeavingStarted(id member.UpstreamID) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -9,26 +9,25 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Incarnation tells one start of an upstream from others under the same id: it is the time of
-// the start, in milliseconds since 1970 by the upstream's own clock. It mostly rises with
-// each start, but that clock may have been set back. Zero is told of an upstream whose start
-// isn't known.
+// Incarnation tells one start of an upstream from others under the same ID. It is the time of
+// the start by the upstream's own clock, in milliseconds since 1970. It usually increases with
+// each start, but that clock may have been set back. Zero means that the start is not known.
 type Incarnation int64
 
-// newerThan reports whether both are known, and this is the one that was born later.
+// newerThan reports whether l and other are both known and l started later.
 func (l Incarnation) newerThan(other Incarnation) bool { return other != 0 && l > other }
 
-// maxPastIncarnations is how many lives that are over are remembered of one upstream: word of them may
-// come late by some seconds.
+// maxPastIncarnations is how many past incarnations of an upstream are remembered. Reports
+// about them may arrive some seconds late.
 const maxPastIncarnations = 4
 
-// isPastIncarnation reports whether a life is known to be one before the present.
+// isPastIncarnation reports whether an incarnation is known to precede the present one.
 func (k *knownUpstream) isPastIncarnation(incarnation Incarnation) bool {
 	return incarnation != 0 && slices.Contains(k.pastIncarnations, incarnation)
 }
 
-// startIncarnation begins an upstream's new life: whatever was believed of the one before is
-// dropped, and what runs there is told that it is over.
+// startIncarnation begins a new incarnation of an upstream. What was known of the previous one
+// is dropped, and its runs are notified that it has ended.
 func (f *Fleet) startIncarnation(k *knownUpstream, incarnation Incarnation) {
 	f.invalidate()
 	if k.incarnationEnded != nil {
@@ -45,9 +44,10 @@
 	f.restarted = append(f.restarted, k.ID)
 }
 
-// ReceiveIncarnation takes in from another than the list which life an upstream is in. It reports
-// whether what was told with it is of the life that is known here. Births decide between
-// such news: one that was born earlier is believed when the list tells of it.
+// ReceiveIncarnation records the incarnation of an upstream as reported by a source other than
+// the list. It reports whether the rest of that report applies to the incarnation that is known
+// here. Such reports are ordered by start time: an incarnation with an earlier start time is
+// accepted only from the list.
 func (f *Fleet) ReceiveIncarnation(id member.UpstreamID, incarnation Incarnation) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,8 +62,8 @@
 	return true
 }
 
-// IncarnationEnded returns a channel that closes when the upstream's present life is over and
-// another has begun; nil for an upstream that isn't known.
+// IncarnationEnded returns a channel that is closed when another incarnation replaces the
+// upstream's present one; nil if the upstream is unknown.
 func (f *Fleet) IncarnationEnded(id member.UpstreamID) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,16 +76,16 @@
 	return nil
 }
 
-// TakeRestarted returns the upstreams that have begun a new life since the last call.
+// TakeRestarted returns the upstreams that started a new incarnation since the last call.
 func (f *Fleet) TakeRestarted() []member.UpstreamID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	renewed := f.restarted
+	restarted := f.restarted
 	f.restarted = nil
-	return renewed
+	return restarted
 }
 
-// resetRestartedUpstreams forgets what this host believes of the lives that are over.
+// resetRestartedUpstreams discards what this host knows of past incarnations.
 func (f *Forwarder) resetRestartedUpstreams() {
 	for _, id := range f.fleet.TakeRestarted() {
 		u, _ := f.fleet.Upstream(id)
--- a/forward/incarnation_test.go
+++ b/forward/incarnation_test.go
@@ -18,15 +18,16 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// incarnationEntry is an entry of an upstream in one of its lives.
+// incarnationEntry returns the list entry of one incarnation of an upstream.
 func incarnationEntry(id member.UpstreamID, incarnation Incarnation, revision history.Revision, leaving bool) Change {
 	c := Change{Upstream: llmUpstream(id, revision, leaving)}
 	c.Incarnation = incarnation
 	return c
 }
 
-// TestNewIncarnation has what was believed of an upstream's earlier life not hold for the
-// one after, whoever tells of it first, and late news of the earlier one change nothing.
+// TestNewIncarnation checks that what was known of an upstream's previous incarnation does not
+// apply to the next one, whichever source reports that first, and that late reports about the
+// previous incarnation have no effect.
 func TestNewIncarnation(t *testing.T) {
 	type step = func(f *Forwarder, now time.Time)
 	apply := func(changes ...Change) step {
@@ -48,7 +49,7 @@
 	}
 	for name, c := range map[string]struct {
 		steps []step
-		// available is whether it takes new work at the end.
+		// available says whether the upstream takes new work at the end.
 		available   bool
 		incarnation Incarnation
 	}{
@@ -84,8 +85,8 @@
 	}
 }
 
-// TestNewIncarnationHasNoRuns has an engine that started again hold none of the runs that were
-// counted on it, of this host or its peers, also when a peer still tells of them.
+// TestNewIncarnationHasNoRuns checks that an engine that started again holds none of the runs
+// that were counted on it, of this host or its peers, even if a peer still reports them.
 func TestNewIncarnationHasNoRuns(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
@@ -106,10 +107,10 @@
 	peerRuns := []RunState{{Run: "theirs", Service: "llm", Engine: "llm1", Life: 100, Prompt: 15000, Limit: 16000}}
 	f.engines.adopt(now, "h2", peerRuns, nil)
 	_, _, d = place("full")
-	is.Equal(d.Verdict, policy.Refused) // no room beside the two
+	is.Equal(d.Verdict, policy.Refused) // no room beside the other two
 	f.noteList(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 200, 3, false)}, rev(3)))
 	f.listEngines(now, f.Table())
-	f.engines.adopt(now, "h2", peerRuns, nil) // it doesn't know yet
+	f.engines.adopt(now, "h2", peerRuns, nil) // the peer does not know of the restart yet
 	for _, id := range []policy.RunID{"new1", "new2"} {
 		u, _, d := place(id)
 		is.Equal(d.Verdict, policy.Granted)
@@ -119,8 +120,9 @@
 	is.Equal(f.engines.pools["llm"].pool.Running(), 2)
 }
 
-// TestStreamEndsWithEngineIncarnation has a stream on an engine that started again end at
-// once, although its connection is silent, and no copy be looked for in the new life.
+// TestStreamEndsWithEngineIncarnation checks that a stream from an engine that started again
+// ends at once although its connection is silent, and that no copy of the run is looked for on
+// the new incarnation.
 func TestStreamEndsWithEngineIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
