--- a/forward/asking.go
+++ b/forward/asking.go
@@ -195,7 +195,7 @@
 			if u, ok := x.engines.relocate(now, service, run, policy.Target{Avoid: avoid, OnlyZone: true, Zone: own, OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup}); ok {
 				return u, true
 			}
-			if !x.peers.divided() {
+			if !x.peers.zonesDivided() {
 				continue
 			}
 		}
@@ -221,7 +221,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
-		s.failed = true
+		s.lastShareFailed = true
 	}
 }
 
@@ -229,7 +229,7 @@
 // where the own zone is divided, it is among them.
 func (x *exchange) zonesOf(service ServiceName) (near bool, far []member.Zone) {
 	near, far = x.engines.zonesOf(service)
-	if !x.peers.divided() {
+	if !x.peers.zonesDivided() {
 		return near, far
 	}
 	far = x.fleet.ZonesServing(service)
@@ -241,7 +241,7 @@
 
 // borrow has an engine be known to the placement that another host has given a place on.
 func (x *exchange) borrow(service ServiceName, id member.UpstreamID) {
-	if u, known := x.fleet.Upstream(id); known && x.peers.divided() {
+	if u, known := x.fleet.Upstream(id); known && x.peers.zonesDivided() {
 		x.engines.addRemoteEngine(service, u)
 	}
 }
@@ -253,7 +253,7 @@
 	var chosen Peer
 	n := uint64(0)
 	for _, s := range p.known {
-		if s.Zone != zone || s.near || s.stopping || !s.live(now) {
+		if s.Zone != zone || s.sameCell || s.stopping || !s.live(now) {
 			continue
 		}
 		n++
--- a/forward/asking_test.go
+++ b/forward/asking_test.go
@@ -54,8 +54,8 @@
 		return f
 	}
 	near, far = host("h1", "z1"), host("h2", "z2")
-	near.peers.receive(now, Share{From: far.peers.self})
-	far.peers.receive(now, Share{From: near.peers.self})
+	near.peers.recordShare(now, Share{From: far.peers.self})
+	far.peers.recordShare(now, Share{From: near.peers.self})
 	peer = &askedPeer{other: far}
 	near.peerPort = peer
 	return near, far, peer
--- a/forward/engineplacer_test.go
+++ b/forward/engineplacer_test.go
@@ -76,7 +76,7 @@
 	}, rev(2))
 	f.listEngines(now, f.Table())
 	for _, id := range []member.HostID{"a", "b"} {
-		f.peers.receive(now, Share{From: Peer{ID: id, Zone: "z2"}})
+		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z2"}})
 	}
 	busy := policy.Request{Run: "busy", Route: "/llm/", Prompt: 6000, Objective: 1800 * time.Millisecond, Arrived: now}
 	_, first, _ := f.engines.place(t.Context(), now, "llm", busy)
@@ -96,7 +96,7 @@
 		for _, id := range c.reporting {
 			f.engines.adopt(now, id, nil, nil)
 		}
-		f.engines.noteKnown(c.at, f.peers.zones())
+		f.engines.noteKnown(c.at, f.peers.zoneByHost())
 		if got := pool.KnownPart("z2"); got != c.want {
 			t.Errorf("%s: known share of zone z2 is %v, expected %v", name, got, c.want)
 		}
@@ -113,8 +113,8 @@
 		f.listEngines(now, f.Table())
 	}
 	share := func() {
-		s := sender.share(now)
-		receiver.engines.adopt(now, "h9", s.Runs, s.Ended)
+		s := sender.newShare(now)
+		receiver.engines.adopt(now, "h9", s.Runs, s.EndedRuns)
 	}
 	request := policy.Request{Route: "/llm/", Account: "counter", Prompt: 100}
 	mean := func() policy.Tokens { return receiver.engines.pools["llm"].pool.MeanLength(&request) }
--- a/forward/failingupstream.go
+++ b/forward/failingupstream.go
@@ -141,7 +141,7 @@
 		return
 	}
 	s.journal.Belief("upstream fails", "upstream", id, "request", s.call.ID, "why", reason, "no_new_work_for", hold)
-	s.peers.notify()
+	s.peers.notifyOwnCell()
 }
 
 // recordBrokenStream records that an engine broke off a stream before its end. If nothing had
--- a/forward/failingupstream_test.go
+++ b/forward/failingupstream_test.go
@@ -98,9 +98,9 @@
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	marks := []FailingMark{{Upstream: "llm1", Remaining: time.Second}, {Upstream: "unknown", Remaining: time.Second}}
-	f.receive(Share{From: Peer{ID: "h2", Zone: "z2"}, Failing: marks})
+	f.receiveShare(Share{From: Peer{ID: "h2", Zone: "z2"}, Failing: marks})
 	is.True(!f.fleet.IsFailing(time.Now(), "llm1"))
-	f.receive(Share{From: Peer{ID: "h3", Zone: "z1"}, Failing: marks})
+	f.receiveShare(Share{From: Peer{ID: "h3", Zone: "z1"}, Failing: marks})
 	is.True(f.fleet.IsFailing(time.Now(), "llm1"))
 	is.Equal(len(f.fleet.FailingMarks(time.Now())), 0) // peers' findings are not forwarded; the host that made them shares them
 }
@@ -145,7 +145,7 @@
 		is.Equal(len(f.fleet.FailingMarks(time.Now())), 3)
 		peer := newForwarder(t, transport)
 		peer.fleet.Replace(time.Now(), list, rev(2))
-		peer.receive(f.share(time.Now()))
+		peer.receiveShare(f.newShare(time.Now()))
 		is.Equal(len(peer.fleet.Available(time.Now(), "llm")), 2) // e3 and e4
 		cancel()
 		synctest.Wait()
@@ -191,7 +191,7 @@
 					if len(f.fleet.FailingMarks(time.Now())) > 0 && failed == 0 {
 						failed = time.Since(began)
 					}
-					time.Sleep(shareEvery)
+					time.Sleep(shareInterval)
 				}
 				is.Equal(failed > 0, c.failingAfter > 0)
 				is.True(failed <= c.failingAfter)
--- a/forward/fleetindex.go
+++ b/forward/fleetindex.go
@@ -112,7 +112,7 @@
 	defer f.mu.Unlock()
 	var zones []member.Zone
 	for cellID, upstreams := range f.index.services[service] {
-		if f.zones[cellID.Zone].Out || slices.Contains(zones, cellID.Zone) {
+		if f.zones[cellID.Zone].OutOfService || slices.Contains(zones, cellID.Zone) {
 			continue
 		}
 		for _, k := range upstreams {
@@ -155,7 +155,7 @@
 
 func (f *Fleet) availabilityOf(now time.Time, k *knownUpstream) availability {
 	switch {
-	case k.Leaving || k.unusable || f.zones[k.Zone].Out:
+	case k.Leaving || k.unusable || f.zones[k.Zone].OutOfService:
 		return unavailable
 	case k.missing && !f.mayBeRelisted(now, k) || now.Before(k.suspectUntil):
 		return suspect
--- a/forward/followgaps_test.go
+++ b/forward/followgaps_test.go
@@ -63,9 +63,9 @@
 	is := is.New(t)
 	now := time.Now()
 	var leader, behind Fleet
-	leader.ReceiveZones(now, []ZoneOrder{back("z2", 5)})
+	leader.ReceiveZoneOrders(now, []ZoneOrder{backInService("z2", 5)})
 	leader.TakeNews(now, News{At: rev(7)}, true)
-	behind.TakeNews(now, News{Zones: []ZoneOrder{out("z2", 6)}, At: rev(6)}, true)
+	behind.TakeNews(now, News{Zones: []ZoneOrder{outOfService("z2", 6)}, At: rev(6)}, true)
 	is.True(!behind.InService("z2"))
 	follows(now, &behind, &leader)
 	is.True(behind.InService("z2"))
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -232,7 +232,7 @@
 		slept = f.noteSuspended(slept)
 		changed := f.fleet.Changed()
 		f.retireVersions(f.now())
-		if f.peers.divided() {
+		if f.peers.zonesDivided() {
 			PauseFor(ctx, relistPause)
 		}
 		if t := f.table.Load(); t != nil {
@@ -254,7 +254,7 @@
 				}
 				f.journal.Belief("upstream dropped", "upstream", c.ID, "why", "still missing after the list settled")
 			}
-			f.noteZones(f.fleet.SettleZones(f.now()))
+			f.logZoneChanges(f.fleet.SettleZones(f.now()))
 		}
 	}
 }
--- a/forward/incarnation_test.go
+++ b/forward/incarnation_test.go
@@ -38,7 +38,7 @@
 	receive := func(s Share) step {
 		return func(f *Forwarder, _ time.Time) {
 			s.From = Peer{ID: "h2", Zone: "z1"}
-			f.receive(s)
+			f.receiveShare(s)
 		}
 	}
 	leaving := func(life Incarnation) step {
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -27,7 +27,7 @@
 		time.Sleep(2 * time.Second)
 		for _, f := range s.hosts {
 			is.Equal(f.versionInForce(), Version(1))
-			is.Equal(f.peers.liveInZone(time.Now()), perZone)
+			is.Equal(f.peers.liveHostsInZone(time.Now()), perZone)
 			is.True(f.ContactAge(time.Now()) <= originFresh)
 			is.Equal(len(f.fleet.Available(time.Now(), "llm")), 2)
 		}
@@ -66,7 +66,7 @@
 		is.True(late.Ready())
 		is.Equal(len(late.fleet.Available(time.Now(), "llm")), 2)
 		time.Sleep(time.Second)
-		is.Equal(late.peers.liveInZone(time.Now()), 3)
+		is.Equal(late.peers.liveHostsInZone(time.Now()), 3)
 		is.Equal(s.origin.reads.Load(), reads)
 		watches := s.origin.watches.Load()
 		s.lose(s.others("10.2.0.3:1")...)
@@ -79,8 +79,8 @@
 	})
 }
 
-// TestJoinNobody has a host that finds no peer read the origin after a short time.
-func TestJoinNobody(t *testing.T) {
+// TestJoinWithoutPeers has a host that finds no peer read the origin after a short time.
+func TestJoinWithoutPeers(t *testing.T) {
 	for name, c := range map[string]struct {
 		first bool
 		host  string
@@ -141,22 +141,22 @@
 	})
 }
 
-// TestDirectoryMerges has hosts of a zone that don't know of each other each stand in
+// TestDirectoryConnectsSeparateHosts has hosts of a zone that don't know of each other each stand in
 // the directory, by which they come to know.
-func TestDirectoryMerges(t *testing.T) {
+func TestDirectoryConnectsSeparateHosts(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	f := New(Settings{Self: Peer{ID: "h5", Zone: "z1"}}, &fakeTransport{}, silentJournal{}, silentObserver{})
 	is.True(f.peers.firstOfZone(now, listedPerZone)) // as far as it knows
 	for _, id := range []member.HostID{"h1", "h2", "h3"} {
-		f.peers.receive(now, Share{From: Peer{ID: id, Zone: "z1"}})
+		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z1"}})
 	}
-	f.peers.receive(now, Share{From: Peer{ID: "a", Zone: "z2"}})
+	f.peers.recordShare(now, Share{From: Peer{ID: "a", Zone: "z2"}})
 	is.True(!f.peers.firstOfZone(now, listedPerZone))
-	f.peers.receive(now, Share{From: Peer{ID: "h1", Zone: "z1"}, Stopping: true})
-	f.peers.receive(now, Share{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true})
+	f.peers.recordShare(now, Share{From: Peer{ID: "h1", Zone: "z1"}, Stopping: true})
+	f.peers.recordShare(now, Share{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true})
 	is.True(f.peers.firstOfZone(now, listedPerZone))
-	is.True(f.peers.firstOfZone(now.Add(peerSilent+time.Second), listedPerZone)) // they went silent
+	is.True(f.peers.firstOfZone(now.Add(sameCellSilenceTimeout+time.Second), listedPerZone)) // they went silent
 }
 
 // TestGoneHostsAreForgotten has a host that died be forgotten by all: those who knew it
@@ -179,7 +179,7 @@
 		}
 		kill()
 		s.lose("10.1.0.2:1")
-		time.Sleep(2*peerForgotten + 2*time.Second)
+		time.Sleep(2*peerForgetTimeout + 2*time.Second)
 		for _, f := range s.hosts {
 			is.True(!f.peers.isKnown("z1-h02"))
 		}
@@ -222,9 +222,9 @@
 	is.True(!whole)
 }
 
-// TestPlacedIsToldAtOnce has the hosts of a zone hear of a new run before any time has
+// TestPlacementIsSharedAtOnce has the hosts of a zone hear of a new run before any time has
 // passed.
-func TestPlacedIsToldAtOnce(t *testing.T) {
+func TestPlacementIsSharedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, 3, true)
@@ -236,7 +236,7 @@
 		hearer.listEngines(time.Now(), hearer.Table())
 		now := time.Now()
 		u, run, _ := teller.engines.place(ctx, now, "llm", policy.Request{Run: "r", Prompt: 100})
-		teller.tellRuns(u)
+		teller.shareRunChange(u)
 		synctest.Wait()
 		is.Equal(time.Now(), now)
 		is.Equal(hearer.engines.enginesWithRuns(), []member.UpstreamID{run.engine})
@@ -245,13 +245,13 @@
 	})
 }
 
-// TestRunsAreToldToTheirZone has the hosts of an engine's zone hear at once of a run that
+// TestRunsAreSharedWithEngineZone has the hosts of an engine's zone hear at once of a run that
 // a host of another zone placed there, and that it has ended.
-func TestRunsAreToldToTheirZone(t *testing.T) {
+func TestRunsAreSharedWithEngineZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(2, 2, true)
-		s.origin.list = []Upstream{upIn("llm1", "z1"), upIn("llm2", "z2")}
+		s.origin.list = []Upstream{upstreamInZone("llm1", "z1"), upstreamInZone("llm2", "z2")}
 		ctx, cancel := context.WithCancel(t.Context())
 		s.startAll(ctx)
 		time.Sleep(3100 * time.Millisecond)
@@ -265,25 +265,25 @@
 		busy := func() bool {
 			return len(s.hosts["10.2.0.1:1"].engines.enginesWithRuns())+len(s.hosts["10.2.0.2:1"].engines.enginesWithRuns()) == 2
 		}
-		teller.tellRuns(far)
+		teller.shareRunChange(far)
 		synctest.Wait()
 		is.True(busy())
 		teller.engines.finish(time.Now(), "llm", run, true)
-		teller.tellRuns(far)
-		time.Sleep(2 * shareSoon)
+		teller.shareRunChange(far)
+		time.Sleep(2 * minShareInterval)
 		is.True(!busy())
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestStartsWithOriginAway has a host that starts while the origin is away serve by what its
+// TestStartDuringOriginOutage has a host that starts while the origin is away serve by what its
 // peers know, bound by what they have acknowledged, and claim no proof by that.
-func TestStartsWithOriginAway(t *testing.T) {
+func TestStartDuringOriginOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(2, 3, false)
-		s.origin.list = []Upstream{upIn("llm1", "z1"), upIn("llm2", "z2"), upIn("llm3", "z2")}
+		s.origin.list = []Upstream{upstreamInZone("llm1", "z1"), upstreamInZone("llm2", "z2"), upstreamInZone("llm3", "z2")}
 		late := s.hosts["10.2.0.3:1"]
 		ctx, cancel := context.WithCancel(t.Context())
 		for _, f := range s.hosts {
@@ -292,10 +292,10 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		leaving := Change{Upstream: upIn("llm3", "z2")}
+		leaving := Change{Upstream: upstreamInZone("llm3", "z2")}
 		leaving.Leaving, leaving.Revision = true, rev(20)
 		s.origin.publish(leaving)
-		s.origin.order(out("z1", 21))
+		s.origin.order(outOfService("z1", 21))
 		time.Sleep(time.Second)
 		s.origin.lost.Store(true)
 		time.Sleep(10 * time.Second)
@@ -308,7 +308,7 @@
 		is.True(late.OriginAge(time.Now()) > originFresh)
 		is.True(!late.listKnown(time.Now()))
 		s.origin.lost.Store(false)
-		s.origin.order(back("z1", 22))
+		s.origin.order(backInService("z1", 22))
 		time.Sleep(6 * time.Second)
 		is.Equal(availableIDs(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
 		is.True(late.OriginAge(time.Now()) <= originFresh)
--- a/forward/leaving.go
+++ b/forward/leaving.go
@@ -100,10 +100,10 @@
 	} else {
 		isNew = f.fleet.MarkLeaving(now, mark.Engine, mark.In, false)
 	}
-	if isNew && f.peers.isFar(from) {
+	if isNew && f.peers.inOtherCell(from) {
 		// The others of this cell hear it from this host.
 		f.fleet.retell(now, mark.Engine)
-		f.peers.notify()
+		f.peers.notifyOwnCell()
 	}
 	if isNew {
 		f.journal.Belief("peer says that an upstream leaves", "upstream", mark.Engine, "peer", from, "in", mark.In, "upstream_said_so", mark.Said)
--- a/forward/move.go
+++ b/forward/move.go
@@ -135,7 +135,7 @@
 	defer endTurns()
 	var next *handover
 	if err == nil {
-		x.tellRuns(to)
+		x.shareRunChange(to)
 		next, err = m.moveTo(ctx, x, to, m.expected(x, run, to), x.now().Add(moveTimeout))
 	}
 	if next != nil {
@@ -143,7 +143,7 @@
 	}
 	x.journal.Request(x.call.ID, "not moved off a failing engine", "from", m.from.ID, "to", to.ID, "err", err)
 	x.engines.returnToEngine(x.now(), x.service.Name, run, m.from.ID)
-	x.tellRuns(to)
+	x.shareRunChange(to)
 	m.discard(x)
 	return nil
 }
@@ -254,8 +254,8 @@
 		return nil, errNoTarget
 	}
 	defer endTarget()
-	x.tellRuns(to)
-	x.tellRuns(m.from)
+	x.shareRunChange(to)
+	x.shareRunChange(m.from)
 	next, err := m.moveTo(ctx, x, to, m.expected(x, run, to), gone)
 	if errors.Is(err, ErrNoRoom) {
 		x.fleet.Suspect(x.now(), to.ID)
@@ -263,7 +263,7 @@
 	if err != nil {
 		m.discard(x)
 		x.engines.returnToEngine(x.now(), x.service.Name, run, m.from.ID)
-		x.tellRuns(to)
+		x.shareRunChange(to)
 	}
 	return next, err
 }
--- a/forward/peerchoice.go
+++ b/forward/peerchoice.go
@@ -23,7 +23,7 @@
 	}
 	var best *peerState
 	for _, s := range p.known {
-		if !s.live(now) || s.stopping || s.near && s.originAge+now.Sub(s.heard) > originFresh+shareEvery {
+		if !s.live(now) || s.stopping || s.sameCell && s.originAge+now.Sub(s.lastSeen) > originFresh+shareInterval {
 			continue
 		}
 		if s.originAge > originFresh {
@@ -44,7 +44,7 @@
 
 // hasEarlier reports whether a live host comes before this one by zone and name.
 func (p *peerSet) hasEarlier(now time.Time) bool {
-	if at, divided := p.place(now); divided {
+	if at, divided := p.treePosition(now); divided {
 		return at > 0
 	}
 	p.mu.Lock()
@@ -68,7 +68,7 @@
 	var near, far []Peer
 	for _, s := range p.known {
 		switch {
-		case s.stopping || s.foundAt == 0 || !s.live(now):
+		case s.stopping || s.foundNumber == 0 || !s.live(now):
 		case s.Zone == p.self.Zone:
 			near = append(near, s.Peer)
 		default:
@@ -88,7 +88,7 @@
 	var near, far []Peer
 	for _, s := range p.known {
 		switch {
-		case s.foundAt == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.heard) > originFresh:
+		case s.foundNumber == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.lastSeen) > originFresh:
 		case s.Zone == p.self.Zone:
 			near = append(near, s.Peer)
 		default:
@@ -97,7 +97,7 @@
 	}
 	if p.layout.Divided() {
 		// Each host tells a few others only, and those before it in the tree know first.
-		for _, h := range p.ancestors(p.silent(now)) {
+		for _, h := range p.ancestors(p.unavailable(now)) {
 			if i := slices.IndexFunc(near, func(o Peer) bool { return o.ID == h.ID }); i >= 0 {
 				return near[i], true
 			}
@@ -136,7 +136,7 @@
 // first. The mutex is held.
 func (p *peerSet) earlier(a, b Peer) bool {
 	if p.layout.Divided() {
-		return inTreeOrder(a, b) < 0
+		return compareTreeOrder(a, b) < 0
 	}
 	return a.ID < b.ID
 }
@@ -154,7 +154,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
-		s.originAge, s.distrusted = peerForgotten, true
+		s.originAge, s.distrusted = peerForgetTimeout, true
 	}
 }
 
@@ -167,7 +167,7 @@
 	var near, heard, all []Peer
 	if !p.stopping {
 		all = append(all, p.self)
-		if p.own == of {
+		if p.ownCell == of {
 			near = append(near, p.self)
 		}
 	}
@@ -180,10 +180,10 @@
 			all = append(all, s.Peer)
 		}
 		switch {
-		case s.of != of:
+		case s.cell != of:
 		case live:
 			near = append(near, s.Peer)
-		case now.Sub(s.heard) <= farSilent:
+		case now.Sub(s.lastSeen) <= otherCellSilenceTimeout:
 			heard = append(heard, s.Peer)
 		}
 	}
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -61,7 +61,7 @@
 func (x *exchange) tries(now time.Time) bool {
 	x.trying.Lock()
 	defer x.trying.Unlock()
-	if !x.isTry && x.peers.first(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
+	if !x.isTry && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
 		x.isTry = true
 		x.journal.Request(x.call.ID, "tried again", "asks", x.fingerprint())
 	}
@@ -104,7 +104,7 @@
 		f.endHeld(held)
 		for _, print := range held {
 			// Two hosts may each have seen a part of what it is held for.
-			if f.peers.first(now, print.String()) == f.peers.self.ID {
+			if f.peers.siteDutyHost(now, print.String()) == f.peers.self.ID {
 				f.keep(print)
 			}
 		}
--- a/forward/restore.go
+++ b/forward/restore.go
@@ -56,7 +56,7 @@
 // PeersInOtherEra counts the other hosts, heard lately, that know another era.
 func (f *Forwarder) PeersInOtherEra() int {
 	now, era := f.now(), f.OriginEra()
-	return f.peers.count(func(s *peerState) bool { return s.live(now) && s.list.Era() != era })
+	return f.peers.count(func(s *peerState) bool { return s.live(now) && s.listRevision.Era() != era })
 }
 
 // ofEarlierEra reports whether something was known before the era of what is read now.
@@ -165,7 +165,7 @@
 		f.restoreStats.count(func(r *restoreCounts) { r.zones++ })
 	}
 	known.pending = &o
-	f.setZone(known)
+	f.setZoneState(known)
 }
 
 // SettleZones believes what a restored list has said of zones for long enough. It returns the
@@ -180,8 +180,8 @@
 		}
 		o := *known.pending
 		o.BelievedFrom = time.Time{}
-		f.zones[zone] = zoneState{ZoneOrder: o, heard: now}
-		if known.Out != o.Out {
+		f.zones[zone] = zoneState{ZoneOrder: o, learnedAt: now}
+		if known.OutOfService != o.OutOfService {
 			news = append(news, o)
 		}
 	}
--- a/forward/restoremodel_test.go
+++ b/forward/restoremodel_test.go
@@ -156,7 +156,7 @@
 	if h.cut || from.cut {
 		return
 	}
-	h.fleet.ReceiveZones(m.now, from.fleet.ZonesSince(history.Point{}, true))
+	h.fleet.ReceiveZoneOrders(m.now, from.fleet.ZoneOrdersSince(history.Point{}, true))
 	for _, mark := range from.fleet.Marks(m.now) {
 		if mark.Said {
 			h.fleet.SaidLeaving(m.now, mark.Engine, mark.Life, false)
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -79,7 +79,7 @@
 // takeRollouts takes in what the origin or a peer says of rollouts.
 func (f *Forwarder) takeRollouts(now time.Time, told []rollout.Status) {
 	for _, s := range told {
-		if !f.rollouts.Receive(now, s, f.settings.Rollouts, f.peers.mostKnown(now)) {
+		if !f.rollouts.Receive(now, s, f.settings.Rollouts, f.peers.recentMaxHosts(now)) {
 			continue
 		}
 		f.seen.Begin(s)
@@ -238,7 +238,7 @@
 func (f *Forwarder) reportRollout(ctx context.Context, now time.Time, to Peer, s rollout.Status, told map[ServiceName]rolloutTold) {
 	peers := f.port()
 	before := told[s.Service]
-	pause := min(time.Duration(f.peers.mostKnown(now))*time.Second/reportsPerSecond, mostReportPause)
+	pause := min(time.Duration(f.peers.recentMaxHosts(now))*time.Second/reportsPerSecond, mostReportPause)
 	if peers == nil || now.Sub(before.at) < pause {
 		return
 	}
@@ -254,7 +254,7 @@
 	reply, err := peers.Rollout(call, to, r)
 	if err != nil {
 		next.count, next.to = before.count, ""
-		f.peers.notReached(now, to.ID)
+		f.peers.markUnreachable(now, to.ID)
 		f.journal.Belief("rollout not reported", "service", s.Service, "peer", to.ID, "err", err)
 	}
 	told[s.Service] = next
@@ -281,7 +281,7 @@
 	r, _ := f.rolloutReport(s)
 	f.desk.take(now, r)
 	fleet := rollout.Fleet{}
-	if !f.peers.divided() {
+	if !f.peers.zonesDivided() {
 		fleet.Hosts = f.peers.liveIDs(now)
 	}
 	fleet.HasTarget, _ = f.hasVersion(now, s.Service, s.Target)
@@ -368,7 +368,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.layout.Divided() {
-		return p.firstOfAll(now)
+		return p.firstAvailable(now)
 	}
 	first := p.self
 	for _, s := range p.known {
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -41,7 +41,7 @@
 
 // endedTold is how long an ended run is told: each peer of the zone hears from this host
 // once meanwhile, and learns from a run when it is no longer listed.
-const endedTold = 2 * shareEvery
+const endedTold = 2 * shareInterval
 
 // endedRuns lists the runs that ended by themselves lately.
 func (e *enginePlacer) endedRuns(now time.Time) []EndedRun {
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -207,7 +207,7 @@
 				if up < hosts {
 					t.Errorf("%d of %d hosts are up to date", up, hosts)
 				}
-				if s.first().peers.divided() && followers > 5*followersMost {
+				if s.first().peers.zonesDivided() && followers > 5*maxFollowers {
 					t.Errorf("%d follow one host", followers)
 				}
 				if reached > time.Second {
--- a/forward/send.go
+++ b/forward/send.go
@@ -46,7 +46,7 @@
 	zone := f.zones[k.Zone]
 	return eligibility.State{
 		Leaving: k.Leaving, Unusable: k.unusable,
-		ZoneOut: zone.Out, ZoneClosed: zone.Out && now.Sub(zone.heard) > handoverGrace,
+		ZoneOut: zone.OutOfService, ZoneClosed: zone.OutOfService && now.Sub(zone.learnedAt) > handoverGrace,
 	}
 }
 
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -150,7 +150,7 @@
 				newest = order
 			}
 		}
-		if newest.Out {
+		if newest.OutOfService {
 			whole.Zones = append(whole.Zones, newest)
 		}
 	}
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -141,7 +141,7 @@
 		}
 	}
 	s.fleet.MarkZoneUnreachable(now, s.service.Name, u.Zone)
-	s.peers.notify()
+	s.peers.notifyOwnCell()
 }
 
 // untried reports whether an engine is left that hasn't been tried. Those that
@@ -199,7 +199,7 @@
 	}
 	s.run = run.ownRun
 	d := run.decision
-	s.tellRuns(u)
+	s.shareRunChange(u)
 	s.journal.Request(s.call.ID, "placed", "upstream", u.ID, "waited", d.Waited, "first_foreseen", d.FirstAfter, "memory_foreseen", d.Memory, "runs", d.Batch, "zone", u.Zone, "skipped", s.skipped, "prompt", p.Tokens, "limit", p.MostOut, "hint", p.LikelyOut, "list_revision", s.fleet.Revision(), "contact_age", s.ContactAge(now))
 	return u, Refusal{}, true
 }
@@ -239,7 +239,7 @@
 	}
 	s.engines.finish(s.now(), s.service.Name, s.run, whole)
 	if u, known := s.fleet.Upstream(s.run.engine); known {
-		s.tellRuns(u)
+		s.shareRunChange(u)
 	}
 	s.run = nil
 }
--- a/forward/unserved.go
+++ b/forward/unserved.go
@@ -30,7 +30,7 @@
 	alone := func(u Upstream) bool {
 		return x.backoffs.Alone(now, u.ID) && x.backoffs.Remaining(now, u.ID) > retryKeptSpread
 	}
-	if slices.ContainsFunc(takers, alone) && x.peers.zoneHasOther(now) {
+	if slices.ContainsFunc(takers, alone) && x.peers.hasPeerInZone(now) {
 		r.RetryAfter = retryElsewhere
 	}
 	return r
