--- a/forward/failing_test.go
+++ b/forward/failingupstream_test.go
@@ -17,14 +17,14 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// TestFailingEngine has an engine that loses requests, or that is silent, get no
-// new streams for a while, longer each time, and then be tried again.
+// TestFailingEngine checks that an engine that loses requests or does not answer gets no new
+// streams for a while, longer each time, and is then tried again.
 func TestFailingEngine(t *testing.T) {
-	for name, lose := range map[string]func(ctx context.Context) (*Answer, error){
+	for name, loseStream := range map[string]func(ctx context.Context) (*Answer, error){
 		"resets": func(context.Context) (*Answer, error) { return nil, io.ErrUnexpectedEOF },
 		"breaks streams off": func(context.Context) (*Answer, error) {
 			a := answer(200, "")
-			a.Body = io.NopCloser(io.MultiReader(&chunked{from: &oneEvent{}, n: 64}, errReader{}))
+			a.Body = io.NopCloser(io.MultiReader(&chunked{from: &oneEventReader{}, n: 64}, errReader{}))
 			return a, nil
 		},
 		"is silent": func(ctx context.Context) (*Answer, error) {
@@ -37,14 +37,14 @@
 				is := is.New(t)
 				transport := &fakeTransport{send: func(ctx context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
 					if u.ID == "llm1" {
-						return lose(ctx)
+						return loseStream(ctx)
 					}
 					return answer(200, "id: 1\n\n"), nil
 				}}
 				f := newForwarder(t, transport)
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Run(ctx)
-				lost := func(streams int) int {
+				lostStreams := func(streams int) int {
 					before := len(transport.sentTo())
 					for n := range streams {
 						c := call("/llm/")
@@ -65,15 +65,15 @@
 				f.fleet.Suspect(time.Now(), "llm2")
 				f.fleet.Suspect(time.Now(), "llm3")
 				synctest.Wait()
-				is.Equal(lost(1), 1)
-				is.Equal(len(f.fleet.FailingMarks(time.Now())), 1) // its loss was noted
-				time.Sleep(suspectFor)                             // the others are back
-				f.fleet.Failed(time.Now(), "llm1")
+				is.Equal(lostStreams(1), 1)
+				is.Equal(len(f.fleet.FailingMarks(time.Now())), 1) // the loss was recorded
+				time.Sleep(suspectDuration)                        // llm2 and llm3 are available again
+				f.fleet.RecordFailure(time.Now(), "llm1")
 				synctest.Wait()
-				is.Equal(lost(6), 0)
-				time.Sleep(failingMost)
+				is.Equal(lostStreams(6), 0)
+				time.Sleep(maxFailingHold)
 				synctest.Wait()
-				is.True(!f.fleet.Failing(time.Now(), "llm1")) // it is tried again
+				is.True(!f.fleet.IsFailing(time.Now(), "llm1")) // llm1 is tried again
 				cancel()
 				synctest.Wait()
 			})
@@ -81,10 +81,10 @@
 	}
 }
 
-// oneEvent reads as one event, once.
-type oneEvent struct{ read bool }
+// oneEventReader yields one event and then io.EOF.
+type oneEventReader struct{ read bool }
 
-func (e *oneEvent) Read(p []byte) (int, error) {
+func (e *oneEventReader) Read(p []byte) (int, error) {
 	if e.read {
 		return 0, io.EOF
 	}
@@ -92,35 +92,35 @@
 	return copy(p, "id: 1\n\n"), nil
 }
 
-// TestHearFailing has a host believe what a peer of its zone found about an
-// upstream, but no host of another zone: its links are others.
-func TestHearFailing(t *testing.T) {
+// TestReceiveFailing checks that a host accepts a finding about an upstream from a peer of its
+// zone, but not from a host of another zone, which has other links to the upstream.
+func TestReceiveFailing(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
-	marks := []FailingMark{{Upstream: "llm1", For: time.Second}, {Upstream: "unknown", For: time.Second}}
+	marks := []FailingMark{{Upstream: "llm1", Remaining: time.Second}, {Upstream: "unknown", Remaining: time.Second}}
 	f.receiveShare(Share{From: Peer{ID: "h2", Zone: "z2"}, Failing: marks})
-	is.True(!f.fleet.Failing(time.Now(), "llm1"))
+	is.True(!f.fleet.IsFailing(time.Now(), "llm1"))
 	f.receiveShare(Share{From: Peer{ID: "h3", Zone: "z1"}, Failing: marks})
-	is.True(f.fleet.Failing(time.Now(), "llm1"))
-	is.Equal(len(f.fleet.FailingMarks(time.Now())), 0) // it isn't told on: who found it does
+	is.True(f.fleet.IsFailing(time.Now(), "llm1"))
+	is.Equal(len(f.fleet.FailingMarks(time.Now())), 0) // peers' findings are not forwarded; the host that made them shares them
 }
 
-// TestFailedHold has the time without new work double with each failure in a row,
-// up to a bound, and start anew once the upstream has worked.
+// TestFailedHold checks that the period without new work doubles with each failure in a row, up
+// to a maximum, and starts over once the upstream has answered.
 func TestFailedHold(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	now := time.Now()
-	hold := func(id member.UpstreamID) time.Duration { return f.fleet.Failed(now, id) }
+	hold := func(id member.UpstreamID) time.Duration { return f.fleet.RecordFailure(now, id) }
 	is.Equal([]time.Duration{hold("llm1"), hold("llm1"), hold("llm1"), hold("llm1")}, []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second})
-	f.fleet.Worked("llm1")
-	is.Equal(hold("llm1"), failingFor)
+	f.fleet.RecordSuccess("llm1")
+	is.Equal(hold("llm1"), initialFailingHold)
 	f.fleet.MarkLeaving(now, "llm2", 0, true)
-	is.Equal(hold("llm2"), time.Duration(0)) // it leaves anyway
+	is.Equal(hold("llm2"), time.Duration(0)) // a leaving upstream gets no new work anyway
 }
 
-// TestZoneUnreachable has a failed connection to another zone keep new work from all
-// of that zone, here and at the peers of the own zone.
+// TestZoneUnreachable checks that a failed connection to another zone keeps new work from all
+// upstreams of that zone, on this host and on its peers in the own zone.
 func TestZoneUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -136,7 +136,7 @@
 			list = append(list, Upstream{ID: member.UpstreamID(fmt.Sprint("e", n)), Service: "llm", Zone: zone, Slots: 24, Revision: rev(2)})
 		}
 		f.fleet.Replace(time.Now(), list, rev(2))
-		f.fleet.Suspect(time.Now(), "e3") // the own zone's engine is tried last
+		f.fleet.Suspect(time.Now(), "e3") // the engine of the own zone is tried last
 		f.fleet.Suspect(time.Now(), "e4")
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
@@ -146,20 +146,21 @@
 		peer := newForwarder(t, transport)
 		peer.fleet.Replace(time.Now(), list, rev(2))
 		peer.receiveShare(f.newShare(time.Now()))
-		is.Equal(len(peer.fleet.Takers(time.Now(), "llm")), 2) // e3 and e4
+		is.Equal(len(peer.fleet.Available(time.Now(), "llm")), 2) // e3 and e4
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestLateButWorking has an engine whose first event is late count as failing only when
-// none of its other runs gets on.
+// TestLateButWorking checks that an engine whose first event is late counts as failing only if
+// none of its other runs makes progress.
 func TestLateButWorking(t *testing.T) {
 	for name, c := range map[string]struct {
-		// worksFor is how long another run there makes tokens, as a peer tells.
-		worksFor time.Duration
-		// failing is after how long the engine has to count as failing.
-		failing time.Duration
+		// progressFor is for how long a peer reports progress of another run on the engine.
+		progressFor time.Duration
+		// failingAfter is the time within which the engine must count as failing; zero if it
+		// must not.
+		failingAfter time.Duration
 	}{
 		"nothing there gets on":        {0, 3 * time.Second},
 		"another run gets on":          {20 * time.Second, 0},
@@ -180,20 +181,20 @@
 				synctest.Wait()
 				go f.Serve(ctx, call("/llm/"), &fakeSink{})
 				synctest.Wait()
-				on := transport.sentTo()[0]
+				engine := transport.sentTo()[0]
 				began := time.Now()
 				var failed time.Duration
 				for made := policy.Tokens(100); time.Since(began) < 10*time.Second; made += 50 {
-					if time.Since(began) < c.worksFor {
-						f.engines.adopt(time.Now(), "h2", []RunState{{Run: "other", Service: "llm", Engine: on, Prompt: 100, Made: made, Limit: 5000}}, nil)
+					if time.Since(began) < c.progressFor {
+						f.engines.adopt(time.Now(), "h2", []RunState{{Run: "other", Service: "llm", Engine: engine, Prompt: 100, Made: made, Limit: 5000}}, nil)
 					}
 					if len(f.fleet.FailingMarks(time.Now())) > 0 && failed == 0 {
 						failed = time.Since(began)
 					}
 					time.Sleep(shareInterval)
 				}
-				is.Equal(failed > 0, c.failing > 0)
-				is.True(failed <= c.failing)
+				is.Equal(failed > 0, c.failingAfter > 0)
+				is.True(failed <= c.failingAfter)
 				cancel()
 				synctest.Wait()
 			})
--- a/forward/fleetindex.go
+++ b/forward/fleetindex.go
@@ -12,52 +12,52 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// fleetIndex finds the upstreams of a service and a cell, among all that a large fleet has. The
-// zero value is empty.
+// fleetIndex maps a service and a cell to their upstreams, so that a lookup need not scan a
+// large fleet. The zero value is empty.
 type fleetIndex struct {
 	layout cell.Layout
-	// own is this host's cell.
-	own      cell.ID
-	services map[ServiceName]map[cell.ID]map[member.UpstreamID]*known
-	// takers are the answers to what was asked since the last change, by service.
-	takers map[ServiceName][]Upstream
+	// ownCell is the cell of this host.
+	ownCell  cell.ID
+	services map[ServiceName]map[cell.ID]map[member.UpstreamID]*knownUpstream
+	// availableCache holds the results of Available since the last change, by service.
+	availableCache map[ServiceName][]Upstream
 }
 
-func (x *fleetIndex) add(k *known) {
+func (x *fleetIndex) add(k *knownUpstream) {
 	if k.Service == "" {
 		return
 	}
 	if x.services == nil {
-		x.services = map[ServiceName]map[cell.ID]map[member.UpstreamID]*known{}
+		x.services = map[ServiceName]map[cell.ID]map[member.UpstreamID]*knownUpstream{}
 	}
 	cells := x.services[k.Service]
 	if cells == nil {
-		cells = map[cell.ID]map[member.UpstreamID]*known{}
+		cells = map[cell.ID]map[member.UpstreamID]*knownUpstream{}
 		x.services[k.Service] = cells
 	}
-	of := x.layout.OfUpstream(k.ID, k.Zone)
-	if cells[of] == nil {
-		cells[of] = map[member.UpstreamID]*known{}
+	cellID := x.layout.OfUpstream(k.ID, k.Zone)
+	if cells[cellID] == nil {
+		cells[cellID] = map[member.UpstreamID]*knownUpstream{}
 	}
-	cells[of][k.ID] = k
+	cells[cellID][k.ID] = k
 }
 
-// remove drops an upstream as it is indexed.
-func (x *fleetIndex) remove(k *known) {
-	cells, of := x.services[k.Service], x.layout.OfUpstream(k.ID, k.Zone)
-	delete(cells[of], k.ID)
-	if len(cells[of]) == 0 {
-		delete(cells, of)
+// remove removes an upstream. Its service and zone must be those under which it was added.
+func (x *fleetIndex) remove(k *knownUpstream) {
+	cells, cellID := x.services[k.Service], x.layout.OfUpstream(k.ID, k.Zone)
+	delete(cells[cellID], k.ID)
+	if len(cells[cellID]) == 0 {
+		delete(cells, cellID)
 	}
 }
 
-// mostMarks bounds how many upstreams a host tells its peers of in one message, of each kind: all of a
-// zone may be cold or out of reach at once.
-const mostMarks = 256
+// maxMarksPerKind bounds how many marks of each kind a message to peers contains: all upstreams
+// of a zone may be cold or out of reach at once.
+const maxMarksPerKind = 256
 
-// eachForPeers visits the upstreams of which peers are told, until told to stop: those of this host's
-// cell first. The mutex is held.
-func (f *Fleet) eachForPeers(visit func(*known) bool) {
+// visitOwnCellFirst calls visit for each upstream, those of this host's cell first if zones are
+// divided into cells, until visit returns false. f.mu must be held.
+func (f *Fleet) visitOwnCellFirst(visit func(*knownUpstream) bool) {
 	if !f.index.layout.Divided() {
 		for _, k := range f.upstreams {
 			if !visit(k) {
@@ -68,8 +68,8 @@
 	}
 	for _, own := range []bool{true, false} {
 		for _, cells := range f.index.services {
-			for of, upstreams := range cells {
-				if (of == f.index.own) != own {
+			for cellID, upstreams := range cells {
+				if (cellID == f.index.ownCell) != own {
 					continue
 				}
 				for _, k := range upstreams {
@@ -82,40 +82,42 @@
 	}
 }
 
-// SetLayout has the upstreams be found by a division of the zones, of whose cells one is this host's.
+// SetLayout sets the division of the zones into cells by which upstreams are indexed, and this
+// host's cell.
 func (f *Fleet) SetLayout(l cell.Layout, own cell.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.index.own = own
+	f.index.ownCell = own
 	if l.Equal(f.index.layout) {
 		return
 	}
-	f.index = fleetIndex{layout: l, own: own}
+	f.index = fleetIndex{layout: l, ownCell: own}
 	for _, k := range f.upstreams {
 		f.index.add(k)
 	}
 	f.notify(true)
 }
 
-// TakersIn is Takers of one cell, in no order.
-func (f *Fleet) TakersIn(now time.Time, service ServiceName, of cell.ID) []Upstream {
+// AvailableInCell is like Available for the upstreams of one cell, in no particular order.
+func (f *Fleet) AvailableInCell(now time.Time, service ServiceName, cellID cell.ID) []Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.takersOf(now, f.index.services[service][of])
+	return f.availableOf(now, f.index.services[service][cellID])
 }
 
-// ZonesWith lists the zones in which upstreams of a service may take work, in no order.
-func (f *Fleet) ZonesWith(service ServiceName) []member.Zone {
+// ZonesServing lists the zones with upstreams of a service that may take work, in no particular
+// order.
+func (f *Fleet) ZonesServing(service ServiceName) []member.Zone {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var zones []member.Zone
-	for of, upstreams := range f.index.services[service] {
-		if f.zones[of.Zone].OutOfService || slices.Contains(zones, of.Zone) {
+	for cellID, upstreams := range f.index.services[service] {
+		if f.zones[cellID.Zone].OutOfService || slices.Contains(zones, cellID.Zone) {
 			continue
 		}
 		for _, k := range upstreams {
 			if !k.Leaving && !k.unusable {
-				zones = append(zones, of.Zone)
+				zones = append(zones, cellID.Zone)
 				break
 			}
 		}
@@ -123,42 +125,43 @@
 	return zones
 }
 
-// takersOf are those of some upstreams that take new work.
-func (f *Fleet) takersOf(now time.Time, upstreams map[member.UpstreamID]*known) []Upstream {
-	var takers, suspected []Upstream
+// availableOf returns those of the given upstreams that take new work, in no particular order.
+func (f *Fleet) availableOf(now time.Time, upstreams map[member.UpstreamID]*knownUpstream) []Upstream {
+	var healthy, suspects []Upstream
 	for _, k := range upstreams {
-		switch f.standing(now, k) {
-		case taking:
-			takers = append(takers, k.Upstream)
+		switch f.availabilityOf(now, k) {
+		case available:
+			healthy = append(healthy, k.Upstream)
 		case suspect:
-			suspected = append(suspected, k.Upstream)
+			suspects = append(suspects, k.Upstream)
 		}
 	}
-	if len(takers) > 0 {
-		return takers
+	if len(healthy) > 0 {
+		return healthy
 	}
-	// With nobody else, those under suspicion are better than nothing.
-	return suspected
+	// If no other upstream is left, suspect ones are better than none.
+	return suspects
 }
 
-// standing says whether an upstream takes new work.
-type standing int
+// availability says whether an upstream takes new work. A suspect upstream takes it only if
+// there is no available one.
+type availability int
 
 const (
-	notTaking standing = iota
+	unavailable availability = iota
 	suspect
-	taking
+	available
 )
 
-func (f *Fleet) standing(now time.Time, k *known) standing {
+func (f *Fleet) availabilityOf(now time.Time, k *knownUpstream) availability {
 	switch {
 	case k.Leaving || k.unusable || f.zones[k.Zone].OutOfService:
-		return notTaking
+		return unavailable
 	case k.missing && !f.mayBeRelisted(now, k) || now.Before(k.suspectUntil):
 		return suspect
 	default:
-		return taking
+		return available
 	}
 }
 
-func byID(a, b Upstream) int { return strings.Compare(string(a.ID), string(b.ID)) }
+func compareUpstreamIDs(a, b Upstream) int { return strings.Compare(string(a.ID), string(b.ID)) }
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -98,8 +98,8 @@
 			duration time.Duration
 		}{
 			"an upstream fails": {
-				func(f *Forwarder) { f.fleet.Failed(f.now(), engine) },
-				func(f *Forwarder) bool { return f.fleet.Failing(f.now(), engine) }, failingFor,
+				func(f *Forwarder) { f.fleet.RecordFailure(f.now(), engine) },
+				func(f *Forwarder) bool { return f.fleet.IsFailing(f.now(), engine) }, initialFailingHold,
 			},
 			"an upstream is cold": {
 				func(f *Forwarder) { f.fleet.MarkCold(engine, f.now().Add(10*time.Second)) },
@@ -258,7 +258,7 @@
 						is.Equal(*sink.refused, Refusal{Code: CodeLate, RetryAfter: retryElsewhere})
 					} else {
 						// The request may wait until the state of the engines is refreshed.
-						is.True(patience-slept-left <= refreshEvery && left <= patience-slept)
+						is.True(patience-slept-left <= poolRefreshInterval && left <= patience-slept)
 					}
 					time.Sleep(time.Second)
 					request.Arrived = f.now()
--- a/forward/zones.go
+++ b/forward/zones.go
@@ -151,7 +151,7 @@
 }
 
 func (f *Fleet) setZoneState(z zoneState) {
-	f.touch()
+	f.invalidate()
 	if f.zones == nil {
 		f.zones = map[member.Zone]zoneState{}
 	}
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -20,7 +20,7 @@
 
 // upstreamInZone returns an upstream in a zone.
 func upstreamInZone(id member.UpstreamID, zone member.Zone) Upstream {
-	u := up(id, 1, false)
+	u := llmUpstream(id, 1, false)
 	u.Zone = zone
 	return u
 }
@@ -85,7 +85,7 @@
 			for _, s := range c.steps {
 				s(&f, now)
 			}
-			is.Equal(takers(&f, now), c.want)
+			is.Equal(availableIDs(&f, now), c.want)
 		})
 	}
 }
@@ -98,7 +98,7 @@
 	var leader, follower Fleet
 	list := []Upstream{upstreamInZone("ua", "a"), upstreamInZone("ub", "b")}
 	catchUp := func() {
-		changes, at, whole := leader.Since(follower.Revision())
+		changes, at, whole := leader.ChangesSince(follower.Revision())
 		orders := leader.ZoneOrdersSince(follower.Revision(), whole)
 		if whole {
 			follower.ReplaceZoneOrders(now, orders, at)
@@ -113,12 +113,12 @@
 	leader.ApplyZoneOrders(now, []ZoneOrder{outOfService("a", 12)})
 	leader.Apply(now, nil, rev(12))
 	catchUp()
-	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"ub": true})
+	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"ub": true})
 	// The new leader reads the list after the order was revoked, and never knew the order.
 	leader = Fleet{}
 	leader.Replace(now, list, rev(20))
 	catchUp()
-	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"ua": true, "ub": true})
+	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"ua": true, "ub": true})
 }
 
 // newTwoZoneForwarder returns a forwarder whose upstreams llm1 and app1 are in z1, the others in z2.
@@ -272,7 +272,7 @@
 					}
 					for address, f := range s.hosts {
 						if !s.gone[address] {
-							is.Equal(takers(f.fleet, time.Now()), expected)
+							is.Equal(availableIDs(f.fleet, time.Now()), expected)
 						}
 					}
 				}
