--- a/forward/broken.go
+++ b/forward/broken.go
@@ -34,7 +34,7 @@
 		Caller: string(x.account.Name), Method: x.call.Method, Host: hostName(x.call.Host), Target: x.call.Target, Body: x.call.Body,
 	}
 	if a.Caller == "" {
-		a.Caller = x.call.Key
+		a.Caller = x.call.APIKey
 	}
 	return a
 }
--- a/forward/broken_test.go
+++ b/forward/broken_test.go
@@ -52,19 +52,19 @@
 // answer had ended whether the upstream itself had, and what was asked.
 func TestBrokenConnectionIsTold(t *testing.T) {
 	closed := func(Upstream) error { return fmt.Errorf("%w: refused", ErrPortClosed) }
-	breaks := func(body io.Reader, err error) func(context.Context, Upstream, *Outgoing) (*Answer, error) {
-		return func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+	breaks := func(body io.Reader, err error) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
+		return func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 			if err != nil {
 				return nil, err
 			}
 			a := answer(200, "")
-			a.Length, a.Body = -1, io.NopCloser(body)
+			a.ContentLength, a.Body = -1, io.NopCloser(body)
 			return a, nil
 		}
 	}
 	for name, c := range map[string]struct {
 		path  string
-		send  func(context.Context, Upstream, *Outgoing) (*Answer, error)
+		send  func(context.Context, Upstream, *UpstreamRequest) (*Response, error)
 		reach func(Upstream) error
 		want  string
 	}{
@@ -74,7 +74,7 @@
 		"call":                        {"/order/", breaks(nil, syscall.ECONNRESET), closed, "ended=true"},
 		"the upstream still listens":  {"/order/", breaks(nil, io.ErrUnexpectedEOF), nil, "ended=false"},
 		"the upstream can't be asked": {"/order/", breaks(nil, io.ErrUnexpectedEOF), func(Upstream) error { return errGone }, "ended=false"},
-		"bytes that are no answer":    {"/order/", breaks(nil, ErrForeign), closed, ""},
+		"bytes that are no answer":    {"/order/", breaks(nil, ErrMismatchedResponse), closed, ""},
 		"a link that fell silent":     {"/order/", breaks(nil, syscall.ETIMEDOUT), closed, ""},
 		"nothing was sent":            {"/order/", breaks(nil, ErrNotSent), closed, ""},
 	} {
--- a/forward/clock_test.go
+++ b/forward/clock_test.go
@@ -100,7 +100,7 @@
 			start := time.Now()
 			spend := func(now time.Time) int {
 				spent := 0
-				for b.take(now, "app") {
+				for b.takeRetry(now, "app") {
 					spent++
 				}
 				return spent
--- a/forward/cold_test.go
+++ b/forward/cold_test.go
@@ -40,7 +40,7 @@
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 					return answer(http.StatusOK, "id: 1\ndata: a\n\n"), nil
 				}}
 				f := newForwarder(t, transport)
--- a/forward/failing_test.go
+++ b/forward/failing_test.go
@@ -20,14 +20,14 @@
 // TestFailingEngine has an engine that loses requests, or that is silent, get no
 // new streams for a while, longer each time, and then be tried again.
 func TestFailingEngine(t *testing.T) {
-	for name, lose := range map[string]func(ctx context.Context) (*Answer, error){
-		"resets": func(context.Context) (*Answer, error) { return nil, io.ErrUnexpectedEOF },
-		"breaks streams off": func(context.Context) (*Answer, error) {
+	for name, lose := range map[string]func(ctx context.Context) (*Response, error){
+		"resets": func(context.Context) (*Response, error) { return nil, io.ErrUnexpectedEOF },
+		"breaks streams off": func(context.Context) (*Response, error) {
 			a := answer(200, "")
 			a.Body = io.NopCloser(io.MultiReader(&chunked{from: &oneEvent{}, n: 64}, errReader{}))
 			return a, nil
 		},
-		"is silent": func(ctx context.Context) (*Answer, error) {
+		"is silent": func(ctx context.Context) (*Response, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		},
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(ctx context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(ctx context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 					if u.ID == "llm1" {
 						return lose(ctx)
 					}
@@ -124,7 +124,7 @@
 func TestZoneUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		transport := &fakeTransport{send: func(_ context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+		transport := &fakeTransport{send: func(_ context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 			if u.Zone != "z1" {
 				return nil, ErrNotSent
 			}
@@ -168,7 +168,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 					<-ctx.Done()
 					return nil, context.Cause(ctx)
 				}}
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -115,7 +115,7 @@
 		until = w.now().Add(w.joinWait())
 	}
 	for ctx.Err() == nil && (w.now().Before(until) || w.now().Before(last) && w.awaitsList(w.now())) {
-		peer, found := w.peers.joinable(w.now())
+		peer, found := w.peers.bootstrapPeer(w.now())
 		if found && w.followPeer(ctx, peer, neededBounds) && w.joinConfig(ctx, peer) {
 			w.upToDate()
 			w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.at, "after", w.now().Sub(w.began))
@@ -165,7 +165,7 @@
 // settling reports whether this host has just joined, and knows one that comes before
 // it in the order of leaders but that can't be followed yet.
 func (w *follower) settling(now time.Time) bool {
-	return !w.read && w.dep.failures == 0 && now.Sub(w.began) < startLasts && w.peers.hasEarlier(now)
+	return !w.read && w.dep.failures == 0 && now.Sub(w.began) < startLasts && w.peers.hasPredecessor(now)
 }
 
 // joinWait is how long this host looks for a peer to join: not at all if it knows no
@@ -226,7 +226,7 @@
 // so that one host watches the origin for all of them. It reports whether that
 // host could be followed; if not, its zone is left alone for a while.
 func (w *follower) followZone(ctx context.Context, now time.Time) bool {
-	far, found := w.peers.ofEarlierZone(func(z member.Zone) bool { return now.Before(w.avoided[z]) }, now)
+	far, found := w.peers.firstInEarlierZone(func(z member.Zone) bool { return now.Before(w.avoided[z]) }, now)
 	if !found {
 		return false
 	}
@@ -383,7 +383,7 @@
 	if !w.fleet.Revision().IsZero() {
 		return
 	}
-	for _, peer := range w.peers.anyLive(now) {
+	for _, peer := range w.peers.randomLivePeers(now) {
 		if !w.followPeer(ctx, peer, staleBounds) || w.fleet.Revision().IsZero() {
 			continue
 		}
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -109,7 +109,7 @@
 				p.receive(now, s)
 			}
 			p.distrust(c.distrusted)
-			got, found := p.ofEarlierZone(func(z member.Zone) bool { return z == c.avoided }, now.Add(time.Second))
+			got, found := p.firstInEarlierZone(func(z member.Zone) bool { return z == c.avoided }, now.Add(time.Second))
 			is.Equal(got.ID, c.want)
 			is.Equal(found, c.want != "")
 		})
@@ -147,8 +147,8 @@
 	return permit.Reply{}, errGone
 }
 func (p *followedPeers) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
-func (p *followedPeers) Ask(context.Context, Peer, PlaceAsk) (PlaceGrant, error) {
-	return PlaceGrant{}, errGone
+func (p *followedPeers) Ask(context.Context, Peer, PlacementRequest) (PlacementGrant, error) {
+	return PlacementGrant{}, errGone
 }
 
 func (p *followedPeers) Config(context.Context, Peer, Version) (ConfigReply, error) {
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -89,7 +89,7 @@
 	fleet   *Fleet
 	table   atomic.Pointer[Table]
 	engines *engines
-	plain   *plainChooser
+	plain   *latencyBalancer
 	// backoffs are the upstreams that asked this host for backoff, and backoffNotices bounds
 	// how often peers are told of that at once.
 	backoffs       backoff.Table
@@ -162,7 +162,7 @@
 func New(s Settings, t Transport, j Journal, o Observer) *Forwarder {
 	f := &Forwarder{
 		settings: s, transport: t, journal: j, observer: o,
-		fleet: &Fleet{}, engines: newEngines(s.Self.ID, s.Self.Zone), plain: newPlainChooser(s.Self.Zone),
+		fleet: &Fleet{}, engines: newEngines(s.Self.ID, s.Self.Zone), plain: newLatencyBalancer(s.Self.Zone),
 		peers: newPeerSet(s.Self, s.Seeds), offers: newConfigOffers(),
 		inFlight: map[*exchange]context.CancelCauseFunc{}, idle: make(chan struct{}), relist: make(chan struct{}, 1),
 		toKeep: make(chan quarantine.Fingerprint, keepRing),
--- a/forward/granting.go
+++ b/forward/granting.go
@@ -51,7 +51,7 @@
 }
 
 // placeAt counts a run on an engine that another host gave a place on.
-func (e *engines) placeAt(now time.Time, service ServiceName, r policy.Request, g PlaceGrant) (Upstream, *ownRun, policy.Decision, bool) {
+func (e *engines) placeAt(now time.Time, service ServiceName, r policy.Request, g PlacementGrant) (Upstream, *ownRun, policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
@@ -59,7 +59,7 @@
 		return Upstream{}, nil, policy.Decision{}, false
 	}
 	r.Zone = e.zone
-	d, ok := p.pool.PlaceAt(now, r, g.Engine, g.FirstAfter)
+	d, ok := p.pool.PlaceAt(now, r, g.Engine, g.TimeToFirstToken)
 	if !ok {
 		return Upstream{}, nil, d, false
 	}
@@ -74,7 +74,7 @@
 }
 
 // grant gives a peer's run a place on an engine of the own zone, if one has room.
-func (e *engines) grant(now time.Time, a PlaceAsk) (policy.Decision, bool) {
+func (e *engines) grant(now time.Time, a PlacementRequest) (policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[a.Service]
@@ -90,12 +90,12 @@
 
 // placePeers places a peer's run on an engine of a zone. One that is known here already
 // is to move, and stays counted where it is if there is no room.
-func (p *enginePool) placePeers(now time.Time, a PlaceAsk, zone member.Zone) (policy.Decision, bool) {
+func (p *enginePool) placePeers(now time.Time, a PlacementRequest, zone member.Zone) (policy.Decision, bool) {
 	if _, known := p.theirs[a.Run]; known {
-		id, ok := p.pool.Relocate(now, a.Run, policy.Target{Avoid: a.Avoid, OnlyZone: true, Zone: zone, OnlyGroup: a.OnlyGroup, ButGroup: a.ButGroup})
+		id, ok := p.pool.Relocate(now, a.Run, policy.Target{Avoid: a.ExcludedEngines, OnlyZone: true, Zone: zone, OnlyGroup: a.OnlyGroup, ButGroup: a.ExcludedGroup})
 		return policy.Decision{Run: a.Run, Verdict: policy.Granted, Engine: id}, ok
 	}
-	r := a.request(now)
+	r := a.policyRequest(now)
 	r.Zone, r.OnlyZone = zone, true
 	return p.pool.TryPlace(now, r)
 }
@@ -103,7 +103,7 @@
 // revokeUnused frees the places that were given to peers' runs that nothing was heard of.
 func (p *enginePool) revokeUnused(now time.Time) {
 	for id, at := range p.granted {
-		if now.Sub(at) > grantedFor {
+		if now.Sub(at) > placementGrantTTL {
 			delete(p.granted, id)
 			delete(p.theirs, id)
 			p.pool.Finish(now, policy.Finish{Run: id})
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -260,7 +260,7 @@
 			f.listEngines(time.Now(), f.Table())
 		}
 		far, _ := teller.fleet.Upstream("llm2")
-		_, run, _, ok := teller.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlaceGrant{Engine: far.ID})
+		_, run, _, ok := teller.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlacementGrant{Engine: far.ID})
 		is.True(ok)
 		busy := func() bool {
 			return len(s.hosts["10.2.0.1:1"].engines.busy())+len(s.hosts["10.2.0.2:1"].engines.busy()) == 2
--- a/forward/lives.go
+++ b/forward/lives.go
@@ -89,7 +89,7 @@
 		u, _ := f.fleet.Upstream(id)
 		f.journal.Belief("upstream started again", "upstream", id, "life", u.Life)
 		f.engines.renew(id)
-		f.plain.renew(id)
+		f.plain.reset(id)
 		f.limiter.Renew(id)
 		f.backoffs.Renew(id)
 	}
--- a/forward/lives_test.go
+++ b/forward/lives_test.go
@@ -126,16 +126,16 @@
 		is := is.New(t)
 		moves := 0
 		transport := &fakeTransport{
-			send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+			send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 				a := answer(http.StatusOK, "")
 				read, write := io.Pipe()
 				a.Body = read
 				go func() { _, _ = write.Write([]byte("id: 1\ndata: x\n\n")) }()
 				return a, nil
 			},
-			move: func(context.Context, Upstream, MoveRequest) (Moved, error) {
+			move: func(context.Context, Upstream, MoveRequest) (MoveResult, error) {
 				moves++
-				return Moved{}, ErrNoRun
+				return MoveResult{}, ErrRunNotFound
 			},
 		}
 		f := newForwarder(t, transport)
--- a/forward/move.go
+++ b/forward/move.go
@@ -70,7 +70,7 @@
 
 // watch starts a mover for the engine that the stream comes from, and ends the answer
 // with the engine's life.
-func (s *streamExchange) watch(ctx context.Context, u Upstream, a *Answer) *mover {
+func (s *streamExchange) watch(ctx context.Context, u Upstream, a *Response) *mover {
 	ctx, stop := context.WithCancel(ctx)
 	m := &mover{from: u, stop: stop, done: make(chan struct{})}
 	if s.service.Engine == nil || !s.service.Engine.Moves || s.run == nil {
@@ -257,7 +257,7 @@
 	x.tellRuns(to)
 	x.tellRuns(m.from)
 	next, err := m.moveTo(ctx, x, to, m.expected(x, run, to), gone)
-	if errors.Is(err, ErrNoRoom) {
+	if errors.Is(err, ErrTargetUnavailable) {
 		x.fleet.Suspect(x.now(), to.ID)
 	}
 	if err != nil {
@@ -329,9 +329,9 @@
 		// The links were busy with others' copies.
 		free = quickCopy
 	}
-	if v := x.judge(x.now(), to, eligibility.Request); !v.OK() {
+	if v := x.checkEligibility(x.now(), to, eligibility.Request); !v.OK() {
 		// The run isn't stopped yet, and may still go elsewhere.
-		return nil, &keptBackError{v}
+		return nil, &notSentError{v}
 	}
 	m.mu.Lock()
 	m.stopping = true
@@ -341,14 +341,14 @@
 	switch {
 	case err == nil:
 		return &handover{to: to, source: m.from, handle: moved.Handle, stopped: stopped, permitted: permitted}, nil
-	case errors.Is(err, ErrNoRun), errors.Is(err, ErrMoveBusy), errors.Is(err, ErrNoRoom) && moved.Handle == "":
+	case errors.Is(err, ErrRunNotFound), errors.Is(err, ErrMoveBusy), errors.Is(err, ErrTargetUnavailable) && moved.Handle == "":
 		// Nothing was stopped: the run has ended, a copy is still going, or the
 		// target is gone. An engine that has stopped a run names its copy.
 		m.mu.Lock()
 		m.stopping = false
 		m.mu.Unlock()
 		return nil, err
-	case errors.Is(err, ErrNoRoom):
+	case errors.Is(err, ErrTargetUnavailable):
 		return &handover{to: m.from, source: m.from, handle: moved.Handle, stopped: stopped}, nil
 	case m.handle != "":
 		// Whether the run stopped isn't known; its stream will tell.
@@ -358,23 +358,23 @@
 }
 
 // copy has the run's memory copied once and waits until it is.
-func (m *mover) copy(ctx context.Context, x *exchange, to Upstream, stop bool) (Moved, error) {
+func (m *mover) copy(ctx context.Context, x *exchange, to Upstream, stop bool) (MoveResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
 	began := x.now()
-	moved, err := x.askMove(ctx, m.from, MoveRequest{ID: x.call.ID, To: to.Address, Stop: stop})
+	moved, err := x.requestMove(ctx, m.from, MoveRequest{ID: x.call.ID, TargetAddress: to.Address, StopSource: stop})
 	if moved.Handle != "" {
 		m.mu.Lock()
 		m.handle = moved.Handle
 		m.mu.Unlock()
 	}
-	x.journal.Request(x.call.ID, "copied", "from", m.from.ID, "to", to.ID, "stop", stop, "took", x.now().Sub(began), "events", moved.Events, "err", err)
+	x.journal.Request(x.call.ID, "copied", "from", m.from.ID, "to", to.ID, "stop", stop, "took", x.now().Sub(began), "events", moved.EventsProduced, "err", err)
 	return moved, err
 }
 
 // takeUp sends the request to the engine that holds the copy; when that refuses
 // it, to the engine where the run stopped.
-func (s *streamExchange) takeUp(ctx context.Context, h *handover) (Upstream, *Answer, error) {
+func (s *streamExchange) takeUp(ctx context.Context, h *handover) (Upstream, *Response, error) {
 	targets := []Upstream{h.to}
 	if h.to.ID != h.source.ID {
 		targets = append(targets, h.source)
@@ -386,20 +386,20 @@
 	})
 	for _, u := range targets {
 		if u.ID != h.to.ID || s.now().Sub(h.permitted) > permittedFor {
-			s.countSend(ctx, u)
+			s.countForcedSend(ctx, u)
 		}
-		a, err := s.send(ctx, u, &Continuation{Source: h.source.Address, Handle: h.handle, LastEvent: s.lastEvent})
+		a, err := s.send(ctx, u, &Continuation{Source: h.source.Address, Handle: h.handle, LastEventID: s.lastEvent})
 		if err == nil && a.Status == 200 && a.Signed {
 			s.moves++
 			s.observer.Moved("ok", s.now().Sub(h.stopped))
 			s.journal.Request(s.call.ID, "moved", "from", h.source.ID, "to", u.ID, "after", s.lastEvent, "pause", s.now().Sub(h.stopped))
 			return u, a, nil
 		}
-		s.journal.Request(s.call.ID, "not taken up", "upstream", u.ID, "status", status(a), "err", err)
+		s.journal.Request(s.call.ID, "not taken up", "upstream", u.ID, "status", statusOf(a), "err", err)
 		last = err
 		if a != nil {
 			closeBody(a)
-			last = ErrNoRoom
+			last = ErrTargetUnavailable
 		}
 		if err != nil && !errors.Is(err, ErrNotSent) {
 			// It may have been taken up there: two runs must not be joined.
--- a/forward/panic_test.go
+++ b/forward/panic_test.go
@@ -24,16 +24,16 @@
 // TestRequestThatBringsOutAMistake has a request on which this program panics get its final
 // answer, be said to may have run, and not end the host with all others.
 func TestRequestThatBringsOutAMistake(t *testing.T) {
-	sends := func(context.Context, Upstream, *Outgoing) (*Answer, error) { panic("a mistake") }
-	midway := func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+	sends := func(context.Context, Upstream, *UpstreamRequest) (*Response, error) { panic("a mistake") }
+	midway := func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		a := answer(200, "")
-		a.Length = -1
+		a.ContentLength = -1
 		a.Body = io.NopCloser(panicReader{&twoEvents{}})
 		return a, nil
 	}
 	for name, c := range map[string]struct {
 		path string
-		send func(context.Context, Upstream, *Outgoing) (*Answer, error)
+		send func(context.Context, Upstream, *UpstreamRequest) (*Response, error)
 		cut  bool
 		code Code
 	}{
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -71,7 +71,7 @@
 	// Config asks a peer for its configuration, if that is newer than a version.
 	Config(ctx context.Context, to Peer, have Version) (ConfigReply, error)
 	// Ask asks a peer for a place on one of its zone's engines.
-	Ask(ctx context.Context, to Peer, a PlaceAsk) (PlaceGrant, error)
+	Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error)
 	// Permit asks a peer for leave to send to an upstream.
 	Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error)
 	// Rollout tells the peer that decides about a rollout what was seen of it, and returns how far
@@ -256,7 +256,7 @@
 		f.receiveLimitMark(now, s.From.ID, mark)
 	}
 	for _, mark := range s.Backoffs {
-		f.receiveBackoff(now, s.From.ID, mark)
+		f.receivePeerBackoff(now, s.From.ID, mark)
 	}
 	f.dropOldLives()
 	f.crashes.Met(s.From.ID, s.Epoch)
--- a/forward/peerselection.go
+++ b/forward/peerselection.go
@@ -15,10 +15,10 @@
 // leader returns the peer whose list this host follows: the first live host of
 // the zone by name, if that isn't this one. A host that can't read the list
 // itself follows any peer whose list is fresh.
-func (p *peerSet) leader(now time.Time, needed bool) (Peer, bool) {
+func (p *peerSet) leader(now time.Time, mustFollow bool) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.layout.Divided() && !needed {
+	if p.layout.Divided() && !mustFollow {
 		return p.treeLeader(now)
 	}
 	var best *peerState
@@ -29,10 +29,10 @@
 		if s.originAge > originFresh {
 			continue
 		}
-		if !needed && (s.Zone != p.self.Zone || s.ID > p.self.ID) {
+		if !mustFollow && (s.Zone != p.self.Zone || s.ID > p.self.ID) {
 			continue
 		}
-		if best == nil || p.better(s, best) {
+		if best == nil || p.preferred(s, best) {
 			best = s
 		}
 	}
@@ -42,10 +42,10 @@
 	return best.Peer, true
 }
 
-// hasEarlier reports whether a live host comes before this one by zone and name.
-func (p *peerSet) hasEarlier(now time.Time) bool {
-	if at, divided := p.place(now); divided {
-		return at > 0
+// hasPredecessor reports whether a live host comes before this one by zone and name.
+func (p *peerSet) hasPredecessor(now time.Time) bool {
+	if position, divided := p.place(now); divided {
+		return position > 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -58,11 +58,11 @@
 	return false
 }
 
-// staleTries is how many peers a host that knows nothing asks at once for what they have.
-const staleTries = 3
+// maxStaleSources is how many peers a host that knows nothing asks at once for what they have.
+const maxStaleSources = 3
 
-// anyLive draws some live peers, those of the own zone first.
-func (p *peerSet) anyLive(now time.Time) []Peer {
+// randomLivePeers draws some live peers, those of the own zone first.
+func (p *peerSet) randomLivePeers(now time.Time) []Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near, far []Peer
@@ -77,12 +77,12 @@
 	}
 	// The order of a map will do for drawing.
 	peers := append(near, far...)
-	return peers[:min(len(peers), staleTries)]
+	return peers[:min(len(peers), maxStaleSources)]
 }
 
-// joinable returns a peer that a host which starts can take everything over from, one
+// bootstrapPeer returns a peer that a host which starts can take everything over from, one
 // of its own zone if there is any. It is drawn, for many may start together.
-func (p *peerSet) joinable(now time.Time) (Peer, bool) {
+func (p *peerSet) bootstrapPeer(now time.Time) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near, far []Peer
@@ -112,9 +112,9 @@
 	return near[rand.IntN(len(near))], true
 }
 
-// ofEarlierZone returns the first live host, by zone and name, of a zone that
+// firstInEarlierZone returns the first live host, by zone and name, of a zone that
 // comes before this host's and isn't avoided.
-func (p *peerSet) ofEarlierZone(avoided func(member.Zone) bool, now time.Time) (Peer, bool) {
+func (p *peerSet) firstInEarlierZone(avoided func(member.Zone) bool, now time.Time) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var first *peerState
@@ -122,7 +122,7 @@
 		if s.Zone >= p.self.Zone || s.distrusted || s.stopping || !s.live(now) || avoided(s.Zone) {
 			continue
 		}
-		if first == nil || s.Zone < first.Zone || s.Zone == first.Zone && p.earlier(s.Peer, first.Peer) {
+		if first == nil || s.Zone < first.Zone || s.Zone == first.Zone && p.precedes(s.Peer, first.Peer) {
 			first = s
 		}
 	}
@@ -132,17 +132,17 @@
 	return first.Peer, true
 }
 
-// earlier reports whether a host of a zone comes before another of it: those that start follow the
+// precedes reports whether a host of a zone comes before another of it: those that start follow the
 // first. The mutex is held.
-func (p *peerSet) earlier(a, b Peer) bool {
+func (p *peerSet) precedes(a, b Peer) bool {
 	if p.layout.Divided() {
 		return inTreeOrder(a, b) < 0
 	}
 	return a.ID < b.ID
 }
 
-// better orders the peers to follow: the own zone's first, then by name.
-func (p *peerSet) better(a, b *peerState) bool {
+// preferred orders the peers to follow: the own zone's first, then by name.
+func (p *peerSet) preferred(a, b *peerState) bool {
 	if near := a.Zone == p.self.Zone; near != (b.Zone == p.self.Zone) {
 		return near
 	}
@@ -158,17 +158,17 @@
 	}
 }
 
-// ranked returns the host that ranks first for a duty about something in a cell: of the cell's
+// responsibleHost returns the host that ranks first for a duty about something in a cell: of the cell's
 // hosts that live and don't stop; of those of it that were heard lately, though they can't be
 // reached, for they may have the duty still; or else of all hosts.
-func (p *peerSet) ranked(now time.Time, duty string, of cell.ID) Peer {
+func (p *peerSet) responsibleHost(now time.Time, duty string, cellID cell.ID) Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var near, heard, all []Peer
+	var reachable, recent, anyCell []Peer
 	if !p.stopping {
-		all = append(all, p.self)
-		if p.own == of {
-			near = append(near, p.self)
+		anyCell = append(anyCell, p.self)
+		if p.own == cellID {
+			reachable = append(reachable, p.self)
 		}
 	}
 	for _, s := range p.known {
@@ -177,19 +177,19 @@
 		}
 		live := s.live(now)
 		if live {
-			all = append(all, s.Peer)
+			anyCell = append(anyCell, s.Peer)
 		}
 		switch {
-		case s.of != of:
+		case s.of != cellID:
 		case live:
-			near = append(near, s.Peer)
+			reachable = append(reachable, s.Peer)
 		case now.Sub(s.heard) <= farSilent:
-			heard = append(heard, s.Peer)
+			recent = append(recent, s.Peer)
 		}
 	}
-	for _, among := range [][]Peer{near, heard, all} {
-		if len(among) > 0 {
-			return member.First(duty, among)
+	for _, candidates := range [][]Peer{reachable, recent, anyCell} {
+		if len(candidates) > 0 {
+			return member.First(duty, candidates)
 		}
 	}
 	return p.self
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -84,7 +84,7 @@
 func (p permitSite) Granter(now time.Time, id member.UpstreamID) Peer {
 	// One that isn't known is of no zone, and any host may give it out.
 	u, _ := p.fleet.Upstream(id)
-	return p.peers.ranked(now, string(id), p.peers.upstreamCell(u))
+	return p.peers.responsibleHost(now, string(id), p.peers.upstreamCell(u))
 }
 
 func (p permitSite) Hosts(now time.Time) (heard, known int) {
@@ -117,7 +117,7 @@
 	if peers == nil {
 		return permit.Reply{}, errNoPeers
 	}
-	bounded, cancel := context.WithTimeout(ctx, askTimeout)
+	bounded, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	reply, err := peers.Permit(bounded, to, a)
 	if err != nil && ctx.Err() == nil {
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -112,10 +112,10 @@
 		return
 	}
 	f.dropOldLives()
-	if health.ColdFor > 0 {
-		f.fleet.MarkCold(u.ID, now.Add(health.ColdFor))
+	if health.ColdRemaining > 0 {
+		f.fleet.MarkCold(u.ID, now.Add(health.ColdRemaining))
 	}
-	if health.Well || health.Rejected {
+	if health.Healthy || health.Rejected {
 		return
 	}
 	f.journal.Belief("engine says that it leaves", "upstream", u.ID, "origin_age", f.OriginAge(now))
--- a/forward/probe_test.go
+++ b/forward/probe_test.go
@@ -67,7 +67,7 @@
 				is := is.New(t)
 				transport := &fakeTransport{healthy: func(u Upstream) (bool, error) { return u.ID != "llm2", nil }}
 				var f *Forwarder
-				transport.send = func(_ context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+				transport.send = func(_ context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 					if c.listed {
 						f.fleet.MarkLeaving(time.Now(), u.ID, 0, false)
 					}
@@ -113,7 +113,7 @@
 					asked.Add(1)
 					return c.well, nil
 				}}
-				transport.send = func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+				transport.send = func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 					a := answer(200, "id: 1\n\n")
 					a.Signals.Closing = c.hint
 					return a, nil
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -143,7 +143,7 @@
 func (x *exchange) upstreamEnded(ctx context.Context, u Upstream) (ended bool, looked error) {
 	reach, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
-	err := x.transport.Reach(reach, u)
+	err := x.transport.CheckReachable(reach, u)
 	if errors.Is(err, ErrPortClosed) {
 		return true, err
 	}
--- a/forward/remoteplacement.go
+++ b/forward/remoteplacement.go
@@ -20,204 +20,204 @@
 // zone, which answers for a place there. A zone whose hosts can't be asked is placed in
 // blindly, as far as its runs are known.
 
-// PlaceAsk asks a host for a place on one of its zone's engines.
-type PlaceAsk struct {
+// PlacementRequest asks a host for a place on one of its zone's engines.
+type PlacementRequest struct {
 	From    member.HostID
 	Service ServiceName
 	Run     policy.RunID
 	// Route and Account are what the length of its answer is foreseen by.
-	Route   resource.Name
-	Account resource.Account
-	Urgency int
-	Prompt  policy.Tokens
-	Limit   policy.Tokens
-	// Objective is the aimed time to the first token, and Waited how much of it is over;
+	Route           resource.Name
+	Account         resource.Account
+	Priority        int
+	PromptTokens    policy.Tokens
+	MaxOutputTokens policy.Tokens
+	// Objective is the aimed time to the first token, and Elapsed how much of it is over;
 	// zero for a run that is under way.
-	Objective, Waited time.Duration
-	// Avoid are engines that won't do.
-	Avoid []member.UpstreamID
-	// OnlyGroup and ButGroup are those of a policy.Request.
-	OnlyGroup, ButGroup string
+	Objective, Elapsed time.Duration
+	// ExcludedEngines are engines that won't do.
+	ExcludedEngines []member.UpstreamID
+	// OnlyGroup and ExcludedGroup are those of a policy.Request.
+	OnlyGroup, ExcludedGroup string
 }
 
-// PlaceGrant is the answer to a PlaceAsk.
-type PlaceGrant struct {
+// PlacementGrant is the answer to a PlaceAsk.
+type PlacementGrant struct {
 	// Engine holds a place for the run; empty when none has room.
 	Engine member.UpstreamID
-	// FirstAfter is after how long its first token is expected.
-	FirstAfter time.Duration
+	// TimeToFirstToken is after how long its first token is expected.
+	TimeToFirstToken time.Duration
 }
 
 const (
-	// askTimeout bounds the answer of a host that is asked for a place: zones are a
+	// peerRequestTimeout bounds the answer of a host that is asked for a place: zones are a
 	// millisecond or two apart, and a slow host is as good as none.
-	askTimeout = 40 * time.Millisecond
-	// grantedFor is how long a place that was given to another host's run is kept before
+	peerRequestTimeout = 40 * time.Millisecond
+	// placementGrantTTL is how long a place that was given to another host's run is kept before
 	// that host must have told of the run, which it does within some 5 ms.
-	grantedFor = 300 * time.Millisecond
+	placementGrantTTL = 300 * time.Millisecond
 )
 
-func askOf(self member.HostID, service ServiceName, now time.Time, r policy.Request) PlaceAsk {
-	a := PlaceAsk{
-		From: self, Service: service, Run: r.Run, Route: r.Route, Account: r.Account, Urgency: r.Priority,
-		Prompt: r.Prompt, Limit: r.Limit, Avoid: r.AvoidAlso,
-		OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup,
+func newPlacementRequest(self member.HostID, service ServiceName, now time.Time, r policy.Request) PlacementRequest {
+	a := PlacementRequest{
+		From: self, Service: service, Run: r.Run, Route: r.Route, Account: r.Account, Priority: r.Priority,
+		PromptTokens: r.Prompt, MaxOutputTokens: r.Limit, ExcludedEngines: r.AvoidAlso,
+		OnlyGroup: r.OnlyGroup, ExcludedGroup: r.ButGroup,
 	}
 	if !r.Arrived.IsZero() {
-		a.Objective, a.Waited = r.Objective, now.Sub(r.Arrived)
+		a.Objective, a.Elapsed = r.Objective, now.Sub(r.Arrived)
 	}
 	return a
 }
 
-func (a PlaceAsk) request(now time.Time) policy.Request {
-	r := policy.Request{
-		Run: a.Run, Route: a.Route, Account: a.Account, Priority: a.Urgency, Prompt: a.Prompt, Limit: a.Limit,
-		Objective: a.Objective, AvoidAlso: a.Avoid, OnlyGroup: a.OnlyGroup, ButGroup: a.ButGroup,
+func (a PlacementRequest) policyRequest(now time.Time) policy.Request {
+	request := policy.Request{
+		Run: a.Run, Route: a.Route, Account: a.Account, Priority: a.Priority, Prompt: a.PromptTokens, Limit: a.MaxOutputTokens,
+		Objective: a.Objective, AvoidAlso: a.ExcludedEngines, OnlyGroup: a.OnlyGroup, ButGroup: a.ExcludedGroup,
 	}
 	if a.Objective > 0 {
-		r.Arrived = now.Add(-a.Waited)
-		r.Deadline = r.Arrived.Add(a.Objective)
+		request.Arrived = now.Add(-a.Elapsed)
+		request.Deadline = request.Arrived.Add(a.Objective)
 	}
-	return r
+	return request
 }
 
 // OnAsk serves a host of another zone that asks for a place.
-func (f *Forwarder) OnAsk(a PlaceAsk) PlaceGrant {
+func (f *Forwarder) OnAsk(request PlacementRequest) PlacementGrant {
 	now := f.now()
 	t := f.table.Load()
 	if t == nil {
-		return PlaceGrant{}
+		return PlacementGrant{}
 	}
 	// One that isn't declared here has no engines, so no place is given.
-	service, _ := t.Service(a.Service)
+	service, _ := t.Service(request.Service)
 	x := &exchange{Forwarder: f, service: service}
-	a.Avoid = slices.Concat(a.Avoid, x.keptEngines(now).near)
-	d, ok := f.engines.grant(now, a)
+	request.ExcludedEngines = slices.Concat(request.ExcludedEngines, x.throttledEngines(now).sameZone)
+	decision, ok := f.engines.grant(now, request)
 	if !ok {
-		return PlaceGrant{}
+		return PlacementGrant{}
 	}
-	f.journal.Request(RequestID(a.Run), "place given", "peer", a.From, "upstream", d.Engine, "first_foreseen", d.FirstAfter, "memory_foreseen", d.Memory, "runs", d.Batch)
-	return PlaceGrant{Engine: d.Engine, FirstAfter: d.FirstAfter}
+	f.journal.Request(RequestID(request.Run), "place given", "peer", request.From, "upstream", decision.Engine, "first_foreseen", decision.FirstAfter, "memory_foreseen", decision.Memory, "runs", decision.Batch)
+	return PlacementGrant{Engine: decision.Engine, TimeToFirstToken: decision.FirstAfter}
 }
 
-// askZones asks a host of each of some zones in turn, until one gives a place. blind says
+// requestPlacement asks a host of each of some zones in turn, until one gives a place. blind says
 // that some zone couldn't be asked.
-func (f *Forwarder) askZones(ctx context.Context, zones []member.Zone, service ServiceName, r policy.Request) (grant PlaceGrant, found, blind bool) {
+func (f *Forwarder) requestPlacement(ctx context.Context, zones []member.Zone, service ServiceName, r policy.Request) (grant PlacementGrant, found, anyUnreachable bool) {
 	peers := f.port()
 	for _, zone := range zones {
 		now := f.now()
-		to, live := f.peers.anyOutside(now, zone)
-		if !live || peers == nil {
-			blind = true
+		peer, found := f.peers.randomPeerOutsideCell(now, zone)
+		if !found || peers == nil {
+			anyUnreachable = true
 			continue
 		}
-		call, cancel := context.WithTimeout(ctx, askTimeout)
-		grant, err := peers.Ask(call, to, askOf(f.peers.self.ID, service, now, r))
+		callCtx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
+		grant, err := peers.Ask(callCtx, peer, newPlacementRequest(f.peers.self.ID, service, now, r))
 		cancel()
 		if err != nil {
-			f.journal.Request(RequestID(r.Run), "not answered for a place", "peer", to.ID, "err", err)
-			f.peers.unanswered(to.ID)
-			blind = true
+			f.journal.Request(RequestID(r.Run), "not answered for a place", "peer", peer.ID, "err", err)
+			f.peers.markUnresponsive(peer.ID)
+			anyUnreachable = true
 			continue
 		}
 		if grant.Engine != "" {
-			return grant, true, blind
+			return grant, true, anyUnreachable
 		}
 	}
-	return PlaceGrant{}, false, blind
+	return PlacementGrant{}, false, anyUnreachable
 }
 
-// placing is where a request was placed, or why it wasn't.
-type placing struct {
-	at       Upstream
+// placementResult is where a request was placed, or why it wasn't.
+type placementResult struct {
+	upstream Upstream
 	run      *ownRun
 	decision policy.Decision
 }
 
-// findPlace finds an engine for a new run: in the own zone, or else by another zone's word.
-func (s *streamExchange) findPlace(ctx context.Context, now time.Time, r policy.Request, kept keptEngines) placing {
+// findPlacement finds an engine for a new run: in the own zone, or else by another zone's word.
+func (s *streamExchange) findPlacement(ctx context.Context, now time.Time, r policy.Request, throttled throttledSet) placementResult {
 	service := s.service.Name
-	near, far := s.zonesOf(service)
-	near, far = near && s.mayServeIn(s.peers.self.Zone), s.allowed(far)
-	blind := !near || len(far) == 0
-	if !blind {
+	inOwnZone, otherZones := s.placementZones(service)
+	inOwnZone, otherZones = inOwnZone && s.zoneAllowed(s.peers.self.Zone), s.filterZones(otherZones)
+	useLocalView := !inOwnZone || len(otherZones) == 0
+	if !useLocalView {
 		if u, run, d, ok := s.engines.tryNear(now, service, r); ok {
-			return placing{at: u, run: run, decision: d}
+			return placementResult{upstream: u, run: run, decision: d}
 		}
-		var grant PlaceGrant
+		var grant PlacementGrant
 		var found bool
-		elsewhere := r
-		elsewhere.AvoidAlso = slices.Concat(r.AvoidAlso, kept.far)
-		if grant, found, blind = s.askZones(ctx, far, service, elsewhere); found {
-			s.borrow(service, grant.Engine)
+		remote := r
+		remote.AvoidAlso = slices.Concat(r.AvoidAlso, throttled.otherZones)
+		if grant, found, useLocalView = s.requestPlacement(ctx, otherZones, service, remote); found {
+			s.registerGrantedEngine(service, grant.Engine)
 			if u, run, d, ok := s.engines.placeAt(s.now(), service, r, grant); ok {
-				return placing{at: u, run: run, decision: d}
+				return placementResult{upstream: u, run: run, decision: d}
 			}
 			// It isn't on this host's list, or not any more.
-			blind = true
+			useLocalView = true
 		}
 	}
-	r.AvoidAlso, r.OnlyZone = slices.Concat(r.AvoidAlso, kept.far), !blind
-	among := member.Zone("")
+	r.AvoidAlso, r.OnlyZone = slices.Concat(r.AvoidAlso, throttled.otherZones), !useLocalView
+	zone := member.Zone("")
 	if r.OnlyZone {
-		among = s.peers.self.Zone
+		zone = s.peers.self.Zone
 	}
-	if kept.allAvoided(r.AvoidAlso, among) {
-		return placing{decision: policy.Decision{Run: r.Run, Verdict: policy.Refused, Reason: policy.ReasonQueueFull, RetryAfter: kept.soonest}}
+	if throttled.allExcluded(r.AvoidAlso, zone) {
+		return placementResult{decision: policy.Decision{Run: r.Run, Verdict: policy.Refused, Reason: policy.ReasonQueueFull, RetryAfter: throttled.shortestWait}}
 	}
 	u, run, d := s.engines.place(ctx, s.now(), service, r)
-	return placing{at: u, run: run, decision: d}
+	return placementResult{upstream: u, run: run, decision: d}
 }
 
-// findTarget finds another engine for a run that has to move: in its engine's zone first,
+// findMoveTarget finds another engine for a run that has to move: in its engine's zone first,
 // for a move between zones takes twice as long, then in this host's own. kept are engines
 // of other zones that this host may not send to.
-func (x *exchange) findTarget(ctx context.Context, now time.Time, run *ownRun, avoid, kept []member.UpstreamID) (u Upstream, found bool) {
-	service, own := x.service.Name, x.peers.self.Zone
-	near, zones := x.zonesOf(service)
-	zones = x.allowed(zones)
-	if near && x.mayServeIn(own) {
-		zones = append([]member.Zone{own}, zones...)
+func (x *exchange) findMoveTarget(ctx context.Context, now time.Time, run *ownRun, avoid, throttled []member.UpstreamID) (u Upstream, found bool) {
+	service, ownZone := x.service.Name, x.peers.self.Zone
+	inOwnZone, zones := x.placementZones(service)
+	zones = x.filterZones(zones)
+	if inOwnZone && x.zoneAllowed(ownZone) {
+		zones = append([]member.Zone{ownZone}, zones...)
 	}
 	// An engine that isn't known any more is of no zone, and none goes first.
-	at, _ := x.fleet.Upstream(run.engine)
-	if i := slices.Index(zones, at.Zone); i > 0 {
-		zones = slices.Insert(slices.Delete(zones, i, i+1), 0, at.Zone)
+	current, _ := x.fleet.Upstream(run.engine)
+	if i := slices.Index(zones, current.Zone); i > 0 {
+		zones = slices.Insert(slices.Delete(zones, i, i+1), 0, current.Zone)
 	}
-	r, known := x.engines.grown(service, run, slices.Concat(avoid, kept))
+	r, known := x.engines.grown(service, run, slices.Concat(avoid, throttled))
 	if !known {
 		return Upstream{}, false
 	}
 	r.OnlyGroup, r.ButGroup = string(x.versions.get().Only), string(x.versions.get().But)
-	someBlind := false
+	anyUnreachable := false
 	for _, zone := range zones {
-		if zone == own {
-			if u, ok := x.engines.relocate(now, service, run, policy.Target{Avoid: avoid, OnlyZone: true, Zone: own, OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup}); ok {
+		if zone == ownZone {
+			if u, ok := x.engines.relocate(now, service, run, policy.Target{Avoid: avoid, OnlyZone: true, Zone: ownZone, OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup}); ok {
 				return u, true
 			}
 			if !x.peers.divided() {
 				continue
 			}
 		}
-		grant, found, blind := x.askZones(ctx, []member.Zone{zone}, service, r)
-		someBlind = someBlind || blind
+		grant, found, unreachable := x.requestPlacement(ctx, []member.Zone{zone}, service, r)
+		anyUnreachable = anyUnreachable || unreachable
 		if !found {
 			continue
 		}
-		x.borrow(service, grant.Engine)
+		x.registerGrantedEngine(service, grant.Engine)
 		if u, ok := x.engines.moveTo(x.now(), service, run, grant.Engine); ok {
 			return u, true
 		}
 	}
-	if !someBlind {
+	if !anyUnreachable {
 		return Upstream{}, false
 	}
-	u, found = x.engines.relocate(x.now(), service, run, policy.Target{FarCost: farCostToMove, Avoid: slices.Concat(avoid, kept), OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup})
+	u, found = x.engines.relocate(x.now(), service, run, policy.Target{FarCost: farCostToMove, Avoid: slices.Concat(avoid, throttled), OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup})
 	return u, found
 }
 
-// unanswered notes that a peer didn't answer: until it is heard again it isn't asked.
-func (p *peerSet) unanswered(id member.HostID) {
+// markUnresponsive notes that a peer didn't answer: until it is heard again it isn't asked.
+func (p *peerSet) markUnresponsive(id member.HostID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
@@ -225,29 +225,29 @@
 	}
 }
 
-// zonesOf tells whether this host places on engines of its own zone, and in which zones others do;
+// placementZones tells whether this host places on engines of its own zone, and in which zones others do;
 // where the own zone is divided, it is among them.
-func (x *exchange) zonesOf(service ServiceName) (near bool, far []member.Zone) {
-	near, far = x.engines.zonesOf(service)
+func (x *exchange) placementZones(service ServiceName) (inOwnZone bool, otherZones []member.Zone) {
+	inOwnZone, otherZones = x.engines.zonesOf(service)
 	if !x.peers.divided() {
-		return near, far
+		return inOwnZone, otherZones
 	}
-	far = x.fleet.ZonesWith(service)
-	if i := slices.Index(far, x.peers.self.Zone); i > 0 {
-		far[0], far[i] = far[i], far[0]
+	otherZones = x.fleet.ZonesWith(service)
+	if i := slices.Index(otherZones, x.peers.self.Zone); i > 0 {
+		otherZones[0], otherZones[i] = otherZones[i], otherZones[0]
 	}
-	return near, far
+	return inOwnZone, otherZones
 }
 
-// borrow has an engine be known to the placement that another host has given a place on.
-func (x *exchange) borrow(service ServiceName, id member.UpstreamID) {
+// registerGrantedEngine has an engine be known to the placement that another host has given a place on.
+func (x *exchange) registerGrantedEngine(service ServiceName, id member.UpstreamID) {
 	if u, known := x.fleet.Upstream(id); known && x.peers.divided() {
 		x.engines.borrow(service, u)
 	}
 }
 
-// anyOutside draws a live host of a zone that isn't of this host's cell.
-func (p *peerSet) anyOutside(now time.Time, zone member.Zone) (Peer, bool) {
+// randomPeerOutsideCell draws a live host of a zone that isn't of this host's cell.
+func (p *peerSet) randomPeerOutsideCell(now time.Time, zone member.Zone) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var chosen Peer
--- a/forward/retrybudget_test.go
+++ b/forward/retrybudget_test.go
@@ -18,7 +18,7 @@
 	now := time.Now()
 	b := retryBudget{limit: RetryLimit{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
 	count := func(now time.Time) (n int) {
-		for b.take(now, "app") {
+		for b.takeRetry(now, "app") {
 			n++
 		}
 		return n
@@ -27,13 +27,13 @@
 	is.Equal(count(now), 8) // 0.8 of the slack
 	b.setHosts(5)
 	for range 100 {
-		b.first(now, "app")
+		b.countRequest(now, "app")
 	}
 	is.Equal(count(now), 9) // 0.8 of (20 and a fifth of the slack), less the 8
 	is.Equal(count(now.Add(5*time.Second)), 0)
 	is.Equal(count(now.Add(11*time.Second)), 1) // only a part of the slack is left
-	var none retryBudget
-	is.True(!none.take(now, "app"))
+	var zero retryBudget
+	is.True(!zero.takeRetry(now, "app"))
 }
 
 // TestRetryBudgetOfAllHosts has the repeats of all hosts together stay within the limit of
@@ -45,31 +45,31 @@
 // their first moments.
 func TestRetryBudgetOfAllHosts(t *testing.T) {
 	const zones, hostsPerZone, firstTries = 3, 2, 10
-	const settled = 4 * time.Second
+	const settleTime = 4 * time.Second
 	limit := RetryLimit{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 	for name, c := range map[string]struct {
 		// happens is before the repeats.
 		happens func(s *site)
-		// least is how many repeats there are at least: hosts that are in touch use the
+		// minRetries is how many repeats there are at minRetries: hosts that are in touch use the
 		// limit.
-		least int
+		minRetries int
 	}{
 		"all have just started": {func(*site) {}, 0},
-		"in touch":              {func(*site) { time.Sleep(settled) }, 12},
+		"in touch":              {func(*site) { time.Sleep(settleTime) }, 12},
 		"cut off from each other": {func(s *site) {
-			time.Sleep(settled)
+			time.Sleep(settleTime)
 			for zone := range zones {
 				s.cutOff(s.zone(zone + 1)...)
 			}
 			time.Sleep(farSilent + time.Second)
 		}, 0},
 		"one zone is cut off": {func(s *site) {
-			time.Sleep(settled)
+			time.Sleep(settleTime)
 			s.cutOff(s.zone(1)...)
 			time.Sleep(farSilent + time.Second)
 		}, 0},
 		"cut off for longer than silent hosts are kept": {func(s *site) {
-			time.Sleep(settled)
+			time.Sleep(settleTime)
 			for zone := range zones {
 				s.cutOff(s.zone(zone + 1)...)
 			}
@@ -88,16 +88,16 @@
 				for _, f := range s.hosts {
 					f.SetRetryLimit(limit)
 					for range firstTries {
-						f.retries.first(f.now(), "app")
+						f.retries.countRequest(f.now(), "app")
 					}
-					for f.retries.take(f.now(), "app") {
+					for f.retries.takeRetry(f.now(), "app") {
 						repeats++
 					}
 				}
 				allowed := int(limit.Ratio*firstTries*zones*hostsPerZone + limit.Slack)
 				t.Logf("%d repeats, %d allowed", repeats, allowed)
 				is.True(repeats <= allowed)
-				is.True(repeats >= c.least)
+				is.True(repeats >= c.minRetries)
 				cancel()
 				synctest.Wait()
 			})
@@ -117,7 +117,7 @@
 		f := s.first()
 		f.SetRetryLimit(RetryLimit{Slack: 10, Window: 10 * time.Second})
 		repeats := 0
-		for f.retries.take(f.now(), "app") {
+		for f.retries.takeRetry(f.now(), "app") {
 			repeats++
 		}
 		is.Equal(repeats, 8) // 0.8 of the slack
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -170,12 +170,12 @@
 }
 
 // noteVersion is noteAnswer for a plain try. What didn't run there says nothing of its version.
-func (p *plainExchange) noteVersion(ctx context.Context, now time.Time, u Upstream, t *plainTry) {
-	switch _, kept := keptBackBy(t.err); {
+func (p *unaryExchange) noteVersion(ctx context.Context, now time.Time, u Upstream, t *upstreamAttempt) {
+	switch _, kept := notSentVerdict(t.err); {
 	case kept, errors.Is(t.err, ErrNotSent), ctx.Err() != nil:
-	case t.err == nil && (t.answer.OtherInstance || t.answer.NotRun || t.answer.Signals.RetryAfter > 0):
+	case t.err == nil && (t.response.WrongInstance || t.response.NotRun || t.response.Signals.RetryAfter > 0):
 	default:
-		p.noteAnswer(now, u, rollout.Whole, !t.good(), t.took)
+		p.noteAnswer(now, u, rollout.Whole, !t.succeeded(), t.elapsed)
 	}
 }
 
@@ -349,10 +349,10 @@
 }
 
 // countInFlight tells how many of this host's requests each plain upstream has.
-func (c *plainChooser) countInFlight(count func(member.UpstreamID, int)) {
+func (c *latencyBalancer) countInFlight(count func(member.UpstreamID, int)) {
 	c.mu.Lock()
 	on := map[member.UpstreamID]int{}
-	for id, s := range c.seen {
+	for id, s := range c.stats {
 		if s.inFlight > 0 {
 			on[id] = s.inFlight
 		}
@@ -375,7 +375,7 @@
 		if s.stopping || !s.live(now) {
 			continue
 		}
-		if s.Zone < first.Zone || s.Zone == first.Zone && (p.earlier(s.Peer, first) || p.stopping && first.ID == p.self.ID) {
+		if s.Zone < first.Zone || s.Zone == first.Zone && (p.precedes(s.Peer, first) || p.stopping && first.ID == p.self.ID) {
 			first = s.Peer
 		}
 	}
--- a/forward/send_test.go
+++ b/forward/send_test.go
@@ -11,14 +11,14 @@
 	"testing"
 )
 
-// TestSendThatNobodyJudged has nothing be sent to an upstream but from the file that judges it.
-func TestSendThatNobodyJudged(t *testing.T) {
-	sends := regexp.MustCompile(`transport\.(Send|Move|Health|Discard)\(`)
+// TestSendsOnlyFromSendFile has nothing be sent to an upstream but from the file that judges it.
+func TestSendsOnlyFromSendFile(t *testing.T) {
+	sendCall := regexp.MustCompile(`transport\.(Send|Move|Health|Discard)\(`)
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	found := 0
+	calls := 0
 	for _, name := range files {
 		if strings.HasSuffix(name, "_test.go") {
 			continue
@@ -27,13 +27,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n := len(sends.FindAll(text, -1))
+		n := len(sendCall.FindAll(text, -1))
 		if n > 0 && name != "send.go" {
 			t.Errorf("%s sends by itself", name)
 		}
-		found += n
+		calls += n
 	}
-	if found == 0 {
+	if calls == 0 {
 		t.Error("no send was found")
 	}
 }
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -176,9 +176,9 @@
 				transport := &fakeTransport{send: e.send}
 				f, sink := newForwarder(t, transport), &fakeSink{}
 				resting := member.UpstreamID("")
-				transport.move = func(ctx context.Context, from Upstream, r MoveRequest) (Moved, error) {
-					if resting == "" && r.Stop == duringStop {
-						resting = member.UpstreamID(r.To[len("10.1.0.1:"):])
+				transport.move = func(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
+					if resting == "" && r.StopSource == duringStop {
+						resting = member.UpstreamID(r.TargetAddress[len("10.1.0.1:"):])
 						f.backoffs.Ask(f.now(), resting, 0, 10*time.Second, 0)
 					}
 					return e.move(ctx, from, r)
@@ -209,7 +209,7 @@
 				is := is.New(t)
 				e := &engineScript{made: 60, handle: "h", copyTook: 100 * time.Millisecond, stopped: make(chan struct{})}
 				moves := 0
-				transport := &fakeTransport{send: e.send, move: func(ctx context.Context, from Upstream, r MoveRequest) (Moved, error) {
+				transport := &fakeTransport{send: e.send, move: func(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
 					moves++
 					return e.move(ctx, from, r)
 				}}
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -64,7 +64,7 @@
 	}
 	if s.RetryAfter > 0 {
 		f.observer.Signal(SignalBackoff)
-		if f.takeBackoff(now, u, s.RetryAfter) {
+		if f.recordBackoff(now, u, s.RetryAfter) {
 			f.noteSignal(now, u, "upstream asks for backoff", "answer_to", to, "for", s.RetryAfter, "asked_ago", now.Sub(sent))
 		}
 	}
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -349,11 +349,11 @@
 	return reply, s.transfer(ctx, s.self)
 }
 
-func (s sitePort) Ask(ctx context.Context, to Peer, a PlaceAsk) (PlaceGrant, error) {
+func (s sitePort) Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error) {
 	if f := s.reached(ctx, s.address, to); f != nil {
 		return f.OnAsk(a), nil
 	}
-	return PlaceGrant{}, errGone
+	return PlacementGrant{}, errGone
 }
 
 func (s sitePort) Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
--- a/forward/stopping.go
+++ b/forward/stopping.go
@@ -159,9 +159,9 @@
 // will.
 func (x *exchange) streamEnds(now, since, by time.Time) bool {
 	p := x.call.Prompt
-	out := p.MostOut
-	if p.LikelyOut > 0 && now.Sub(since) <= guessFor && (out <= 0 || p.LikelyOut < out) {
-		out = p.LikelyOut
+	out := p.MaxOutputTokens
+	if p.ExpectedOutputTokens > 0 && now.Sub(since) <= guessFor && (out <= 0 || p.ExpectedOutputTokens < out) {
+		out = p.ExpectedOutputTokens
 	}
 	if out <= 0 {
 		return false
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -74,7 +74,7 @@
 				onSuspendable(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
 					s.Suspend(slept)
 					asked, sink := call(c.path), &fakeSink{}
-					asked.Key, asked.Arrived = c.key, f.now()
+					asked.APIKey, asked.Arrived = c.key, f.now()
 					f.Serve(context.Background(), asked, sink)
 					want := c.code
 					if slept > f.settings.ContactBound {
@@ -119,10 +119,10 @@
 			},
 			"the budget is spent": {
 				func(f *Forwarder) {
-					for f.retries.take(f.now(), "app") {
+					for f.retries.takeRetry(f.now(), "app") {
 					}
 				},
-				func(f *Forwarder) bool { return !f.retries.take(f.now(), "app") }, 10 * time.Second,
+				func(f *Forwarder) bool { return !f.retries.takeRetry(f.now(), "app") }, 10 * time.Second,
 			},
 			"another host has the turn": {
 				func(f *Forwarder) { f.turns.try(f.now(), TurnRequest{Engine: engine, Run: "r9"}) },
@@ -240,8 +240,8 @@
 		for _, patience := range []time.Duration{600 * time.Millisecond, 3 * time.Second, 39 * time.Second} {
 			t.Run(fmt.Sprint(patience, " ", slept), func(t *testing.T) {
 				var left time.Duration
-				takes := func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
-					left = r.Left
+				takes := func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
+					left = r.TimeLeft
 					return answer(200, ""), nil
 				}
 				onSuspendable(t, &fakeTransport{send: takes}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
@@ -251,7 +251,7 @@
 					synctest.Wait()
 					s.Suspend(slept)
 					asked, sink := call("/llm/"), &fakeSink{}
-					asked.Arrived, asked.Patience = f.now(), patience
+					asked.Arrived, asked.CallerTimeout = f.now(), patience
 					f.Serve(context.Background(), asked, sink)
 					if patience <= slept {
 						is.Equal(*sink.refused, Refusal{Code: CodeLate, RetryAfter: retryElsewhere})
@@ -275,7 +275,7 @@
 func TestRequestAcrossSuspension(t *testing.T) {
 	for _, slept := range clocktest.Durations {
 		t.Run(fmt.Sprint("ends in time ", slept), func(t *testing.T) {
-			silent := func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+			silent := func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 				<-ctx.Done()
 				return nil, context.Cause(ctx)
 			}
@@ -299,8 +299,8 @@
 		t.Run(fmt.Sprint("time left ", slept), func(t *testing.T) {
 			var left []time.Duration
 			var s *clocktest.Machine
-			lossy := func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
-				left = append(left, r.Left)
+			lossy := func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
+				left = append(left, r.TimeLeft)
 				if len(left) == 1 {
 					s.Suspend(slept)
 					return nil, ErrNotSent
--- a/forward/unserved.go
+++ b/forward/unserved.go
@@ -56,12 +56,12 @@
 
 // rejectedEverywhere refuses a request that upstreams rejected and that isn't sent on.
 func (x *exchange) rejectedEverywhere(now time.Time) Refusal {
-	takers := x.takers(now)
-	kept := len(x.keptFrom(now, takers))
+	takers := x.acceptingUpstreams(now)
+	kept := len(x.throttledAmong(now, takers))
 	r := Refusal{Code: CodeOverloaded, RetryAfter: retryUnknown}
 	switch {
 	case kept > 0 && kept == len(takers):
-		r = x.noUpstream(now, takers, x.soonest(now, takers, nil))
+		r = x.noUpstream(now, takers, x.shortestWait(now, takers, nil))
 	case kept > 0:
 		// Others take requests, and a caller that comes back draws on no budget of ours.
 		r.RetryAfter = retryElsewhere
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -148,9 +148,9 @@
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
 					if r.Call.Path == "/status/x" {
-						return &Answer{Status: http.StatusServiceUnavailable, NotRun: true, Header: http.Header{}, Body: http.NoBody}, nil
+						return &Response{Status: http.StatusServiceUnavailable, NotRun: true, Header: http.Header{}, Body: http.NoBody}, nil
 					}
 					return answer(http.StatusOK, "id: 1\ndata: a\n\n"), nil
 				}}
@@ -222,7 +222,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 					return answer(http.StatusOK, ""), nil
 				}}
 				f := zoneForwarder(t, transport)
@@ -232,7 +232,7 @@
 				source, _ := f.fleet.Upstream("llm3")
 				s := &streamExchange{exchange: &exchange{Forwarder: f, call: call("/llm/")}}
 				_, _, err := s.takeUp(t.Context(), &handover{to: to, source: source, handle: "h"})
-				kept, _ := keptBackBy(err)
+				kept, _ := notSentVerdict(err)
 				is.Equal(kept.Reason, c.want)
 				is.Equal(err != nil, c.want != "")
 			})
