--- a/forward/call.go
+++ b/forward/call.go
@@ -14,70 +14,69 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// RequestID is the caller's name for one request; it is passed on as it came.
+// RequestID is the caller's ID of one request; it is passed on unchanged.
 type RequestID string
 
-// Call is one caller's request, read whole.
+// Call is one caller's request, with its body read completely.
 type Call struct {
 	ID     RequestID
 	Method string
-	// Host and Path choose the route; Target is the path and query as sent.
+	// Host and Path select the route; Target is the path and query as received.
 	Host, Path, Target string
-	// Header is what is passed on: nothing that belongs to one connection or
-	// that this system sets itself.
+	// Header is passed on to the upstream. It holds no hop-by-hop headers and none that this
+	// system sets itself.
 	Header http.Header
 	Body   []byte
-	// APIKey is the caller's; empty when it gave none.
+	// APIKey is the caller's key; empty if it sent none.
 	APIKey string
-	// Arrived is when the request began to be served here.
+	// Arrived is when this host began to handle the request.
 	Arrived time.Time
-	// CallerTimeout is how long the caller waits; zero when it didn't say.
+	// CallerTimeout is how long the caller waits for the response; zero if it didn't say.
 	CallerTimeout time.Duration
-	// LastEventID is the id of the last event that the caller has of an earlier
-	// answer; empty when it begins anew.
+	// LastEventID is the ID of the last event that the caller received of an earlier response
+	// to the request; empty for a stream from the start.
 	LastEventID string
-	// Prompt is what a generation asks of an engine's memory; zero for other
-	// requests.
+	// Prompt is the size of a generation's prompt and output; zero for other requests.
 	Prompt Prompt
 }
 
-// Prompt is the size of a generation's request.
+// Prompt describes the size of a generation.
 type Prompt struct {
 	Tokens policy.Tokens
-	// MaxOutputTokens bounds the answer; zero when the caller set no bound.
+	// MaxOutputTokens bounds the output; zero if the caller set no bound.
 	MaxOutputTokens policy.Tokens
-	// ExpectedOutputTokens is the caller's guess of the answer's length; zero when it
-	// made none.
+	// ExpectedOutputTokens is the caller's estimate of the output's length; zero if it gave none.
 	ExpectedOutputTokens policy.Tokens
-	// PrefixHash names the first PrefixTokens of the prompt, which other prompts
-	// may share; zero when none are.
+	// PrefixHash identifies the first PrefixTokens tokens of the prompt, which other prompts may
+	// share; both are zero if the caller named no shared prefix.
 	PrefixHash   uint64
 	PrefixTokens policy.Tokens
 }
 
-// Sink takes the answer on its way to the caller. Its methods return an error
-// when the caller is gone.
+// Sink receives the response for the caller. Its methods return an error if the caller's
+// connection has failed.
 type Sink interface {
-	// SendResponse answers with an upstream's whole answer.
+	// SendResponse sends a complete response.
 	SendResponse(a *Response, body []byte) error
-	// BeginResponse answers with an upstream's status and header; what follows is
-	// written as it comes.
+	// BeginResponse sends the status and header of a response whose body follows in calls of
+	// Write.
 	BeginResponse(a *Response) error
+	// Write sends the next part of the body.
 	Write(p []byte) error
-	// Abort has a Write that is under way fail, and all later ones. It may be called beside Write.
+	// Abort makes a Write in progress and all later ones fail. It may be called concurrently with
+	// Write.
 	Abort()
-	// Refuse is the final answer to a request that failed.
+	// Refuse sends the final answer to a request that failed.
 	Refuse(r Refusal) error
-	// Truncate ends an answer that has begun so that the caller sees that it isn't
-	// whole.
+	// Truncate ends a response that has begun in such a way that the caller sees that it is
+	// incomplete.
 	Truncate()
 }
 
-// Code is the stable word for why a request failed here.
+// Code identifies the reason why this host refused a request or failed to complete it.
 type Code string
 
-// The codes. Those up to CodeLate promise that the request has not run and
-// never will.
+// The codes. Those up to CodeLate guarantee that the request has not run and never will.
 const (
 	CodeNotReady   Code = "not_ready"
 	CodeStopping   Code = "stopping"
@@ -87,7 +86,7 @@
 	CodeTooLarge   Code = "too_large"
 	CodeNoUpstream Code = "no_upstream"
 	CodeOverloaded Code = "overloaded"
-	// CodeRegion says that no upstream takes work in the regions where the request may be served.
+	// CodeRegion: no upstream accepts work in the regions where the request may be served.
 	CodeRegion      Code = "no_upstream_in_region"
 	CodeLate        Code = "late"
 	CodeLost        Code = "upstream_lost"
@@ -95,122 +94,125 @@
 	CodeTimeout     Code = "timeout"
 	CodeCallerLeft  Code = "caller_left"
 	CodeInterrupted Code = "interrupted"
-	// CodeInternal: this program has a mistake that the request brought out.
+	// CodeInternal: a bug in this program showed while it served the request.
 	CodeInternal Code = "internal"
-	// CodeQuarantined: upstreams ended under the same request, and it isn't sent any
-	// more.
+	// CodeQuarantined: upstreams ended while they ran the same request, and it isn't sent to any more
+	// of them.
 	CodeQuarantined Code = "quarantined"
 )
 
 // Refusal is the final answer to a request that failed.
 type Refusal struct {
 	Code Code
-	// MayHaveRun is whether an upstream may have worked on the request.
+	// MayHaveRun says that an upstream may have worked on the request.
 	MayHaveRun bool
-	// RetryAfter is when to come back; zero says nothing.
+	// RetryAfter is how long the caller should wait before it retries; zero gives no advice.
 	RetryAfter time.Duration
 }
 
-// UpstreamRequest is a request on its way to an upstream.
+// UpstreamRequest is a request as it is sent to an upstream.
 type UpstreamRequest struct {
 	Call    *Call
 	Account resource.Account
-	// TimeLeft is how long the upstream may work.
+	// TimeLeft is how long the upstream may work on the request; zero sets no limit.
 	TimeLeft time.Duration
-	// Urgency is what the upstream is told of the request's.
+	// Urgency is the urgency that is announced to the upstream.
 	Urgency Urgency
-	// Continue takes a run up from where another engine stopped it.
+	// Continue resumes a run that another engine stopped or lost; nil for a run from the start.
 	Continue *Continuation
-	// BackupEngine is an engine that a copy of the run is kept on; empty for none.
+	// BackupEngine is the engine on which a copy of the run is kept; empty for none.
 	BackupEngine string
 }
 
-// Continuation says where a run's memory is and what the caller has of it.
+// Continuation says where the memory of an earlier run of the request is, and which events the
+// caller has received.
 type Continuation struct {
-	// Source is the address of the engine that the memory came from, and Handle
-	// names it there. Without a handle the engine reads everything anew, which
-	// only a resumable route allows.
+	// Source is the address of the engine that the memory comes from, and Handle identifies the
+	// memory there. Without a handle, the engine processes the whole prompt again, which only
+	// a resumable route allows.
 	Source string
 	Handle string
-	// LastEventID is the id of the last event that the caller has.
+	// LastEventID is the ID of the last event that the caller received.
 	LastEventID string
 }
 
-// Response is an upstream's answer. Body is to be closed, which ends the work if
-// it isn't done.
+// Response is an upstream's response. Body must be closed; closing it early makes the upstream
+// stop working on the request.
 type Response struct {
 	Status int
-	// Header is what is passed on to the caller.
+	// Header is passed on to the caller.
 	Header http.Header
-	// ContentLength is the body's, or -1 when the upstream didn't say.
+	// ContentLength is the length of the body in bytes, or -1 if the upstream didn't declare it.
 	ContentLength int64
-	// Framed says that the body's end can be told from a broken connection.
+	// Framed says that the body has a declared length or end, so that a broken connection isn't
+	// taken for the end of the body.
 	Framed bool
 	Body   io.ReadCloser
-	// NotRun is the upstream's word that it didn't run the request and won't.
+	// NotRun says that the upstream declared that it didn't run the request and won't.
 	NotRun bool
-	// WrongInstance says that the address is another upstream's by now.
+	// WrongInstance says that another upstream now uses the address.
 	WrongInstance bool
-	// Signed says that the answer carries the upstream's signature.
+	// Signed says that the response carries the upstream's signature.
 	Signed bool
-	// UnexpectedEncoding says that the body isn't in the form that the caller asked for.
+	// UnexpectedEncoding says that the body is encoded in a way that the caller didn't ask for.
 	UnexpectedEncoding bool
 	Signals            Signals
 }
 
-// Errors of a Transport, besides those of the context.
+// Errors of a Transport, in addition to those of the context.
 var (
-	// ErrNotSent says that no byte of the request can have reached the
-	// upstream.
+	// ErrNotSent says that no byte of the request can have reached the upstream.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrMismatchedResponse says that the bytes on the connection were no answer to this
+	// ErrMismatchedResponse says that the bytes on the connection were not a response to this
 	// request.
-	ErrMismatchedResponse = errors.New("the answer isn't this request's")
-	// ErrPortClosed says that nobody listens at the upstream's address.
-	ErrPortClosed = errors.New("nobody listens there")
+	ErrMismatchedResponse = errors.New("the response belongs to another request")
+	// ErrPortClosed says that no process listens on the upstream's address.
+	ErrPortClosed = errors.New("no process listens on the upstream's address")
 )
 
-// Transport sends requests to upstreams. After any error but ErrNotSent the
-// request may have run. When the context ends, the connection is closed.
+// Transport sends requests to upstreams. After any error other than ErrNotSent the request may
+// have run. When the context ends, the connection is closed.
 type Transport interface {
 	Send(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error)
-	// Move copies a run's memory to another engine.
+	// Move copies a run's memory from one engine to another.
 	Move(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error)
-	// Health asks an upstream how it is.
+	// Health asks an upstream for its health.
 	Health(ctx context.Context, u Upstream, path string) (Health, error)
-	// CheckReachable opens a connection to an upstream and closes it. The error is
-	// ErrPortClosed where its machine answers and it doesn't listen.
+	// CheckReachable opens a connection to an upstream and closes it. The error is ErrPortClosed if
+	// the upstream's machine responds but no process listens on the port.
 	CheckReachable(ctx context.Context, u Upstream) error
-	// Discard frees a copy that won't be used.
+	// Discard frees a copy of a run's memory that won't be used.
 	Discard(ctx context.Context, at Upstream, handle string) (Signals, error)
 }
 
-// Health is what an upstream says of itself.
+// Health is an upstream's answer to a health check.
 type Health struct {
-	// Healthy says that it works and isn't leaving.
+	// Healthy says that the upstream works and isn't leaving.
 	Healthy bool
-	// Rejected says that it had no room for the question, which tells nothing about Well.
+	// Rejected says that the upstream had no capacity for the health check, so that Healthy carries
+	// no information.
 	Rejected bool
-	// ColdRemaining is how much longer it is cold; zero when it isn't.
+	// ColdRemaining is how much longer the upstream is cold; zero if it isn't.
 	ColdRemaining time.Duration
-	// Life is its present one; zero when it doesn't say.
+	// Life is the upstream's present life; zero if it didn't report one.
 	Life    Life
 	Signals Signals
 }
 
-// MoveRequest asks the engine that runs a request to copy its memory.
+// MoveRequest asks the engine that runs a request to copy the run's memory to another engine.
 type MoveRequest struct {
-	ID            RequestID
+	ID RequestID
+	// TargetAddress is the address of the engine that receives the copy.
 	TargetAddress string
-	// StopSource ends the run at the source before the last part is copied.
+	// StopSource stops the run at the source before the last part is copied.
 	StopSource bool
 }
 
-// MoveResult is an engine's answer to a MoveRequest.
+// MoveResult is an engine's reply to a MoveRequest.
 type MoveResult struct {
-	// Handle names the copy; it may be set beside an error.
+	// Handle identifies the copy at the source; it may be set together with an error.
 	Handle string
-	// EventsProduced is how many events the run had made.
+	// EventsProduced is the number of events that the run had produced.
 	EventsProduced int
 	Signals        Signals
 }
@@ -220,5 +222,5 @@
 	ErrRunNotFound       = errors.New("the engine doesn't have the run")
 	ErrMoveBusy          = errors.New("another copy of the run is under way")
 	ErrTargetUnavailable = errors.New("the target has no room or can't be reached")
-	ErrNoMoveReply       = errors.New("the engine gave no answer to the move")
+	ErrNoMoveReply       = errors.New("the engine gave no usable reply to the move request")
 )
--- a/forward/callerleft_test.go
+++ b/forward/callerleft_test.go
@@ -17,17 +17,18 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// maxWorkAfterLeave is how long after its caller left anything of a request may reach an
-// upstream, or be worked on there.
+// maxWorkAfterLeave is how long after its caller left a request may still be sent to or worked on by
+// an upstream.
 const maxWorkAfterLeave = 500 * time.Millisecond
 
-// workLog notes when upstreams were called and when they were let go.
+// workLog records when upstreams were called and how many calls are active.
 type workLog struct {
 	mu      sync.Mutex
 	started []time.Time
 	active  int
 }
 
+// start records a call; end records that it has ended.
 func (l *workLog) start() (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -40,7 +41,7 @@
 	}
 }
 
-// stalledBody is a stream that brings one event and then nothing until it is closed.
+// stalledBody is a stream that yields one event and then blocks until it is closed.
 type stalledBody struct {
 	io.Reader
 	closed func()
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// stalledStream is an answer that stays open, and ends with its request's context.
+// stalledStream returns a response that stays open until it is closed or its request's context ends.
 func stalledStream(ctx context.Context, l *workLog) *Response {
 	read, write := io.Pipe()
 	var once sync.Once
@@ -61,20 +62,20 @@
 		write.CloseWithError(io.ErrUnexpectedEOF)
 	}
 	context.AfterFunc(ctx, closed)
-	go func() { _, _ = io.WriteString(write, "id: 1\n\n") }() // an error says that it was closed
+	go func() { _, _ = io.WriteString(write, "id: 1\n\n") }() // the only error is that the stream was closed
 	a := answer(200, "")
 	a.ContentLength, a.Body = -1, &stalledBody{Reader: read, closed: closed}
 	return a
 }
 
-// TestCallerLeftEndsWork has nothing of a request reach an upstream, and none work on it,
-// half a second after its caller left, wherever the request then was.
+// TestCallerLeftEndsWork checks that half a second after its caller left, nothing of a request is sent
+// to an upstream and no upstream works on it, whatever stage the request was at.
 func TestCallerLeftEndsWork(t *testing.T) {
 	type fixture struct {
 		f    *Forwarder
 		work *workLog
 	}
-	// hang waits until the request is let go.
+	// hang blocks until the request's context ends.
 	hang := func(s *fixture) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		return func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 			end := s.work.start()
@@ -91,9 +92,9 @@
 	for name, c := range map[string]struct {
 		path string
 		send func(s *fixture) func(context.Context, Upstream, *UpstreamRequest) (*Response, error)
-		// before is done before the request comes, during while it is served.
+		// before is called before the request is served, during while it is.
 		before, during func(s *fixture)
-		// wantCalls is how many calls upstreams get, before the caller leaves.
+		// wantCalls is the number of calls that upstreams receive before the caller leaves.
 		wantCalls int
 	}{
 		"before the first event":  {path: "/llm/", send: hang, wantCalls: 1},
@@ -143,23 +144,23 @@
 				time.Sleep(maxWorkAfterLeave)
 				synctest.Wait()
 				s.work.mu.Lock()
-				is.Equal(s.work.active, 0)
+				is.Equal(s.work.active, 0) // upstreams still work on the request
 				s.work.mu.Unlock()
 				time.Sleep(10 * time.Second)
 				<-served
 				s.work.mu.Lock()
 				defer s.work.mu.Unlock()
-				is.Equal(len(s.work.started), c.wantCalls)
+				is.Equal(len(s.work.started), c.wantCalls) // upstream calls
 				for _, at := range s.work.started {
-					is.True(at.Sub(left) <= maxWorkAfterLeave)
+					is.True(at.Sub(left) <= maxWorkAfterLeave) // an upstream was called too long after the caller left
 				}
 			})
 		})
 	}
 }
 
-// TestCallerLeftNotResumed has a resumable stream that broke off not run again once
-// its caller has left.
+// TestCallerLeftNotResumed checks that a resumable stream that broke off isn't run again after its
+// caller has left.
 func TestCallerLeftNotResumed(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(t.Context())
@@ -172,7 +173,8 @@
 	is.Equal(len(transport.sentTo()), 1)
 }
 
-// TestCallerLeftUnread has a request whose caller left before it was read reach no upstream.
+// TestCallerLeftUnread checks that a request whose caller left before the request was handled reaches
+// no upstream.
 func TestCallerLeftUnread(t *testing.T) {
 	for _, path := range []string{"/order/", "/status/", "/llm/"} {
 		t.Run(path, func(t *testing.T) {
@@ -188,8 +190,8 @@
 				f.Serve(ctx, call(path), sink)
 				synctest.Wait()
 				is.Equal(len(transport.sentTo()), 0)
-				is.Equal(sink.refused, nil)                 // nobody is told
-				is.Equal(len(f.engines.states(f.now())), 0) // no place is held
+				is.Equal(sink.refused, nil)                 // no refusal is sent to a caller that left
+				is.Equal(len(f.engines.states(f.now())), 0) // the run holds no place
 			})
 		})
 	}
--- a/forward/latencybalancer.go
+++ b/forward/latencybalancer.go
@@ -12,9 +12,9 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// latencyBalancer picks plain upstreams by what this host has seen of them: how
-// long they took and how often they failed. What it saw fades, so that one that
-// did badly is tried again.
+// latencyBalancer picks upstreams by the latency and failure rate that this host has
+// observed, and by its requests in flight. Observations decay over time, so that an upstream
+// that performed badly is tried again.
 type latencyBalancer struct {
 	zone member.Zone
 
@@ -22,31 +22,32 @@
 	stats map[member.UpstreamID]*upstreamStats
 }
 
-// upstreamStats is what one host saw of one upstream.
+// upstreamStats holds this host's observations of one upstream.
 type upstreamStats struct {
-	// inFlight is how many requests of this host it has now.
+	// inFlight counts this host's requests that the upstream is working on.
 	inFlight int
-	// meanLatency is the mean time of its answers; zero before the first.
+	// meanLatency is a moving average of the response times; zero before the first response.
 	meanLatency time.Duration
-	// failureRate is the share of its answers that failed.
+	// failureRate is a moving average of the share of responses that failed, from 0 to 1.
 	failureRate float64
-	// updatedAt is when the figures were last brought up to date.
+	// updatedAt is when the averages were last updated or decayed.
 	updatedAt time.Time
 }
 
 const (
-	// newestSampleWeight is the weight of the newest answer in the means.
+	// newestSampleWeight is the weight of the newest sample in the moving averages.
 	newestSampleWeight = 0.15
-	// statsDecayTime is in how long an observation loses two thirds of its weight.
+	// statsDecayTime is the time constant of the decay: without new samples, an observation loses two
+	// thirds of its weight in this time.
 	statsDecayTime = 8 * time.Second
-	// defaultLatency is assumed of an upstream that hasn't answered yet.
+	// defaultLatency is assumed of an upstream that hasn't responded yet.
 	defaultLatency = 20 * time.Millisecond
-	// crossZoneLatency is what another zone's upstream is taken to be slower by.
+	// crossZoneLatency is added to the expected latency of an upstream in another zone.
 	crossZoneLatency = 2 * time.Millisecond
-	// failurePenalty is how much longer an answer counts for each share of
-	// failures above the best upstream's.
+	// failurePenalty scales the cost of an upstream by the amount by which its failure rate
+	// exceeds the lowest one: at 20, a rate that is 0.05 higher doubles the cost.
 	failurePenalty = 20.0
-	// maxTrackedUpstreams bounds the upstreams remembered; the oldest ones go.
+	// maxTrackedUpstreams is the number of tracked upstreams at which idle ones are dropped.
 	maxTrackedUpstreams = 1024
 )
 
@@ -54,8 +55,8 @@
 	return &latencyBalancer{zone: zone, stats: map[member.UpstreamID]*upstreamStats{}}
 }
 
-// pick returns the upstream with the lowest expected cost that isn't among
-// those tried, and counts a request on it.
+// pick returns the upstream with the lowest expected cost that isn't in tried, and counts a
+// request in flight on it. Each pick must be followed by a call of done.
 func (c *latencyBalancer) pick(now time.Time, candidates []Upstream, tried []member.UpstreamID) (Upstream, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +90,8 @@
 	return false
 }
 
-// cost is the expected time of an answer, made longer by failures.
+// cost returns the expected latency of an upstream in nanoseconds, raised by its requests in
+// flight and its failures.
 func (c *latencyBalancer) cost(now time.Time, u Upstream, lowestFailureRate float64) float64 {
 	s := c.statsFor(now, u.ID)
 	latency := s.meanLatency
@@ -99,11 +101,12 @@
 	if u.Zone != c.zone {
 		latency += crossZoneLatency
 	}
-	// Hosts that see the same figures should not all pick the same upstream.
+	// Jitter keeps hosts with the same statistics from all picking the same upstream.
 	jitter := 0.9 + 0.2*rand.Float64()
 	return float64(latency) * float64(s.inFlight+1) * (1 + failurePenalty*(s.failureRate-lowestFailureRate)) * jitter
 }
 
+// statsFor returns an upstream's statistics, decayed up to now. The mutex is held.
 func (c *latencyBalancer) statsFor(now time.Time, id member.UpstreamID) *upstreamStats {
 	s := c.stats[id]
 	if s == nil {
@@ -124,8 +127,8 @@
 	return s
 }
 
-// reset forgets what was seen of an upstream whose life is over. What is under way is
-// counted on until it ends.
+// reset drops the averages of an upstream that has restarted. Requests in flight stay counted
+// until they end.
 func (c *latencyBalancer) reset(id member.UpstreamID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,6 +137,8 @@
 	}
 }
 
+// forgetIdle drops upstreams without requests in flight or recent observations. The mutex is
+// held.
 func (c *latencyBalancer) forgetIdle(now time.Time) {
 	for id, s := range c.stats {
 		if s.inFlight == 0 && now.Sub(s.updatedAt) > statsDecayTime {
@@ -142,7 +147,8 @@
 	}
 }
 
-// done takes in how a request ended; took is zero when nothing was learnt.
+// done records the end of a request that pick counted. A latency of zero means that the request
+// says nothing about the upstream's performance.
 func (c *latencyBalancer) done(now time.Time, id member.UpstreamID, latency time.Duration, failed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/forward/peerselection.go
+++ b/forward/peerselection.go
@@ -12,9 +12,11 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// leader returns the peer whose list this host follows: the first live host of
-// the zone by name, if that isn't this one. A host that can't read the list
-// itself follows any peer whose list is fresh.
+// leader returns the peer from which this host follows the list of upstreams: of the live hosts of
+// its zone whose list is fresh, the one with the lowest ID, unless that is this host. With
+// mustFollow, for a host that can't read the list itself, it returns any peer whose list is
+// fresh, preferring its own zone. If zones are divided, the leader comes from the zone's
+// tree unless mustFollow is set.
 func (p *peerSet) leader(now time.Time, mustFollow bool) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -42,7 +44,8 @@
 	return best.Peer, true
 }
 
-// hasPredecessor reports whether a live host comes before this one by zone and name.
+// hasPredecessor reports whether a live host precedes this one: in the zone's tree if the zone
+// is divided, otherwise by zone and host ID.
 func (p *peerSet) hasPredecessor(now time.Time) bool {
 	if position, divided := p.place(now); divided {
 		return position > 0
@@ -58,10 +61,11 @@
 	return false
 }
 
-// maxStaleSources is how many peers a host that knows nothing asks at once for what they have.
+// maxStaleSources bounds the peers that a starting host asks for a stale list of upstreams when
+// it can get no fresh one.
 const maxStaleSources = 3
 
-// randomLivePeers draws some live peers, those of the own zone first.
+// randomLivePeers returns up to maxStaleSources random live peers, those of the own zone first.
 func (p *peerSet) randomLivePeers(now time.Time) []Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,13 +79,14 @@
 			far = append(far, s.Peer)
 		}
 	}
-	// The order of a map will do for drawing.
+	// Map iteration order is random enough for this selection.
 	peers := append(near, far...)
 	return peers[:min(len(peers), maxStaleSources)]
 }
 
-// bootstrapPeer returns a peer that a host which starts can take everything over from, one
-// of its own zone if there is any. It is drawn, for many may start together.
+// bootstrapPeer returns a peer from which a starting host can copy the list of upstreams and
+// the configuration, from its own zone if possible. The choice is random because many hosts
+// may start together.
 func (p *peerSet) bootstrapPeer(now time.Time) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +101,8 @@
 		}
 	}
 	if p.layout.Divided() {
-		// Each host tells a few others only, and those before it in the tree know first.
+		// Each host passes changes on to a few others only, so its ancestors in the tree learn
+		// of them first.
 		for _, h := range p.ancestors(p.silent(now)) {
 			if i := slices.IndexFunc(near, func(o Peer) bool { return o.ID == h.ID }); i >= 0 {
 				return near[i], true
@@ -112,8 +118,8 @@
 	return near[rand.IntN(len(near))], true
 }
 
-// firstInEarlierZone returns the first live host, by zone and name, of a zone that
-// comes before this host's and isn't avoided.
+// firstInEarlierZone returns the first live host of the first zone that sorts before this
+// host's zone and isn't avoided.
 func (p *peerSet) firstInEarlierZone(avoided func(member.Zone) bool, now time.Time) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,8 +138,8 @@
 	return first.Peer, true
 }
 
-// precedes reports whether a host of a zone comes before another of it: those that start follow the
-// first. The mutex is held.
+// precedes reports whether host a comes before host b of the same zone, in tree order if
+// zones are divided and by ID otherwise. The mutex is held.
 func (p *peerSet) precedes(a, b Peer) bool {
 	if p.layout.Divided() {
 		return inTreeOrder(a, b) < 0
@@ -141,7 +147,8 @@
 	return a.ID < b.ID
 }
 
-// preferred orders the peers to follow: the own zone's first, then by name.
+// preferred reports whether this host follows peer a rather than b: peers of its own zone come
+// first, then the lower ID.
 func (p *peerSet) preferred(a, b *peerState) bool {
 	if near := a.Zone == p.self.Zone; near != (b.Zone == p.self.Zone) {
 		return near
@@ -149,7 +156,7 @@
 	return a.ID < b.ID
 }
 
-// distrust keeps a peer from being followed until it has spoken again.
+// distrust keeps a peer from being followed until this host receives a message from it again.
 func (p *peerSet) distrust(id member.HostID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,9 +165,12 @@
 	}
 }
 
-// responsibleHost returns the host that ranks first for a duty about something in a cell: of the cell's
-// hosts that live and don't stop; of those of it that were heard lately, though they can't be
-// reached, for they may have the duty still; or else of all hosts.
+// responsibleHost returns the host that ranks first, by rendezvous hashing, for a duty in a
+// cell. It is chosen from the first of these groups that isn't empty:
+//   - live hosts of the cell that aren't stopping;
+//   - hosts of the cell that were heard within farSilent but can't be reached now: they may
+//     still hold the duty;
+//   - all live hosts.
 func (p *peerSet) responsibleHost(now time.Time, duty string, cellID cell.ID) Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/forward/regions.go
+++ b/forward/regions.go
@@ -11,10 +11,10 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// Where a request may be served, by the regions that its route and account allow.
+// Restriction of a request to the regions that its route and account allow.
 
-// allowedZones lists the zones in which the request may be served; nil for all. Where both the
-// route and the account are bound, both bounds hold.
+// allowedZones returns the zones in which the request may be served; nil allows all zones. If
+// both the route and the account name regions, a zone must satisfy both.
 func (x *exchange) allowedZones() []member.Zone {
 	if len(x.route.Regions) == 0 && len(x.account.Regions) == 0 {
 		return nil
@@ -22,7 +22,7 @@
 	allowed := func(regions []member.Region, r member.Region) bool {
 		return len(regions) == 0 || slices.Contains(regions, r)
 	}
-	// Empty, but not nil, where no known zone is allowed.
+	// Non-nil even if no known zone is allowed, since nil would allow all zones.
 	zones := []member.Zone{}
 	for zone, region := range x.settings.Regions {
 		if allowed(x.route.Regions, region) && allowed(x.account.Regions, region) {
@@ -37,7 +37,8 @@
 	return x.zones == nil || slices.Contains(x.zones, zone)
 }
 
-// filterZones are those of some zones in which the request may be served.
+// filterZones returns the zones in which the request may be served. It reuses the array of its
+// argument.
 func (x *exchange) filterZones(zones []member.Zone) []member.Zone {
 	if x.zones == nil {
 		return zones
@@ -45,7 +46,7 @@
 	return slices.DeleteFunc(zones, func(z member.Zone) bool { return !x.zoneAllowed(z) })
 }
 
-// filterUpstreams are those of some upstreams that may serve the request, by their zones and versions.
+// filterUpstreams returns the upstreams whose zone and version may serve the request.
 func (x *exchange) filterUpstreams(upstreams []Upstream) []Upstream {
 	if x.zones == nil && x.versions.get() == (rollout.Bound{}) {
 		return upstreams
@@ -55,12 +56,14 @@
 	})
 }
 
-// acceptingUpstreams are the service's upstreams that take new work and may serve the request.
+// acceptingUpstreams returns the service's upstreams that accept new work and may serve the
+// request.
 func (x *exchange) acceptingUpstreams(now time.Time) []Upstream {
 	return x.filterUpstreams(x.fleet.Takers(now, x.service.Name))
 }
 
-// noUpstreamInRegions reports whether the request is bound to regions in which no upstream takes work.
+// noUpstreamInRegions reports whether the request is restricted to regions in which no upstream
+// accepts new work.
 func (x *exchange) noUpstreamInRegions(now time.Time) bool {
 	return x.zones != nil && len(x.acceptingUpstreams(now)) == 0
 }
--- a/forward/regions_test.go
+++ b/forward/regions_test.go
@@ -20,19 +20,19 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// regionCase is a request that is bound to regions, and what befalls it.
+// regionCase is a request that is restricted to regions, and what happens to it.
 type regionCase struct {
 	path string
-	// route and account are what the request is bound by.
+	// route and account are the regions that the request's route and account allow.
 	route, account []member.Region
-	// send answers each send by its number, from one on; nil answers well.
+	// send responds to the nth send, counted from one; nil stands for a successful response.
 	send func(n int, u Upstream) (*Response, error)
-	// duringStream happens duringStream a stream runs.
+	// duringStream is called while a stream from upstream at runs.
 	duringStream func(f *Forwarder, at Upstream)
 }
 
-// TestRequestOutsideItsRegions has no way of sending reach an upstream of another region than
-// those that the request's route and account allow.
+// TestRequestOutsideItsRegions checks that no way of sending a request reaches an upstream outside
+// the regions that the request's route and account allow.
 func TestRequestOutsideItsRegions(t *testing.T) {
 	lost := func(n int, _ Upstream) (*Response, error) {
 		if n == 1 {
@@ -82,11 +82,11 @@
 	}
 }
 
-// run has the request come again and again at a host of another region.
+// run serves the request several times on a host of another region.
 func (c regionCase) run(t *testing.T) {
 	var f *Forwarder
 	var sends atomic.Int64
-	var moved []string // one stream at a time moves
+	var moved []string // not locked: one stream at a time moves
 	transport := &fakeTransport{}
 	transport.send = func(ctx context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 		n := int(sends.Add(1))
@@ -141,28 +141,28 @@
 	for range 4 {
 		sends.Store(0)
 		f.Serve(t.Context(), call(c.path), &fakeSink{})
-		time.Sleep(time.Second) // what was left behind ends
+		time.Sleep(time.Second) // lets goroutines left by the request end
 	}
 	if len(transport.sentTo()) == 0 {
-		t.Error("nothing was sent")
+		t.Errorf("no upstream received the request to %s in 4 attempts", c.path)
 	}
 	for _, id := range transport.sentTo() {
 		if u, _ := f.fleet.Upstream(id); u.Zone == "z1" {
-			t.Errorf("sent to %s, which is in %s", id, u.Zone)
+			t.Errorf("request to %s sent to upstream %s in zone %s, outside its regions", c.path, id, u.Zone)
 		}
 	}
 	for _, to := range moved {
 		if !strings.Contains(to, "-z2-") && !strings.Contains(to, "-z3-") {
-			t.Errorf("moved to %s, which is in z1", to)
+			t.Errorf("run moved to %s, want an upstream of z2 or z3", to)
 		}
 	}
 	if c.duringStream != nil && len(moved) == 0 {
-		t.Error("no move was tried")
+		t.Errorf("the run of %s was not moved after its engine began to leave", c.path)
 	}
 }
 
-// TestNoUpstreamInRegion has a request be refused at once, and be told why, when none of its
-// regions has an upstream that takes work.
+// TestNoUpstreamInRegion checks that a request is refused at once, with CodeRegion, if no upstream
+// in its regions accepts work.
 func TestNoUpstreamInRegion(t *testing.T) {
 	for name, regions := range map[string][]member.Region{
 		"a region without upstreams": {"west"}, "a region that isn't known": {"north"},
@@ -189,10 +189,10 @@
 	}
 }
 
-// TestEmptyRegionsSetNoBound has a request without allowed regions be served anywhere.
+// TestEmptyRegionsSetNoBound checks that a request without allowed regions may be served in any zone.
 func TestEmptyRegionsSetNoBound(t *testing.T) {
 	x := &exchange{Forwarder: newForwarder(t, &fakeTransport{})}
 	if !slices.Equal(x.allowedZones(), nil) || !x.zoneAllowed("z9") {
-		t.Error("bound to", x.allowedZones())
+		t.Errorf("request without regions is restricted to zones %v, want no restriction", x.allowedZones())
 	}
 }
--- a/forward/remoteplacement.go
+++ b/forward/remoteplacement.go
@@ -14,49 +14,53 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// A host knows the runs on its own zone's engines a few milliseconds after they are
-// placed, and those of other zones only in part: bytes between zones have a price. So it
-// places in its own zone by itself, and where that has no room it asks a host of another
-// zone, which answers for a place there. A zone whose hosts can't be asked is placed in
-// blindly, as far as its runs are known.
+// A host learns of the runs on its own zone's engines within a few milliseconds of their
+// placement, but has only part of the runs of other zones, because traffic between zones
+// is billed. It therefore places runs in its own zone by itself. When that zone has no
+// room, it asks a host of another zone, which reserves a place there. If no host of a zone
+// can be asked, the asking host places runs in that zone by its own incomplete view.
 
-// PlacementRequest asks a host for a place on one of its zone's engines.
+// PlacementRequest asks a host of another zone to reserve a place for a run on one of its
+// zone's engines.
 type PlacementRequest struct {
 	From    member.HostID
 	Service ServiceName
 	Run     policy.RunID
-	// Route and Account are what the length of its answer is foreseen by.
-	Route           resource.Name
-	Account         resource.Account
+	// Route and Account are used to predict the length of the run's output.
+	Route   resource.Name
+	Account resource.Account
+	// Priority is that of a policy.Request: the highest goes first.
 	Priority        int
 	PromptTokens    policy.Tokens
 	MaxOutputTokens policy.Tokens
-	// Objective is the aimed time to the first token, and Elapsed how much of it is over;
-	// zero for a run that is under way.
+	// Objective is the target time to the first token, and Elapsed the time since the request
+	// arrived. Both are zero for a run that has already started.
 	Objective, Elapsed time.Duration
-	// ExcludedEngines are engines that won't do.
+	// ExcludedEngines must not be used.
 	ExcludedEngines []member.UpstreamID
-	// OnlyGroup and ExcludedGroup are those of a policy.Request.
+	// OnlyGroup and ExcludedGroup restrict the engines by group, as in policy.Request; empty
+	// sets no restriction.
 	OnlyGroup, ExcludedGroup string
 }
 
-// PlacementGrant is the answer to a PlaceAsk.
+// PlacementGrant is the reply to a PlacementRequest.
 type PlacementGrant struct {
-	// Engine holds a place for the run; empty when none has room.
+	// Engine has a place reserved for the run; empty if no engine has room.
 	Engine member.UpstreamID
-	// TimeToFirstToken is after how long its first token is expected.
+	// TimeToFirstToken is the expected time until the run's first token.
 	TimeToFirstToken time.Duration
 }
 
 const (
-	// peerRequestTimeout bounds the answer of a host that is asked for a place: zones are a
-	// millisecond or two apart, and a slow host is as good as none.
+	// peerRequestTimeout bounds a call that asks a peer for a place or a permit. Zones are a
+	// millisecond or two apart; a peer that is slower than this counts as unreachable.
 	peerRequestTimeout = 40 * time.Millisecond
-	// placementGrantTTL is how long a place that was given to another host's run is kept before
-	// that host must have told of the run, which it does within some 5 ms.
+	// placementGrantTTL is how long a place stays reserved for another host's run until that
+	// host reports the run, which it does within about 5 ms.
 	placementGrantTTL = 300 * time.Millisecond
 )
 
+// newPlacementRequest returns the placement request that host self sends for r.
 func newPlacementRequest(self member.HostID, service ServiceName, now time.Time, r policy.Request) PlacementRequest {
 	a := PlacementRequest{
 		From: self, Service: service, Run: r.Run, Route: r.Route, Account: r.Account, Priority: r.Priority,
@@ -69,6 +73,7 @@
 	return a
 }
 
+// policyRequest returns the request for the placement policy, with its times relative to now.
 func (a PlacementRequest) policyRequest(now time.Time) policy.Request {
 	request := policy.Request{
 		Run: a.Run, Route: a.Route, Account: a.Account, Priority: a.Priority, Prompt: a.PromptTokens, Limit: a.MaxOutputTokens,
@@ -81,14 +86,15 @@
 	return request
 }
 
-// OnAsk serves a host of another zone that asks for a place.
+// OnAsk reserves a place for a run of a host of another zone. It returns an empty grant if
+// no engine of this zone has room.
 func (f *Forwarder) OnAsk(request PlacementRequest) PlacementGrant {
 	now := f.now()
 	t := f.table.Load()
 	if t == nil {
 		return PlacementGrant{}
 	}
-	// One that isn't declared here has no engines, so no place is given.
+	// A service that isn't configured on this host has no engines, so no place is granted.
 	service, _ := t.Service(request.Service)
 	x := &exchange{Forwarder: f, service: service}
 	request.ExcludedEngines = slices.Concat(request.ExcludedEngines, x.throttledEngines(now).sameZone)
@@ -100,8 +106,8 @@
 	return PlacementGrant{Engine: decision.Engine, TimeToFirstToken: decision.FirstAfter}
 }
 
-// requestPlacement asks a host of each of some zones in turn, until one gives a place. blind says
-// that some zone couldn't be asked.
+// requestPlacement asks one host of each zone in turn until one grants a place.
+// anyUnreachable reports whether some zone had no live host or its host didn't reply.
 func (f *Forwarder) requestPlacement(ctx context.Context, zones []member.Zone, service ServiceName, r policy.Request) (grant PlacementGrant, found, anyUnreachable bool) {
 	peers := f.port()
 	for _, zone := range zones {
@@ -127,14 +133,18 @@
 	return PlacementGrant{}, false, anyUnreachable
 }
 
-// placementResult is where a request was placed, or why it wasn't.
+// placementResult holds the engine that a run was placed on, or a decision with the reason
+// why it wasn't placed.
 type placementResult struct {
 	upstream Upstream
 	run      *ownRun
 	decision policy.Decision
 }
 
-// findPlacement finds an engine for a new run: in the own zone, or else by another zone's word.
+// findPlacement finds an engine for a new run. It tries the host's own zone first, then asks
+// hosts of other zones. If its own zone has no usable engine, there is no other zone, or a
+// zone couldn't be asked, it places the run on any engine by its own view of the runs;
+// otherwise the run waits for a place in the host's own zone.
 func (s *streamExchange) findPlacement(ctx context.Context, now time.Time, r policy.Request, throttled throttledSet) placementResult {
 	service := s.service.Name
 	inOwnZone, otherZones := s.placementZones(service)
@@ -153,7 +163,7 @@
 			if u, run, d, ok := s.engines.placeAt(s.now(), service, r, grant); ok {
 				return placementResult{upstream: u, run: run, decision: d}
 			}
-			// It isn't on this host's list, or not any more.
+			// The granted engine is not, or no longer, on this host's list.
 			useLocalView = true
 		}
 	}
@@ -169,9 +179,10 @@
 	return placementResult{upstream: u, run: run, decision: d}
 }
 
-// findMoveTarget finds another engine for a run that has to move: in its engine's zone first,
-// for a move between zones takes twice as long, then in this host's own. kept are engines
-// of other zones that this host may not send to.
+// findMoveTarget finds another engine for a run that has to move. It tries the zone of the
+// run's engine first, because a move between zones takes twice as long, then this host's
+// own zone, then the others. avoid are engines to exclude in all zones; throttled are
+// engines of other zones to which this host may not send now.
 func (x *exchange) findMoveTarget(ctx context.Context, now time.Time, run *ownRun, avoid, throttled []member.UpstreamID) (u Upstream, found bool) {
 	service, ownZone := x.service.Name, x.peers.self.Zone
 	inOwnZone, zones := x.placementZones(service)
@@ -179,7 +190,7 @@
 	if inOwnZone && x.zoneAllowed(ownZone) {
 		zones = append([]member.Zone{ownZone}, zones...)
 	}
-	// An engine that isn't known any more is of no zone, and none goes first.
+	// If the run's engine is no longer known, its zone is empty and the order stays.
 	current, _ := x.fleet.Upstream(run.engine)
 	if i := slices.Index(zones, current.Zone); i > 0 {
 		zones = slices.Insert(slices.Delete(zones, i, i+1), 0, current.Zone)
@@ -216,7 +227,8 @@
 	return u, found
 }
 
-// markUnresponsive notes that a peer didn't answer: until it is heard again it isn't asked.
+// markUnresponsive marks a peer that didn't reply. It isn't asked again until a message from
+// it arrives.
 func (p *peerSet) markUnresponsive(id member.HostID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -225,8 +237,9 @@
 	}
 }
 
-// placementZones tells whether this host places on engines of its own zone, and in which zones others do;
-// where the own zone is divided, it is among them.
+// placementZones reports whether this host places runs on engines of its own zone, and in
+// which zones other hosts have to be asked. If the own zone is divided into cells, it is
+// among these too, in first place.
 func (x *exchange) placementZones(service ServiceName) (inOwnZone bool, otherZones []member.Zone) {
 	inOwnZone, otherZones = x.engines.zonesOf(service)
 	if !x.peers.divided() {
@@ -239,14 +252,15 @@
 	return inOwnZone, otherZones
 }
 
-// registerGrantedEngine has an engine be known to the placement that another host has given a place on.
+// registerGrantedEngine adds an engine of another cell, on which another host granted a place,
+// to the engines that this host's placement knows. It does nothing if zones aren't divided.
 func (x *exchange) registerGrantedEngine(service ServiceName, id member.UpstreamID) {
 	if u, known := x.fleet.Upstream(id); known && x.peers.divided() {
 		x.engines.borrow(service, u)
 	}
 }
 
-// randomPeerOutsideCell draws a live host of a zone that isn't of this host's cell.
+// randomPeerOutsideCell picks a random live host of a zone from outside this host's cell.
 func (p *peerSet) randomPeerOutsideCell(now time.Time, zone member.Zone) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/forward/remoteplacement_test.go
+++ b/forward/remoteplacement_test.go
@@ -15,7 +15,7 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// remoteZonePeer is a host's interface to one host of another zone.
+// remoteZonePeer is the interface of one host to a single host of another zone.
 type remoteZonePeer struct {
 	followedPeers
 	remote *Forwarder
@@ -37,8 +37,9 @@
 	return grant, nil
 }
 
-// newTwoZoneHosts returns a host of z1, with engine near, and one of z2, with engines far1 and
-// far2, that know each other.
+// newTwoZoneHosts returns a host of z1, whose zone has the engine near, and a host of z2, whose zone
+// has the engines far1 and far2. They know each other; peer is the first one's interface to
+// the second.
 func newTwoZoneHosts(t *testing.T) (near, far *Forwarder, peer *remoteZonePeer) {
 	t.Helper()
 	now := time.Now()
@@ -61,21 +62,22 @@
 	return near, far, peer
 }
 
-// fillEngine has a host carry a run that leaves no room for another on an engine.
+// fillEngine places a run on an engine that leaves no room for another.
 func fillEngine(t *testing.T, f *Forwarder, engine member.UpstreamID) {
 	t.Helper()
 	request := policy.Request{Run: policy.RunID("fill-" + engine), Prompt: 32500, Limit: 100, Zone: f.engines.zone}
 	if _, _, _, ok := f.engines.placeAt(time.Now(), "llm", request, PlacementGrant{Engine: engine}); !ok {
-		t.Fatal("not placed")
+		t.Fatalf("filling run not placed on engine %s: want a place", engine)
 	}
 }
 
-// placeRun places a request at a host as a stream does.
+// placeRun places a run as a stream does, and returns its engine and the decision.
 func placeRun(ctx context.Context, f *Forwarder, run policy.RunID) (Upstream, *ownRun, policy.Decision) {
 	p := findPlacementOn(ctx, f, run)
 	return p.upstream, p.run, p.decision
 }
 
+// findPlacementOn calls findPlacement for a run on host f.
 func findPlacementOn(ctx context.Context, f *Forwarder, run policy.RunID) placementResult {
 	now := time.Now()
 	s := &streamExchange{exchange: &exchange{Forwarder: f, call: call("/llm/")}}
@@ -85,16 +87,16 @@
 	}, s.throttledEngines(now))
 }
 
-// TestAskForPlaces has a host place in its own zone while that has room, and then where
-// a host of another zone gives it a place, which knows better what runs there.
+// TestAskForPlaces checks that a host places runs in its own zone while that has room, and then on
+// the engine that a host of another zone grants, since that host knows its zone's load better.
 func TestAskForPlaces(t *testing.T) {
 	for name, c := range map[string]struct {
-		// full are engines that their zones' hosts know to be full.
-		full                []member.UpstreamID
-		dropReplies, silent bool
-		wantEngine          member.UpstreamID
-		wantVerdict         policy.Verdict
-		wantCalls           int
+		// full are engines that the hosts of their zones know to be full.
+		full                      []member.UpstreamID
+		dropReplies, dropRequests bool
+		wantEngine                member.UpstreamID
+		wantVerdict               policy.Verdict
+		wantCalls                 int
 	}{
 		"room near":                   {nil, false, false, "near", policy.Granted, 0},
 		"room in the other zone":      {[]member.UpstreamID{"near", "far1"}, false, false, "far2", policy.Granted, 1},
@@ -105,7 +107,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				near, far, peer := newTwoZoneHosts(t)
-				peer.dropReplies, peer.dropRequests = c.dropReplies, c.silent
+				peer.dropReplies, peer.dropRequests = c.dropReplies, c.dropRequests
 				for _, id := range c.full {
 					if id == "near" {
 						fillEngine(t, near, id)
@@ -120,16 +122,16 @@
 				is.Equal(u.ID, c.wantEngine)
 				is.Equal(peer.calls, c.wantCalls)
 				is.Equal(run != nil, c.wantEngine != "")
-				if c.wantVerdict == policy.Granted && c.wantCalls == 1 && !c.silent {
-					is.Equal(far.engines.pools["llm"].theirs["r"], near.peers.self.ID) // counted there at once
+				if c.wantVerdict == policy.Granted && c.wantCalls == 1 && !c.dropRequests {
+					is.Equal(far.engines.pools["llm"].theirs["r"], near.peers.self.ID) // the granting host counts the run at once
 				}
 			})
 		})
 	}
 }
 
-// TestUnusedGrantExpires has a place that was given to a peer's run be kept until the peer
-// must have told of the run, and then be free again unless it did.
+// TestUnusedGrantExpires checks that a place granted to a peer's run is kept until the peer must have
+// reported the run, and is freed then if the peer hasn't.
 func TestUnusedGrantExpires(t *testing.T) {
 	for name, c := range map[string]struct {
 		reported bool
@@ -149,7 +151,7 @@
 				defer cancel()
 				_, _, _ = placeRun(ctx, near, "r")
 				counted := func() bool { return far.engines.pools["llm"].pool.EngineOf("r") == "far2" }
-				far.engines.adopt(time.Now(), "h1", nil, nil) // a share that was on its way
+				far.engines.adopt(time.Now(), "h1", nil, nil) // a share that was sent before the run was placed
 				is.True(counted())
 				if c.reported {
 					far.engines.adopt(time.Now(), "h1", near.engines.states(time.Now()), nil)
@@ -162,8 +164,8 @@
 	}
 }
 
-// TestAskForTargets has a run that has to move go to an engine of its own zone, or else
-// where a host of another zone gives it a place.
+// TestAskForTargets checks that a run which has to move goes to another engine of its zone if that has
+// room, and otherwise to the engine that a host of another zone grants.
 func TestAskForTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -180,13 +182,13 @@
 		is.Equal(peer.calls, 1)
 		fillEngine(t, far, "far1")
 		_, found = x.relocate(t.Context(), time.Now(), run, nil)
-		is.True(found) // back to the own zone
+		is.True(found) // the run returns to its host's own zone
 		is.Equal(run.engine, member.UpstreamID("near"))
 	})
 }
 
-// TestAskedRunStaysCounted has a peer's run that finds no room to move to stay counted on
-// the engine where it is.
+// TestAskedRunStaysCounted checks that a peer's run which finds no room to move to stays counted on its
+// present engine.
 func TestAskedRunStaysCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// RetryLimit bounds the requests that are sent once more to one service, over
-// all hosts: Ratio of the service's requests and Slack more in each Window.
+// RetryLimit bounds the retries of requests to one service, summed over all hosts: in each
+// Window, Ratio of the service's requests plus Slack.
 type RetryLimit struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
 }
 
-// retryBudget is this host's part of a RetryLimit: the ratio of its own
-// requests, and an even part of the slack. The zero value allows nothing.
+// retryBudget is this host's share of a RetryLimit for each service: Ratio of the host's own
+// requests plus an equal share of Slack. The zero value allows no retries.
 type retryBudget struct {
 	mu    sync.Mutex
 	limit RetryLimit
-	// hosts share the slack. While it is zero, how many there are isn't known, and this
-	// one has no part of it.
+	// hosts is the number of hosts that share the slack. Zero means that it isn't known yet; this
+	// host then gets no share.
 	hosts    int
 	services map[ServiceName]*retryWindow
-	// startedAt is the first moment that was counted, from which buckets are numbered:
-	// by the time of day, a jump back would stop the window for as long as the jump
-	// was, and one ahead would forget what has been spent.
+	// startedAt is when the first request was counted. Buckets are numbered from it and not by
+	// the time of day: if the clock were set back, the window would stand still for as long,
+	// and if it were set forward, retries already spent would be forgotten.
 	startedAt time.Time
 }
 
-// retryWindow counts one service's requests and repeats in a window that
-// slides by buckets.
+// retryWindow counts one service's requests and retries in a window that slides by buckets.
 type retryWindow struct {
+	// In each bucket, first counts requests and again counts retries.
 	buckets [windowBuckets]struct{ first, again float64 }
-	// newestBucket is the number of the newest bucket since the budget began.
+	// newestBucket is the number of the newest bucket, counted from the budget's startedAt.
 	newestBucket int64
 }
 
 const (
-	// windowBuckets is how many parts a window slides by.
+	// windowBuckets is the number of buckets in a window.
 	windowBuckets = 10
-	// usableFraction of the limit is used, so that hosts that count a little
-	// differently stay within it together.
+	// usableFraction is the part of the limit that a host uses, so that all hosts together stay
+	// within it although their counts differ slightly.
 	usableFraction = 0.8
 )
 
-// setHosts says how many hosts share the limit.
+// setHosts sets the number of hosts that share the limit.
 func (b *retryBudget) setHosts(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,7 +60,7 @@
 	b.limit = l
 }
 
-// countRequest counts a request that is sent for the countRequest time.
+// countRequest counts a request that is sent for the first time.
 func (b *retryBudget) countRequest(now time.Time, service ServiceName) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,7 +68,7 @@
 	w.buckets[w.newestBucket%windowBuckets].first++
 }
 
-// takeRetry reports whether a request may be sent once more, and counts it.
+// takeRetry reports whether the budget allows another retry, and if so counts it.
 func (b *retryBudget) takeRetry(now time.Time, service ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,7 +85,7 @@
 	return true
 }
 
-// slackShare is this host's part of it.
+// slackShare returns this host's share of the slack. The mutex is held.
 func (b *retryBudget) slackShare() float64 {
 	if b.hosts == 0 {
 		return 0
@@ -93,6 +93,7 @@
 	return b.limit.Slack / float64(b.hosts)
 }
 
+// currentWindow returns a service's window, advanced to now. The mutex is held.
 func (b *retryBudget) currentWindow(now time.Time, service ServiceName) *retryWindow {
 	if b.services == nil {
 		b.services = map[ServiceName]*retryWindow{}
--- a/forward/retrybudget_test.go
+++ b/forward/retrybudget_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// TestRetryBudget has repeats stop at the limit that all hosts share.
+// TestRetryBudget checks that retries stop at the limit that all hosts share.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -24,34 +24,33 @@
 		return n
 	}
 	b.setHosts(1)
-	is.Equal(count(now), 8) // 0.8 of the slack
+	is.Equal(count(now), 8) // 0.8 of the slack of 10
 	b.setHosts(5)
 	for range 100 {
 		b.countRequest(now, "app")
 	}
-	is.Equal(count(now), 9) // 0.8 of (20 and a fifth of the slack), less the 8
+	is.Equal(count(now), 9) // 0.8 of (20 + a fifth of the slack), minus the 8 already taken
 	is.Equal(count(now.Add(5*time.Second)), 0)
-	is.Equal(count(now.Add(11*time.Second)), 1) // only a part of the slack is left
+	is.Equal(count(now.Add(11*time.Second)), 1) // the requests have left the window; 0.8 of a fifth of the slack remains
 	var zero retryBudget
 	is.True(!zero.takeRetry(now, "app"))
 }
 
-// TestRetryBudgetOfAllHosts has the repeats of all hosts together stay within the limit of
-// their service, however few of the others each host hears.
+// TestRetryBudgetOfAllHosts checks that the retries of all hosts together stay within their
+// service's limit, however few of the others each host can reach.
 //
-// What callers would see: repeats hit upstreams that fail already. Each host that hears
-// nobody took itself for the only one and had all of the slack: six hosts that were cut off
-// from each other had 54 repeats where 22 are allowed, and six that started together 54 in
-// their first moments.
+// It guards against retries that pile up on upstreams which already fail: a host that reaches no
+// other once took itself for the only one and used the whole slack, so that six hosts that
+// were partitioned, or had just started, sent 54 retries where 22 are allowed.
 func TestRetryBudgetOfAllHosts(t *testing.T) {
 	const zones, hostsPerZone, firstTries = 3, 2, 10
 	const settleTime = 4 * time.Second
 	limit := RetryLimit{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 	for name, c := range map[string]struct {
-		// happens is before the repeats.
+		// happens runs before the retries.
 		happens func(s *site)
-		// minRetries is how many repeats there are at minRetries: hosts that are in touch use the
-		// limit.
+		// minRetries is the lowest number of retries that is accepted: hosts that reach each other use
+		// the limit.
 		minRetries int
 	}{
 		"all have just started": {func(*site) {}, 0},
@@ -95,9 +94,9 @@
 					}
 				}
 				allowed := int(limit.Ratio*firstTries*zones*hostsPerZone + limit.Slack)
-				t.Logf("%d repeats, %d allowed", repeats, allowed)
-				is.True(repeats <= allowed)
-				is.True(repeats >= c.minRetries)
+				t.Logf("%d retries on all hosts, %d allowed", repeats, allowed)
+				is.True(repeats <= allowed)      // more retries than the limit allows
+				is.True(repeats >= c.minRetries) // fewer retries than hosts in contact use
 				cancel()
 				synctest.Wait()
 			})
@@ -105,8 +104,8 @@
 	}
 }
 
-// TestRetryBudgetAlone has a host without others have the whole limit once it has looked for
-// them.
+// TestRetryBudgetAlone checks that a host without peers gets the whole limit once it has looked for
+// peers.
 func TestRetryBudgetAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -120,7 +119,7 @@
 		for f.retries.takeRetry(f.now(), "app") {
 			repeats++
 		}
-		is.Equal(repeats, 8) // 0.8 of the slack
+		is.Equal(repeats, 8) // 0.8 of the slack of 10
 		cancel()
 		synctest.Wait()
 	})
--- a/forward/send.go
+++ b/forward/send.go
@@ -16,17 +16,18 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Everything that goes to an upstream goes through here: it is judged at the moment of
-// sending, and what the answer tells about the upstream is taken in.
+// All requests to upstreams are sent from this file. It checks at the moment of sending
+// whether the upstream may receive the request, and processes the signals that the response
+// carries about the upstream.
 
-// notSentError says why a request was not sent to its upstream. It is an ErrNotSent.
+// notSentError says why a request was not sent to its upstream. It matches ErrNotSent.
 type notSentError struct{ eligibility.Verdict }
 
 func (e *notSentError) Error() string { return fmt.Sprintf("not sent: %v", e.Verdict) }
 
 func (e *notSentError) Is(target error) bool { return target == ErrNotSent }
 
-// notSentVerdict returns the verdict of a keptBackError.
+// notSentVerdict returns the verdict of a notSentError in the chain of err; false if there is none.
 func notSentVerdict(err error) (eligibility.Verdict, bool) {
 	var kept *notSentError
 	if errors.As(err, &kept) {
@@ -35,7 +36,8 @@
 	return eligibility.Verdict{}, false
 }
 
-// EligibilityState is what the fleet knows that bears on sending to an upstream.
+// EligibilityState returns what the list of upstreams says about whether requests may be sent to
+// an upstream.
 func (f *Fleet) EligibilityState(now time.Time, id member.UpstreamID) eligibility.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,15 +52,16 @@
 	}
 }
 
-// eligibilityState is what this host knows that bears on sending to an upstream, but for the
-// permit that a bounded one needs.
+// eligibilityState returns what this host knows about whether requests may be sent to an upstream,
+// except for rate limits, which a permit covers.
 func (f *Forwarder) eligibilityState(now time.Time, u Upstream) eligibility.State {
 	s := f.fleet.EligibilityState(now, u.ID)
 	s.Backoff = f.backoffs.Wait(now, u.ID)
 	return s
 }
 
-// checkEligibility decides whether the request may be sent to an upstream now, but for a permit.
+// checkEligibility decides whether the request may be sent to an upstream now, apart from the permit
+// that a rate-limited upstream needs.
 func (x *exchange) checkEligibility(now time.Time, u Upstream, p eligibility.Purpose) eligibility.Verdict {
 	s := x.eligibilityState(now, u)
 	s.Quarantined, s.RegionBarred = x.held(now), !x.zoneAllowed(u.Zone)
@@ -66,8 +69,9 @@
 	return eligibility.Judge(s, p)
 }
 
-// authorizeSend decides whether the request may be sent to an upstream now, and gets the permit that
-// a bounded one needs. repeat says that another upstream has had it.
+// authorizeSend decides whether the request may be sent to an upstream now, and obtains the permit
+// that a rate-limited upstream needs. isRetry says that another upstream has already received
+// the request.
 func (x *exchange) authorizeSend(ctx context.Context, u Upstream, isRetry bool) eligibility.Verdict {
 	if v := x.checkEligibility(x.now(), u, eligibility.Request); !v.OK() {
 		return v
@@ -75,7 +79,7 @@
 	return x.permitVerdict(ctx, permitRequest{request: x.call.ID, service: &x.service, upstream: u, rank: int(x.urgency), repeat: isRetry})
 }
 
-// permitVerdict is the verdict on something that only a permit may be missing for.
+// permitVerdict asks for a permit and returns the verdict on a send that needs nothing else.
 func (f *Forwarder) permitVerdict(ctx context.Context, r permitRequest) eligibility.Verdict {
 	wait, ok := f.permit(ctx, r)
 	if ok {
@@ -84,12 +88,13 @@
 	return eligibility.Judge(eligibility.State{Limit: max(wait, 1)}, eligibility.Request)
 }
 
-// countForcedSend has something be counted that goes to a bounded upstream in any case.
+// countForcedSend counts a send to a rate-limited upstream that happens with or without a permit.
 func (x *exchange) countForcedSend(ctx context.Context, u Upstream) {
 	x.permit(ctx, permitRequest{service: &x.service, upstream: u, must: true})
 }
 
-// sendTo sends the request to an upstream, unless that may not get it now.
+// sendTo sends the request to an upstream. If the upstream may not receive it now, the error is a
+// notSentError.
 func (x *exchange) sendTo(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 	purpose := eligibility.Request
 	if out.Continue != nil && out.Continue.Handle != "" {
@@ -119,7 +124,8 @@
 	return answer, nil
 }
 
-// logVerdict tells of a request that isn't sent to its upstream, or is all the same.
+// logVerdict logs and counts a request that isn't sent to its upstream, or is sent despite a reason
+// against it.
 func (x *exchange) logVerdict(u Upstream, v eligibility.Verdict) {
 	switch {
 	case !v.OK():
@@ -132,7 +138,7 @@
 	x.observer.Send(v)
 }
 
-// requestMove has a run's memory copied, and takes in what the answer tells about the engine.
+// requestMove asks an engine to copy a run's memory, and processes the signals in the reply.
 func (x *exchange) requestMove(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
 	x.countControlCall(ctx, from)
 	sent := x.now()
@@ -141,7 +147,7 @@
 	return result, err
 }
 
-// discardCopy frees a copy, and takes in what the answer tells about the engine.
+// discardCopy frees a copy of a run's memory, and processes the signals in the reply.
 func (x *exchange) discardCopy(ctx context.Context, at Upstream, handle string) error {
 	x.countControlCall(ctx, at)
 	sent := x.now()
@@ -150,7 +156,8 @@
 	return err
 }
 
-// countControlCall counts a call about a run that goes to its engine whatever that asked for.
+// countControlCall counts a call about a run, which goes to the run's engine even if a backoff or
+// limit forbids other requests.
 func (x *exchange) countControlCall(ctx context.Context, u Upstream) {
 	x.countForcedSend(ctx, u)
 	if v := eligibility.Judge(x.eligibilityState(x.now(), u), eligibility.Control); v.Despite != "" {
@@ -158,12 +165,12 @@
 	}
 }
 
-// checkHealth asks an upstream how it is, unless it may not be asked now.
+// checkHealth asks an upstream for its health, unless nothing may be sent to it now.
 func (f *Forwarder) checkHealth(ctx context.Context, s *Service, u Upstream) (Health, error) {
 	sent := f.now()
 	v := eligibility.Judge(f.eligibilityState(sent, u), eligibility.Probe)
 	if v.OK() {
-		// Where requests want the upstream's permits, they go first.
+		// If permits are scarce, requests go before health checks.
 		v = f.permitVerdict(ctx, permitRequest{service: s, upstream: u, rank: int(MostPatient), repeat: true})
 	}
 	if !v.OK() {
@@ -177,26 +184,26 @@
 	return health, err
 }
 
-// maxBackoffJitter is the most that is added to a backoff, so that hosts which were asked
-// together don't return together; it is a part of the backoff where that is shorter.
+// maxBackoffJitter bounds the random time that is added to a backoff, so that hosts which received
+// it together don't return together. For short backoffs the bound is a quarter of the backoff.
 const maxBackoffJitter = 500 * time.Millisecond
 
-// recordBackoff takes in that an upstream wants nothing from this host for a while. It reports
-// whether that is news.
+// recordBackoff records that an upstream asked this host for a backoff of d. It reports whether the
+// host wasn't already in a backoff from the upstream.
 func (f *Forwarder) recordBackoff(now time.Time, u Upstream, d time.Duration) bool {
 	if f.backoffs.Ask(now, u.ID, int64(u.Life), d, backoffJitter(d)) {
 		return false
 	}
 	f.requestRelist()
-	// Under overload every upstream asks again and again; what isn't told at once goes with
-	// the next share.
+	// Under overload, every upstream asks for backoff again and again. Notices to the peers are
+	// rate-limited; what isn't announced at once goes out with the next periodic share.
 	if f.backoffNotices.allow(now, "") {
 		f.peers.notifyAll()
 	}
 	return true
 }
 
-// receivePeerBackoff takes in that an upstream wants nothing from a peer for a while.
+// receivePeerBackoff records that an upstream asked a peer for backoff.
 func (f *Forwarder) receivePeerBackoff(now time.Time, from member.HostID, mark backoff.Mark) {
 	if !f.fleet.ReceiveLife(mark.Upstream, Life(mark.Life)) || !f.backoffs.Receive(now, from, mark, backoffJitter(mark.For)) {
 		return
@@ -207,8 +214,8 @@
 	}
 }
 
-// requestRelist has the placement hear at once which engines take work: what waits for one
-// that doesn't any more goes elsewhere.
+// requestRelist makes Run refresh at once which engines accept work, so that runs waiting for an
+// engine that no longer does are placed elsewhere.
 func (f *Forwarder) requestRelist() {
 	select {
 	case f.relist <- struct{}{}:
@@ -216,15 +223,17 @@
 	}
 }
 
+// backoffJitter returns a random addition to a backoff of d.
 func backoffJitter(d time.Duration) time.Duration { return rand.N(min(maxBackoffJitter, d/4) + 1) }
 
-// candidates are those of a service's upstreams that this request may go to.
+// candidates returns the service's upstreams that this request may be sent to, before limits are
+// checked.
 func (x *exchange) candidates(now time.Time, service ServiceName) []Upstream {
 	return x.filterUpstreams(x.Forwarder.candidates(now, service))
 }
 
-// candidates are the upstreams of a service that a request may go to, but for limits and
-// the windows of those that return after a backoff.
+// candidates returns the service's upstreams that accept work and aren't in a backoff. It checks
+// neither rate limits nor how many requests an upstream may get right after its backoff.
 func (f *Forwarder) candidates(now time.Time, service ServiceName) []Upstream {
 	if !f.backoffs.Any() {
 		return f.fleet.Takers(now, service)
@@ -232,5 +241,5 @@
 	return f.fleet.TakersBut(now, service, func(id member.UpstreamID) bool { return f.backoffs.Remaining(now, id) > 0 })
 }
 
-// BackoffEntries lists the upstreams that asked this host for backoff.
+// BackoffEntries lists the upstreams that are in a backoff or returning from one.
 func (f *Forwarder) BackoffEntries() []backoff.Entry { return f.backoffs.Entries(f.now()) }
--- a/forward/send_test.go
+++ b/forward/send_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// TestSendsOnlyFromSendFile has nothing be sent to an upstream but from the file that judges it.
+// TestSendsOnlyFromSendFile guards against a request that bypasses the eligibility check: only
+// send.go may call the transport.
 func TestSendsOnlyFromSendFile(t *testing.T) {
 	sendCall := regexp.MustCompile(`transport\.(Send|Move|Health|Discard)\(`)
 	files, err := filepath.Glob("*.go")
@@ -29,11 +30,11 @@
 		}
 		n := len(sendCall.FindAll(text, -1))
 		if n > 0 && name != "send.go" {
-			t.Errorf("%s sends by itself", name)
+			t.Errorf("%s calls the transport %d times; only send.go may", name, n)
 		}
 		calls += n
 	}
 	if calls == 0 {
-		t.Error("no send was found")
+		t.Errorf("no call of the transport found in %d files; does the pattern %q still match send.go?", len(files), sendCall)
 	}
 }
--- a/forward/throttledselection.go
+++ b/forward/throttledselection.go
@@ -12,11 +12,13 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// Choosing an upstream while some are bounded: those to which this host may not send now are
-// passed over, and where no others are left the caller is told at once when to come back.
+// Selection of an upstream while some are throttled, which means that a backoff or a rate
+// limit forbids this host to send to them now. Throttled upstreams are skipped. If no others
+// are left, the request is refused at once with the time after which to retry.
 
-// selectUpstream picks an upstream that isn't among those tried and gets leave to send to it.
-// Without one it says what the request is refused with.
+// selectUpstream picks an upstream that isn't in tried and obtains the permit to send to it.
+// isRetry says that another upstream has already received the request. If no upstream is
+// left, it returns the refusal for the caller and false.
 func (x *exchange) selectUpstream(ctx context.Context, tried []member.UpstreamID, isRetry bool) (Upstream, Refusal, bool) {
 	now := x.now()
 	if isRetry {
@@ -48,7 +50,7 @@
 	}
 }
 
-// minNonZero is the shorter of two waits of which zero is none.
+// minNonZero returns the shorter of two waits, where zero means no wait is known.
 func minNonZero(a, b time.Duration) time.Duration {
 	if a == 0 || b == 0 {
 		return max(a, b)
@@ -56,13 +58,14 @@
 	return min(a, b)
 }
 
-// placedRun is a run with the decision that placed it.
+// placedRun is a run together with the decision that placed it.
 type placedRun struct {
 	*ownRun
 	decision policy.Decision
 }
 
-// placeWithPermit finds an engine for a request, and gets leave to send to it.
+// placeWithPermit places a run on an engine and obtains the permit to send to that engine. If the
+// send isn't allowed, it frees the place, excludes the engine and tries another.
 func (s *streamExchange) placeWithPermit(ctx context.Context, now time.Time, r policy.Request) (Upstream, placedRun, Refusal, bool) {
 	var refused throttledSet
 	for {
@@ -82,13 +85,14 @@
 		s.engines.finish(now, s.service.Name, p.run, false)
 		refused.add(p.upstream, s.peers.self.Zone, v.Wait)
 		if ctx.Err() != nil || p.decision.Waited > 0 {
-			// It has waited for a place once.
+			// The request has already waited for a place; it isn't queued a second time.
 			return p.upstream, placedRun{}, s.noPlace(ctx, policy.Decision{Verdict: policy.Refused, Reason: policy.ReasonDeadline, RetryAfter: v.Wait}), false
 		}
 	}
 }
 
-// relocate finds another engine for a run, and gets leave to send it there.
+// relocate moves a run's place to another engine and obtains the permit to send to that engine.
+// If the send isn't allowed, the run's place stays on its present engine.
 func (x *exchange) relocate(ctx context.Context, now time.Time, run *ownRun, avoid []member.UpstreamID) (Upstream, bool) {
 	throttled := x.throttledEngines(now)
 	x.versions.set(x.rollouts.Repeat(x.service.Name))
@@ -104,16 +108,17 @@
 	return u, true
 }
 
-// throttledSet are the engines that this host may not send to now: of its own zone, and of
-// others that it would send to without asking. soonest is how long it is until it may send
-// to one of them.
+// throttledSet holds the engines to which this host may not send now, split into those of its
+// own zone and those of other zones.
 type throttledSet struct {
 	sameZone, otherZones []member.UpstreamID
-	shortestWait         time.Duration
-	// accepting are the engines that take work, where any are bounded.
+	// shortestWait is the time until one of them may be used; zero if there are none.
+	shortestWait time.Duration
+	// accepting are the engines that accept new work; nil if no engine can be throttled.
 	accepting []Upstream
 }
 
+// throttledEngines returns the service's engines to which this host may not send now.
 func (x *exchange) throttledEngines(now time.Time) throttledSet {
 	var throttled throttledSet
 	if !x.anyBound(now, &x.service) {
@@ -128,7 +133,7 @@
 	return throttled
 }
 
-// add adds an engine, to which this host may send after a while.
+// add adds an engine to which this host may send after wait.
 func (c *throttledSet) add(u Upstream, ownZone member.Zone, wait time.Duration) {
 	c.shortestWait = minNonZero(c.shortestWait, wait)
 	if u.Zone == ownZone {
@@ -138,21 +143,21 @@
 	}
 }
 
-// merge adds the engines of another such set.
+// merge adds the engines of another set.
 func (c *throttledSet) merge(other *throttledSet) {
 	c.sameZone, c.otherZones = append(c.sameZone, other.sameZone...), append(c.otherZones, other.otherZones...)
 	c.shortestWait = minNonZero(c.shortestWait, other.shortestWait)
 }
 
-// allExcluded reports whether nothing but engines that are kept from work, and some others,
-// takes work, in one zone or, without one, in all.
+// allExcluded reports whether some engine is throttled and every engine that accepts new work
+// in a zone is excluded. An empty zone stands for all zones.
 func (c *throttledSet) allExcluded(excluded []member.UpstreamID, zone member.Zone) bool {
 	return len(c.sameZone)+len(c.otherZones) > 0 && len(c.accepting) > 0 && !slices.ContainsFunc(c.accepting, func(u Upstream) bool {
 		return (zone == "" || u.Zone == zone) && !slices.Contains(excluded, u.ID)
 	})
 }
 
-// throttledAmong lists those of some upstreams that this host may not send to now.
+// throttledAmong returns the given upstreams to which this host may not send now.
 func (x *exchange) throttledAmong(now time.Time, upstreams []Upstream) []member.UpstreamID {
 	if !x.anyBound(now, &x.service) {
 		return nil
@@ -166,7 +171,8 @@
 	return ids
 }
 
-// throttledCount is how many of the service's upstreams this host may not send to now.
+// throttledCount returns the number of upstreams that accept new work but to which this host
+// may not send now.
 func (x *exchange) throttledCount(now time.Time) int {
 	if !x.anyBound(now, &x.service) {
 		return 0
@@ -174,8 +180,8 @@
 	return len(x.throttledAmong(now, x.acceptingUpstreams(now)))
 }
 
-// shortestWait is how long it is until this host may send to one of some upstreams that wasn't
-// tried; zero where none is bounded.
+// shortestWait returns the time until this host may send to one of the throttled upstreams that
+// haven't been tried; zero if there are none.
 func (x *exchange) shortestWait(now time.Time, upstreams []Upstream, tried []member.UpstreamID) time.Duration {
 	shortest := time.Duration(0)
 	for _, u := range upstreams {
--- a/forward/unary.go
+++ b/forward/unary.go
@@ -14,65 +14,69 @@
 )
 
 const (
-	// maxBufferedResponse is the longest answer that is read whole before it is passed
-	// on, so that a broken one can still be replaced.
+	// maxBufferedResponse is the number of bytes of a response that are buffered before any of
+	// it is passed on. A response that breaks within them can still be replaced by another
+	// upstream's.
 	maxBufferedResponse = 1 << 20
-	// maxConnectAttempts bounds the upstreams that a request which was not sent yet is
-	// tried on.
+	// maxConnectAttempts bounds the upstreams that a request is tried on while it couldn't be
+	// sent to any.
 	maxConnectAttempts = 3
-	// hedgeDelayFraction is the part of the objective after which a request that
-	// may be repeated is sent to a second upstream, too.
+	// hedgeDelayFraction is the part of the objective after which a request that is safe to
+	// repeat is also sent to a second upstream.
 	hedgeDelayFraction = 0.6
-	// maxRejections bounds the upstreams that turn a request away before its caller is told.
+	// maxRejections bounds the upstreams that may reject a request before it is refused.
 	maxRejections = 3
 )
 
-// upstreamAttempt is one upstream's part in a plain exchange.
+// upstreamAttempt is the outcome of sending a request to one upstream.
 type upstreamAttempt struct {
 	upstream Upstream
 	response *Response
 	body     []byte
-	// hasMore says that the body goes on after what was held.
+	// hasMore says that the response goes on after the part in body; the rest is unread.
 	hasMore bool
 	err     error
 	elapsed time.Duration
 }
 
-// succeeded reports whether the answer may be given to the caller as a success.
+// succeeded reports whether the response may be passed to the caller as a success.
 func (t *upstreamAttempt) succeeded() bool {
 	a := t.response
 	return t.err == nil && a.Signed && !a.UnexpectedEncoding && !a.NotRun && a.Status < http.StatusInternalServerError && !claimsNotRun(a.Status)
 }
 
-// executed reports whether the upstream says that it has run the request, well or not.
+// executed reports whether the upstream confirmed that it ran the request, even if it failed.
 func (t *upstreamAttempt) executed() bool {
 	return t.err == nil && t.response.Signed && !t.response.NotRun && !t.response.WrongInstance
 }
 
-// unaryExchange sends one request to one upstream after another.
+// unaryExchange is an exchange whose response is passed on whole, as opposed to a stream of
+// events. It sends the request to one or more upstreams until one succeeds.
 type unaryExchange struct {
 	*exchange
 	results chan upstreamAttempt
 	tried   []member.UpstreamID
-	// sent counts the upstreams that may have got the request, notSent those
-	// that surely didn't, and pending the tries that haven't ended.
+	// sent counts the upstreams that may have run the request, pending attempts included; notSent
+	// counts those that certainly didn't receive it; pending counts the attempts that haven't
+	// ended.
 	sent, notSent, pending int
-	// rejected counts the upstreams that said that they didn't run it.
+	// rejected counts the upstreams that stated that they didn't run the request.
 	rejected int
-	// mayHaveRun is whether a try that ended may have run.
+	// mayHaveRun says that the request may have run in an attempt that has ended.
 	mayHaveRun bool
-	// upstreamFailure is an upstream's own upstreamFailure, which the caller gets when nothing
-	// better comes.
+	// upstreamFailure is an error response of an upstream. The caller gets it if no attempt
+	// succeeds.
 	upstreamFailure *upstreamAttempt
-	// selectionRefusal says why no upstream was found for the first try.
+	// selectionRefusal is the reason why no upstream was found for the last attempt that was to
+	// start.
 	selectionRefusal Refusal
-	// lastCode says what the last try failed of.
+	// lastCode is the reason why the last attempt failed.
 	lastCode Code
-	// held is what the answers of its tries take in responseMemory.
+	// responseMemory counts the memory that the buffered responses take.
 	responseMemory heldBytes
 }
 
-// serveUnary answers a request by one upstream's whole answer.
+// serveUnary serves a request with the response of one upstream, which it passes on whole.
 func (x *exchange) serveUnary(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -103,8 +107,8 @@
 	p.finishFailed()
 }
 
-// hedgeTimer fires when the first try has been slow; never for a request
-// that may not be repeated.
+// hedgeTimer returns a timer that fires when the first attempt has taken too long. It never fires
+// for a request that isn't safe to repeat.
 func (p *unaryExchange) hedgeTimer() *time.Timer {
 	if p.route.Kind != KindSafe || p.route.Attempts < 2 || p.route.Objective <= 0 {
 		t := time.NewTimer(time.Hour)
@@ -114,8 +118,9 @@
 	return time.NewTimer(time.Duration(hedgeDelayFraction * float64(p.route.Objective)))
 }
 
-// startAttempt sends the request to the best upstream that wasn't tried yet.
-// repeat says that another upstream has had it.
+// startAttempt sends the request in the background to the best upstream that hasn't been tried.
+// isRetry says that another upstream has already received the request. It reports whether
+// an upstream was found.
 func (p *unaryExchange) startAttempt(ctx context.Context, isRetry bool) bool {
 	u, refusal, found := p.selectUpstream(ctx, p.tried, isRetry)
 	if !found {
@@ -134,7 +139,7 @@
 	return true
 }
 
-// runAttempt sends the request once and reads the answer.
+// runAttempt sends the request to one upstream and reads the response.
 func (p *unaryExchange) runAttempt(ctx context.Context, startedAt time.Time, u Upstream, out *UpstreamRequest) upstreamAttempt {
 	t := upstreamAttempt{upstream: u}
 	t.response, t.err = p.sendTo(ctx, u, out)
@@ -146,7 +151,8 @@
 	p.noteVersion(ctx, now, u, &t)
 	switch {
 	case errors.Is(t.err, ErrNotSent), t.err == nil && (t.response.WrongInstance || t.response.Signals.RetryAfter > 0):
-		// What asks for backoff gets that, and counts as no worse afterwards.
+		// A response that asks for backoff doesn't count against the upstream's latency or
+		// failure rate: the backoff is the consequence.
 		p.plain.done(now, u.ID, 0, true)
 	default:
 		p.plain.done(now, u.ID, t.elapsed, !t.succeeded())
@@ -154,11 +160,12 @@
 	return t
 }
 
-// handleResult takes in one try. It reports whether the caller has its answer.
+// handleResult processes an attempt that has ended, and starts another if that is allowed. It
+// reports whether the caller has been answered.
 func (p *unaryExchange) handleResult(ctx context.Context, t *upstreamAttempt) bool {
 	now := p.now()
 	if t.executed() {
-		// Also to a failure: whoever gives it is still there.
+		// Error responses count too: the upstream is still alive after running the request.
 		p.survived(now)
 	}
 	if t.succeeded() {
@@ -182,7 +189,7 @@
 			p.startAttempt(ctx, false)
 		}
 	case "not_run":
-		// What didn't run there doesn't count against the upstreams that may run it.
+		// An upstream that didn't run the request doesn't use up one of the route's attempts.
 		p.sent--
 		p.rejected++
 		p.lastCode = CodeOverloaded
@@ -198,7 +205,8 @@
 	return false
 }
 
-// classifyFailure says what a failed try means and marks the upstream accordingly.
+// classifyFailure returns the kind of a failed attempt, as logged and counted, and marks the
+// upstream accordingly.
 func (p *unaryExchange) classifyFailure(ctx context.Context, now time.Time, t *upstreamAttempt) string {
 	_, notPermitted := notSentVerdict(t.err)
 	switch {
@@ -225,8 +233,8 @@
 	}
 }
 
-// claimsNotRun reports whether a status says that the request has not run; an
-// upstream's own such status without its word doesn't count as that.
+// claimsNotRun reports whether a status by itself says that the request has not run. An upstream's
+// response with such a status isn't trusted unless it also states that the request didn't run.
 func claimsNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -235,6 +243,7 @@
 	return false
 }
 
+// statusOf returns a response's status; zero if there is no response.
 func statusOf(a *Response) int {
 	if a == nil {
 		return 0
@@ -242,7 +251,7 @@
 	return a.Status
 }
 
-// retry sends the request to another upstream if the route and the budget allow
+// retry sends the request to another upstream if the route's attempts and the retry budget allow
 // it.
 func (p *unaryExchange) retry(ctx context.Context, why string) {
 	if ctx.Err() != nil || p.sent >= p.route.Attempts || p.held(p.now()) {
@@ -257,7 +266,7 @@
 	}
 }
 
-// deliver gives the caller an upstream's answer.
+// deliver passes an upstream's response to the caller.
 func (p *unaryExchange) deliver(t *upstreamAttempt) {
 	var err error
 	if t.hasMore {
@@ -272,7 +281,7 @@
 	p.answered(outcome, "upstream", t.upstream.ID, "status", t.response.Status, "tries", len(p.tried), "skipped", p.skipped, "err", err)
 }
 
-// deliverUnbuffered passes on an answer that is too long to be held.
+// deliverUnbuffered passes on a response that is too long to be buffered.
 func (p *unaryExchange) deliverUnbuffered(t *upstreamAttempt) error {
 	defer t.response.Body.Close()
 	err := p.to.BeginResponse(t.response)
@@ -296,7 +305,7 @@
 	return err
 }
 
-// finishFailed answers when every try has ended without a good answer.
+// finishFailed answers the caller when all attempts have ended without success.
 func (p *unaryExchange) finishFailed() {
 	now := p.now()
 	switch {
@@ -315,8 +324,9 @@
 	}
 }
 
-// finishCanceled answers when the request's time is over, or the host's, or notes that its
-// caller has left. Tries that are still open end with the context.
+// finishCanceled ends the exchange when its context has ended: the time for the request or for the
+// host's shutdown is over, or the caller has left. Attempts that are pending end with the
+// context.
 func (p *unaryExchange) finishCanceled(ctx context.Context) {
 	why := endingOf(ctx)
 	if why != callerLeft && p.upstreamFailure != nil {
--- a/forward/unary_test.go
+++ b/forward/unary_test.go
@@ -15,8 +15,8 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// TestAdmit has what isn't in force refused, each for its own reason, and
-// nothing sent.
+// TestAdmit checks that a request without a valid route, key or upstream is refused with the code for
+// that, and that nothing is sent.
 func TestAdmit(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(f *Forwarder, c *Call)
@@ -65,8 +65,7 @@
 	}
 }
 
-// TestOlderConfigurationIgnored has a configuration that is older than the one in force change
-// nothing.
+// TestOlderConfigurationIgnored checks that a configuration older than the one in force changes nothing.
 func TestOlderConfigurationIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
@@ -79,7 +78,7 @@
 	is.True(found)
 }
 
-// TestLongestPrefix has the route with the longest prefix win.
+// TestLongestPrefix checks that the route with the longest matching prefix wins.
 func TestLongestPrefix(t *testing.T) {
 	is := is.New(t)
 	table := NewTable(Config{Routes: []Route{
@@ -94,8 +93,8 @@
 	}
 }
 
-// TestUnaryOutcomes has one request answered, repeated or refused by what its upstreams
-// do.
+// TestUnaryOutcomes checks whether a request is answered, retried or refused, depending on how its
+// upstreams respond.
 func TestUnaryOutcomes(t *testing.T) {
 	notRun := func() *Response { a := answer(503, ""); a.NotRun = true; return a }
 	unsigned := func() *Response { a := answer(200, "x"); a.Signed = false; return a }
@@ -165,12 +164,13 @@
 	}
 }
 
+// errReader is a body that breaks off at its first read.
 type errReader struct{}
 
 func (errReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// TestUnsafeRunsOnce has a request that may not be repeated go to one upstream
-// only, however many attempts its route allows, unless it surely did not run.
+// TestUnsafeRunsOnce checks that a request that isn't safe to repeat is sent to one upstream only,
+// however many attempts its route allows, unless it certainly did not run.
 func TestUnsafeRunsOnce(t *testing.T) {
 	notRun := answer(503, "")
 	notRun.NotRun = true
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestRefusedConnection has an upstream that couldn't be connected to be tried
-// again while nobody else is there: a link that is cut refuses, too.
+// TestRefusedConnection checks that an upstream that refused a connection is tried again if no other is
+// available: a broken link also refuses connections.
 func TestRefusedConnection(t *testing.T) {
 	is := is.New(t)
 	refuse := true
@@ -220,11 +220,11 @@
 	sink := &fakeSink{}
 	f.Serve(t.Context(), call("/order/"), sink)
 	is.Equal(sink.status, 200)
-	is.Equal(len(f.fleet.Marks(time.Now())), 0) // and peers aren't told that it leaves
+	is.Equal(len(f.fleet.Marks(time.Now())), 0) // peers must not be notified that it leaves
 }
 
-// TestSlowUpstream has a request that may be repeated sent to a second upstream
-// when the first is slow, and the first's work ended.
+// TestSlowUpstream checks that a request that is safe to repeat is also sent to a second upstream when
+// the first is slow, and that the first one's work is then ended.
 func TestSlowUpstream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -247,8 +247,8 @@
 	})
 }
 
-// TestTimeout has a request answered when its route's time is over, and the
-// upstream's work ended.
+// TestTimeout checks that a request is refused when its route's timeout is over, and that the upstream's
+// work is ended.
 func TestTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -266,7 +266,7 @@
 	})
 }
 
-// TestCallerLeft has the upstream's work end when the caller leaves.
+// TestCallerLeft checks that the upstream's work ends when the caller leaves.
 func TestCallerLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -282,12 +282,12 @@
 		f.Serve(ctx, call("/order/"), sink)
 		synctest.Wait()
 		is.True(stopped)
-		is.True(sink.refused == nil) // nobody is there to be told
+		is.True(sink.refused == nil) // no refusal is sent to a caller that left
 	})
 }
 
-// TestLatencyBalancer has an upstream that fails more than the others get less, and
-// be tried again later.
+// TestLatencyBalancer checks that an upstream that fails more often than the others gets fewer requests,
+// and is tried again later.
 func TestLatencyBalancer(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -318,7 +318,8 @@
 	is.True(!found)
 }
 
-// TestUnseenUpstreamCostsDefault has an upstream without an answer yet be taken for a usual one.
+// TestUnseenUpstreamCostsDefault checks that an upstream that hasn't responded yet keeps the default
+// latency while it is idle; decay must not make it look faster.
 func TestUnseenUpstreamCostsDefault(t *testing.T) {
 	now := time.Now()
 	for _, idle := range []time.Duration{0, 2 * time.Second, 8 * time.Second, time.Minute} {
