--- a/forward/broken_test.go
+++ b/forward/broken_test.go
@@ -15,17 +15,17 @@
 	"github.com/matryer/is"
 )
 
-// linesJournal keeps the lines.
-type linesJournal struct {
+// recordingJournal keeps the lines.
+type recordingJournal struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (j *linesJournal) Request(id RequestID, event string, keyvals ...any) {
+func (j *recordingJournal) Request(id RequestID, event string, keyvals ...any) {
 	j.Belief(event, append([]any{"request", id}, keyvals...)...)
 }
 
-func (j *linesJournal) Belief(event string, keyvals ...any) {
+func (j *recordingJournal) Belief(event string, keyvals ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	line := event
@@ -35,8 +35,8 @@
 	j.lines = append(j.lines, line)
 }
 
-// with returns the lines that begin so.
-func (j *linesJournal) with(event string) []string {
+// linesWithPrefix returns the lines that begin so.
+func (j *recordingJournal) linesWithPrefix(event string) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var found []string
@@ -48,9 +48,9 @@
 	return found
 }
 
-// TestBrokenConnectionIsTold has the log tell of each connection that broke before its
+// TestBrokenConnectionIsLogged has the log tell of each connection that broke before its
 // answer had ended whether the upstream itself had, and what was asked.
-func TestBrokenConnectionIsTold(t *testing.T) {
+func TestBrokenConnectionIsLogged(t *testing.T) {
 	closed := func(Upstream) error { return fmt.Errorf("%w: refused", ErrPortClosed) }
 	breaks := func(body io.Reader, err error) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		return func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
@@ -81,11 +81,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newForwarder(t, &fakeTransport{send: c.send, reach: c.reach})
-			journal := &linesJournal{}
+			journal := &recordingJournal{}
 			f.journal = journal
 			asked := call(c.path)
 			f.Serve(t.Context(), asked, &fakeSink{})
-			lines := journal.with("connection broke")
+			lines := journal.linesWithPrefix("connection broke")
 			if c.want == "" {
 				is.Equal(len(lines), 0)
 				return
--- a/forward/call.go
+++ b/forward/call.go
@@ -195,7 +195,7 @@
 	// ColdRemaining is how much longer the upstream is cold; zero if it isn't.
 	ColdRemaining time.Duration
 	// Life is the upstream's present life; zero if it didn't report one.
-	Life    Life
+	Life    Incarnation
 	Signals Signals
 }
 
--- a/forward/directory.go
+++ b/forward/directory.go
@@ -80,7 +80,7 @@
 // firstOfZone reports whether this host is one of the first n of its zone by name, of
 // those that it knows to take requests.
 func (p *peerSet) firstOfZone(now time.Time, n int) bool {
-	if at, divided := p.place(now); divided {
+	if at, divided := p.treePosition(now); divided {
 		return at < n
 	}
 	p.mu.Lock()
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -131,7 +131,7 @@
 		return heldRefusal, false
 	}
 	if x.noUpstreamInRegions(now) {
-		return Refusal{Code: CodeRegion, RetryAfter: retryMost}, false
+		return Refusal{Code: CodeRegion, RetryAfter: maxRetryAfter}, false
 	}
 	if !x.endsBeforeStop(now) {
 		x.journal.Request(x.call.ID, "would outlast the stop", "stopping_for", now.Sub(x.stopBegan()), "limit", x.call.Prompt.MaxOutputTokens, "hint", x.call.Prompt.ExpectedOutputTokens)
@@ -181,11 +181,11 @@
 		}
 		draw -= s.Weight
 	}
-	if len(x.route.Services) == 1 || len(x.filterUpstreams(x.fleet.Takers(now, picked))) > 0 {
+	if len(x.route.Services) == 1 || len(x.filterUpstreams(x.fleet.Available(now, picked))) > 0 {
 		return picked
 	}
 	for _, s := range x.route.Services {
-		if s.Weight > 0 && len(x.filterUpstreams(x.fleet.Takers(now, s.Service))) > 0 {
+		if s.Weight > 0 && len(x.filterUpstreams(x.fleet.Available(now, s.Service))) > 0 {
 			return s.Service
 		}
 	}
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -108,10 +108,10 @@
 // then what one has that isn't: the origin may be silent for seconds.
 func (w *follower) join(ctx context.Context) {
 	until, last := w.began.Add(w.joinWait()), w.began.Add(joinMost)
-	for w.now().Before(until) && !w.peers.anyFound() {
+	for w.now().Before(until) && !w.peers.anyPeerFound() {
 		PauseFor(ctx, joinCheck)
 	}
-	if !w.peers.anyFound() && w.readDirectory(ctx) {
+	if !w.peers.anyPeerFound() && w.readDirectory(ctx) {
 		until = w.now().Add(w.joinWait())
 	}
 	for ctx.Err() == nil && (w.now().Before(until) || w.now().Before(last) && w.awaitsList(w.now())) {
@@ -130,8 +130,8 @@
 // that are named to all as a site starts for the first time read it, and in a large site those before
 // this one.
 func (w *follower) awaitsList(now time.Time) bool {
-	firstReads := w.settings.FirstStart && w.joinWait() > 0 && w.peers.noneHasList()
-	return firstReads || w.peers.awaitsList(now)
+	firstReads := w.settings.FirstStart && w.joinWait() > 0 && w.peers.noPeerHasList()
+	return firstReads || w.peers.expectsListFromAncestor(now)
 }
 
 // readDirectory has the hosts on the directory be known to a host that has found none. It reports
@@ -148,7 +148,7 @@
 		w.journal.Belief("directory not read", "err", err)
 		return false
 	}
-	w.peers.list(w.now(), hosts)
+	w.peers.addFromDirectory(w.now(), hosts)
 	w.peers.notifyAll()
 	return len(hosts) > 0
 }
@@ -165,7 +165,7 @@
 // settling reports whether this host has just joined, and knows one that comes before
 // it in the order of leaders but that can't be followed yet.
 func (w *follower) settling(now time.Time) bool {
-	return !w.read && w.dep.failures == 0 && now.Sub(w.began) < startLasts && w.peers.hasPredecessor(now)
+	return !w.read && w.dep.failures == 0 && now.Sub(w.began) < startupDuration && w.peers.hasPredecessor(now)
 }
 
 // joinWait is how long this host looks for a peer to join: not at all if it knows no
@@ -280,7 +280,7 @@
 	}
 	w.take(proved, news)
 	w.read, w.at = false, news.At
-	if proved.Sub(w.began) < aloneLasts && w.peers.live(proved) == 1 {
+	if proved.Sub(w.began) < aloneLasts && w.peers.liveHosts(proved) == 1 {
 		// Hosts that start together don't know each other yet, and each change
 		// would be told to every one of them.
 		PauseFor(ctx, alonePause)
@@ -318,7 +318,7 @@
 	if news.Unread != nil {
 		w.noteUnread(now, news)
 	}
-	w.peers.list(now, news.Hosts)
+	w.peers.addFromDirectory(now, news.Hosts)
 	w.receiveCrashes(now, news.Crashes)
 	if w.read {
 		w.journal.Belief("list read", "revision", news.At, "upstreams", len(news.Changes), "took", now.Sub(proved))
@@ -330,7 +330,7 @@
 	w.takeRollouts(now, news.Rollouts)
 	w.takeRolloutRecords(news.RolloutRecords)
 	zones, changes := w.fleet.TakeNews(now, news, w.read)
-	w.noteZones(zones)
+	w.logZoneChanges(zones)
 	w.noteList(changes)
 	if lostFor := w.dep.ok(now); lostFor > 0 {
 		w.fleet.ListRegained(now, lostFor)
@@ -366,10 +366,10 @@
 	// The proof is withdrawn, so that followers turn elsewhere at once and
 	// engines are asked themselves.
 	w.originContact.clear()
-	w.fleet.Wake()
+	w.fleet.WakeWaiters()
 	w.takeStale(ctx)
 	pause := w.dep.failed(ctx, err)
-	more := pause * time.Duration(w.peers.liveInZone(now)/hostsAtOnce)
+	more := pause * time.Duration(w.peers.liveHostsInZone(now)/hostsAtOnce)
 	w.nextTry = now.Add(pause + more + originPause)
 	PauseFor(ctx, pause)
 	w.pauseUntilFollowable(ctx, more)
@@ -413,7 +413,7 @@
 // noteList logs what is new on the list and drops what was believed of lives that are
 // over.
 func (f *Forwarder) noteList(news []Change) {
-	f.dropOldLives()
+	f.resetRestartedUpstreams()
 	f.noteRestore()
 	for _, n := range news {
 		f.journal.Belief("upstream listed", "upstream", n.ID, "service", n.Service, "zone", n.Zone,
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -48,7 +48,7 @@
 			is := is.New(t)
 			p := newPeerSet(Peer{ID: "h5", Zone: "z1"}, nil)
 			for _, s := range c.peers {
-				p.receive(now, s)
+				p.recordShare(now, s)
 			}
 			leader, found := p.leader(now.Add(time.Second), c.needed)
 			is.Equal(leader.ID, c.want)
@@ -70,7 +70,7 @@
 	if o.lost.Load() {
 		return News{}, errGone
 	}
-	return News{Changes: []Change{{Upstream: up("llm1", 1, false)}}, At: rev(1)}, nil
+	return News{Changes: []Change{{Upstream: llmUpstream("llm1", 1, false)}}, At: rev(1)}, nil
 }
 
 func (o *failingOrigin) Watch(ctx context.Context, after history.Point, _ time.Duration) (News, error) {
@@ -106,7 +106,7 @@
 			is := is.New(t)
 			p := newPeerSet(Peer{ID: "h5", Zone: "z3"}, nil)
 			for _, s := range c.peers {
-				p.receive(now, s)
+				p.recordShare(now, s)
 			}
 			p.distrust(c.distrusted)
 			got, found := p.firstInEarlierZone(func(z member.Zone) bool { return z == c.avoided }, now.Add(time.Second))
@@ -179,7 +179,7 @@
 				f := newForwarder(t, &fakeTransport{})
 				peers, origin := &followedPeers{}, &countingOrigin{}
 				f.peerPort = peers
-				f.peers.receive(time.Now(), Share{From: Peer{ID: "h9", Zone: "z0"}, Epoch: 9, Announcement: 1})
+				f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z0"}, Epoch: 9, AnnouncementCount: 1})
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Follow(ctx, origin)
 				time.Sleep(2 * time.Second)
@@ -215,11 +215,11 @@
 	f.fleet.ListRegained(time.Now(), 10*time.Second)
 	is.True(f.followPeer(t.Context(), Peer{ID: "h0"}, zoneBounds))
 	select {
-	case <-f.fleet.Leaving("llm1"):
+	case <-f.fleet.LeavingStarted("llm1"):
 	default:
 		t.Error("llm1 is gone")
 	}
-	changes, _, _ := f.fleet.Since(rev(4))
+	changes, _, _ := f.fleet.ChangesSince(rev(4))
 	is.Equal(len(changes), 1) // and those that follow this host are told
 }
 
@@ -235,7 +235,7 @@
 		go f.Follow(ctx, origin)
 		synctest.Wait()
 		origin.lost.Store(true)
-		f.peers.receive(time.Now(), Share{From: Peer{ID: "h9", Zone: "z1"}})
+		f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z1"}})
 		time.Sleep(2 * time.Second)
 		is.True(f.listKnown(time.Now()))
 		is.True(f.OriginAge(time.Now()) > originFresh)
@@ -258,7 +258,7 @@
 		origin.lost.Store(true)
 		hear := func(originAge time.Duration) {
 			for n := range 20 {
-				f.peers.receive(time.Now(), Share{From: Peer{ID: member.HostID(fmt.Sprint("h", 10+n)), Zone: "z1"}, OriginAge: originAge})
+				f.peers.recordShare(time.Now(), Share{From: Peer{ID: member.HostID(fmt.Sprint("h", 10+n)), Zone: "z1"}, OriginAge: originAge})
 			}
 		}
 		hear(time.Minute)
--- a/forward/followgaps_test.go
+++ b/forward/followgaps_test.go
@@ -22,8 +22,8 @@
 // TestFollowerIsNotToldWhatItsLeaderNeverKnew: a host that knows only a part of the history is followed by one that is behind.
 func TestFollowerIsNotToldWhatItsLeaderNeverKnew(t *testing.T) {
 	now := time.Now()
-	listed := Change{Upstream: up("app1", 3, false)}
-	ended := Change{Upstream: up("app1", 4, false), Gone: true}
+	listed := Change{Upstream: llmUpstream("app1", 3, false)}
+	ended := Change{Upstream: llmUpstream("app1", 4, false), Gone: true}
 	read := func(at history.Revision, changes ...Change) *Fleet {
 		f := &Fleet{}
 		f.TakeNews(now, News{Changes: changes, At: rev(at)}, true)
@@ -49,11 +49,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			behind := read(3, listed)
-			is.Equal(len(behind.Takers(now, listed.Service)), 1)
+			is.Equal(len(behind.Available(now, listed.Service)), 1)
 			follows(now, behind, leader())
 			now := now.Add(listSettles + time.Second)
 			behind.Settle(now)
-			is.Equal(len(behind.Takers(now, listed.Service)), 0)
+			is.Equal(len(behind.Available(now, listed.Service)), 0)
 		})
 	}
 }
@@ -63,9 +63,9 @@
 	is := is.New(t)
 	now := time.Now()
 	var leader, behind Fleet
-	leader.ReceiveZones(now, []ZoneOrder{back("z2", 5)})
+	leader.ReceiveZoneOrders(now, []ZoneOrder{backInService("z2", 5)})
 	leader.TakeNews(now, News{At: rev(7)}, true)
-	behind.TakeNews(now, News{Zones: []ZoneOrder{out("z2", 6)}, At: rev(6)}, true)
+	behind.TakeNews(now, News{Zones: []ZoneOrder{outOfService("z2", 6)}, At: rev(6)}, true)
 	is.True(!behind.InService("z2"))
 	follows(now, &behind, &leader)
 	is.True(behind.InService("z2"))
--- a/forward/followpeer.go
+++ b/forward/followpeer.go
@@ -119,7 +119,7 @@
 
 // OnFollow serves a peer that follows this host.
 func (f *Forwarder) OnFollow(ctx context.Context, r FollowRequest) FollowReply {
-	f.peers.takeAnnouncements(f.now(), r.From, r.Announced)
+	f.peers.receiveAnnouncements(f.now(), r.From, r.Announced)
 	if r.Wait > 0 {
 		// A proof that waited here for the end of each follower's wait would be 1.85 s old at
 		// the third host in a row: a watch, and the waits of a zone's leader and of its
@@ -139,14 +139,14 @@
 	now := f.now()
 	if f.busyWithLists(now, r.List) {
 		reply := FollowReply{Busy: true}
-		reply.Hosts, reply.HostsAt = f.peers.announcementsSince(now, r.From, r.Hosts)
+		reply.Hosts, reply.HostsAt = f.peers.announcementsForFollower(now, r.From, r.Hosts)
 		return reply
 	}
 	// Ages first: nothing in the reply is then older than its proof, whatever comes in
 	// meanwhile.
 	reply := FollowReply{ConfigAge: f.ContactAge(now), OriginAge: f.OriginAge(now)}
 	f.fleet.fillReply(now, r.List, &reply)
-	reply.Hosts, reply.HostsAt = f.peers.announcementsSince(now, r.From, r.Hosts)
+	reply.Hosts, reply.HostsAt = f.peers.announcementsForFollower(now, r.From, r.Hosts)
 	reply.Version, reply.Rollouts = f.versionInForce(), f.rollouts.Statuses(now)
 	return reply
 }
@@ -159,25 +159,25 @@
 		return false
 	}
 	timeout := bounds.timeout
-	if f.fleet.Revision().IsZero() && f.peers.isLarge() {
+	if f.fleet.Revision().IsZero() && f.peers.isLargeSite() {
 		timeout = max(timeout, wholeListTimeout)
 	}
 	call, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	slept := f.settings.Clock.Slept()
-	announced, upTo := f.peers.announcementsFor(f.now(), leader.ID)
+	announced, upTo := f.peers.announcementsForLeader(f.now(), leader.ID)
 	reply, err := peers.Follow(call, leader, FollowRequest{
 		From: f.peers.self.ID, Announced: announced,
-		Version: f.knownVersion(), List: f.fleet.Revision(), Hosts: f.peers.cursorOf(leader.ID), Wait: bounds.wait,
+		Version: f.knownVersion(), List: f.fleet.Revision(), Hosts: f.peers.rosterCursor(leader.ID), Wait: bounds.wait,
 	})
 	late := f.settings.Clock.Slept() - slept
-	reply.ConfigAge, reply.OriginAge = older(reply.ConfigAge, late), older(reply.OriginAge, late)
-	reply.EraAge = older(reply.EraAge, late)
+	reply.ConfigAge, reply.OriginAge = ageWithDelay(reply.ConfigAge, late), ageWithDelay(reply.OriginAge, late)
+	reply.EraAge = ageWithDelay(reply.EraAge, late)
 	if err == nil && reply.Busy {
 		now := f.now()
-		f.peers.takeAnnouncements(now, leader.ID, reply.Hosts)
-		f.peers.gotAnnouncements(leader.ID, reply.HostsAt)
-		f.peers.busy(now, leader.ID)
+		f.peers.receiveAnnouncements(now, leader.ID, reply.Hosts)
+		f.peers.setRosterCursor(leader.ID, reply.HostsAt)
+		f.peers.markBusy(now, leader.ID)
 		return false
 	}
 	if err != nil || !bounds.accept(reply) || reply.List.Era() < f.fleet.Revision().Era() {
@@ -201,22 +201,22 @@
 		f.proveOrigin(now.Add(-reply.OriginAge))
 		f.proofInherited.Store(true)
 	}
-	f.peers.toldUp(leader.ID, upTo)
+	f.peers.recordAnnouncedUpTo(leader.ID, upTo)
 	for i := range reply.Hosts {
-		reply.Hosts[i].Age = older(reply.Hosts[i].Age, late)
+		reply.Hosts[i].Age = ageWithDelay(reply.Hosts[i].Age, late)
 	}
-	f.peers.takeAnnouncements(now, leader.ID, reply.Hosts)
-	f.peers.followed(now, leader.ID, reply)
+	f.peers.receiveAnnouncements(now, leader.ID, reply.Hosts)
+	f.peers.recordFollowReply(now, leader.ID, reply)
 	if !bounds.stale {
 		f.followed.raise(now)
 		f.fleet.ListTrusted()
 	}
 	for i := range reply.Rollouts {
-		reply.Rollouts[i].Age = older(reply.Rollouts[i].Age, late)
+		reply.Rollouts[i].Age = ageWithDelay(reply.Rollouts[i].Age, late)
 	}
 	f.takeRollouts(now, reply.Rollouts)
 	zones, changes := f.fleet.TakeReply(now, reply)
-	f.noteZones(zones)
+	f.logZoneChanges(zones)
 	f.noteList(changes)
 	return true
 }
@@ -244,7 +244,7 @@
 	if f.givenUntil.Sub(now) > listBacklog {
 		return true
 	}
-	f.givenUntil = later(f.givenUntil, now).Add(takes)
+	f.givenUntil = laterOf(f.givenUntil, now).Add(takes)
 	return false
 }
 
@@ -258,13 +258,13 @@
 func (f *Fleet) fillReply(now time.Time, after history.Point, r *FollowReply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r.Changes, r.List, r.Whole = f.since(after)
+	r.Changes, r.List, r.Whole = f.changesSince(after)
 	r.Generation = f.generation
-	r.Zones = f.zonesSince(after, r.Whole)
+	r.Zones = f.zoneOrdersSince(after, r.Whole)
 	r.Gaps = slices.ContainsFunc(f.gaps, func(g gap) bool { return g.from.Before(r.List) && after.Before(g.to) })
 	r.EraFrom = f.restore.First()
-	if !f.eraSince.IsZero() {
-		r.EraAge = now.Sub(f.eraSince)
+	if !f.eraFirstSeen.IsZero() {
+		r.EraAge = now.Sub(f.eraFirstSeen)
 	}
 }
 
@@ -272,9 +272,9 @@
 func (f *Fleet) TakeReply(now time.Time, r FollowReply) ([]ZoneOrder, []Change) {
 	f.enterEra(now, r.List, r.EraFrom, r.EraAge)
 	if r.Whole {
-		return f.ReplaceZones(now, r.Zones, r.List), f.TakeOver(now, r.Changes, r.List)
+		return f.ReplaceZoneOrders(now, r.Zones, r.List), f.TakeOver(now, r.Changes, r.List)
 	}
-	zones := f.ApplyZones(now, f.impliedOrders(r))
+	zones := f.ApplyZoneOrders(now, f.impliedZoneOrders(r))
 	if r.Gaps {
 		return zones, f.applyWithGaps(now, r.Changes, r.List)
 	}
--- a/forward/keeper.go
+++ b/forward/keeper.go
@@ -42,7 +42,7 @@
 // host does that for all.
 func (f *Forwarder) rekeepHeld(now time.Time) {
 	for _, e := range f.crashes.Entries(now) {
-		if e.Standing == quarantine.Held && f.peers.first(now, e.Request.String()) == f.peers.self.ID {
+		if e.Standing == quarantine.Held && f.peers.siteDutyHost(now, e.Request.String()) == f.peers.self.ID {
 			f.keep(e.Request)
 		}
 	}
--- a/forward/learnt.go
+++ b/forward/learnt.go
@@ -28,15 +28,15 @@
 // names.
 func (f *Forwarder) Learnt() []Learnt { return f.engines.learnt(f.now()) }
 
-func (e *engines) learnt(now time.Time) []Learnt {
+func (e *enginePlacer) learnt(now time.Time) []Learnt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var all []Learnt
 	for name, p := range e.pools {
-		l := Learnt{Service: name, Step: p.step(), StepSamples: p.stepSamples, Age: neverProved}
+		l := Learnt{Service: name, Step: p.expectedStep(), StepSamples: p.stepSamples, Age: neverProved}
 		l.ReadRate, l.ReadSamples = p.pool.ReadRate()
-		if !p.learntAt.IsZero() {
-			l.Age = min(now.Sub(p.learntAt), neverProved)
+		if !p.lastObserved.IsZero() {
+			l.Age = min(now.Sub(p.lastObserved), neverProved)
 		}
 		all = append(all, l)
 	}
--- a/forward/move.go
+++ b/forward/move.go
@@ -77,7 +77,7 @@
 		close(m.done)
 		return m
 	}
-	run, leaving, over := s.run, s.fleet.Leaving(u.ID), s.fleet.Over(u.ID)
+	run, leaving, over := s.run, s.fleet.LeavingStarted(u.ID), s.fleet.IncarnationEnded(u.ID)
 	go func() {
 		select {
 		case <-ctx.Done():
@@ -123,7 +123,7 @@
 // mostly lost with it.
 func (m *mover) leaveFailing(ctx context.Context, x *exchange, run *ownRun) *handover {
 	// A copy is a call more to an engine that may have asked for backoff.
-	if !x.fleet.Failing(x.now(), m.from.ID) || x.backoffs.Remaining(x.now(), m.from.ID) > 0 || !x.leavingFailing.TryLock() {
+	if !x.fleet.IsFailing(x.now(), m.from.ID) || x.backoffs.Remaining(x.now(), m.from.ID) > 0 || !x.leavingFailing.TryLock() {
 		return nil
 	}
 	defer x.leavingFailing.Unlock()
@@ -135,15 +135,15 @@
 	defer endTurns()
 	var next *handover
 	if err == nil {
-		x.tellRuns(to)
+		x.shareRunChange(to)
 		next, err = m.moveTo(ctx, x, to, m.expected(x, run, to), x.now().Add(moveTimeout))
 	}
 	if next != nil {
 		return next
 	}
 	x.journal.Request(x.call.ID, "not moved off a failing engine", "from", m.from.ID, "to", to.ID, "err", err)
-	x.engines.stay(x.now(), x.service.Name, run, m.from.ID)
-	x.tellRuns(to)
+	x.engines.returnToEngine(x.now(), x.service.Name, run, m.from.ID)
+	x.shareRunChange(to)
 	m.discard(x)
 	return nil
 }
@@ -214,7 +214,7 @@
 // for the last part. A nil result means that there is nothing left to move.
 func (m *mover) evacuate(ctx context.Context, x *exchange, run *ownRun) *handover {
 	now := x.now()
-	gone := x.fleet.GoneAt(m.from.ID, now, x.settings.DrainFor)
+	gone := x.fleet.ExpectedEnd(m.from.ID, now, x.settings.DrainFor)
 	x.journal.Request(x.call.ID, "engine leaves", "upstream", m.from.ID, "foreseen_left", gone.Sub(now), "list_revision", x.fleet.Revision())
 	// Engines often leave together; the others' notices are a moment behind.
 	PauseFor(ctx, noticeGather)
@@ -238,7 +238,7 @@
 // tryMove waits for the turn and moves the run to the engine that suits best
 // then.
 func (m *mover) tryMove(ctx context.Context, x *exchange, run *ownRun, gone time.Time) (*handover, error) {
-	r := TurnRequest{Engine: m.from.ID, Run: run.request.Run, Worth: x.engines.worth(x.service.Name, run)}
+	r := TurnRequest{Engine: m.from.ID, Run: run.request.Run, Worth: x.engines.movePriority(x.service.Name, run)}
 	turn, cancel := context.WithTimeout(ctx, gone.Add(-moveMargin).Sub(x.now()))
 	end, err := x.takeTurn(turn, m.from, r)
 	cancel()
@@ -254,16 +254,16 @@
 		return nil, errNoTarget
 	}
 	defer endTarget()
-	x.tellRuns(to)
-	x.tellRuns(m.from)
+	x.shareRunChange(to)
+	x.shareRunChange(m.from)
 	next, err := m.moveTo(ctx, x, to, m.expected(x, run, to), gone)
 	if errors.Is(err, ErrTargetUnavailable) {
 		x.fleet.Suspect(x.now(), to.ID)
 	}
 	if err != nil {
 		m.discard(x)
-		x.engines.stay(x.now(), x.service.Name, run, m.from.ID)
-		x.tellRuns(to)
+		x.engines.returnToEngine(x.now(), x.service.Name, run, m.from.ID)
+		x.shareRunChange(to)
 	}
 	return next, err
 }
@@ -305,7 +305,7 @@
 	if e.LinkBitsPerSecond <= 0 {
 		return 0
 	}
-	bits := 8 * e.TokenBytes * (float64(run.request.Prompt) + float64(run.made.Load()))
+	bits := 8 * e.TokenBytes * (float64(run.request.Prompt) + float64(run.generatedTokens.Load()))
 	took := time.Duration(bits / e.LinkBitsPerSecond * float64(time.Second))
 	if to.Zone != m.from.Zone {
 		took *= 2
--- a/forward/origin.go
+++ b/forward/origin.go
@@ -70,7 +70,7 @@
 func (f *Fleet) TakeNews(now time.Time, news News, whole bool) ([]ZoneOrder, []Change) {
 	f.enterEra(now, news.At, news.At, 0)
 	if whole {
-		return f.ReplaceZones(now, news.Zones, news.At), f.ReplaceAll(now, news.Changes, news.At)
+		return f.ReplaceZoneOrders(now, news.Zones, news.At), f.ReplaceEntries(now, news.Changes, news.At)
 	}
-	return f.ApplyZones(now, news.Zones), f.Apply(now, news.Changes, news.At)
+	return f.ApplyZoneOrders(now, news.Zones), f.Apply(now, news.Changes, news.At)
 }
--- a/forward/panic_test.go
+++ b/forward/panic_test.go
@@ -46,10 +46,10 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f, sink := newForwarder(t, &fakeTransport{send: c.send}), &fakeSink{}
-			journal := &linesJournal{}
+			journal := &recordingJournal{}
 			f.journal = journal
 			f.Serve(t.Context(), call(c.path), sink)
-			is.True(len(journal.with("panicked")) > 0)
+			is.True(len(journal.linesWithPrefix("panicked")) > 0)
 			is.Equal(sink.cut, c.cut)
 			if !c.cut {
 				is.Equal(*sink.refused, Refusal{Code: c.code, MayHaveRun: true})
--- a/forward/peerselection.go
+++ b/forward/peerselection.go
@@ -25,7 +25,7 @@
 	}
 	var best *peerState
 	for _, s := range p.known {
-		if !s.live(now) || s.stopping || s.near && s.originAge+now.Sub(s.heard) > originFresh+shareEvery {
+		if !s.live(now) || s.stopping || s.sameCell && s.originAge+now.Sub(s.lastSeen) > originFresh+shareInterval {
 			continue
 		}
 		if s.originAge > originFresh {
@@ -47,7 +47,7 @@
 // hasPredecessor reports whether a live host precedes this one: in the zone's tree if the zone
 // is divided, otherwise by zone and host ID.
 func (p *peerSet) hasPredecessor(now time.Time) bool {
-	if position, divided := p.place(now); divided {
+	if position, divided := p.treePosition(now); divided {
 		return position > 0
 	}
 	p.mu.Lock()
@@ -72,7 +72,7 @@
 	var near, far []Peer
 	for _, s := range p.known {
 		switch {
-		case s.stopping || s.foundAt == 0 || !s.live(now):
+		case s.stopping || s.foundNumber == 0 || !s.live(now):
 		case s.Zone == p.self.Zone:
 			near = append(near, s.Peer)
 		default:
@@ -93,7 +93,7 @@
 	var near, far []Peer
 	for _, s := range p.known {
 		switch {
-		case s.foundAt == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.heard) > originFresh:
+		case s.foundNumber == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.lastSeen) > originFresh:
 		case s.Zone == p.self.Zone:
 			near = append(near, s.Peer)
 		default:
@@ -103,7 +103,7 @@
 	if p.layout.Divided() {
 		// Each host passes changes on to a few others only, so its ancestors in the tree learn
 		// of them first.
-		for _, h := range p.ancestors(p.silent(now)) {
+		for _, h := range p.ancestors(p.unavailable(now)) {
 			if i := slices.IndexFunc(near, func(o Peer) bool { return o.ID == h.ID }); i >= 0 {
 				return near[i], true
 			}
@@ -142,7 +142,7 @@
 // zones are divided and by ID otherwise. The mutex is held.
 func (p *peerSet) precedes(a, b Peer) bool {
 	if p.layout.Divided() {
-		return inTreeOrder(a, b) < 0
+		return compareTreeOrder(a, b) < 0
 	}
 	return a.ID < b.ID
 }
@@ -161,7 +161,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
-		s.originAge, s.distrusted = peerForgotten, true
+		s.originAge, s.distrusted = peerForgetTimeout, true
 	}
 }
 
@@ -177,7 +177,7 @@
 	var reachable, recent, anyCell []Peer
 	if !p.stopping {
 		anyCell = append(anyCell, p.self)
-		if p.own == cellID {
+		if p.ownCell == cellID {
 			reachable = append(reachable, p.self)
 		}
 	}
@@ -190,10 +190,10 @@
 			anyCell = append(anyCell, s.Peer)
 		}
 		switch {
-		case s.of != cellID:
+		case s.cell != cellID:
 		case live:
 			reachable = append(reachable, s.Peer)
-		case now.Sub(s.heard) <= farSilent:
+		case now.Sub(s.lastSeen) <= otherCellSilenceTimeout:
 			recent = append(recent, s.Peer)
 		}
 	}
--- a/forward/probe_test.go
+++ b/forward/probe_test.go
@@ -41,7 +41,7 @@
 		time.Sleep(time.Second) // well before the proof has aged
 		is.True(asked.Load() > 0)
 		select {
-		case <-f.fleet.Leaving("llm1"):
+		case <-f.fleet.LeavingStarted("llm1"):
 		default:
 			t.Error("llm1 should be leaving")
 		}
@@ -79,7 +79,7 @@
 				synctest.Wait()
 				f.listEngines(time.Now(), f.Table())
 				f.Serve(ctx, call("/llm/"), &fakeSink{}) // placed on llm1
-				f.engines.list(time.Now(), "llm", []Upstream{{ID: "llm2", Service: "llm", Zone: "z1"}})
+				f.engines.setAvailable(time.Now(), "llm", []Upstream{{ID: "llm2", Service: "llm", Zone: "z1"}})
 				_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", Prompt: 100})
 				is.Equal(run.engine, member.UpstreamID("llm2"))
 				time.Sleep(2 * probeEvery)
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -355,7 +355,7 @@
 		for id, k := range f.fleet.upstreams {
 			if k.Service == "llm" {
 				k.unusable = !keep[id]
-				k.suspectUntil, k.failedUntil, k.failures = time.Time{}, time.Time{}, 0
+				k.suspectUntil, k.ownFailingUntil, k.consecutiveFailures = time.Time{}, time.Time{}, 0
 			}
 		}
 		f.fleet.notify(true)
--- a/forward/regions.go
+++ b/forward/regions.go
@@ -59,7 +59,7 @@
 // acceptingUpstreams returns the service's upstreams that accept new work and may serve the
 // request.
 func (x *exchange) acceptingUpstreams(now time.Time) []Upstream {
-	return x.filterUpstreams(x.fleet.Takers(now, x.service.Name))
+	return x.filterUpstreams(x.fleet.Available(now, x.service.Name))
 }
 
 // noUpstreamInRegions reports whether the request is restricted to regions in which no upstream
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -79,13 +79,13 @@
 		if s.moves == 0 && s.events > 2 && last.ID == s.firstAt.ID {
 			s.noteAnswer(s.now(), last, rollout.Pace, false, s.lastAt.Sub(s.begunThere)/time.Duration(s.events-1))
 		}
-		s.fleet.Worked(last.ID)
+		s.fleet.RecordSuccess(last.ID)
 		s.survived(s.now())
 	case s.callerGone == nil && ctx.Err() == nil:
 		now := s.now()
 		s.noteAnswer(now, last, rollout.First, true, 0)
-		s.brokeOff(now, last.ID)
-		s.noteBroken(ctx, now, last, s.begunThere, err)
+		s.recordBrokenStream(now, last.ID)
+		s.recordBrokenConnection(ctx, now, last, s.begunThere, err)
 	}
 	s.free(err == nil)
 	return last, err
@@ -226,7 +226,7 @@
 		s.firstAfter = now.Sub(s.call.Arrived)
 		s.noteAnswer(now, s.firstAt, rollout.First, false, now.Sub(s.sentAt))
 		if s.run != nil {
-			s.engines.begun(now, s.service.Name, s.run)
+			s.engines.recordFirstToken(now, s.service.Name, s.run)
 		}
 	}
 	s.events++
@@ -234,7 +234,7 @@
 		s.lastEvent = id
 	}
 	if s.run != nil {
-		s.run.made.Add(int64(s.eventTokens()))
+		s.run.generatedTokens.Add(int64(s.eventTokens()))
 	}
 	return nil
 }
--- a/forward/remoteplacement.go
+++ b/forward/remoteplacement.go
@@ -206,7 +206,7 @@
 			if u, ok := x.engines.relocate(now, service, run, policy.Target{Avoid: avoid, OnlyZone: true, Zone: ownZone, OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup}); ok {
 				return u, true
 			}
-			if !x.peers.divided() {
+			if !x.peers.zonesDivided() {
 				continue
 			}
 		}
@@ -223,7 +223,7 @@
 	if !anyUnreachable {
 		return Upstream{}, false
 	}
-	u, found = x.engines.relocate(x.now(), service, run, policy.Target{FarCost: farCostToMove, Avoid: slices.Concat(avoid, throttled), OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup})
+	u, found = x.engines.relocate(x.now(), service, run, policy.Target{FarCost: crossZoneMoveCost, Avoid: slices.Concat(avoid, throttled), OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup})
 	return u, found
 }
 
@@ -233,7 +233,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
-		s.failed = true
+		s.lastShareFailed = true
 	}
 }
 
@@ -242,10 +242,10 @@
 // among these too, in first place.
 func (x *exchange) placementZones(service ServiceName) (inOwnZone bool, otherZones []member.Zone) {
 	inOwnZone, otherZones = x.engines.zonesOf(service)
-	if !x.peers.divided() {
+	if !x.peers.zonesDivided() {
 		return inOwnZone, otherZones
 	}
-	otherZones = x.fleet.ZonesWith(service)
+	otherZones = x.fleet.ZonesServing(service)
 	if i := slices.Index(otherZones, x.peers.self.Zone); i > 0 {
 		otherZones[0], otherZones[i] = otherZones[i], otherZones[0]
 	}
@@ -255,8 +255,8 @@
 // registerGrantedEngine adds an engine of another cell, on which another host granted a place,
 // to the engines that this host's placement knows. It does nothing if zones aren't divided.
 func (x *exchange) registerGrantedEngine(service ServiceName, id member.UpstreamID) {
-	if u, known := x.fleet.Upstream(id); known && x.peers.divided() {
-		x.engines.borrow(service, u)
+	if u, known := x.fleet.Upstream(id); known && x.peers.zonesDivided() {
+		x.engines.addRemoteEngine(service, u)
 	}
 }
 
@@ -267,7 +267,7 @@
 	var chosen Peer
 	n := uint64(0)
 	for _, s := range p.known {
-		if s.Zone != zone || s.near || s.stopping || !s.live(now) {
+		if s.Zone != zone || s.sameCell || s.stopping || !s.live(now) {
 			continue
 		}
 		n++
--- a/forward/remoteplacement_test.go
+++ b/forward/remoteplacement_test.go
@@ -55,8 +55,8 @@
 		return f
 	}
 	near, far = newHost("h1", "z1"), newHost("h2", "z2")
-	near.peers.receive(now, Share{From: far.peers.self})
-	far.peers.receive(now, Share{From: near.peers.self})
+	near.peers.recordShare(now, Share{From: far.peers.self})
+	far.peers.recordShare(now, Share{From: near.peers.self})
 	peer = &remoteZonePeer{remote: far}
 	near.peerPort = peer
 	return near, far, peer
@@ -123,7 +123,7 @@
 				is.Equal(peer.calls, c.wantCalls)
 				is.Equal(run != nil, c.wantEngine != "")
 				if c.wantVerdict == policy.Granted && c.wantCalls == 1 && !c.dropRequests {
-					is.Equal(far.engines.pools["llm"].theirs["r"], near.peers.self.ID) // the granting host counts the run at once
+					is.Equal(far.engines.pools["llm"].peerRuns["r"], near.peers.self.ID) // the granting host counts the run at once
 				}
 			})
 		})
--- a/forward/restore.go
+++ b/forward/restore.go
@@ -42,11 +42,11 @@
 	if !f.revision.IsZero() && at.Era() <= f.revision.Era() {
 		return
 	}
-	f.eraSince = now.Add(-max(ago, 0))
+	f.eraFirstSeen = now.Add(-max(ago, 0))
 	if f.revision.IsZero() {
 		return
 	}
-	f.restored = &restoreCounts{from: f.revision, to: at}
+	f.restoreStats = &restoreCounts{from: f.revision, to: at}
 	f.notify(true)
 }
 
@@ -56,19 +56,19 @@
 // PeersInOtherEra counts the other hosts, heard lately, that know another era.
 func (f *Forwarder) PeersInOtherEra() int {
 	now, era := f.now(), f.OriginEra()
-	return f.peers.count(func(s *peerState) bool { return s.live(now) && s.list.Era() != era })
+	return f.peers.count(func(s *peerState) bool { return s.live(now) && s.listRevision.Era() != era })
 }
 
 // ofEarlierEra reports whether something was known before the era of what is read now.
 func ofEarlierEra(known, read history.Point) bool { return known.Era() < read.Era() }
 
 // reconcile takes in what a list says that may be older than what is known of the upstream.
-func (f *Fleet) reconcile(now time.Time, k *known, c Change) bool {
+func (f *Fleet) reconcile(now time.Time, k *knownUpstream, c Change) bool {
 	restored := ofEarlierEra(k.Revision, c.Revision)
 	switch {
 	case restored && c.Gone:
 		// Whoever tells so has waited for it to be listed again.
-		return f.set(now, k, c)
+		return f.applyNewest(now, k, c)
 	case restored && c.Missing:
 		if !k.confirmEnded(c.Revision) {
 			f.unlist(now, k, c.Revision)
@@ -77,11 +77,11 @@
 	case k.Revision.SameEra(c.Revision), c.Gone, c.Missing, c.Unusable:
 		return false
 	}
-	sameLife := c.Life == 0 || k.Life == 0 || c.Life == k.Life
+	sameLife := c.Incarnation == 0 || k.Incarnation == 0 || c.Incarnation == k.Incarnation
 	if c.Leaving && sameLife && !k.Leaving {
 		// Nothing takes that back in one life, so it holds in whatever order it is heard.
-		k.declared = true
-		k.leave(now, SourceList)
+		k.leavingDeclared = true
+		k.startLeaving(now, SourceList)
 		if restored {
 			k.Revision = c.Revision
 		} else {
@@ -93,17 +93,17 @@
 		return false
 	}
 	switch {
-	case c.Life.newerThan(k.Life):
-		return f.set(now, k, c)
-	case k.gone && k.pending == nil:
-		c.BelievedFrom = f.eraSince.Add(lapseWithin)
-		k.pending = &c
-		f.restored.count(func(r *restoreCounts) { r.ended++ })
+	case c.Incarnation.newerThan(k.Incarnation):
+		return f.applyNewest(now, k, c)
+	case k.gone && k.pendingChange == nil:
+		c.BelievedFrom = f.eraFirstSeen.Add(lapseWithin)
+		k.pendingChange = &c
+		f.restoreStats.count(func(r *restoreCounts) { r.ended++ })
 	case k.missing:
-		return f.set(now, k, c)
-	case k.declared && !c.Leaving:
+		return f.applyNewest(now, k, c)
+	case k.leavingDeclared && !c.Leaving:
 		f.tellPeers(k, now.Add(saidShared))
-		f.restored.count(func(r *restoreCounts) { r.leaving++ })
+		f.restoreStats.count(func(r *restoreCounts) { r.leaving++ })
 	case !k.gone:
 		k.Revision = c.Revision
 	}
@@ -112,29 +112,29 @@
 
 // deferRelisting takes in an entry of the copy that a peer doesn't believe yet, for it knew the
 // upstream to have ended. A host that has only the copy's word doesn't believe it, either.
-func (f *Fleet) deferRelisting(now time.Time, k *known, c Change) bool {
+func (f *Fleet) deferRelisting(now time.Time, k *knownUpstream, c Change) bool {
 	switch {
 	case k.gone:
-		k.pending = &c
+		k.pendingChange = &c
 		return false
 	case k.Revision.After(c.Revision):
 		return false
 	}
-	k.gone, k.missing, k.unlisted, k.droppedAt, k.pending = true, false, false, now, &c
+	k.gone, k.missing, k.missingSinceRestore, k.droppedAt, k.pendingChange = true, false, false, now, &c
 	k.Revision = history.Point{}
-	k.leave(now, SourcePeer)
+	k.startLeaving(now, SourcePeer)
 	return true
 }
 
 // unlist takes in that a list of a new era lacks an upstream. It reports false for one that was
 // known in that era already.
-func (f *Fleet) unlist(now time.Time, k *known, at history.Point) bool {
+func (f *Fleet) unlist(now time.Time, k *knownUpstream, at history.Point) bool {
 	if k.gone || !ofEarlierEra(k.Revision, at) {
 		return false
 	}
-	k.Revision, k.missing, k.unlisted = at, true, true
-	f.restored.count(func(r *restoreCounts) { r.unlisted++ })
-	if k.declared {
+	k.Revision, k.missing, k.missingSinceRestore = at, true, true
+	f.restoreStats.count(func(r *restoreCounts) { r.unlisted++ })
+	if k.leavingDeclared {
 		f.tellPeers(k, now.Add(saidShared))
 	}
 	return true
@@ -142,30 +142,30 @@
 
 // confirmEnded takes in that a list lacks an upstream, and reports whether it is known to have
 // ended. Those who follow this host are told, if they may hold the copy's entry.
-func (k *known) confirmEnded(at history.Point) bool {
-	if k.pending != nil {
-		k.pending, k.Revision = nil, at
+func (k *knownUpstream) confirmEnded(at history.Point) bool {
+	if k.pendingChange != nil {
+		k.pendingChange, k.Revision = nil, at
 	}
 	return k.gone
 }
 
 // mayBeRelisted reports whether an upstream that a restored list lacks may still be written again.
-func (f *Fleet) mayBeRelisted(now time.Time, k *known) bool {
-	return k.unlisted && now.Before(f.eraSince.Add(relistWithin))
+func (f *Fleet) mayBeRelisted(now time.Time, k *knownUpstream) bool {
+	return k.missingSinceRestore && now.Before(f.eraFirstSeen.Add(relistWithin))
 }
 
 // deferOrder keeps a zone's order as it was known before a restore, until what the copy has is
 // believed.
 func (f *Fleet) deferOrder(o ZoneOrder) {
 	known := f.zones[o.Zone]
-	o.BelievedFrom = f.eraSince.Add(reorderWithin)
+	o.BelievedFrom = f.eraFirstSeen.Add(reorderWithin)
 	if known.pending != nil {
 		o.BelievedFrom = known.pending.BelievedFrom
 	} else {
-		f.restored.count(func(r *restoreCounts) { r.zones++ })
+		f.restoreStats.count(func(r *restoreCounts) { r.zones++ })
 	}
 	known.pending = &o
-	f.setZone(known)
+	f.setZoneState(known)
 }
 
 // SettleZones believes what a restored list has said of zones for long enough. It returns the
@@ -180,8 +180,8 @@
 		}
 		o := *known.pending
 		o.BelievedFrom = time.Time{}
-		f.zones[zone] = zoneState{ZoneOrder: o, heard: now}
-		if known.Out != o.Out {
+		f.zones[zone] = zoneState{ZoneOrder: o, learnedAt: now}
+		if known.OutOfService != o.OutOfService {
 			news = append(news, o)
 		}
 	}
@@ -200,8 +200,8 @@
 func (f *Fleet) takeRestored() *restoreCounts {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.restored
-	f.restored = nil
+	r := f.restoreStats
+	f.restoreStats = nil
 	return r
 }
 
--- a/forward/restoremodel_test.go
+++ b/forward/restoremodel_test.go
@@ -156,7 +156,7 @@
 	if h.cut || from.cut {
 		return
 	}
-	h.fleet.ReceiveZones(m.now, from.fleet.ZonesSince(history.Point{}, true))
+	h.fleet.ReceiveZoneOrders(m.now, from.fleet.ZoneOrdersSince(history.Point{}, true))
 	for _, mark := range from.fleet.Marks(m.now) {
 		if mark.Said {
 			h.fleet.SaidLeaving(m.now, mark.Engine, mark.Life, false)
@@ -165,7 +165,7 @@
 }
 
 func (m *drillModel) takes(h *modelHost, id member.UpstreamID) bool {
-	return slices.ContainsFunc(h.fleet.Takers(m.now, "app"), func(u Upstream) bool { return u.ID == id })
+	return slices.ContainsFunc(h.fleet.Available(m.now, "app"), func(u Upstream) bool { return u.ID == id })
 }
 
 func (m *drillModel) pass(d time.Duration) {
@@ -180,7 +180,7 @@
 func (m *drillModel) check(t *rapid.T) {
 	for n, h := range m.hosts {
 		for id := range m.leaving {
-			if k := h.fleet.upstreams[id]; k != nil && k.declared {
+			if k := h.fleet.upstreams[id]; k != nil && k.leavingDeclared {
 				h.left[id] = true
 			}
 			if h.left[id] && m.takes(h, id) {
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -54,7 +54,7 @@
 		return s.send(ctx, u, begin)
 	}
 	bounded, cancel := context.WithCancelCause(ctx)
-	silent := time.AfterFunc(lateFirstEvent(s.route.Objective), func() { cancel(errFirstEventLate) })
+	silent := time.AfterFunc(firstEventTimeout(s.route.Objective), func() { cancel(errFirstEventLate) })
 	answer, err := s.send(bounded, u, begin)
 	if err != nil || !silent.Stop() {
 		if answer != nil {
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -142,7 +142,7 @@
 		f.Serve(t.Context(), call("/llm/"), sink)
 		is.Equal(tries, 2)
 		is.True(errors.Is(left, errFirstEventLate))
-		is.Equal(time.Since(began), lateFirstEvent(1800*time.Millisecond))
+		is.Equal(time.Since(began), firstEventTimeout(1800*time.Millisecond))
 		is.Equal(sink.refused, nil)
 		is.Equal(sink.body.String(), "id: 1\n\n")
 	})
--- a/forward/retrybudget_test.go
+++ b/forward/retrybudget_test.go
@@ -60,19 +60,19 @@
 			for zone := range zones {
 				s.cutOff(s.zone(zone + 1)...)
 			}
-			time.Sleep(farSilent + time.Second)
+			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"one zone is cut off": {func(s *site) {
 			time.Sleep(settleTime)
 			s.cutOff(s.zone(1)...)
-			time.Sleep(farSilent + time.Second)
+			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"cut off for longer than silent hosts are kept": {func(s *site) {
 			time.Sleep(settleTime)
 			for zone := range zones {
 				s.cutOff(s.zone(zone + 1)...)
 			}
-			time.Sleep(peerForgotten + time.Second)
+			time.Sleep(peerForgetTimeout + time.Second)
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newSite(1, 1, true)
 		s.startAll(ctx)
-		time.Sleep(2 * startLasts)
+		time.Sleep(2 * startupDuration)
 		f := s.first()
 		f.SetRetryLimit(RetryLimit{Slack: 10, Window: 10 * time.Second})
 		repeats := 0
--- a/forward/send.go
+++ b/forward/send.go
@@ -48,7 +48,7 @@
 	zone := f.zones[k.Zone]
 	return eligibility.State{
 		Leaving: k.Leaving, Unusable: k.unusable,
-		ZoneOut: zone.Out, ZoneClosed: zone.Out && now.Sub(zone.heard) > handoverGrace,
+		ZoneOut: zone.OutOfService, ZoneClosed: zone.OutOfService && now.Sub(zone.learnedAt) > handoverGrace,
 	}
 }
 
@@ -191,7 +191,7 @@
 // recordBackoff records that an upstream asked this host for a backoff of d. It reports whether the
 // host wasn't already in a backoff from the upstream.
 func (f *Forwarder) recordBackoff(now time.Time, u Upstream, d time.Duration) bool {
-	if f.backoffs.Ask(now, u.ID, int64(u.Life), d, backoffJitter(d)) {
+	if f.backoffs.Ask(now, u.ID, int64(u.Incarnation), d, backoffJitter(d)) {
 		return false
 	}
 	f.requestRelist()
@@ -205,7 +205,7 @@
 
 // receivePeerBackoff records that an upstream asked a peer for backoff.
 func (f *Forwarder) receivePeerBackoff(now time.Time, from member.HostID, mark backoff.Mark) {
-	if !f.fleet.ReceiveLife(mark.Upstream, Life(mark.Life)) || !f.backoffs.Receive(now, from, mark, backoffJitter(mark.For)) {
+	if !f.fleet.ReceiveIncarnation(mark.Upstream, Incarnation(mark.Life)) || !f.backoffs.Receive(now, from, mark, backoffJitter(mark.For)) {
 		return
 	}
 	f.requestRelist()
@@ -236,9 +236,9 @@
 // neither rate limits nor how many requests an upstream may get right after its backoff.
 func (f *Forwarder) candidates(now time.Time, service ServiceName) []Upstream {
 	if !f.backoffs.Any() {
-		return f.fleet.Takers(now, service)
+		return f.fleet.Available(now, service)
 	}
-	return f.fleet.TakersBut(now, service, func(id member.UpstreamID) bool { return f.backoffs.Remaining(now, id) > 0 })
+	return f.fleet.AvailableExcept(now, service, func(id member.UpstreamID) bool { return f.backoffs.Remaining(now, id) > 0 })
 }
 
 // BackoffEntries lists the upstreams that are in a backoff or returning from one.
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -150,7 +150,7 @@
 				newest = order
 			}
 		}
-		if newest.Out {
+		if newest.OutOfService {
 			whole.Zones = append(whole.Zones, newest)
 		}
 	}
@@ -386,7 +386,7 @@
 // newSite returns zones of some hosts each, none of them started.
 func newSite(zones, hostsPerZone int, first bool) *site {
 	s := &site{
-		origin: &siteOrigin{config: testConfig(1), list: []Upstream{up("llm1", 3, false), up("llm2", 10, false)}},
+		origin: &siteOrigin{config: testConfig(1), list: []Upstream{llmUpstream("llm1", 3, false), llmUpstream("llm2", 10, false)}},
 		hosts:  map[string]*Forwarder{}, gone: map[string]bool{}, frozen: map[string]bool{}, cut: map[string]bool{}, links: map[member.HostID]time.Time{}, entries: map[member.HostID]*atomic.Int32{},
 	}
 	address := func(zone, host int) string { return fmt.Sprintf("10.%d.0.%d:1", zone, host) }
--- a/forward/slowreaders_test.go
+++ b/forward/slowreaders_test.go
@@ -165,7 +165,7 @@
 		is.True(sink.cut)
 		is.True(time.Since(start) < 10*time.Second)
 		time.Sleep(time.Second)
-		is.Equal(f.engines.beside("llm", "llm1", "")+f.engines.beside("llm", "llm2", "")+f.engines.beside("llm", "llm3", ""), 0)
+		is.Equal(f.engines.otherRuns("llm", "llm1", "")+f.engines.otherRuns("llm", "llm2", "")+f.engines.otherRuns("llm", "llm3", ""), 0)
 	})
 }
 
--- a/forward/stopping_test.go
+++ b/forward/stopping_test.go
@@ -89,7 +89,7 @@
 				f.Stop(ctx)
 				time.Sleep(c.after)
 				for _, s := range c.peers {
-					f.peers.receive(time.Now(), s)
+					f.peers.recordShare(time.Now(), s)
 				}
 				told := map[time.Duration]bool{}
 				for range 20 {
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -140,8 +140,8 @@
 			s.avoid = append(s.avoid, other.ID)
 		}
 	}
-	s.fleet.ZoneUnreachable(now, s.service.Name, u.Zone)
-	s.peers.notify()
+	s.fleet.MarkZoneUnreachable(now, s.service.Name, u.Zone)
+	s.peers.notifyOwnCell()
 }
 
 // untried reports whether an engine is left that hasn't been tried. Those that
@@ -178,7 +178,7 @@
 		}
 		// One whose backoff has just ended isn't listed until the next tick.
 		layout, own := s.peers.cellLayout()
-		s.engines.list(now, s.service.Name, s.placedOn(now, s.service.Name, layout, own))
+		s.engines.setAvailable(now, s.service.Name, s.placedOn(now, s.service.Name, layout, own))
 	}
 	p := s.call.Prompt
 	r := policy.Request{
@@ -199,7 +199,7 @@
 	}
 	s.run = run.ownRun
 	d := run.decision
-	s.tellRuns(u)
+	s.shareRunChange(u)
 	s.journal.Request(s.call.ID, "placed", "upstream", u.ID, "waited", d.Waited, "first_foreseen", d.FirstAfter, "memory_foreseen", d.Memory, "runs", d.Batch, "zone", u.Zone, "skipped", s.skipped, "prompt", p.Tokens, "limit", p.MaxOutputTokens, "hint", p.ExpectedOutputTokens, "list_revision", s.fleet.Revision(), "contact_age", s.ContactAge(now))
 	return u, Refusal{}, true
 }
@@ -223,7 +223,7 @@
 	case heldBack:
 		return heldRefusal
 	}
-	wait := min(max(d.RetryAfter, retryLeast), retryMost)
+	wait := min(max(d.RetryAfter, minRetryAfter), maxRetryAfter)
 	if d.Reason == policy.ReasonNoEngine {
 		return Refusal{Code: CodeNoUpstream, RetryAfter: wait}
 	}
@@ -239,7 +239,7 @@
 	}
 	s.engines.finish(s.now(), s.service.Name, s.run, whole)
 	if u, known := s.fleet.Upstream(s.run.engine); known {
-		s.tellRuns(u)
+		s.shareRunChange(u)
 	}
 	s.run = nil
 }
@@ -281,8 +281,8 @@
 		// The engine counts as failing already.
 		return Refusal{Code: CodeLost, MayHaveRun: true}
 	case err != nil:
-		s.failed(now, u.ID, "it lost a request")
-		s.noteBroken(ctx, now, u, time.Time{}, err)
+		s.recordEngineFailure(now, u.ID, "it lost a request")
+		s.recordBrokenConnection(ctx, now, u, time.Time{}, err)
 		return Refusal{Code: CodeLost, MayHaveRun: true}
 	case a.WrongInstance:
 		s.fleet.MarkLeaving(now, u.ID, 0, true)
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -343,7 +343,7 @@
 
 // leaving lists a forwarder's upstreams with some of them leaving.
 func leaving(f *Forwarder, ids ...member.UpstreamID) []Upstream {
-	changes, _, _ := f.fleet.Since(rev(0))
+	changes, _, _ := f.fleet.ChangesSince(rev(0))
 	var list []Upstream
 	for _, c := range changes {
 		for _, id := range ids {
--- a/forward/throttledselection.go
+++ b/forward/throttledselection.go
@@ -102,7 +102,7 @@
 		return u, false
 	}
 	if !x.authorizeSend(ctx, u, false).OK() {
-		x.engines.stay(x.now(), x.service.Name, run, from)
+		x.engines.returnToEngine(x.now(), x.service.Name, run, from)
 		return Upstream{}, false
 	}
 	return u, true
--- a/forward/unary.go
+++ b/forward/unary.go
@@ -217,7 +217,7 @@
 		return "not_sent"
 	case t.err != nil:
 		p.lastCode = CodeLost
-		p.noteBroken(ctx, now, t.upstream, time.Time{}, t.err)
+		p.recordBrokenConnection(ctx, now, t.upstream, time.Time{}, t.err)
 		return "lost"
 	case t.response.WrongInstance:
 		p.fleet.MarkLeaving(now, t.upstream.ID, 0, true)
--- a/forward/unserved.go
+++ b/forward/unserved.go
@@ -25,12 +25,12 @@
 		return Refusal{Code: CodeNoUpstream, RetryAfter: retryUnknown}
 	}
 	wait = max(wait, x.pickReturnTime(now, takers))
-	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, retryLeast), retryKeptMost) + rand.N(min(wait, retryKeptSpread)+1)}
+	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), retryKeptMost) + rand.N(min(wait, retryKeptSpread)+1)}
 	// Near its end every host may be alone with some upstream's.
 	alone := func(u Upstream) bool {
 		return x.backoffs.Alone(now, u.ID) && x.backoffs.Remaining(now, u.ID) > retryKeptSpread
 	}
-	if slices.ContainsFunc(takers, alone) && x.peers.zoneHasOther(now) {
+	if slices.ContainsFunc(takers, alone) && x.peers.hasPeerInZone(now) {
 		r.RetryAfter = retryElsewhere
 	}
 	return r
