--- a/forward/callergone_test.go
+++ b/forward/callerleft_test.go
@@ -17,42 +17,43 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// goneBound is how long after its caller left anything of a request may reach an
-// upstream, or be worked on there.
-const goneBound = 500 * time.Millisecond
+// maxWorkAfterLeave is how long after its caller left a request may still be sent to or worked on by
+// an upstream.
+const maxWorkAfterLeave = 500 * time.Millisecond
 
-// workLog notes when upstreams were called and when they were let go.
+// workLog records when upstreams were called and how many calls are active.
 type workLog struct {
 	mu      sync.Mutex
 	started []time.Time
-	open    int
+	active  int
 }
 
+// start records a call; end records that it has ended.
 func (l *workLog) start() (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.started = append(l.started, time.Now())
-	l.open++
+	l.active++
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.open--
+		l.active--
 	}
 }
 
-// stuckBody is a stream that brings one event and then nothing until it is closed.
-type stuckBody struct {
+// stalledBody is a stream that yields one event and then blocks until it is closed.
+type stalledBody struct {
 	io.Reader
 	closed func()
 }
 
-func (b *stuckBody) Close() error {
+func (b *stalledBody) Close() error {
 	b.closed()
 	return nil
 }
 
-// stuckStream is an answer that stays open, and ends with its request's context.
-func stuckStream(ctx context.Context, l *workLog) *Answer {
+// stalledStream returns a response that stays open until it is closed or its request's context ends.
+func stalledStream(ctx context.Context, l *workLog) *Response {
 	read, write := io.Pipe()
 	var once sync.Once
 	end := l.start()
@@ -61,66 +62,66 @@
 		write.CloseWithError(io.ErrUnexpectedEOF)
 	}
 	context.AfterFunc(ctx, closed)
-	go func() { _, _ = io.WriteString(write, "id: 1\n\n") }() // an error says that it was closed
+	go func() { _, _ = io.WriteString(write, "id: 1\n\n") }() // the only error is that the stream was closed
 	a := answer(200, "")
-	a.Length, a.Body = -1, &stuckBody{Reader: read, closed: closed}
+	a.ContentLength, a.Body = -1, &stalledBody{Reader: read, closed: closed}
 	return a
 }
 
-// TestCallerGone has nothing of a request reach an upstream, and none work on it,
-// half a second after its caller left, wherever the request then was.
-func TestCallerGone(t *testing.T) {
-	type site struct {
+// TestCallerLeftEndsWork checks that half a second after its caller left, nothing of a request is sent
+// to an upstream and no upstream works on it, whatever stage the request was at.
+func TestCallerLeftEndsWork(t *testing.T) {
+	type fixture struct {
 		f    *Forwarder
 		work *workLog
 	}
-	// hang waits until the request is let go.
-	hang := func(s *site) func(context.Context, Upstream, *Outgoing) (*Answer, error) {
-		return func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+	// hang blocks until the request's context ends.
+	hang := func(s *fixture) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
+		return func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 			end := s.work.start()
 			defer end()
 			<-ctx.Done()
 			return nil, context.Cause(ctx)
 		}
 	}
-	stream := func(s *site) func(context.Context, Upstream, *Outgoing) (*Answer, error) {
-		return func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
-			return stuckStream(ctx, s.work), nil
+	stream := func(s *fixture) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
+		return func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
+			return stalledStream(ctx, s.work), nil
 		}
 	}
 	for name, c := range map[string]struct {
 		path string
-		send func(s *site) func(context.Context, Upstream, *Outgoing) (*Answer, error)
-		// before is done before the request comes, during while it is served.
-		before, during func(s *site)
-		// reached is how many calls upstreams get, before the caller leaves.
-		reached int
+		send func(s *fixture) func(context.Context, Upstream, *UpstreamRequest) (*Response, error)
+		// before is called before the request is served, during while it is.
+		before, during func(s *fixture)
+		// wantCalls is the number of calls that upstreams receive before the caller leaves.
+		wantCalls int
 	}{
-		"before the first event":  {path: "/llm/", send: hang, reached: 1},
-		"between two events":      {path: "/llm/", send: stream, reached: 1},
-		"while a plain call runs": {path: "/order/", send: hang, reached: 1},
-		"after a second try":      {path: "/status/", send: hang, reached: 2},
-		"while it waits for a place": {path: "/llm/", send: stream, before: func(s *site) {
+		"before the first event":  {path: "/llm/", send: hang, wantCalls: 1},
+		"between two events":      {path: "/llm/", send: stream, wantCalls: 1},
+		"while a plain call runs": {path: "/order/", send: hang, wantCalls: 1},
+		"after a second try":      {path: "/status/", send: hang, wantCalls: 2},
+		"while it waits for a place": {path: "/llm/", send: stream, before: func(s *fixture) {
 			now := time.Now()
 			for _, id := range []policy.RunID{"a", "b", "c"} {
 				s.f.engines.place(t.Context(), now, "llm", policy.Request{Run: id, Prompt: 33_000, Limit: 1000, Deadline: now.Add(time.Minute)})
 			}
-		}, reached: 0},
-		"while its run is moved": {path: "/llm/", send: stream, during: func(s *site) {
+		}, wantCalls: 0},
+		"while its run is moved": {path: "/llm/", send: stream, during: func(s *fixture) {
 			s.f.fleet.MarkLeaving(time.Now(), "llm1", 0, false)
-		}, reached: 2},
+		}, wantCalls: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				s := &site{work: &workLog{}}
+				s := &fixture{work: &workLog{}}
 				transport := &fakeTransport{}
 				transport.send = c.send(s)
-				transport.move = func(ctx context.Context, _ Upstream, _ MoveRequest) (Moved, error) {
+				transport.move = func(ctx context.Context, _ Upstream, _ MoveRequest) (MoveResult, error) {
 					end := s.work.start()
 					defer end()
 					<-ctx.Done()
-					return Moved{}, ctx.Err()
+					return MoveResult{}, ctx.Err()
 				}
 				s.f = newForwarder(t, transport)
 				s.f.listEngines(time.Now(), s.f.Table())
@@ -140,30 +141,30 @@
 				time.Sleep(180 * time.Millisecond)
 				leave()
 				left := time.Now()
-				time.Sleep(goneBound)
+				time.Sleep(maxWorkAfterLeave)
 				synctest.Wait()
 				s.work.mu.Lock()
-				is.Equal(s.work.open, 0)
+				is.Equal(s.work.active, 0) // upstreams still work on the request
 				s.work.mu.Unlock()
 				time.Sleep(10 * time.Second)
 				<-served
 				s.work.mu.Lock()
 				defer s.work.mu.Unlock()
-				is.Equal(len(s.work.started), c.reached)
+				is.Equal(len(s.work.started), c.wantCalls) // upstream calls
 				for _, at := range s.work.started {
-					is.True(at.Sub(left) <= goneBound)
+					is.True(at.Sub(left) <= maxWorkAfterLeave) // an upstream was called too long after the caller left
 				}
 			})
 		})
 	}
 }
 
-// TestCallerGoneNotResumed has a resumable stream that broke off not run again once
-// its caller has left.
-func TestCallerGoneNotResumed(t *testing.T) {
+// TestCallerLeftNotResumed checks that a resumable stream that broke off isn't run again after its
+// caller has left.
+func TestCallerLeftNotResumed(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(t.Context())
-	transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+	transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		leave()
 		return broken("id: 1\n\n"), nil
 	}}
@@ -172,13 +173,14 @@
 	is.Equal(len(transport.sentTo()), 1)
 }
 
-// TestCallerLeftUnread has a request whose caller left before it was read reach no upstream.
+// TestCallerLeftUnread checks that a request whose caller left before the request was handled reaches
+// no upstream.
 func TestCallerLeftUnread(t *testing.T) {
 	for _, path := range []string{"/order/", "/status/", "/llm/"} {
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 					return answer(http.StatusOK, "id: 1\ndata: a\n\n"), nil
 				}}
 				f := newForwarder(t, transport)
@@ -188,8 +190,8 @@
 				f.Serve(ctx, call(path), sink)
 				synctest.Wait()
 				is.Equal(len(transport.sentTo()), 0)
-				is.Equal(sink.refused, nil)                 // nobody is told
-				is.Equal(len(f.engines.states(f.now())), 0) // no place is held
+				is.Equal(sink.refused, nil)                 // no refusal is sent to a caller that left
+				is.Equal(len(f.engines.states(f.now())), 0) // the run holds no place
 			})
 		})
 	}
--- a/forward/failingupstream_test.go
+++ b/forward/failingupstream_test.go
@@ -20,14 +20,14 @@
 // TestFailingEngine checks that an engine that loses requests or does not answer gets no new
 // streams for a while, longer each time, and is then tried again.
 func TestFailingEngine(t *testing.T) {
-	for name, loseStream := range map[string]func(ctx context.Context) (*Answer, error){
-		"resets": func(context.Context) (*Answer, error) { return nil, io.ErrUnexpectedEOF },
-		"breaks streams off": func(context.Context) (*Answer, error) {
+	for name, loseStream := range map[string]func(ctx context.Context) (*Response, error){
+		"resets": func(context.Context) (*Response, error) { return nil, io.ErrUnexpectedEOF },
+		"breaks streams off": func(context.Context) (*Response, error) {
 			a := answer(200, "")
 			a.Body = io.NopCloser(io.MultiReader(&chunked{from: &oneEventReader{}, n: 64}, errReader{}))
 			return a, nil
 		},
-		"is silent": func(ctx context.Context) (*Answer, error) {
+		"is silent": func(ctx context.Context) (*Response, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		},
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(ctx context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(ctx context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 					if u.ID == "llm1" {
 						return loseStream(ctx)
 					}
@@ -124,7 +124,7 @@
 func TestZoneUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		transport := &fakeTransport{send: func(_ context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+		transport := &fakeTransport{send: func(_ context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 			if u.Zone != "z1" {
 				return nil, ErrNotSent
 			}
@@ -169,7 +169,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 					<-ctx.Done()
 					return nil, context.Cause(ctx)
 				}}
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -91,7 +91,7 @@
 		u, _ := f.fleet.Upstream(id)
 		f.journal.Belief("upstream started again", "upstream", id, "life", u.Incarnation)
 		f.engines.resetEngine(id)
-		f.plain.renew(id)
+		f.plain.reset(id)
 		f.limiter.Renew(id)
 		f.backoffs.Renew(id)
 	}
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -74,7 +74,7 @@
 	// Config asks a peer for its configuration, if that is newer than the version given.
 	Config(ctx context.Context, to Peer, have Version) (ConfigReply, error)
 	// Ask asks a peer to place a run on one of the engines of its zone.
-	Ask(ctx context.Context, to Peer, a PlaceAsk) (PlaceGrant, error)
+	Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error)
 	// Permit asks a peer for permission to send to an upstream.
 	Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error)
 	// Rollout reports what this host observed of a rollout to the peer that decides about it, and
@@ -260,7 +260,7 @@
 		f.receiveLimitMark(now, s.From.ID, mark)
 	}
 	for _, mark := range s.Backoffs {
-		f.receiveBackoff(now, s.From.ID, mark)
+		f.receivePeerBackoff(now, s.From.ID, mark)
 	}
 	f.resetRestartedUpstreams()
 	f.crashes.Met(s.From.ID, s.Epoch)
--- a/forward/regions.go
+++ b/forward/regions.go
@@ -11,10 +11,10 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// Where a request may be served, by the regions that its route and account allow.
+// Restriction of a request to the regions that its route and account allow.
 
-// allowedZones lists the zones in which the request may be served; nil for all. Where both the
-// route and the account are bound, both bounds hold.
+// allowedZones returns the zones in which the request may be served; nil allows all zones. If
+// both the route and the account name regions, a zone must satisfy both.
 func (x *exchange) allowedZones() []member.Zone {
 	if len(x.route.Regions) == 0 && len(x.account.Regions) == 0 {
 		return nil
@@ -22,7 +22,7 @@
 	allowed := func(regions []member.Region, r member.Region) bool {
 		return len(regions) == 0 || slices.Contains(regions, r)
 	}
-	// Empty, but not nil, where no known zone is allowed.
+	// Non-nil even if no known zone is allowed, since nil would allow all zones.
 	zones := []member.Zone{}
 	for zone, region := range x.settings.Regions {
 		if allowed(x.route.Regions, region) && allowed(x.account.Regions, region) {
@@ -32,35 +32,38 @@
 	return zones
 }
 
-// mayServeIn reports whether the request may be served in a zone.
-func (x *exchange) mayServeIn(zone member.Zone) bool {
+// zoneAllowed reports whether the request may be served in a zone.
+func (x *exchange) zoneAllowed(zone member.Zone) bool {
 	return x.zones == nil || slices.Contains(x.zones, zone)
 }
 
-// allowed are those of some zones in which the request may be served.
-func (x *exchange) allowed(zones []member.Zone) []member.Zone {
+// filterZones returns the zones in which the request may be served. It reuses the array of its
+// argument.
+func (x *exchange) filterZones(zones []member.Zone) []member.Zone {
 	if x.zones == nil {
 		return zones
 	}
-	return slices.DeleteFunc(zones, func(z member.Zone) bool { return !x.mayServeIn(z) })
+	return slices.DeleteFunc(zones, func(z member.Zone) bool { return !x.zoneAllowed(z) })
 }
 
-// allowedOf are those of some upstreams that may serve the request, by their zones and versions.
-func (x *exchange) allowedOf(upstreams []Upstream) []Upstream {
+// filterUpstreams returns the upstreams whose zone and version may serve the request.
+func (x *exchange) filterUpstreams(upstreams []Upstream) []Upstream {
 	if x.zones == nil && x.versions.get() == (rollout.Bound{}) {
 		return upstreams
 	}
 	return slices.DeleteFunc(slices.Clone(upstreams), func(u Upstream) bool {
-		return !x.mayServeIn(u.Zone) || !x.versions.get().Allows(u.Version)
+		return !x.zoneAllowed(u.Zone) || !x.versions.get().Allows(u.Version)
 	})
 }
 
-// takers are the service's upstreams that take new work and may serve the request.
-func (x *exchange) takers(now time.Time) []Upstream {
-	return x.allowedOf(x.fleet.Available(now, x.service.Name))
+// acceptingUpstreams returns the service's upstreams that accept new work and may serve the
+// request.
+func (x *exchange) acceptingUpstreams(now time.Time) []Upstream {
+	return x.filterUpstreams(x.fleet.Available(now, x.service.Name))
 }
 
-// noneInRegion reports whether the request is bound to regions in which no upstream takes work.
-func (x *exchange) noneInRegion(now time.Time) bool {
-	return x.zones != nil && len(x.takers(now)) == 0
+// noUpstreamInRegions reports whether the request is restricted to regions in which no upstream
+// accepts new work.
+func (x *exchange) noUpstreamInRegions(now time.Time) bool {
+	return x.zones != nil && len(x.acceptingUpstreams(now)) == 0
 }
--- a/forward/regions_test.go
+++ b/forward/regions_test.go
@@ -20,27 +20,27 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// regionCase is a request that is bound to regions, and what befalls it.
+// regionCase is a request that is restricted to regions, and what happens to it.
 type regionCase struct {
 	path string
-	// route and account are what the request is bound by.
+	// route and account are the regions that the request's route and account allow.
 	route, account []member.Region
-	// send answers each send by its number, from one on; nil answers well.
-	send func(n int, u Upstream) (*Answer, error)
-	// while happens while a stream runs.
-	while func(f *Forwarder, at Upstream)
+	// send responds to the nth send, counted from one; nil stands for a successful response.
+	send func(n int, u Upstream) (*Response, error)
+	// duringStream is called while a stream from upstream at runs.
+	duringStream func(f *Forwarder, at Upstream)
 }
 
-// TestRequestOutsideItsRegions has no way of sending reach an upstream of another region than
-// those that the request's route and account allow.
+// TestRequestOutsideItsRegions checks that no way of sending a request reaches an upstream outside
+// the regions that the request's route and account allow.
 func TestRequestOutsideItsRegions(t *testing.T) {
-	lost := func(n int, _ Upstream) (*Answer, error) {
+	lost := func(n int, _ Upstream) (*Response, error) {
 		if n == 1 {
 			return nil, io.ErrUnexpectedEOF
 		}
 		return answer(http.StatusOK, "id: 1\ndata: x\n\n"), nil
 	}
-	turnedAway := func(n int, _ Upstream) (*Answer, error) {
+	notRun := func(n int, _ Upstream) (*Response, error) {
 		if n < 3 {
 			a := answer(http.StatusServiceUnavailable, "")
 			a.NotRun = true
@@ -48,13 +48,13 @@
 		}
 		return answer(http.StatusOK, "fine"), nil
 	}
-	unreachable := func(n int, _ Upstream) (*Answer, error) {
+	unreachable := func(n int, _ Upstream) (*Response, error) {
 		if n < 3 {
 			return nil, ErrNotSent
 		}
 		return answer(http.StatusOK, "fine"), nil
 	}
-	slow := func(n int, _ Upstream) (*Answer, error) {
+	slow := func(n int, _ Upstream) (*Response, error) {
 		if n == 1 {
 			time.Sleep(400 * time.Millisecond)
 		}
@@ -66,31 +66,31 @@
 		"first try, by the account":       {path: "/order/", account: west},
 		"both bound":                      {path: "/order/", route: []member.Region{"west", "east"}, account: west},
 		"repeat of a call":                {path: "/status/", route: west, send: lost},
-		"call that was turned away":       {path: "/status/", route: west, send: turnedAway},
+		"call that was turned away":       {path: "/status/", route: west, send: notRun},
 		"call to an unreachable upstream": {path: "/order/", route: west, send: unreachable},
 		"second try of a slow call":       {path: "/status/", route: west, send: slow},
 		"first try of a stream":           {path: "/llm/", route: west},
-		"stream that was turned away":     {path: "/llm/", route: west, send: turnedAway},
+		"stream that was turned away":     {path: "/llm/", route: west, send: notRun},
 		"stream of an unreachable engine": {path: "/llm/", route: west, send: unreachable},
 		"stream that is resumed":          {path: "/resumable/", route: west, send: lost},
-		"stream whose engine leaves": {path: "/llm/", route: west, while: func(f *Forwarder, at Upstream) {
+		"stream whose engine leaves": {path: "/llm/", route: west, duringStream: func(f *Forwarder, at Upstream) {
 			f.fleet.MarkLeaving(time.Now(), at.ID, 0, true)
 		}},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { synctest.Test(t, c.play) })
+		t.Run(name, func(t *testing.T) { synctest.Test(t, c.run) })
 	}
 }
 
-// play has the request come again and again at a host of another region.
-func (c regionCase) play(t *testing.T) {
+// run serves the request several times on a host of another region.
+func (c regionCase) run(t *testing.T) {
 	var f *Forwarder
 	var sends atomic.Int64
-	var moved []string // one stream at a time moves
+	var moved []string // not locked: one stream at a time moves
 	transport := &fakeTransport{}
-	transport.send = func(ctx context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+	transport.send = func(ctx context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 		n := int(sends.Add(1))
-		if c.while == nil {
+		if c.duringStream == nil {
 			if c.send == nil {
 				return answer(http.StatusOK, "id: 1\ndata: x\n\n"), nil
 			}
@@ -103,19 +103,19 @@
 					return
 				}
 				if n == 5 {
-					c.while(f, u)
+					c.duringStream(f, u)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
 			_ = write.Close()
 		}()
 		a := answer(http.StatusOK, "")
-		a.Length, a.Body = -1, read
+		a.ContentLength, a.Body = -1, read
 		return a, nil
 	}
-	transport.move = func(_ context.Context, _ Upstream, r MoveRequest) (Moved, error) {
-		moved = append(moved, r.To)
-		return Moved{}, ErrNoRoom
+	transport.move = func(_ context.Context, _ Upstream, r MoveRequest) (MoveResult, error) {
+		moved = append(moved, r.TargetAddress)
+		return MoveResult{}, ErrTargetUnavailable
 	}
 	f = newForwarder(t, transport)
 	f.settings.Regions = map[member.Zone]member.Region{"z1": "east", "z2": "west", "z3": "west"}
@@ -125,44 +125,44 @@
 	}
 	config.Accounts[0].Regions = c.account
 	now := time.Now()
-	var more []Change
+	var changes []Change
 	for _, service := range []ServiceName{"app", "llm"} {
 		for zone := 2; zone <= 3; zone++ {
 			for n := range 2 {
 				id := fmt.Sprintf("%s-z%d-%d", service, zone, n)
-				more = append(more, Change{Upstream: Upstream{
+				changes = append(changes, Change{Upstream: Upstream{
 					ID: member.UpstreamID(id), Service: service, Address: "10.1.0.1:" + id, Zone: member.Zone(fmt.Sprint("z", zone)), Slots: 6, Revision: rev(2),
 				}})
 			}
 		}
 	}
-	f.fleet.Apply(now, more, rev(2))
+	f.fleet.Apply(now, changes, rev(2))
 	f.Configure(now, config)
 	for range 4 {
 		sends.Store(0)
 		f.Serve(t.Context(), call(c.path), &fakeSink{})
-		time.Sleep(time.Second) // what was left behind ends
+		time.Sleep(time.Second) // lets goroutines left by the request end
 	}
 	if len(transport.sentTo()) == 0 {
-		t.Error("nothing was sent")
+		t.Errorf("no upstream received the request to %s in 4 attempts", c.path)
 	}
 	for _, id := range transport.sentTo() {
 		if u, _ := f.fleet.Upstream(id); u.Zone == "z1" {
-			t.Errorf("sent to %s, which is in %s", id, u.Zone)
+			t.Errorf("request to %s sent to upstream %s in zone %s, outside its regions", c.path, id, u.Zone)
 		}
 	}
 	for _, to := range moved {
 		if !strings.Contains(to, "-z2-") && !strings.Contains(to, "-z3-") {
-			t.Errorf("moved to %s, which is in z1", to)
+			t.Errorf("run moved to %s, want an upstream of z2 or z3", to)
 		}
 	}
-	if c.while != nil && len(moved) == 0 {
-		t.Error("no move was tried")
+	if c.duringStream != nil && len(moved) == 0 {
+		t.Errorf("the run of %s was not moved after its engine began to leave", c.path)
 	}
 }
 
-// TestNoUpstreamInRegion has a request be refused at once, and be told why, when none of its
-// regions has an upstream that takes work.
+// TestNoUpstreamInRegion checks that a request is refused at once, with CodeRegion, if no upstream
+// in its regions accepts work.
 func TestNoUpstreamInRegion(t *testing.T) {
 	for name, regions := range map[string][]member.Region{
 		"a region without upstreams": {"west"}, "a region that isn't known": {"north"},
@@ -189,10 +189,10 @@
 	}
 }
 
-// TestEmptyRegionsSetNoBound has a request without allowed regions be served anywhere.
+// TestEmptyRegionsSetNoBound checks that a request without allowed regions may be served in any zone.
 func TestEmptyRegionsSetNoBound(t *testing.T) {
 	x := &exchange{Forwarder: newForwarder(t, &fakeTransport{})}
-	if !slices.Equal(x.allowedZones(), nil) || !x.mayServeIn("z9") {
-		t.Error("bound to", x.allowedZones())
+	if !slices.Equal(x.allowedZones(), nil) || !x.zoneAllowed("z9") {
+		t.Errorf("request without regions is restricted to zones %v, want no restriction", x.allowedZones())
 	}
 }
--- a/forward/budget_test.go
+++ b/forward/retrybudget_test.go
@@ -12,64 +12,63 @@
 	"github.com/matryer/is"
 )
 
-// TestRetryBudget has repeats stop at the limit that all hosts share.
+// TestRetryBudget checks that retries stop at the limit that all hosts share.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	b := retryBudget{limit: RetryLimit{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
 	count := func(now time.Time) (n int) {
-		for b.take(now, "app") {
+		for b.takeRetry(now, "app") {
 			n++
 		}
 		return n
 	}
 	b.setHosts(1)
-	is.Equal(count(now), 8) // 0.8 of the slack
+	is.Equal(count(now), 8) // 0.8 of the slack of 10
 	b.setHosts(5)
 	for range 100 {
-		b.first(now, "app")
+		b.countRequest(now, "app")
 	}
-	is.Equal(count(now), 9) // 0.8 of (20 and a fifth of the slack), less the 8
+	is.Equal(count(now), 9) // 0.8 of (20 + a fifth of the slack), minus the 8 already taken
 	is.Equal(count(now.Add(5*time.Second)), 0)
-	is.Equal(count(now.Add(11*time.Second)), 1) // only a part of the slack is left
-	var none retryBudget
-	is.True(!none.take(now, "app"))
+	is.Equal(count(now.Add(11*time.Second)), 1) // the requests have left the window; 0.8 of a fifth of the slack remains
+	var zero retryBudget
+	is.True(!zero.takeRetry(now, "app"))
 }
 
-// TestRetryBudgetOfAllHosts has the repeats of all hosts together stay within the limit of
-// their service, however few of the others each host hears.
+// TestRetryBudgetOfAllHosts checks that the retries of all hosts together stay within their
+// service's limit, however few of the others each host can reach.
 //
-// What callers would see: repeats hit upstreams that fail already. Each host that hears
-// nobody took itself for the only one and had all of the slack: six hosts that were cut off
-// from each other had 54 repeats where 22 are allowed, and six that started together 54 in
-// their first moments.
+// It guards against retries that pile up on upstreams which already fail: a host that reaches no
+// other once took itself for the only one and used the whole slack, so that six hosts that
+// were partitioned, or had just started, sent 54 retries where 22 are allowed.
 func TestRetryBudgetOfAllHosts(t *testing.T) {
 	const zones, hostsPerZone, firstTries = 3, 2, 10
-	const settled = 4 * time.Second
+	const settleTime = 4 * time.Second
 	limit := RetryLimit{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}
 	for name, c := range map[string]struct {
-		// happens is before the repeats.
+		// happens runs before the retries.
 		happens func(s *site)
-		// least is how many repeats there are at least: hosts that are in touch use the
-		// limit.
-		least int
+		// minRetries is the lowest number of retries that is accepted: hosts that reach each other use
+		// the limit.
+		minRetries int
 	}{
 		"all have just started": {func(*site) {}, 0},
-		"in touch":              {func(*site) { time.Sleep(settled) }, 12},
+		"in touch":              {func(*site) { time.Sleep(settleTime) }, 12},
 		"cut off from each other": {func(s *site) {
-			time.Sleep(settled)
+			time.Sleep(settleTime)
 			for zone := range zones {
 				s.cutOff(s.zone(zone + 1)...)
 			}
 			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"one zone is cut off": {func(s *site) {
-			time.Sleep(settled)
+			time.Sleep(settleTime)
 			s.cutOff(s.zone(1)...)
 			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"cut off for longer than silent hosts are kept": {func(s *site) {
-			time.Sleep(settled)
+			time.Sleep(settleTime)
 			for zone := range zones {
 				s.cutOff(s.zone(zone + 1)...)
 			}
@@ -88,16 +87,16 @@
 				for _, f := range s.hosts {
 					f.SetRetryLimit(limit)
 					for range firstTries {
-						f.retries.first(f.now(), "app")
+						f.retries.countRequest(f.now(), "app")
 					}
-					for f.retries.take(f.now(), "app") {
+					for f.retries.takeRetry(f.now(), "app") {
 						repeats++
 					}
 				}
 				allowed := int(limit.Ratio*firstTries*zones*hostsPerZone + limit.Slack)
-				t.Logf("%d repeats, %d allowed", repeats, allowed)
-				is.True(repeats <= allowed)
-				is.True(repeats >= c.least)
+				t.Logf("%d retries on all hosts, %d allowed", repeats, allowed)
+				is.True(repeats <= allowed)      // more retries than the limit allows
+				is.True(repeats >= c.minRetries) // fewer retries than hosts in contact use
 				cancel()
 				synctest.Wait()
 			})
@@ -105,8 +104,8 @@
 	}
 }
 
-// TestRetryBudgetAlone has a host without others have the whole limit once it has looked for
-// them.
+// TestRetryBudgetAlone checks that a host without peers gets the whole limit once it has looked for
+// peers.
 func TestRetryBudgetAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -117,10 +116,10 @@
 		f := s.first()
 		f.SetRetryLimit(RetryLimit{Slack: 10, Window: 10 * time.Second})
 		repeats := 0
-		for f.retries.take(f.now(), "app") {
+		for f.retries.takeRetry(f.now(), "app") {
 			repeats++
 		}
-		is.Equal(repeats, 8) // 0.8 of the slack
+		is.Equal(repeats, 8) // 0.8 of the slack of 10
 		cancel()
 		synctest.Wait()
 	})
--- a/forward/send.go
+++ b/forward/send.go
@@ -16,27 +16,29 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Everything that goes to an upstream goes through here: it is judged at the moment of
-// sending, and what the answer tells about the upstream is taken in.
+// All requests to upstreams are sent from this file. It checks at the moment of sending
+// whether the upstream may receive the request, and processes the signals that the response
+// carries about the upstream.
 
-// keptBackError says why a request was not sent to its upstream. It is an ErrNotSent.
-type keptBackError struct{ eligibility.Verdict }
+// notSentError says why a request was not sent to its upstream. It matches ErrNotSent.
+type notSentError struct{ eligibility.Verdict }
 
-func (e *keptBackError) Error() string { return fmt.Sprintf("not sent: %v", e.Verdict) }
+func (e *notSentError) Error() string { return fmt.Sprintf("not sent: %v", e.Verdict) }
 
-func (e *keptBackError) Is(target error) bool { return target == ErrNotSent }
+func (e *notSentError) Is(target error) bool { return target == ErrNotSent }
 
-// keptBackBy returns the verdict of a keptBackError.
-func keptBackBy(err error) (eligibility.Verdict, bool) {
-	var kept *keptBackError
+// notSentVerdict returns the verdict of a notSentError in the chain of err; false if there is none.
+func notSentVerdict(err error) (eligibility.Verdict, bool) {
+	var kept *notSentError
 	if errors.As(err, &kept) {
 		return kept.Verdict, true
 	}
 	return eligibility.Verdict{}, false
 }
 
-// State is what the fleet knows that bears on sending to an upstream.
-func (f *Fleet) State(now time.Time, id member.UpstreamID) eligibility.State {
+// EligibilityState returns what the list of upstreams says about whether requests may be sent to
+// an upstream.
+func (f *Fleet) EligibilityState(now time.Time, id member.UpstreamID) eligibility.State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.upstreams[id]
@@ -50,33 +52,35 @@
 	}
 }
 
-// upstreamState is what this host knows that bears on sending to an upstream, but for the
-// permit that a bounded one needs.
-func (f *Forwarder) upstreamState(now time.Time, u Upstream) eligibility.State {
-	s := f.fleet.State(now, u.ID)
+// eligibilityState returns what this host knows about whether requests may be sent to an upstream,
+// except for rate limits, which a permit covers.
+func (f *Forwarder) eligibilityState(now time.Time, u Upstream) eligibility.State {
+	s := f.fleet.EligibilityState(now, u.ID)
 	s.Backoff = f.backoffs.Wait(now, u.ID)
 	return s
 }
 
-// judge decides whether the request may be sent to an upstream now, but for a permit.
-func (x *exchange) judge(now time.Time, u Upstream, p eligibility.Purpose) eligibility.Verdict {
-	s := x.upstreamState(now, u)
-	s.Quarantined, s.RegionBarred = x.held(now), !x.mayServeIn(u.Zone)
+// checkEligibility decides whether the request may be sent to an upstream now, apart from the permit
+// that a rate-limited upstream needs.
+func (x *exchange) checkEligibility(now time.Time, u Upstream, p eligibility.Purpose) eligibility.Verdict {
+	s := x.eligibilityState(now, u)
+	s.Quarantined, s.RegionBarred = x.held(now), !x.zoneAllowed(u.Zone)
 	s.VersionBarred = !x.versions.get().Allows(u.Version) || x.rollouts.Retired(u.Service, u.Version)
 	return eligibility.Judge(s, p)
 }
 
-// eligible decides whether the request may be sent to an upstream now, and gets the permit that
-// a bounded one needs. repeat says that another upstream has had it.
-func (x *exchange) eligible(ctx context.Context, u Upstream, repeat bool) eligibility.Verdict {
-	if v := x.judge(x.now(), u, eligibility.Request); !v.OK() {
+// authorizeSend decides whether the request may be sent to an upstream now, and obtains the permit
+// that a rate-limited upstream needs. isRetry says that another upstream has already received
+// the request.
+func (x *exchange) authorizeSend(ctx context.Context, u Upstream, isRetry bool) eligibility.Verdict {
+	if v := x.checkEligibility(x.now(), u, eligibility.Request); !v.OK() {
 		return v
 	}
-	return x.permitted(ctx, permitRequest{request: x.call.ID, service: &x.service, upstream: u, rank: int(x.urgency), repeat: repeat})
+	return x.permitVerdict(ctx, permitRequest{request: x.call.ID, service: &x.service, upstream: u, rank: int(x.urgency), repeat: isRetry})
 }
 
-// permitted is the verdict on something that only a permit may be missing for.
-func (f *Forwarder) permitted(ctx context.Context, r permitRequest) eligibility.Verdict {
+// permitVerdict asks for a permit and returns the verdict on a send that needs nothing else.
+func (f *Forwarder) permitVerdict(ctx context.Context, r permitRequest) eligibility.Verdict {
 	wait, ok := f.permit(ctx, r)
 	if ok {
 		return eligibility.Verdict{}
@@ -84,19 +88,20 @@
 	return eligibility.Judge(eligibility.State{Limit: max(wait, 1)}, eligibility.Request)
 }
 
-// countSend has something be counted that goes to a bounded upstream in any case.
-func (x *exchange) countSend(ctx context.Context, u Upstream) {
+// countForcedSend counts a send to a rate-limited upstream that happens with or without a permit.
+func (x *exchange) countForcedSend(ctx context.Context, u Upstream) {
 	x.permit(ctx, permitRequest{service: &x.service, upstream: u, must: true})
 }
 
-// sendTo sends the request to an upstream, unless that may not get it now.
-func (x *exchange) sendTo(ctx context.Context, u Upstream, out *Outgoing) (*Answer, error) {
+// sendTo sends the request to an upstream. If the upstream may not receive it now, the error is a
+// notSentError.
+func (x *exchange) sendTo(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 	purpose := eligibility.Request
 	if out.Continue != nil && out.Continue.Handle != "" {
 		purpose = eligibility.Continuation
 	}
 	sent := x.now()
-	v := x.judge(sent, u, purpose)
+	v := x.checkEligibility(sent, u, purpose)
 	var ticket backoff.Ticket
 	if v.OK() {
 		var wait time.Duration
@@ -104,12 +109,12 @@
 			v = eligibility.Verdict{Reason: eligibility.Backoff, Wait: wait}
 		}
 	}
-	x.noteVerdict(u, v)
+	x.logVerdict(u, v)
 	if !v.OK() {
-		return nil, &keptBackError{v}
+		return nil, &notSentError{v}
 	}
 	answer, err := x.transport.Send(ctx, u, out)
-	if err != nil || answer.OtherInstance {
+	if err != nil || answer.WrongInstance {
 		x.backoffs.End(x.now(), u.ID, ticket, false)
 		return answer, err
 	}
@@ -119,8 +124,9 @@
 	return answer, nil
 }
 
-// noteVerdict tells of a request that isn't sent to its upstream, or is all the same.
-func (x *exchange) noteVerdict(u Upstream, v eligibility.Verdict) {
+// logVerdict logs and counts a request that isn't sent to its upstream, or is sent despite a reason
+// against it.
+func (x *exchange) logVerdict(u Upstream, v eligibility.Verdict) {
 	switch {
 	case !v.OK():
 		x.journal.Request(x.call.ID, "not sent", "upstream", u.ID, "why", v.Reason, "wait", v.Wait)
@@ -132,43 +138,44 @@
 	x.observer.Send(v)
 }
 
-// askMove has a run's memory copied, and takes in what the answer tells about the engine.
-func (x *exchange) askMove(ctx context.Context, from Upstream, r MoveRequest) (Moved, error) {
-	x.observeControl(ctx, from)
+// requestMove asks an engine to copy a run's memory, and processes the signals in the reply.
+func (x *exchange) requestMove(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
+	x.countControlCall(ctx, from)
 	sent := x.now()
-	moved, err := x.transport.Move(ctx, from, r)
-	x.takeSignals(sent, from, answerToMove, moved.Signals)
-	return moved, err
+	result, err := x.transport.Move(ctx, from, r)
+	x.takeSignals(sent, from, answerToMove, result.Signals)
+	return result, err
 }
 
-// discardCopy frees a copy, and takes in what the answer tells about the engine.
+// discardCopy frees a copy of a run's memory, and processes the signals in the reply.
 func (x *exchange) discardCopy(ctx context.Context, at Upstream, handle string) error {
-	x.observeControl(ctx, at)
+	x.countControlCall(ctx, at)
 	sent := x.now()
-	told, err := x.transport.Discard(ctx, at, handle)
-	x.takeSignals(sent, at, answerToDiscard, told)
+	signals, err := x.transport.Discard(ctx, at, handle)
+	x.takeSignals(sent, at, answerToDiscard, signals)
 	return err
 }
 
-// observeControl counts a call about a run that goes to its engine whatever that asked for.
-func (x *exchange) observeControl(ctx context.Context, u Upstream) {
-	x.countSend(ctx, u)
-	if v := eligibility.Judge(x.upstreamState(x.now(), u), eligibility.Control); v.Despite != "" {
+// countControlCall counts a call about a run, which goes to the run's engine even if a backoff or
+// limit forbids other requests.
+func (x *exchange) countControlCall(ctx context.Context, u Upstream) {
+	x.countForcedSend(ctx, u)
+	if v := eligibility.Judge(x.eligibilityState(x.now(), u), eligibility.Control); v.Despite != "" {
 		x.observer.Send(v)
 	}
 }
 
-// checkHealth asks an upstream how it is, unless it may not be asked now.
+// checkHealth asks an upstream for its health, unless nothing may be sent to it now.
 func (f *Forwarder) checkHealth(ctx context.Context, s *Service, u Upstream) (Health, error) {
 	sent := f.now()
-	v := eligibility.Judge(f.upstreamState(sent, u), eligibility.Probe)
+	v := eligibility.Judge(f.eligibilityState(sent, u), eligibility.Probe)
 	if v.OK() {
-		// Where requests want the upstream's permits, they go first.
-		v = f.permitted(ctx, permitRequest{service: s, upstream: u, rank: int(MostPatient), repeat: true})
+		// If permits are scarce, requests go before health checks.
+		v = f.permitVerdict(ctx, permitRequest{service: s, upstream: u, rank: int(MostPatient), repeat: true})
 	}
 	if !v.OK() {
 		f.observer.Send(v)
-		return Health{}, &keptBackError{v}
+		return Health{}, &notSentError{v}
 	}
 	health, err := f.transport.Health(ctx, u, s.HealthPath)
 	if err == nil {
@@ -177,54 +184,56 @@
 	return health, err
 }
 
-// backoffSpread is the most that is added to a backoff, so that hosts which were asked
-// together don't return together; it is a part of the backoff where that is shorter.
-const backoffSpread = 500 * time.Millisecond
+// maxBackoffJitter bounds the random time that is added to a backoff, so that hosts which received
+// it together don't return together. For short backoffs the bound is a quarter of the backoff.
+const maxBackoffJitter = 500 * time.Millisecond
 
-// takeBackoff takes in that an upstream wants nothing from this host for a while. It reports
-// whether that is news.
-func (f *Forwarder) takeBackoff(now time.Time, u Upstream, d time.Duration) bool {
-	if f.backoffs.Ask(now, u.ID, int64(u.Incarnation), d, spreadOf(d)) {
+// recordBackoff records that an upstream asked this host for a backoff of d. It reports whether the
+// host wasn't already in a backoff from the upstream.
+func (f *Forwarder) recordBackoff(now time.Time, u Upstream, d time.Duration) bool {
+	if f.backoffs.Ask(now, u.ID, int64(u.Incarnation), d, backoffJitter(d)) {
 		return false
 	}
-	f.relistEngines()
-	// Under overload every upstream asks again and again; what isn't told at once goes with
-	// the next share.
+	f.requestRelist()
+	// Under overload, every upstream asks for backoff again and again. Notices to the peers are
+	// rate-limited; what isn't announced at once goes out with the next periodic share.
 	if f.backoffNotices.allow(now, "") {
 		f.peers.notifyAll()
 	}
 	return true
 }
 
-// receiveBackoff takes in that an upstream wants nothing from a peer for a while.
-func (f *Forwarder) receiveBackoff(now time.Time, from member.HostID, mark backoff.Mark) {
-	if !f.fleet.ReceiveIncarnation(mark.Upstream, Incarnation(mark.Life)) || !f.backoffs.Receive(now, from, mark, spreadOf(mark.For)) {
+// receivePeerBackoff records that an upstream asked a peer for backoff.
+func (f *Forwarder) receivePeerBackoff(now time.Time, from member.HostID, mark backoff.Mark) {
+	if !f.fleet.ReceiveIncarnation(mark.Upstream, Incarnation(mark.Life)) || !f.backoffs.Receive(now, from, mark, backoffJitter(mark.For)) {
 		return
 	}
-	f.relistEngines()
+	f.requestRelist()
 	if f.signalLines.allow(now, mark.Upstream) {
 		f.journal.Belief("upstream asks several hosts for backoff", "upstream", mark.Upstream, "peer", from, "for", mark.For)
 	}
 }
 
-// relistEngines has the placement hear at once which engines take work: what waits for one
-// that doesn't any more goes elsewhere.
-func (f *Forwarder) relistEngines() {
+// requestRelist makes Run refresh at once which engines accept work, so that runs waiting for an
+// engine that no longer does are placed elsewhere.
+func (f *Forwarder) requestRelist() {
 	select {
 	case f.relist <- struct{}{}:
 	default:
 	}
 }
 
-func spreadOf(d time.Duration) time.Duration { return rand.N(min(backoffSpread, d/4) + 1) }
+// backoffJitter returns a random addition to a backoff of d.
+func backoffJitter(d time.Duration) time.Duration { return rand.N(min(maxBackoffJitter, d/4) + 1) }
 
-// candidates are those of a service's upstreams that this request may go to.
+// candidates returns the service's upstreams that this request may be sent to, before limits are
+// checked.
 func (x *exchange) candidates(now time.Time, service ServiceName) []Upstream {
-	return x.allowedOf(x.Forwarder.candidates(now, service))
+	return x.filterUpstreams(x.Forwarder.candidates(now, service))
 }
 
-// candidates are the upstreams of a service that a request may go to, but for limits and
-// the windows of those that return after a backoff.
+// candidates returns the service's upstreams that accept work and aren't in a backoff. It checks
+// neither rate limits nor how many requests an upstream may get right after its backoff.
 func (f *Forwarder) candidates(now time.Time, service ServiceName) []Upstream {
 	if !f.backoffs.Any() {
 		return f.fleet.Available(now, service)
@@ -232,5 +241,5 @@
 	return f.fleet.AvailableExcept(now, service, func(id member.UpstreamID) bool { return f.backoffs.Remaining(now, id) > 0 })
 }
 
-// BackoffEntries lists the upstreams that asked this host for backoff.
+// BackoffEntries lists the upstreams that are in a backoff or returning from one.
 func (f *Forwarder) BackoffEntries() []backoff.Entry { return f.backoffs.Entries(f.now()) }
--- /dev/null
+++ b/forward/unary.go
@@ -0,0 +1,337 @@
+// Copyright 2026 The shedpath authors
+// SPDX-License-Identifier: Apache-2.0
+
+package forward
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/shedpath/shedpath/member"
+)
+
+const (
+	// maxBufferedResponse is the number of bytes of a response that are buffered before any of
+	// it is passed on. A response that breaks within them can still be replaced by another
+	// upstream's.
+	maxBufferedResponse = 1 << 20
+	// maxConnectAttempts bounds the upstreams that a request is tried on while it couldn't be
+	// sent to any.
+	maxConnectAttempts = 3
+	// hedgeDelayFraction is the part of the objective after which a request that is safe to
+	// repeat is also sent to a second upstream.
+	hedgeDelayFraction = 0.6
+	// maxRejections bounds the upstreams that may reject a request before it is refused.
+	maxRejections = 3
+)
+
+// upstreamAttempt is the outcome of sending a request to one upstream.
+type upstreamAttempt struct {
+	upstream Upstream
+	response *Response
+	body     []byte
+	// hasMore says that the response goes on after the part in body; the rest is unread.
+	hasMore bool
+	err     error
+	elapsed time.Duration
+}
+
+// succeeded reports whether the response may be passed to the caller as a success.
+func (t *upstreamAttempt) succeeded() bool {
+	a := t.response
+	return t.err == nil && a.Signed && !a.UnexpectedEncoding && !a.NotRun && a.Status < http.StatusInternalServerError && !claimsNotRun(a.Status)
+}
+
+// executed reports whether the upstream confirmed that it ran the request, even if it failed.
+func (t *upstreamAttempt) executed() bool {
+	return t.err == nil && t.response.Signed && !t.response.NotRun && !t.response.WrongInstance
+}
+
+// unaryExchange is an exchange whose response is passed on whole, as opposed to a stream of
+// events. It sends the request to one or more upstreams until one succeeds.
+type unaryExchange struct {
+	*exchange
+	results chan upstreamAttempt
+	tried   []member.UpstreamID
+	// sent counts the upstreams that may have run the request, pending attempts included; notSent
+	// counts those that certainly didn't receive it; pending counts the attempts that haven't
+	// ended.
+	sent, notSent, pending int
+	// rejected counts the upstreams that stated that they didn't run the request.
+	rejected int
+	// mayHaveRun says that the request may have run in an attempt that has ended.
+	mayHaveRun bool
+	// upstreamFailure is an error response of an upstream. The caller gets it if no attempt
+	// succeeds.
+	upstreamFailure *upstreamAttempt
+	// selectionRefusal is the reason why no upstream was found for the last attempt that was to
+	// start.
+	selectionRefusal Refusal
+	// lastCode is the reason why the last attempt failed.
+	lastCode Code
+	// responseMemory counts the memory that the buffered responses take.
+	responseMemory heldBytes
+}
+
+// serveUnary serves a request with the response of one upstream, which it passes on whole.
+func (x *exchange) serveUnary(ctx context.Context) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	p := &unaryExchange{exchange: x, results: make(chan upstreamAttempt, maxConnectAttempts+max(x.route.Attempts, 1)+1)}
+	p.responseMemory.budget = &x.answers
+	defer p.responseMemory.end()
+	x.retries.countRequest(x.now(), x.service.Name)
+	if !p.startAttempt(ctx, false) {
+		x.refuse(p.selectionRefusal, "service", x.service.Name, "kept_back", x.throttledCount(x.now()))
+		return
+	}
+	hedge := p.hedgeTimer()
+	defer hedge.Stop()
+	for p.pending > 0 {
+		select {
+		case <-ctx.Done():
+			p.finishCanceled(ctx)
+			return
+		case <-hedge.C:
+			p.retry(ctx, "slow")
+		case t := <-p.results:
+			p.pending--
+			if p.handleResult(ctx, &t) {
+				return
+			}
+		}
+	}
+	p.finishFailed()
+}
+
+// hedgeTimer returns a timer that fires when the first attempt has taken too long. It never fires
+// for a request that isn't safe to repeat.
+func (p *unaryExchange) hedgeTimer() *time.Timer {
+	if p.route.Kind != KindSafe || p.route.Attempts < 2 || p.route.Objective <= 0 {
+		t := time.NewTimer(time.Hour)
+		t.Stop()
+		return t
+	}
+	return time.NewTimer(time.Duration(hedgeDelayFraction * float64(p.route.Objective)))
+}
+
+// startAttempt sends the request in the background to the best upstream that hasn't been tried.
+// isRetry says that another upstream has already received the request. It reports whether
+// an upstream was found.
+func (p *unaryExchange) startAttempt(ctx context.Context, isRetry bool) bool {
+	u, refusal, found := p.selectUpstream(ctx, p.tried, isRetry)
+	if !found {
+		p.selectionRefusal = refusal
+		return false
+	}
+	now := p.now()
+	p.tried = append(p.tried, u.ID)
+	p.pending++
+	p.sent++
+	out := &UpstreamRequest{Call: p.call, Account: p.account.Name, TimeLeft: p.left(now), Urgency: p.urgency}
+	go func() {
+		defer p.contain(func() { p.results <- upstreamAttempt{upstream: u, err: errPanicked} })
+		p.results <- p.runAttempt(ctx, now, u, out)
+	}()
+	return true
+}
+
+// runAttempt sends the request to one upstream and reads the response.
+func (p *unaryExchange) runAttempt(ctx context.Context, startedAt time.Time, u Upstream, out *UpstreamRequest) upstreamAttempt {
+	t := upstreamAttempt{upstream: u}
+	t.response, t.err = p.sendTo(ctx, u, out)
+	if t.err == nil {
+		t.body, t.hasMore, t.err = p.responseMemory.read(t.response)
+	}
+	now := p.now()
+	t.elapsed = now.Sub(startedAt)
+	p.noteVersion(ctx, now, u, &t)
+	switch {
+	case errors.Is(t.err, ErrNotSent), t.err == nil && (t.response.WrongInstance || t.response.Signals.RetryAfter > 0):
+		// A response that asks for backoff doesn't count against the upstream's latency or
+		// failure rate: the backoff is the consequence.
+		p.plain.done(now, u.ID, 0, true)
+	default:
+		p.plain.done(now, u.ID, t.elapsed, !t.succeeded())
+	}
+	return t
+}
+
+// handleResult processes an attempt that has ended, and starts another if that is allowed. It
+// reports whether the caller has been answered.
+func (p *unaryExchange) handleResult(ctx context.Context, t *upstreamAttempt) bool {
+	now := p.now()
+	if t.executed() {
+		// Error responses count too: the upstream is still alive after running the request.
+		p.survived(now)
+	}
+	if t.succeeded() {
+		p.deliver(t)
+		return true
+	}
+	why := p.classifyFailure(ctx, now, t)
+	p.journal.Request(p.call.ID, "try failed", "upstream", t.upstream.ID, "why", why, "status", statusOf(t.response), "err", t.err, "took", t.elapsed)
+	switch why {
+	case "kept_back":
+		p.sent--
+		p.lastCode = CodeOverloaded
+		if ctx.Err() == nil && !p.held(now) {
+			p.startAttempt(ctx, p.sent+p.rejected > 0)
+		}
+	case "not_sent":
+		p.sent--
+		p.notSent++
+		p.lastCode = CodeNoUpstream
+		if p.notSent < maxConnectAttempts && ctx.Err() == nil {
+			p.startAttempt(ctx, false)
+		}
+	case "not_run":
+		// An upstream that didn't run the request doesn't use up one of the route's attempts.
+		p.sent--
+		p.rejected++
+		p.lastCode = CodeOverloaded
+		if p.rejected < maxRejections {
+			p.retry(ctx, why)
+		}
+	default:
+		p.mayHaveRun = true
+		if p.route.Kind == KindSafe {
+			p.retry(ctx, why)
+		}
+	}
+	return false
+}
+
+// classifyFailure returns the kind of a failed attempt, as logged and counted, and marks the
+// upstream accordingly.
+func (p *unaryExchange) classifyFailure(ctx context.Context, now time.Time, t *upstreamAttempt) string {
+	_, notPermitted := notSentVerdict(t.err)
+	switch {
+	case notPermitted:
+		return "kept_back"
+	case errors.Is(t.err, ErrNotSent):
+		p.fleet.Suspect(now, t.upstream.ID)
+		return "not_sent"
+	case t.err != nil:
+		p.lastCode = CodeLost
+		p.recordBrokenConnection(ctx, now, t.upstream, time.Time{}, t.err)
+		return "lost"
+	case t.response.WrongInstance:
+		p.fleet.MarkLeaving(now, t.upstream.ID, 0, true)
+		return "not_sent"
+	case t.response.NotRun:
+		return "not_run"
+	case t.response.Signed && !t.response.UnexpectedEncoding && !claimsNotRun(t.response.Status):
+		p.upstreamFailure = t
+		return "upstream_failed"
+	default:
+		p.lastCode = CodeBadAnswer
+		return "bad_answer"
+	}
+}
+
+// claimsNotRun reports whether a status by itself says that the request has not run. An upstream's
+// response with such a status isn't trusted unless it also states that the request didn't run.
+func claimsNotRun(status int) bool {
+	switch status {
+	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
+		return true
+	}
+	return false
+}
+
+// statusOf returns a response's status; zero if there is no response.
+func statusOf(a *Response) int {
+	if a == nil {
+		return 0
+	}
+	return a.Status
+}
+
+// retry sends the request to another upstream if the route's attempts and the retry budget allow
+// it.
+func (p *unaryExchange) retry(ctx context.Context, why string) {
+	if ctx.Err() != nil || p.sent >= p.route.Attempts || p.held(p.now()) {
+		return
+	}
+	if !p.retries.takeRetry(p.now(), p.service.Name) {
+		p.journal.Request(p.call.ID, "not repeated", "why", "retry budget used up", "after", why)
+		return
+	}
+	if p.startAttempt(ctx, true) {
+		p.observer.Repeated(why)
+	}
+}
+
+// deliver passes an upstream's response to the caller.
+func (p *unaryExchange) deliver(t *upstreamAttempt) {
+	var err error
+	if t.hasMore {
+		err = p.deliverUnbuffered(t)
+	} else {
+		err = p.to.SendResponse(t.response, t.body)
+	}
+	outcome := "ok"
+	if err != nil {
+		outcome = "not_delivered"
+	}
+	p.answered(outcome, "upstream", t.upstream.ID, "status", t.response.Status, "tries", len(p.tried), "skipped", p.skipped, "err", err)
+}
+
+// deliverUnbuffered passes on a response that is too long to be buffered.
+func (p *unaryExchange) deliverUnbuffered(t *upstreamAttempt) error {
+	defer t.response.Body.Close()
+	err := p.to.BeginResponse(t.response)
+	if err == nil {
+		err = p.to.Write(t.body)
+	}
+	chunk := make([]byte, 64<<10)
+	for err == nil {
+		n, readErr := t.response.Body.Read(chunk)
+		if n > 0 {
+			err = p.to.Write(chunk[:n])
+		}
+		if errors.Is(readErr, io.EOF) {
+			return err
+		}
+		if readErr != nil {
+			err = readErr
+		}
+	}
+	p.to.Truncate()
+	return err
+}
+
+// finishFailed answers the caller when all attempts have ended without success.
+func (p *unaryExchange) finishFailed() {
+	now := p.now()
+	switch {
+	case p.upstreamFailure != nil:
+		p.deliver(p.upstreamFailure)
+	case p.mayHaveRun:
+		p.refuse(p.truly(now, Refusal{Code: p.lastCode, MayHaveRun: true}), "tries", len(p.tried))
+	case p.held(now):
+		p.refuse(heldRefusal, "tries", len(p.tried))
+	default:
+		refusal := Refusal{Code: p.lastCode, RetryAfter: retryUnknown}
+		if p.lastCode == CodeOverloaded {
+			refusal = p.rejectedEverywhere(now)
+		}
+		p.refuse(refusal, "tries", len(p.tried), "kept_back", p.throttledCount(now))
+	}
+}
+
+// finishCanceled ends the exchange when its context has ended: the time for the request or for the
+// host's shutdown is over, or the caller has left. Attempts that are pending end with the
+// context.
+func (p *unaryExchange) finishCanceled(ctx context.Context) {
+	why := endingOf(ctx)
+	if why != callerLeft && p.upstreamFailure != nil {
+		p.deliver(p.upstreamFailure)
+		return
+	}
+	p.refuse(Refusal{Code: why.code(), MayHaveRun: true}, "tries", len(p.tried))
+}
