--- a/forward/asking.go
+++ b/forward/asking.go
@@ -103,7 +103,7 @@
 // askZones asks a host of each of some zones in turn, until one gives a place. blind says
 // that some zone couldn't be asked.
 func (f *Forwarder) askZones(ctx context.Context, zones []member.Zone, service ServiceName, r policy.Request) (grant PlaceGrant, found, blind bool) {
-	peers := f.port()
+	peers := f.loadPeerPort()
 	for _, zone := range zones {
 		now := f.now()
 		to, live := f.peers.anyOutside(now, zone)
--- a/forward/asking_test.go
+++ b/forward/asking_test.go
@@ -17,7 +17,7 @@
 
 // askedPeer is a host's interface to one host of another zone.
 type askedPeer struct {
-	followedPeers
+	fakeFollowedPeer
 	other *Forwarder
 	// lost has answers not arrive, silent requests neither.
 	lost, silent bool
--- a/forward/broken.go
+++ b/forward/broken.go
@@ -31,7 +31,7 @@
 // asked is what the request asks, for telling it from others.
 func (x *exchange) asked() quarantine.Asked {
 	a := quarantine.Asked{
-		Caller: string(x.account.Name), Method: x.call.Method, Host: hostName(x.call.Host), Target: x.call.Target, Body: x.call.Body,
+		Caller: string(x.account.Name), Method: x.call.Method, Host: normalizeHost(x.call.Host), Target: x.call.Target, Body: x.call.Body,
 	}
 	if a.Caller == "" {
 		a.Caller = x.call.Key
--- a/forward/clock_test.go
+++ b/forward/clock_test.go
@@ -46,11 +46,11 @@
 			func(f *Forwarder, now time.Time) time.Duration { return f.ContactAge(now) },
 		},
 		"list": {
-			func(f *Forwarder, now time.Time) { f.originContact.raise(now) },
+			func(f *Forwarder, now time.Time) { f.originContact.advance(now) },
 			func(f *Forwarder, now time.Time) time.Duration { return f.OriginAge(now) },
 		},
 		"followed": {
-			func(f *Forwarder, now time.Time) { f.followed.raise(now) },
+			func(f *Forwarder, now time.Time) { f.followed.advance(now) },
 			func(f *Forwarder, now time.Time) time.Duration { return f.followed.age(now) },
 		},
 		"doubt": {
@@ -121,10 +121,10 @@
 	f := newForwarder(t, &fakeTransport{})
 	f.contact.clear()
 	f.receive(Share{From: Peer{ID: "h9", Zone: "z1"}, Version: 1, ConfigAge: -time.Hour, OriginAge: -time.Hour})
-	is.Equal(f.ContactAge(time.Now()), neverProved)
+	is.Equal(f.ContactAge(time.Now()), noProofAge)
 	_, found := f.peers.leader(time.Now(), true)
 	is.True(!found)
-	peers := &followedPeers{}
+	peers := &fakeFollowedPeer{}
 	peers.originAge.Store(int64(-time.Hour))
 	f.peerPort = peers
 	is.True(!f.followPeer(t.Context(), Peer{ID: "h9"}, zoneBounds))
--- a/forward/drillday_test.go
+++ b/forward/drillday_test.go
@@ -182,7 +182,7 @@
 
 // settle has nothing happen any more, and then all hosts know what is so.
 func (d *drillDay) settle() {
-	time.Sleep(max(lapseWithin, relistWithin) + drillContact + 2*time.Second)
+	time.Sleep(max(entryLapseGrace, relistGrace) + drillContact + 2*time.Second)
 	for _, f := range d.each() {
 		d.mu.Lock()
 		for n := range d.next {
--- a/forward/engines.go
+++ b/forward/engines.go
@@ -144,7 +144,7 @@
 			e.pools[name] = p
 		}
 		p.spec = *s.Engine
-		settings := poolSettings(p.spec, t.ShortestPause(name))
+		settings := poolSettings(p.spec, t.ShortestGapObjective(name))
 		settings.Decider = string(e.self)
 		p.pool.SetSettings(settings)
 	}
--- a/forward/engines_test.go
+++ b/forward/engines_test.go
@@ -51,14 +51,14 @@
 func TestShortestPause(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(1)
-	is.Equal(NewTable(c).ShortestPause("llm"), time.Duration(0))
+	is.Equal(NewTable(c).ShortestGapObjective("llm"), time.Duration(0))
 	strict, lax := c.Routes[2], c.Routes[2]
 	strict.Name, strict.PathPrefix, strict.GapObjective = "strict", "/strict/", 120*time.Millisecond
 	lax.Name, lax.PathPrefix, lax.GapObjective = "lax", "/lax/", 600*time.Millisecond
 	c.Routes = append(c.Routes, lax, strict)
 	table := NewTable(c)
-	is.Equal(table.ShortestPause("llm"), 120*time.Millisecond)
-	is.Equal(table.ShortestPause("app"), time.Duration(0))
+	is.Equal(table.ShortestGapObjective("llm"), 120*time.Millisecond)
+	is.Equal(table.ShortestGapObjective("app"), time.Duration(0))
 	is.Equal(poolSettings(*c.Services[1].Engine, 0).BetweenTokens, stepBound)
 	// 120 ms for four tokens are 30 ms a step, and a tenth is kept back.
 	is.Equal(poolSettings(*c.Services[1].Engine, 120*time.Millisecond).BetweenTokens, 27*time.Millisecond)
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -105,7 +105,7 @@
 	if x.route, found = t.Match(x.call.Host, x.call.Path); !found {
 		return x.unknown(now, CodeNoRoute), false
 	}
-	if t.Keyed && !x.route.Public {
+	if t.RequiresKey && !x.route.Public {
 		if x.account, found = t.Account(x.call.Key); !found {
 			return x.unknown(now, CodeBadKey), false
 		}
--- a/forward/fake_test.go
+++ b/forward/fake_test.go
@@ -196,7 +196,7 @@
 	f.fleet.Replace(now, list, rev(1))
 	f.Configure(now, testConfig(1))
 	f.ContactProved(now)
-	f.originContact.raise(now)
+	f.originContact.advance(now)
 	return f
 }
 
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -64,7 +64,7 @@
 	// this host or who told it; restored counts what came of the last restore.
 	restore  history.Restore
 	eraSince time.Time
-	restored *restoreCounts
+	restored *restoreStats
 	// forgotten is the newest revision at which something was dropped that isn't
 	// remembered any more.
 	forgotten history.Point
@@ -207,7 +207,7 @@
 		if listed[id] || k.Revision.After(at) {
 			continue
 		}
-		if k.confirmEnded(at) || f.unlist(now, k, at) {
+		if k.confirmEnded(at) || f.markUnlisted(now, k, at) {
 			continue
 		}
 		gone := Change{Upstream: k.Upstream, Gone: true}
@@ -263,7 +263,7 @@
 		return false
 	case !c.BelievedFrom.IsZero():
 		return f.deferRelisting(now, k, c)
-	case k.pending != nil && ofEarlierEra(c.Revision, k.pending.Revision):
+	case k.pending != nil && isFromEarlierEra(c.Revision, k.pending.Revision):
 		return false
 	case !f.restore.Supersedes(c.Revision, k.Revision):
 		return f.reconcile(now, k, c)
@@ -337,14 +337,14 @@
 // miss takes in that whom this host follows doesn't find an upstream on the list,
 // and doesn't believe yet that it is gone.
 func (f *Fleet) miss(now time.Time, k *known, at history.Point) bool {
-	if f.unlist(now, k, at) {
+	if f.markUnlisted(now, k, at) {
 		return false
 	}
 	if k.gone || k.Leaving || at == k.Revision && !k.missing {
 		return false
 	}
 	k.Revision, k.missing = at, true
-	f.trustGoneFrom = later(f.trustGoneFrom, now.Add(listSettles))
+	f.trustGoneFrom = later(f.trustGoneFrom, now.Add(listSettleTime))
 	return false
 }
 
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -105,18 +105,18 @@
 	retries     retryBudget
 	// contact is when this host last had proof that its configuration is the
 	// newest.
-	contact latest
+	contact latestTime
 	// originContact is when the origin proved that the list is up to date, to
 	// this host or to the one that it follows; never while neither has it.
-	originContact latest
+	originContact latestTime
 	// originProved wakes when it is renewed.
 	originProved broadcast
 	// proofInherited says that this proof is a peer's.
 	proofInherited atomic.Bool
 	// followed is when a peer that is followed last answered.
-	followed latest
+	followed latestTime
 	// listSuspect is when an engine last went without notice that the list had.
-	listSuspect latest
+	listSuspect latestTime
 	// newest is the configuration in force as it came, for peers.
 	newest atomic.Pointer[Config]
 	peers  *peerSet
@@ -165,7 +165,7 @@
 		fleet: &Fleet{}, engines: newEngines(s.Self.ID, s.Self.Zone), plain: newPlainChooser(s.Self.Zone),
 		peers: newPeerSet(s.Self, s.Seeds), offers: newConfigOffers(),
 		inFlight: map[*exchange]context.CancelCauseFunc{}, idle: make(chan struct{}), relist: make(chan struct{}, 1),
-		toKeep: make(chan quarantine.Fingerprint, keepRing),
+		toKeep: make(chan quarantine.Fingerprint, saveQueueSize),
 	}
 	f.limiter = permit.New(s.Self, permitSite{f}, f.now)
 	f.retries.setLimit(s.Retries)
@@ -211,8 +211,8 @@
 // an older one than the newest that it acknowledged, so that isn't believed where a newer one was
 // known by then.
 func (f *Forwarder) ContactProved(at time.Time) {
-	if since, newer := f.offers.newerSince(f.versionInForce()); !newer || at.Before(since) {
-		f.contact.raise(at)
+	if since, newer := f.offers.newerOfferedAt(f.versionInForce()); !newer || at.Before(since) {
+		f.contact.advance(at)
 	}
 }
 
@@ -254,7 +254,7 @@
 				}
 				f.journal.Belief("upstream dropped", "upstream", c.ID, "why", "still missing after the list settled")
 			}
-			f.noteZones(f.fleet.SettleZones(f.now()))
+			f.noteZones(f.fleet.SettleZoneOrders(f.now()))
 		}
 	}
 }
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -28,7 +28,7 @@
 		for _, f := range s.hosts {
 			is.Equal(f.versionInForce(), Version(1))
 			is.Equal(f.peers.liveInZone(time.Now()), perZone)
-			is.True(f.ContactAge(time.Now()) <= originFresh)
+			is.True(f.ContactAge(time.Now()) <= maxOriginProofAge)
 			is.Equal(len(f.fleet.Takers(time.Now(), "llm")), 2)
 		}
 		is.True(s.origin.reads.Load() <= 6) // the three that others join, and who found these too late
@@ -39,7 +39,7 @@
 				listed++
 			}
 		}
-		is.Equal(listed, zones*listedPerZone)
+		is.Equal(listed, zones*directoryHostsPerZone)
 		is.True(s.origin.watches.Load() < zones*perZone) // one host watches, a second at a time, once all know each other
 		cancel()
 		synctest.Wait()
@@ -73,7 +73,7 @@
 		time.Sleep(5 * time.Second)
 		is.Equal(s.origin.reads.Load(), reads) // it had all up to a revision
 		is.True(s.origin.watches.Load() > watches)
-		is.True(late.OriginAge(time.Now()) <= originFresh)
+		is.True(late.OriginAge(time.Now()) <= maxOriginProofAge)
 		cancel()
 		synctest.Wait()
 	})
@@ -86,8 +86,8 @@
 		host  string
 		after time.Duration
 	}{
-		"restarted":                   {false, "10.2.0.3:1", joinWait},
-		"first start":                 {true, "10.2.0.3:1", firstJoinWait},
+		"restarted":                   {false, "10.2.0.3:1", defaultJoinTimeout},
+		"first start":                 {true, "10.2.0.3:1", firstStartJoinTimeout},
 		"first start, others join it": {true, "10.2.0.1:1", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 					time.Sleep(c.after - time.Millisecond)
 					is.True(!f.Ready())
 				}
-				time.Sleep(joinCheck + time.Millisecond)
+				time.Sleep(joinCheckInterval + time.Millisecond)
 				is.True(f.Ready())
 				cancel()
 				synctest.Wait()
@@ -134,7 +134,7 @@
 				t.Log(f.peers.self, f.OriginAge(time.Now()), f.followed.age(time.Now()), f.ContactAge(time.Now()))
 			}
 			is.True(f.listKnown(time.Now()))
-			is.True(f.ContactAge(time.Now()) <= originFresh+time.Second)
+			is.True(f.ContactAge(time.Now()) <= maxOriginProofAge+time.Second)
 		}
 		cancel()
 		synctest.Wait()
@@ -147,16 +147,16 @@
 	is := is.New(t)
 	now := time.Now()
 	f := New(Settings{Self: Peer{ID: "h5", Zone: "z1"}}, &fakeTransport{}, silentJournal{}, silentObserver{})
-	is.True(f.peers.firstOfZone(now, listedPerZone)) // as far as it knows
+	is.True(f.peers.isAmongFirstOfZone(now, directoryHostsPerZone)) // as far as it knows
 	for _, id := range []member.HostID{"h1", "h2", "h3"} {
 		f.peers.receive(now, Share{From: Peer{ID: id, Zone: "z1"}})
 	}
 	f.peers.receive(now, Share{From: Peer{ID: "a", Zone: "z2"}})
-	is.True(!f.peers.firstOfZone(now, listedPerZone))
+	is.True(!f.peers.isAmongFirstOfZone(now, directoryHostsPerZone))
 	f.peers.receive(now, Share{From: Peer{ID: "h1", Zone: "z1"}, Stopping: true})
 	f.peers.receive(now, Share{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true})
-	is.True(f.peers.firstOfZone(now, listedPerZone))
-	is.True(f.peers.firstOfZone(now.Add(peerSilent+time.Second), listedPerZone)) // they went silent
+	is.True(f.peers.isAmongFirstOfZone(now, directoryHostsPerZone))
+	is.True(f.peers.isAmongFirstOfZone(now.Add(peerSilent+time.Second), directoryHostsPerZone)) // they went silent
 }
 
 // TestGoneHostsAreForgotten has a host that died be forgotten by all: those who knew it
@@ -205,10 +205,10 @@
 	is.True(!whole)
 	changes, at, whole := leader.Since(rev(3))
 	is.True(whole)
-	late.TakeOver(now, changes, at)
+	late.ReplaceFromPeer(now, changes, at)
 	is.Equal(takers(&late, now), map[member.UpstreamID]bool{"a": true})
 	is.Equal(late.Missing(), []member.UpstreamID{"b"}) // its entry may just have run out
-	late.Settle(now.Add(listSettles + time.Second))
+	late.Settle(now.Add(listSettleTime + time.Second))
 	<-late.Leaving("b")
 	is.Equal(late.Revision(), rev(5))
 
@@ -301,17 +301,17 @@
 		time.Sleep(10 * time.Second)
 		is.True(!late.Ready()) // it knows nothing
 		s.start(ctx, late)
-		time.Sleep(joinWait + 100*time.Millisecond)
+		time.Sleep(defaultJoinTimeout + 100*time.Millisecond)
 		is.True(late.Ready())
 		is.Equal(late.versionInForce(), Version(1))
 		is.Equal(takers(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
-		is.True(late.OriginAge(time.Now()) > originFresh)
+		is.True(late.OriginAge(time.Now()) > maxOriginProofAge)
 		is.True(!late.listKnown(time.Now()))
 		s.origin.lost.Store(false)
 		s.origin.order(back("z1", 22))
 		time.Sleep(6 * time.Second)
 		is.Equal(takers(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
-		is.True(late.OriginAge(time.Now()) <= originFresh)
+		is.True(late.OriginAge(time.Now()) <= maxOriginProofAge)
 		cancel()
 		synctest.Wait()
 	})
--- a/forward/leaving_test.go
+++ b/forward/leaving_test.go
@@ -151,7 +151,7 @@
 			catchUp := func() {
 				changes, at, whole := reader.Since(follower.Revision())
 				if whole {
-					follower.TakeOver(now, changes, at)
+					follower.ReplaceFromPeer(now, changes, at)
 					return
 				}
 				follower.Apply(now, changes, at)
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -66,9 +66,9 @@
 	for _, id := range f.limiter.Words.Forget(now, isKnown) {
 		f.journal.Belief(ratelimit.Ended.String(), "upstream", id, "why", "no answer confirmed it")
 	}
-	f.limitLines.forget(now)
-	f.signalLines.forget(now)
-	f.backoffNotices.forget(now)
+	f.limitLines.prune(now)
+	f.signalLines.prune(now)
+	f.backoffNotices.prune(now)
 	f.limiter.Forget(now, func(id member.UpstreamID) bool {
 		_, named := f.limiter.Words.Bound(now, id)
 		return named || f.fleet.Cold(now, id)
--- a/forward/listtrust.go
+++ b/forward/listtrust.go
@@ -14,12 +14,12 @@
 // that live. What follows says when a missing one is believed to be gone.
 
 const (
-	// listSettles is how long after an outage of the platform the list may
+	// listSettleTime is how long after an outage of the platform the list may
 	// still lack upstreams that live: the platform says about two seconds.
-	listSettles = 2500 * time.Millisecond
-	// lapseAfter is the shortest outage in which entries run out: upstreams
+	listSettleTime = 2500 * time.Millisecond
+	// minLapseOutage is the shortest outage in which entries run out: upstreams
 	// write to theirs about every 1.2 s, and three misses drop it.
-	lapseAfter = 1500 * time.Millisecond
+	minLapseOutage = 1500 * time.Millisecond
 )
 
 // Missing lists the upstreams that the list lacks without being believed.
@@ -41,8 +41,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.trustGoneFrom = time.Time{}
-	if lostFor >= lapseAfter {
-		f.trustGoneFrom = now.Add(listSettles)
+	if lostFor >= minLapseOutage {
+		f.trustGoneFrom = now.Add(listSettleTime)
 	}
 }
 
@@ -67,37 +67,37 @@
 	f.trustGoneFrom = now.Add(forgetGone)
 }
 
-// TakeOver takes the whole list of a peer in as of a revision, with what that
+// ReplaceFromPeer takes the whole list of a peer in as of a revision, with what that
 // remembers of upstreams that were dropped. One that it lacks may have run out of its
 // entry while the platform was away, before the peer had read anything: it counts as
 // missing first.
-func (f *Fleet) TakeOver(now time.Time, list []Change, at history.Point) []Change {
+func (f *Fleet) ReplaceFromPeer(now time.Time, list []Change, at history.Point) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.touch()
 	before := f.revision
-	var news []Change
+	var changed []Change
 	listed := make(map[member.UpstreamID]bool, len(list))
 	for _, c := range list {
 		listed[c.ID] = !c.Gone
 		if f.apply(now, c) {
-			news = append(news, c)
+			changed = append(changed, c)
 		}
 	}
 	for id, k := range f.upstreams {
 		switch {
 		case listed[id] || k.Revision.After(at):
 		case k.confirmEnded(at):
-		case f.unlist(now, k, at):
+		case f.markUnlisted(now, k, at):
 		case !k.Leaving:
 			f.miss(now, k, at)
 		case f.drop(now, k, at):
-			news = append(news, Change{Upstream: k.Upstream, Gone: true})
+			changed = append(changed, Change{Upstream: k.Upstream, Gone: true})
 		}
 	}
 	f.skipped(before, at)
-	f.notify(len(news) > 0)
-	return news
+	f.notify(len(changed) > 0)
+	return changed
 }
 
 // Settle drops what was missing when the list settled after an outage, believes what a
@@ -106,19 +106,19 @@
 func (f *Fleet) Settle(now time.Time) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var news []Change
+	var changed []Change
 	for id, k := range f.upstreams {
 		if k.pending != nil && !now.Before(k.pending.BelievedFrom) {
 			c := *k.pending
 			c.BelievedFrom = time.Time{}
 			if f.set(now, k, c) {
-				news = append(news, c)
+				changed = append(changed, c)
 			}
 		}
 		if k.missing && !now.Before(f.trustGoneFrom) && !f.mayBeRelisted(now, k) {
 			k.gone, k.missing, k.unlisted, k.droppedAt = true, false, false, now
 			k.leave(now, SourceList)
-			news = append(news, Change{Upstream: k.Upstream, Gone: true})
+			changed = append(changed, Change{Upstream: k.Upstream, Gone: true})
 		}
 		if k.gone && now.Sub(k.droppedAt) > forgetGone && (!k.said || now.Sub(k.droppedAt) > forgetSaid) {
 			f.forgotten = history.Latest(f.forgotten, k.Revision)
@@ -126,6 +126,6 @@
 			f.index.remove(k)
 		}
 	}
-	f.notify(len(news) > 0)
-	return news
+	f.notify(len(changed) > 0)
+	return changed
 }
--- a/forward/lives_test.go
+++ b/forward/lives_test.go
@@ -31,7 +31,7 @@
 	type step = func(f *Forwarder, now time.Time)
 	apply := func(changes ...Change) step {
 		return func(f *Forwarder, now time.Time) {
-			f.noteList(f.fleet.Apply(now, changes, changes[len(changes)-1].Revision))
+			f.handleListChanges(f.fleet.Apply(now, changes, changes[len(changes)-1].Revision))
 		}
 	}
 	hear := func(s Share) step {
@@ -93,7 +93,7 @@
 	for _, id := range []member.UpstreamID{"llm2", "llm3"} {
 		f.fleet.MarkLeaving(now, id, 0, true)
 	}
-	f.noteList(f.fleet.Apply(now, []Change{born("llm1", 100, 2, false)}, rev(2)))
+	f.handleListChanges(f.fleet.Apply(now, []Change{born("llm1", 100, 2, false)}, rev(2)))
 	f.listEngines(now, f.Table())
 	place := func(run policy.RunID) (Upstream, *ownRun, policy.Decision) {
 		r := policy.Request{Run: run, Prompt: 15000, Arrived: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
@@ -107,7 +107,7 @@
 	f.engines.adopt(now, "h2", theirs, nil)
 	_, _, d = place("full")
 	is.Equal(d.Verdict, policy.Refused) // no room beside the two
-	f.noteList(f.fleet.Apply(now, []Change{born("llm1", 200, 3, false)}, rev(3)))
+	f.handleListChanges(f.fleet.Apply(now, []Change{born("llm1", 200, 3, false)}, rev(3)))
 	f.listEngines(now, f.Table())
 	f.engines.adopt(now, "h2", theirs, nil) // it doesn't know yet
 	for _, id := range []policy.RunID{"new1", "new2"} {
@@ -145,7 +145,7 @@
 			old = append(old, born(id, 100, 2, false))
 			reborn = append(reborn, born(id, 200, 3, false))
 		}
-		f.noteList(f.fleet.Apply(now, old, rev(2)))
+		f.handleListChanges(f.fleet.Apply(now, old, rev(2)))
 		f.listEngines(now, f.Table())
 		sink := &fakeSink{}
 		served := make(chan struct{})
@@ -154,7 +154,7 @@
 			f.Serve(t.Context(), call("/llm/"), sink)
 		}()
 		time.Sleep(time.Second)
-		f.noteList(f.fleet.Apply(time.Now(), reborn, rev(3)))
+		f.handleListChanges(f.fleet.Apply(time.Now(), reborn, rev(3)))
 		began := time.Now()
 		<-served
 		is.Equal(time.Since(began), time.Duration(0))
--- a/forward/neighbours.go
+++ b/forward/neighbours.go
@@ -183,7 +183,7 @@
 			s = p.add(h)
 			s.heard = now.Add(-peerSilent)
 		}
-		if !s.stopping && !s.distrusted && s.originAge <= originFresh {
+		if !s.stopping && !s.distrusted && s.originAge <= maxOriginProofAge {
 			return s.Peer, true
 		}
 	}
@@ -270,10 +270,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.Epoch != p.epoch {
-		c.Found = 0
+		c.Position = 0
 	}
-	told, upTo := p.roster.Since(now, c.Found, to, newsPerCall)
-	return told, HostCursor{Epoch: p.epoch, Found: upTo}
+	told, upTo := p.roster.Since(now, c.Position, to, newsPerCall)
+	return told, HostCursor{Epoch: p.epoch, Position: upTo}
 }
 
 // announcementsForNew are those for a host that has just started, a part in each call.
--- a/forward/outerbound_test.go
+++ b/forward/outerbound_test.go
@@ -46,21 +46,21 @@
 	return errTurnedAway
 }
 
-func (o choosyOrigin) Read(ctx context.Context, known history.Era) (News, error) {
+func (o choosyOrigin) Read(ctx context.Context, known history.Era) (OriginUpdate, error) {
 	if o.turnsAway() {
-		return News{}, o.refuse(ctx, readWait)
+		return OriginUpdate{}, o.refuse(ctx, readWait)
 	}
 	return o.siteOrigin.Read(ctx, known)
 }
 
-func (o choosyOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (News, error) {
+func (o choosyOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
 	if o.turnsAway() {
-		return News{}, o.refuse(ctx, wait+watchOver)
+		return OriginUpdate{}, o.refuse(ctx, wait+watchOver)
 	}
 	news, err := o.siteOrigin.Watch(ctx, after, wait)
 	if o.turnsAway() {
 		// The answer was under way.
-		return News{}, o.refuse(ctx, watchOver)
+		return OriginUpdate{}, o.refuse(ctx, watchOver)
 	}
 	return news, err
 }
--- a/forward/peerchoice.go
+++ b/forward/peerchoice.go
@@ -23,10 +23,10 @@
 	}
 	var best *peerState
 	for _, s := range p.known {
-		if !s.live(now) || s.stopping || s.near && s.originAge+now.Sub(s.heard) > originFresh+shareEvery {
+		if !s.live(now) || s.stopping || s.near && s.originAge+now.Sub(s.heard) > maxOriginProofAge+shareEvery {
 			continue
 		}
-		if s.originAge > originFresh {
+		if s.originAge > maxOriginProofAge {
 			continue
 		}
 		if !needed && (s.Zone != p.self.Zone || s.ID > p.self.ID) {
@@ -88,7 +88,7 @@
 	var near, far []Peer
 	for _, s := range p.known {
 		switch {
-		case s.foundAt == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.heard) > originFresh:
+		case s.foundAt == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.heard) > maxOriginProofAge:
 		case s.Zone == p.self.Zone:
 			near = append(near, s.Peer)
 		default:
--- a/forward/peerhosts.go
+++ b/forward/peerhosts.go
@@ -59,6 +59,6 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
-		s.cursor, s.heard, s.originAge = r.HostsAt, now, r.OriginAge
+		s.cursor, s.heard, s.originAge = r.HostCursor, now, r.OriginAge
 	}
 }
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -238,7 +238,7 @@
 	now := f.now()
 	if s.ConfigAge < 0 || s.OriginAge < 0 {
 		f.journal.Belief("peer told an age below zero", "peer", s.From.ID, "config_age", s.ConfigAge, "origin_age", s.OriginAge)
-		s.ConfigAge, s.OriginAge = neverProved, neverProved
+		s.ConfigAge, s.OriginAge = noProofAge, noProofAge
 	}
 	f.noteZones(f.fleet.ReceiveZones(now, s.Zones))
 	for _, mark := range s.Leaving {
@@ -270,7 +270,7 @@
 	if version := f.versionInForce(); s.Version == version && version > 0 {
 		f.ContactProved(now.Add(-s.ConfigAge))
 	}
-	f.offerConfig(s.From, s.Version)
+	f.handleConfigOffer(s.From, s.Version)
 }
 
 // older is an age that was told, when the word of it may have been late by a while. One
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -113,7 +113,7 @@
 var errNoPeers = errors.New("no way to other hosts yet")
 
 func (p permitSite) AskPeer(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
-	peers := p.port()
+	peers := p.loadPeerPort()
 	if peers == nil {
 		return permit.Reply{}, errNoPeers
 	}
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -22,7 +22,7 @@
 	// probeTimeout bounds one answer.
 	probeTimeout = 400 * time.Millisecond
 	// listLate is how old the proof of the list may be before engines are asked.
-	listLate = watchWait + 600*time.Millisecond
+	listLate = watchTimeout + 600*time.Millisecond
 	// suspectListFor is how long engines are asked after one went without notice: its own
 	// entry on the list came late, and others' may, too.
 	suspectListFor = 10 * time.Second
@@ -52,7 +52,7 @@
 // listKnown reports whether the list is up to date, by this host or by a peer
 // that it follows.
 func (f *Forwarder) listKnown(now time.Time) bool {
-	return f.following(now) || f.OriginAge(now) <= listLate
+	return f.isFollowing(now) || f.OriginAge(now) <= listLate
 }
 
 // suspectList takes in that an engine which the list has as well went without
@@ -61,7 +61,7 @@
 	if !f.listSuspected(now) {
 		f.journal.Belief("list suspect", "for", suspectListFor, "list_revision", f.fleet.Revision())
 	}
-	f.listSuspect.raise(now)
+	f.listSuspect.advance(now)
 }
 
 func (f *Forwarder) listSuspected(now time.Time) bool { return f.listSuspect.age(now) < suspectListFor }
--- a/forward/probe_test.go
+++ b/forward/probe_test.go
@@ -37,7 +37,7 @@
 		is.Equal(run.engine, member.UpstreamID("llm1"))
 		time.Sleep(4 * time.Second)
 		is.Equal(asked.Load(), int32(0)) // answers have a price
-		origin.lost.Store(true)
+		origin.failing.Store(true)
 		time.Sleep(time.Second) // well before the proof has aged
 		is.True(asked.Load() > 0)
 		select {
@@ -45,7 +45,7 @@
 		default:
 			t.Error("llm1 should be leaving")
 		}
-		is.Equal(f.OnFollow(ctx, FollowRequest{}).OriginAge > originFresh, true)
+		is.Equal(f.OnFollow(ctx, FollowRequest{}).OriginAge > maxOriginProofAge, true)
 		cancel()
 		synctest.Wait()
 	})
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -80,7 +80,7 @@
 	x.journal.Request(x.call.ID, "upstream ended under it", "upstream", u.ID, "life", u.Life, "asks", f, "upstreams_ended", e.Ended, "held", e.Standing == quarantine.Held)
 	if e.Standing == quarantine.Held {
 		x.endHeld([]quarantine.Fingerprint{f})
-		x.keep(f)
+		x.queueSave(f)
 	}
 	x.peers.notifyAll()
 }
@@ -93,7 +93,7 @@
 	}
 	x.journal.Request(x.call.ID, "ran well", "asks", x.fingerprint())
 	if e.Standing >= quarantine.Tried {
-		x.keep(x.fingerprint())
+		x.queueSave(x.fingerprint())
 	}
 }
 
@@ -105,7 +105,7 @@
 		for _, print := range held {
 			// Two hosts may each have seen a part of what it is held for.
 			if f.peers.first(now, print.String()) == f.peers.self.ID {
-				f.keep(print)
+				f.queueSave(print)
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 		if released = f.crashes.RanWell(now, *release); released {
 			f.journal.Belief("let through again", "asks", *release, "by", "operator")
 			f.peers.notifyAll()
-			f.keep(*release)
+			f.queueSave(*release)
 		}
 	}
 	return f.Quarantined(), released
--- a/forward/quarantinestore.go
+++ b/forward/quarantinestore.go
@@ -14,66 +14,66 @@
 // at once, and the request goes on coming; so the ones that are held are kept with the
 // origin, too, where a host that starts and finds no peer reads them.
 
-// Keeper keeps requests that are held.
-type Keeper interface {
+// QuarantineStore keeps requests that are held.
+type QuarantineStore interface {
 	// Keep puts what is known of a request in place of what was kept of it.
 	Keep(ctx context.Context, m quarantine.Mark) error
 }
 
 const (
-	// keepRing is how many requests may wait to be kept; a few are held in a day.
-	keepRing = 64
-	// keepTries bounds how often one is tried: some ten seconds of an origin that is down.
-	keepTries = 16
-	// keepTimeout bounds one try.
-	keepTimeout = time.Second
+	// saveQueueSize is how many requests may wait to be kept; a few are held in a day.
+	saveQueueSize = 64
+	// maxSaveAttempts bounds how often one is tried: some ten seconds of an origin that is down.
+	maxSaveAttempts = 16
+	// saveTimeout bounds one try.
+	saveTimeout = time.Second
 )
 
-// keep has what is known of a request be kept. It doesn't wait.
-func (f *Forwarder) keep(print quarantine.Fingerprint) {
+// queueSave has what is known of a request be kept. It doesn't wait.
+func (f *Forwarder) queueSave(fingerprint quarantine.Fingerprint) {
 	select {
-	case f.toKeep <- print:
+	case f.toKeep <- fingerprint:
 	default:
-		f.journal.Belief("not kept", "asks", print, "err", "too many wait")
+		f.journal.Belief("not kept", "asks", fingerprint, "err", "too many wait")
 	}
 }
 
-// rekeepHeld has the requests that are held be kept again, which a restored origin may lack. One
+// queueHeldAgain has the requests that are held be kept again, which a restored origin may lack. One
 // host does that for all.
-func (f *Forwarder) rekeepHeld(now time.Time) {
+func (f *Forwarder) queueHeldAgain(now time.Time) {
 	for _, e := range f.crashes.Entries(now) {
 		if e.Standing == quarantine.Held && f.peers.first(now, e.Request.String()) == f.peers.self.ID {
-			f.keep(e.Request)
+			f.queueSave(e.Request)
 		}
 	}
 }
 
-// RunKeeper keeps what is to be kept until the context ends.
-func (f *Forwarder) RunKeeper(ctx context.Context, k Keeper) {
+// RunQuarantineSaver keeps what is to be kept until the context ends.
+func (f *Forwarder) RunQuarantineSaver(ctx context.Context, k QuarantineStore) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case print := <-f.toKeep:
-			f.keepOne(ctx, k, print)
+		case fingerprint := <-f.toKeep:
+			f.saveMark(ctx, k, fingerprint)
 		}
 	}
 }
 
-func (f *Forwarder) keepOne(ctx context.Context, k Keeper, print quarantine.Fingerprint) {
+func (f *Forwarder) saveMark(ctx context.Context, k QuarantineStore, fingerprint quarantine.Fingerprint) {
 	var err error
-	for tries := range keepTries {
-		mark, known := f.crashes.Mark(f.now(), print)
+	for attempt := range maxSaveAttempts {
+		mark, known := f.crashes.Mark(f.now(), fingerprint)
 		if !known {
 			return
 		}
-		call, cancel := context.WithTimeout(ctx, keepTimeout)
-		err = k.Keep(call, mark)
+		callCtx, cancel := context.WithTimeout(ctx, saveTimeout)
+		err = k.Keep(callCtx, mark)
 		cancel()
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		PauseFor(ctx, failPause(tries))
+		PauseFor(ctx, retryDelay(attempt))
 	}
-	f.journal.Belief("not kept", "asks", print, "err", err)
+	f.journal.Belief("not kept", "asks", fingerprint, "err", err)
 }
--- a/forward/restore_test.go
+++ b/forward/restore_test.go
@@ -25,7 +25,7 @@
 	restored := history.At(1, 4)
 	copied := up("app4", 0, false)
 	copied.Revision = history.At(1, 3)
-	f.TakeNews(now.Add(2*time.Second), News{Changes: []Change{{Upstream: copied}}, At: restored}, true)
+	f.ApplyUpdate(now.Add(2*time.Second), OriginUpdate{Changes: []Change{{Upstream: copied}}, Revision: restored}, true)
 	is.Equal(len(f.Takers(now.Add(2*time.Second), copied.Service)), 0)
 }
 
@@ -34,8 +34,8 @@
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	now := f.now().Add(time.Minute)
-	f.offers.raise(now, 2)
-	f.offers.raise(now.Add(time.Second), 3)
+	f.offers.record(now, 2)
+	f.offers.record(now.Add(time.Second), 3)
 	f.ContactProved(now.Add(-time.Second))
 	is.Equal(f.ContactAge(now), time.Second)
 	f.ContactProved(now)
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -236,7 +236,7 @@
 
 // reportRollout tells the host that decides what this one has seen, where that is new.
 func (f *Forwarder) reportRollout(ctx context.Context, now time.Time, to Peer, s rollout.Status, told map[ServiceName]rolloutTold) {
-	peers := f.port()
+	peers := f.loadPeerPort()
 	before := told[s.Service]
 	pause := min(time.Duration(f.peers.mostKnown(now))*time.Second/reportsPerSecond, mostReportPause)
 	if peers == nil || now.Sub(before.at) < pause {
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -67,7 +67,7 @@
 func (p scalePort) Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error) {
 	p.counts.note(p.self, to.ID, true)
 	reply, err := p.sitePort.Follow(ctx, to, r)
-	if reply.Whole {
+	if reply.Complete {
 		p.counts.mu.Lock()
 		p.counts.wholes[to.ID]++
 		p.counts.mu.Unlock()
--- a/forward/send.go
+++ b/forward/send.go
@@ -164,7 +164,7 @@
 	v := eligibility.Judge(f.upstreamState(sent, u), eligibility.Probe)
 	if v.OK() {
 		// Where requests want the upstream's permits, they go first.
-		v = f.permitted(ctx, permitRequest{service: s, upstream: u, rank: int(MostPatient), repeat: true})
+		v = f.permitted(ctx, permitRequest{service: s, upstream: u, rank: int(LeastUrgent), repeat: true})
 	}
 	if !v.OK() {
 		f.observer.Send(v)
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -184,7 +184,7 @@
 	r := policy.Request{
 		Run: s.runID(), Route: policyRoute(s.route), Account: s.account.Name,
 		// The policy ranks upwards.
-		Priority: int(MostPatient - s.urgency),
+		Priority: int(LeastUrgent - s.urgency),
 		Prompt:   max(p.Tokens, 1), Limit: p.MostOut, Prefix: p.Prefix, PrefixTokens: p.PrefixTokens,
 		Bytes: len(s.call.Body), Objective: s.route.Objective, AvoidAlso: s.avoid, Zones: s.zones,
 		OnlyGroup: string(s.versions.get().Only), ButGroup: string(s.versions.get().But),
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -52,8 +52,8 @@
 		} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
 				onSuspendable(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
-					f.followed.raise(f.now())
-					f.listSuspect.raise(f.now())
+					f.followed.advance(f.now())
+					f.listSuspect.advance(f.now())
 					s.Suspend(slept)
 					is.Equal(age(f), slept)
 				})
@@ -114,7 +114,7 @@
 				func(f *Forwarder) bool { return f.peers.live(f.now()) == 2 }, farSilent,
 			},
 			"the list is up to date": {
-				func(f *Forwarder) { f.originContact.raise(f.now()) },
+				func(f *Forwarder) { f.originContact.advance(f.now()) },
 				func(f *Forwarder) bool { return f.listKnown(f.now()) }, listLate,
 			},
 			"the budget is spent": {
@@ -183,10 +183,10 @@
 			},
 			"an answer of a leader": func(f *Forwarder, s *clocktest.Machine) {
 				f.peerPort = sleepyPeers{s: s, d: slept}
-				f.followPeer(context.Background(), Peer{ID: "h2", Zone: "z1"}, followBounds{timeout: time.Second, fresh: time.Hour, inherit: true})
+				f.followPeer(context.Background(), Peer{ID: "h2", Zone: "z1"}, followBounds{timeout: time.Second, maxOriginAge: time.Hour, inheritProof: true})
 			},
 			"a watch of the origin": func(f *Forwarder, s *clocktest.Machine) {
-				w := &follower{Forwarder: f, from: sleepyOrigin{s: s, d: slept}, dep: dependency{name: "store", journal: f.journal, now: f.now}, began: f.now()}
+				w := &follower{Forwarder: f, origin: sleepyOrigin{s: s, d: slept}, originStatus: dependencyStatus{name: "store", journal: f.journal, now: f.now}, startedAt: f.now()}
 				w.followOrigin(context.Background())
 			},
 		} {
@@ -217,7 +217,7 @@
 
 func (p sleepyPeers) Follow(context.Context, Peer, FollowRequest) (FollowReply, error) {
 	p.s.Suspend(p.d)
-	return FollowReply{Version: 1, List: rev(1)}, nil
+	return FollowReply{Version: 1, ListRevision: rev(1)}, nil
 }
 
 // sleepyOrigin answers a watch while the host is suspended.
@@ -227,9 +227,9 @@
 	d time.Duration
 }
 
-func (o sleepyOrigin) Watch(context.Context, history.Point, time.Duration) (News, error) {
+func (o sleepyOrigin) Watch(context.Context, history.Point, time.Duration) (OriginUpdate, error) {
 	o.s.Suspend(o.d)
-	return News{At: rev(1)}, nil
+	return OriginUpdate{Revision: rev(1)}, nil
 }
 
 // TestRequestThatWaitedMeanwhile has a request that is read just after the machine went on
--- a/forward/turns.go
+++ b/forward/turns.go
@@ -218,7 +218,7 @@
 		}
 		return func() { f.turns.end(f.now(), r.Engine, r.Run) }, nil
 	}
-	peers := f.port()
+	peers := f.loadPeerPort()
 	if peers == nil {
 		return nothing, errNoTurn
 	}
--- a/forward/turns_test.go
+++ b/forward/turns_test.go
@@ -49,7 +49,7 @@
 // turnPeers asks another host's line, which doesn't learn that a caller has left,
 // as over the network.
 type turnPeers struct {
-	followedPeers
+	fakeFollowedPeer
 	arbiter *Forwarder
 }
 
--- a/forward/zones.go
+++ b/forward/zones.go
@@ -75,8 +75,8 @@
 			if at.After(known.Revision) {
 				f.setZone(zoneState{ZoneOrder: back, heard: known.heard})
 			}
-		case ofEarlierEra(known.Revision, at):
-			f.deferOrder(back)
+		case isFromEarlierEra(known.Revision, at):
+			f.deferZoneOrder(back)
 		case f.order(now, back):
 			news = append(news, back)
 		}
@@ -93,8 +93,8 @@
 	orders := r.Zones
 	for zone, known := range f.zones {
 		told := slices.ContainsFunc(r.Zones, func(o ZoneOrder) bool { return o.Zone == zone })
-		if known.Out && !told && known.Revision.After(f.revision) && known.Revision.Before(r.List) {
-			orders = append(orders, ZoneOrder{Zone: zone, Revision: r.List})
+		if known.Out && !told && known.Revision.After(f.revision) && known.Revision.Before(r.ListRevision) {
+			orders = append(orders, ZoneOrder{Zone: zone, Revision: r.ListRevision})
 		}
 	}
 	return orders
@@ -124,16 +124,16 @@
 		return false
 	case known.pending != nil && !o.Revision.After(known.pending.Revision):
 		return false
-	case !o.BelievedFrom.IsZero() && (!any || ofEarlierEra(known.Revision, o.Revision) && known.Out != o.Out):
+	case !o.BelievedFrom.IsZero() && (!any || isFromEarlierEra(known.Revision, o.Revision) && known.Out != o.Out):
 		was := known.Out
 		known.Zone, known.Out, known.pending = o.Zone, !o.Out, &o
 		f.setZone(known)
 		return was != known.Out
 	case any && !f.restore.Supersedes(o.Revision, known.Revision):
 		switch {
-		case !ofEarlierEra(known.Revision, o.Revision):
+		case !isFromEarlierEra(known.Revision, o.Revision):
 		case o.Out != known.Out:
-			f.deferOrder(o)
+			f.deferZoneOrder(o)
 		default:
 			f.setZone(zoneState{ZoneOrder: o, heard: known.heard})
 		}
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -100,7 +100,7 @@
 		orders := leader.ZonesSince(follower.Revision(), whole)
 		if whole {
 			follower.ReplaceZones(now, orders, at)
-			follower.TakeOver(now, changes, at)
+			follower.ReplaceFromPeer(now, changes, at)
 			return
 		}
 		follower.ApplyZones(now, orders)
@@ -299,7 +299,7 @@
 	now := time.Now()
 	var f Fleet
 	f.ReceiveZones(now, []ZoneOrder{back("z2", 9)})
-	f.TakeNews(now, News{At: rev(7)}, true)
+	f.ApplyUpdate(now, OriginUpdate{Revision: rev(7)}, true)
 	f.ReceiveZones(now, []ZoneOrder{out("z2", 8)})
 	is.True(f.InService("z2"))
 }
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -54,9 +54,9 @@
 			return nil, trace.Wrap(err)
 		}
 		r := forward.FollowRequest{
-			From: member.HostID(w.From), Announced: announcements(w.Announced),
-			Version: forward.Version(w.Version), List: point(w.ListEra, w.List),
-			Hosts: forward.HostCursor{Epoch: w.Epoch, Found: w.Found}, Wait: time.Duration(w.Wait) * time.Millisecond,
+			From: member.HostID(w.From), Announcements: announcements(w.Announced),
+			Version: forward.Version(w.Version), ListRevision: point(w.ListEra, w.List),
+			HostCursor: forward.HostCursor{Epoch: w.Epoch, Position: w.Found}, Wait: time.Duration(w.Wait) * time.Millisecond,
 		}
 		reply := f.OnFollow(ctx, r)
 		return toWireFollowed(m.clock.Now(), reply, &m.lists)
