--- a/forward/broadcast.go
+++ b/forward/broadcast.go
@@ -5,7 +5,7 @@
 
 import "sync"
 
-// broadcast wakes all that wait for something. The zero value works.
+// broadcast wakes all goroutines that wait for an event. The zero value is ready to use.
 type broadcast struct {
 	mu sync.Mutex
 	// next closes at the next wake; nil while nobody waits.
--- a/forward/config.go
+++ b/forward/config.go
@@ -13,20 +13,20 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Version numbers the configurations of a site; a newer one is higher. The
-// zero value stands for no configuration.
+// Version numbers the configurations of a site; newer ones are higher. The zero value stands for no
+// configuration.
 type Version uint64
 
-// Urgency ranks requests: 0 is the most urgent, MostPatient the least.
+// Urgency ranks requests: 0 is the most urgent, LeastUrgent the least.
 type Urgency int
 
-// The range of Urgency, and what a request has that nobody ranked.
+// The upper end of Urgency, and the urgency of a request that nothing ranks.
 const (
 	LeastUrgent    Urgency = 9
 	DefaultUrgency Urgency = 5
 )
 
-// Kind says what may be done with a request that failed.
+// Kind says whether a failed request may run again.
 type Kind string
 
 // The kinds of request.
@@ -35,45 +35,45 @@
 	KindSafe Kind = "safe"
 	// KindUnsafe runs at most once.
 	KindUnsafe Kind = "unsafe"
-	// KindStream is answered with a series of events. It runs at most once unless
-	// its route is resumable.
+	// KindStream is answered with a series of events. It runs at most once unless its route is
+	// resumable.
 	KindStream Kind = "stream"
 )
 
-// ServiceName names a group of upstreams that can take each other's requests.
+// ServiceName names a group of interchangeable upstreams.
 type ServiceName = resource.Name
 
-// WeightedService is one service's part of a route's requests.
+// WeightedService is a service with its share of a route's requests.
 type WeightedService struct {
 	Service ServiceName
 	// Weight is relative to the other services' weights.
 	Weight int
 }
 
-// Route leads requests to services. Its zero value matches nothing.
+// Route assigns requests to services. Its zero value matches nothing.
 type Route struct {
 	Name string
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is how long a request may be held; zero sets no bound.
+	// Timeout bounds how long a request may take; zero sets no bound.
 	Timeout time.Duration
-	// Objective is the aimed time to the answer or its first event.
+	// Objective is the target for the time to the answer or to its first event.
 	Objective time.Duration
-	// GapObjective is the aimed longest pause between events; zero sets none.
+	// GapObjective is the target for the longest pause between events; zero sets none.
 	GapObjective time.Duration
 	Urgency      Urgency
-	// Attempts is how many upstreams one request may be sent to.
+	// Attempts bounds how many upstreams one request may be sent to.
 	Attempts int
-	// Resumable streams may run again, and go on from an event that the caller
-	// names. It says nothing of other kinds.
+	// Resumable streams may run again and continue from an event that the client names. It has no
+	// meaning for other kinds.
 	Resumable bool
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public bool
-	// Regions are those in which requests may be served; none sets no bound.
+	// Regions are those in which requests may be served; an empty list sets no bound.
 	Regions []member.Region
-	// Services take the route's requests by weight.
+	// Services receive the route's requests by weight.
 	Services []WeightedService
 }
 
@@ -81,13 +81,13 @@
 type Engine struct {
 	// Batch is how many runs one engine decodes at once.
 	Batch int
-	// Memory is one engine's room for prompts and answers.
+	// Memory is one engine's capacity for prompts and answers.
 	Memory policy.Tokens
-	// TokenBytes is the memory of one token, which a move sends.
+	// TokenBytes is the memory of one token, which a move transfers.
 	TokenBytes float64
-	// LinkBitsPerSecond is the rate at which an engine's memory is moved.
+	// LinkBitsPerSecond is the rate at which an engine's memory is transferred.
 	LinkBitsPerSecond float64
-	// Moves and Backups say whether runs can be moved and copied as they grow.
+	// Moves and Backups say whether runs can be moved, and copied as they grow.
 	Moves, Backups bool
 	// EventTokens is how many tokens an event of a stream holds.
 	EventTokens policy.Tokens
@@ -96,12 +96,12 @@
 // Service is a group of upstreams. Engine is nil for plain services.
 type Service struct {
 	Name ServiceName
-	// HealthPath is where an upstream says whether it is well.
+	// HealthPath is the path at which an upstream reports its health.
 	HealthPath string
-	// MaxConns is how many connections one upstream takes from all hosts.
+	// MaxConns is how many connections one upstream accepts from all hosts together.
 	MaxConns int
-	// ColdRate is how many requests a second a cold upstream bears from all hosts
-	// together; zero sets no bound.
+	// ColdRate is how many requests per second a cold upstream can take from all hosts together;
+	// zero sets no bound.
 	ColdRate float64
 	Engine   *Engine
 }
@@ -110,20 +110,20 @@
 type Account struct {
 	Name resource.Account
 	Keys []string
-	// Urgency goes before the route's when Ranked.
+	// Urgency takes precedence over the route's if Ranked is set.
 	Urgency Urgency
 	Ranked  bool
-	// Regions are those in which its requests may be served; none sets no bound.
+	// Regions are those in which its requests may be served; an empty list sets no bound.
 	Regions []member.Region
 }
 
-// Limits bound what a caller may send. Zero fields set no bound.
+// Limits bounds what a client may send. Zero fields set no bound.
 type Limits struct {
 	HeaderBytes, BodyBytes     int64
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Config is one whole configuration as its source gave it.
+// Config is one complete configuration as its source provides it.
 type Config struct {
 	Version  Version
 	Routes   []Route
@@ -132,24 +132,24 @@
 	Limits   Limits
 }
 
-// Table is a configuration made ready for look-ups. It is never changed after
-// NewTable. Nil is the table of a host that has no configuration yet.
+// Table is a configuration indexed for lookups. It is immutable after NewTable. Nil is the table of
+// a host that has no configuration yet.
 type Table struct {
 	Version Version
 	Limits  Limits
 	// RequiresKey says that requests need a key on routes that aren't public.
 	RequiresKey bool
 
-	// routes holds each host's routes, the longest prefixes first.
+	// routes holds each host's routes, longest prefix first.
 	routes   map[string][]Route
 	services map[ServiceName]Service
 	accounts map[string]Account
-	// gapObjectives are the shortest gapObjectives between events that the routes to each
-	// service aim at; those that set none are left out.
+	// gapObjectives holds the lowest GapObjective of the routes to each service. Services without
+	// one are absent.
 	gapObjectives map[ServiceName]time.Duration
 }
 
-// NewTable makes a configuration ready for look-ups.
+// NewTable indexes a configuration for lookups.
 func NewTable(c Config) *Table {
 	t := &Table{
 		Version: c.Version, Limits: c.Limits, RequiresKey: len(c.Accounts) > 0,
@@ -175,7 +175,7 @@
 	return t
 }
 
-// addGapObjective takes in the pause that a route aims at.
+// addGapObjective adds the GapObjective of a stream route to those of its services.
 func (t *Table) addGapObjective(r Route) {
 	if r.Kind != KindStream || r.GapObjective <= 0 {
 		return
@@ -187,11 +187,11 @@
 	}
 }
 
-// ShortestGapObjective is the shortest pause between two events that a route to a
-// service aims at; zero when none sets one.
+// ShortestGapObjective returns the lowest GapObjective of the routes to a service; zero if none
+// sets one.
 func (t *Table) ShortestGapObjective(name ServiceName) time.Duration { return t.gapObjectives[name] }
 
-// normalizeHost is the host that a caller named, without a port and in lower case.
+// normalizeHost returns the host that a client named, in lower case and without a port.
 func normalizeHost(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
@@ -199,8 +199,7 @@
 	return strings.ToLower(host)
 }
 
-// Match finds the route with the longest prefix of the path. The host may
-// carry a port.
+// Match returns the host's route with the longest prefix of the path. The host may include a port.
 func (t *Table) Match(host, path string) (Route, bool) {
 	for _, r := range t.routes[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
--- a/forward/configfetch.go
+++ b/forward/configfetch.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// A configuration is fetched from a peer by a call and a goroutine of its own. It has
-// half a megabyte where there are 1,500 routes, and what else peers tell each other
-// is small and urgent: when both came in one reply, hosts behind 10 Mbit/s heard up to
-// 8.2 s late that an upstream leaves, while configurations came every 0.1 s.
+// A configuration is fetched from a peer by a separate call in a separate goroutine. It takes half a
+// megabyte with 1,500 routes, while the other messages between peers are small and urgent. Sent in
+// the same reply, frequent configurations delayed by seconds the news that an upstream leaves on
+// links of 10 Mbit/s.
 
-// ConfigReply is a peer's configuration.
+// ConfigReply holds a peer's configuration.
 type ConfigReply struct {
-	// Config is nil when the peer has none that is newer than asked for.
+	// Config is nil if the peer has none that is newer than the requested version.
 	Config *Config
-	// Age is how long ago it was proved to be the newest.
+	// Age is how long ago the configuration was proved to be the newest.
 	Age time.Duration
 }
 
-// configFetchTimeout bounds one call for a configuration: half a megabyte takes 0.4 s over
-// 10 Mbit/s, and the peer may be sending it to several hosts.
+// configFetchTimeout bounds one call for a configuration: half a megabyte takes 0.4 s over 10
+// Mbit/s, and the peer may be sending it to several hosts.
 const configFetchTimeout = 3 * time.Second
 
 // configOffer says that a peer has a newer configuration.
@@ -33,28 +33,28 @@
 	version Version
 }
 
-// configOffers holds the offer to be taken up next. Use newConfigOffers.
+// configOffers holds the offer to fetch next and the versions offered so far. Use newConfigOffers.
 type configOffers struct {
-	// pending has room for one: what is older than another offer needn't be fetched.
+	// pending has room for one offer: a version older than another offered one needn't be fetched.
 	pending chan configOffer
 
 	mu sync.Mutex
-	// offered are the versions that were offered, each newer than the one before.
+	// offered holds the offered versions, each newer than the one before.
 	offered []offeredVersion
 }
 
-// offeredVersion is a version that was offered, and when that was first.
+// offeredVersion is a version and when it was first offered.
 type offeredVersion struct {
 	version        Version
 	firstOfferedAt time.Time
 }
 
-// maxOfferedVersions bounds how many are remembered.
+// maxOfferedVersions bounds how many offered versions are remembered.
 const maxOfferedVersions = 64
 
 func newConfigOffers() *configOffers { return &configOffers{pending: make(chan configOffer, 1)} }
 
-// record takes in that a version was offered.
+// record remembers an offered version if it is newer than all offered before.
 func (o *configOffers) record(now time.Time, v Version) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// newest is the newest version that was ever offered.
+// newest returns the newest version that was ever offered; zero if none was.
 func (o *configOffers) newest() Version {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -77,7 +77,7 @@
 	return 0
 }
 
-// newerOfferedAt tells since when a version is known that is newer than another, if one is.
+// newerOfferedAt returns when a version newer than v was first offered, and whether one was.
 func (o *configOffers) newerOfferedAt(v Version) (time.Time, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -89,8 +89,8 @@
 	return time.Time{}, false
 }
 
-// handleConfigOffer takes in that a peer has a configuration of a version, which is fetched if
-// it is newer than the one in force.
+// handleConfigOffer queues an offer of a peer's configuration to be fetched if that is newer than
+// the one in force. Of the new and the pending offer it keeps the better one.
 func (f *Forwarder) handleConfigOffer(from Peer, v Version) {
 	if v <= f.versionInForce() {
 		return
@@ -109,8 +109,8 @@
 	}
 }
 
-// prefersOffer reports whether one offer is better than another: newer, or as new and of the
-// own zone, for bytes between zones have a price.
+// prefersOffer reports whether one offer is better than another: newer, or of the same version and
+// from the own zone, because traffic between zones costs money.
 func (f *Forwarder) prefersOffer(a, b configOffer) bool {
 	if a.version != b.version {
 		return a.version > b.version
@@ -118,13 +118,13 @@
 	return a.from.Zone == f.peers.self.Zone
 }
 
-// newestKnownVersion is the newest version that this host has or was offered.
+// newestKnownVersion returns the newest version that this host has or was offered.
 func (f *Forwarder) newestKnownVersion() Version {
 	return max(f.offers.newest(), f.versionInForce())
 }
 
-// fetchConfigs takes up what peers offer, one after another, until the context ends.
-// An offer that fails isn't tried again: peers offer anew with all that they tell.
+// fetchConfigs fetches what peers offer, one after another, until the context ends. A failed fetch
+// isn't retried: peers repeat their offer with each share and each reply.
 func (f *Forwarder) fetchConfigs(ctx context.Context, peers Peers) {
 	for {
 		select {
@@ -136,7 +136,7 @@
 	}
 }
 
-// fetchConfig takes a newer configuration over from a peer.
+// fetchConfig fetches a newer configuration from a peer and puts it in force.
 func (f *Forwarder) fetchConfig(ctx context.Context, peers Peers, from Peer) {
 	current := f.versionInForce()
 	if current >= f.newestKnownVersion() {
@@ -155,13 +155,14 @@
 		return
 	}
 	f.journal.Belief("configuration fetched", "peer", from.ID, "version", reply.Config.Version, "took", now.Sub(askedAt))
-	// The peer's proof was no older than this when it began to answer.
+	// The age was taken after the call began, so counting it from askedAt never makes the proof too
+	// recent.
 	f.ContactProved(askedAt.Add(-reply.Age))
 }
 
-// OnConfig serves a peer that asks for a configuration newer than its own.
+// OnConfig answers a peer that asks for a configuration newer than its own.
 func (f *Forwarder) OnConfig(have Version) ConfigReply {
-	// The age first: the configuration is then no older than its proof.
+	// The age is taken first, so that the configuration is no older than its proof.
 	reply := ConfigReply{Age: f.ContactAge(f.now())}
 	if c := f.newest.Load(); c != nil && c.Version > have {
 		reply.Config = c
--- a/forward/dependency.go
+++ b/forward/dependency.go
@@ -10,30 +10,34 @@
 )
 
 const (
-	// initialRetryDelay and failMost bound the pause after a failed call; it doubles
+	// initialRetryDelay and maxRetryDelay bound the mean pause after a failed call, which doubles
 	// with each failure in a row.
 	initialRetryDelay = 50 * time.Millisecond
 	maxRetryDelay     = 800 * time.Millisecond
 )
 
-// retryDelay is the pause after so many failures in a row, half of it jitter.
+// retryDelay returns the pause after the given number of failures in a row, with jitter of up to
+// half the mean in both directions.
 func retryDelay(failures int) time.Duration {
 	pause := min(initialRetryDelay<<min(failures, 8), maxRetryDelay)
 	return pause/2 + rand.N(pause)
 }
 
-// dependencyStatus notes when something that this host depends on is lost and
-// regained. It is for one goroutine.
+// dependencyStatus logs when something that this host depends on is lost and regained. It isn't
+// safe for concurrent use.
 type dependencyStatus struct {
-	name     string
-	journal  Journal
+	name    string
+	journal Journal
+	// lostAt is when the present outage began; zero outside one. failures counts the failures in a
+	// row.
 	lostAt   time.Time
 	failures int
-	// now tells the present time.
+	// now returns the present time.
 	now func() time.Time
 }
 
-// recordFailure notes a failure and returns the pause before the next try.
+// recordFailure records a failure and returns the pause before the next attempt. After the context
+// has ended it records nothing.
 func (d *dependencyStatus) recordFailure(ctx context.Context, err error) time.Duration {
 	if ctx.Err() != nil {
 		return 0
@@ -46,8 +50,8 @@
 	return retryDelay(d.failures)
 }
 
-// recordSuccess notes a success and returns how long the outage was that it ended; zero
-// when there was none.
+// recordSuccess records a success and returns how long the outage that it ended has lasted; zero if
+// there was none.
 func (d *dependencyStatus) recordSuccess(now time.Time) time.Duration {
 	d.failures = 0
 	if d.lostAt.IsZero() {
--- a/forward/directory.go
+++ b/forward/directory.go
@@ -9,43 +9,42 @@
 	"time"
 )
 
-// Directory lists hosts of the site, for those that start. The origin's news tell who
-// is on it.
+// Directory lists hosts of the site, for hosts that start. The origin's updates contain the listed
+// hosts.
 type Directory interface {
-	// Announce puts this host on the list for a time, or keeps it there.
+	// Announce lists this host for a time, or renews its entry.
 	Announce(ctx context.Context, self Peer, ttl time.Duration) error
-	// Withdraw takes this host off the list.
+	// Withdraw removes this host's entry.
 	Withdraw(ctx context.Context) error
 }
 
-// Timing of the directory. Hosts that know each other keep in touch by
-// themselves; an entry is for those that start, so it may be late.
+// Timing of the directory. Hosts that know each other exchange shares directly; an entry serves
+// hosts that start, so it may be late.
 const (
-	// directoryHostsPerZone is how many hosts of a zone are on the directory: the first by
-	// name of those that each of them knows. Hosts that don't know of each other so
-	// come to know: each has the first of its own kind on the list. With every host on
-	// it, each start cost two writes and, at 195 hosts, four pages of every reading.
+	// directoryHostsPerZone is how many hosts of a zone are listed: the first by name among those
+	// that each host knows. Groups of hosts that don't know each other find each other by that,
+	// because each group lists its own first hosts. With every host listed, each start would cost
+	// two writes, and each full read several pages more.
 	directoryHostsPerZone = 2
-	// directoryStartDelay is how long a host that starts gets to know its peers before it
-	// may count as one of the first.
+	// directoryStartDelay gives a host that starts the time to find its peers before it may count
+	// as one of the first.
 	directoryStartDelay = 1500 * time.Millisecond
-	// directoryCheckInterval is how often a host that isn't on the list looks whether it
-	// should be.
+	// directoryCheckInterval is how often a host checks whether it has to write its entry.
 	directoryCheckInterval = 500 * time.Millisecond
-	// directoryRenewInterval is the period of renewing this host's entry, and
-	// directoryTTL how long an entry stays without that.
+	// directoryRenewInterval is how often this host renews its entry, and directoryTTL how long an
+	// entry lasts without renewal.
 	directoryRenewInterval = 20 * time.Second
 	directoryTTL           = 60 * time.Second
-	// directoryRewriteWindow is within what time after a restore of the origin this host's entry is
-	// written again, which a copy may lack.
+	// directoryRewriteWindow is the time after a restore of the origin within which this host
+	// writes its entry again, because the backup may lack it.
 	directoryRewriteWindow = 2 * time.Second
-	// directoryRetryDelay is the pause after a failed call. Refused calls have a
-	// price, too.
+	// directoryRetryDelay is added to the pause after a failed call: refused calls have a cost,
+	// too.
 	directoryRetryDelay = 2 * time.Second
 )
 
-// RunDirectory keeps this host in the directory, while it is one of the first of its
-// zone, until the context ends.
+// RunDirectory keeps this host in the directory while it is among the first of its zone, until the
+// context ends. Then it withdraws the entry.
 func (f *Forwarder) RunDirectory(ctx context.Context, d Directory) {
 	status := dependencyStatus{name: "directory", journal: f.journal, now: f.now}
 	PauseFor(ctx, directoryStartDelay)
@@ -77,8 +76,9 @@
 	}
 }
 
-// isAmongFirstOfZone reports whether this host is one of the first n of its zone by name, of
-// those that it knows to take requests.
+// isAmongFirstOfZone reports whether this host is among the first n of the hosts of its zone that
+// are known to take requests. The order is that of the zone's tree where the zone is divided, else
+// by name.
 func (p *peerSet) isAmongFirstOfZone(now time.Time, n int) bool {
 	if position, divided := p.place(now); divided {
 		return position < n
--- a/forward/estimates.go
+++ b/forward/estimates.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// EngineEstimate is what a host has learnt of a service's engines, in place of the figures
-// that it assumes at its start.
+// EngineEstimate is what a host has learned about a service's engines, in place of the values that
+// it assumes at its start.
 type EngineEstimate struct {
 	Service ServiceName
-	// PrefillRate is the prompt tokens that an engine reads in a second, learnt from
-	// ReadSamples first tokens.
+	// PrefillRate is how many prompt tokens an engine reads per second, estimated from
+	// PrefillSamples first tokens.
 	PrefillRate    float64
 	PrefillSamples uint64
-	// StepTime is the usual time of a step, learnt from StepSamples pauses.
+	// StepTime is the usual duration of a decode step, estimated from StepSamples pauses between
+	// events.
 	StepTime    time.Duration
 	StepSamples uint64
-	// Age is how long ago anything was learnt; neverProved when nothing was.
+	// Age is how long ago anything was last learned; noProofAge if nothing was.
 	Age time.Duration
 }
 
-// EngineEstimates returns what is known of each service's engines, in the order of their
-// names.
+// EngineEstimates returns the estimates for each service's engines, sorted by service name.
 func (f *Forwarder) EngineEstimates() []EngineEstimate { return f.engines.estimates(f.now()) }
 
 func (e *engines) estimates(now time.Time) []EngineEstimate {
--- a/forward/eventlimiter.go
+++ b/forward/eventlimiter.go
@@ -10,19 +10,19 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// eventInterval is the least time between two events about one upstream: one that tells
-// something in every second answer would fill the log.
+// eventInterval is the minimum interval between two log lines or other actions about one upstream:
+// an upstream that sends a signal with every second answer would fill the log.
 const eventInterval = time.Second
 
-// eventLimiter bounds what is done about each upstream's events, such as lines of the log. An
-// empty id stands for all. The zero value works.
+// eventLimiter limits how often this host acts on each upstream's events, such as by log lines. The
+// empty ID stands for all upstreams. The zero value is ready to use.
 type eventLimiter struct {
 	mu sync.Mutex
-	// lastAllowed is when something was lastAllowed done about each.
+	// lastAllowed is when an action about each upstream was last allowed.
 	lastAllowed map[member.UpstreamID]time.Time
 }
 
-// allow reports whether something may be done about an upstream now, and counts that.
+// allow reports whether an action about an upstream is allowed now, and if so records it.
 func (l *eventLimiter) allow(now time.Time, id member.UpstreamID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -36,7 +36,7 @@
 	return true
 }
 
-// prune drops the upstreams about which something may be done.
+// prune drops the upstreams about which an action is allowed again.
 func (l *eventLimiter) prune(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -13,77 +13,78 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// watchTimeout is how long a watch waits. Changes end it at once, but a watch
-// may miss them, so its silence is believed no longer than this: half of
-// the time in which a configuration has to be in force.
+// watchTimeout bounds one watch of the origin. A change ends the watch at once, but a watch may
+// miss a change, so its silence is relied on for no longer than this: half of the time in which a
+// configuration has to be in force.
 const watchTimeout = time.Second
 
-// follower keeps the configuration and the list of upstreams up to date, from
-// the origin or from a peer that watches the origin.
+// follower keeps the configuration and the list of upstreams up to date, from the origin or from a
+// peer that watches the origin.
 type follower struct {
 	*Forwarder
 	origin       Origin
 	originStatus dependencyStatus
-	// needsFullRead says that everything has to be needsFullRead; at is the point that a watch
-	// goes on from.
+	// needsFullRead says that the next call to the origin reads everything; watchFrom is the point
+	// after which a watch continues.
 	needsFullRead bool
 	watchFrom     history.Point
-	// historyGoneCount are the watches in a row whose point the origin didn't have.
+	// historyGoneCount counts how often in a row the origin no longer had the history that a call
+	// needed.
 	historyGoneCount int
-	// lastConfigRead is when everything was last read because a newer configuration is
-	// known of than the one in force, and configReads how often in a row.
+	// lastConfigRead is when everything was last read because a newer configuration than the one in
+	// force is known; configReadCount counts such reads in a row.
 	lastConfigRead  time.Time
 	configReadCount int
 	// startedAt is when this host started to follow.
 	startedAt time.Time
-	// nextOriginRetry is when an origin that failed is asked again although a peer can be
-	// followed.
+	// nextOriginRetry is when this host asks a failed origin again although it can follow a peer.
 	nextOriginRetry time.Time
-	// unreadEntries counts the entries that couldn't be read since that was last logged, at
-	// unreadNoted.
+	// unreadEntries counts the entries that couldn't be read since this was last logged, at
+	// unreadLoggedAt.
 	unreadEntries  int
 	unreadLoggedAt time.Time
-	// zonesAvoidedUntil are the zones whose hosts couldn't be followed, until when.
+	// zonesAvoidedUntil holds the zones whose hosts couldn't be followed, and until when each is
+	// avoided.
 	zonesAvoidedUntil map[member.Zone]time.Time
 }
 
-// While no peer is known, soloWatchPause is waited between two watches, but not for
-// longer than soloPausePeriod after the start: a site may have one host.
+// While no peer is known, a host pauses for soloWatchPause between two watches, but only within
+// soloPausePeriod after its start: a site may consist of one host.
 const (
 	soloWatchPause  = 300 * time.Millisecond
 	soloPausePeriod = 3 * time.Second
 )
 
-// originRetryDelay is how long a host whose origin failed follows a peer before it
-// tries the origin again.
+// originRetryDelay is how long, beyond the retry pause, a host whose origin failed follows a peer
+// before it asks the origin again.
 const originRetryDelay = 4 * time.Second
 
 const (
-	// hostsPerRetryDelay is how many hosts of a zone try an origin that is down at the
-	// usual pace; with more of them each pauses longer. The first that regains
-	// it is followed by the others.
+	// While the origin is down, each host waits one extra retry delay for every hostsPerRetryDelay
+	// live hosts in its zone. The others follow the first host that reaches the origin again.
 	hostsPerRetryDelay = 4
-	// followableCheckInterval is how often a host that pauses looks for such a peer.
+	// followableCheckInterval is how often a pausing host looks for a peer that reaches the origin.
 	followableCheckInterval = 100 * time.Millisecond
 )
 
-// A host that starts takes everything over from a peer, if it finds one in time: a
-// reading of the origin takes a call for each page, and many hosts start together.
+// A host that starts copies everything from a peer if it finds one in time: a full read of the
+// origin takes a call for each page, and many hosts may start together.
 const (
-	// defaultJoinTimeout is how long a host looks for such a peer. Its callers are sent to others
+	// defaultJoinTimeout bounds the search for such a peer. Clients are sent to other hosts
 	// meanwhile, and a peer answers within some milliseconds.
 	defaultJoinTimeout = 250 * time.Millisecond
-	// firstStartJoinTimeout is the same when the site starts for the first time: there are no
-	// callers, and the peers have only just begun to read.
+	// firstStartJoinTimeout is the same bound when the whole site starts for the first time: there
+	// are no clients yet, and the peers have only just begun to read.
 	firstStartJoinTimeout = time.Second
-	// maxJoinTimeout is the same where many hosts take the list over one after the other.
+	// maxJoinTimeout is the same bound where many hosts receive the list one after another.
 	maxJoinTimeout = 8 * time.Second
-	// directoryReadTimeout bounds the reading of the directory: the store may be silent, and a peer be
-	// found meanwhile.
+	// directoryReadTimeout bounds a read of the directory: the store may not answer, and a peer may
+	// be found meanwhile.
 	directoryReadTimeout = 300 * time.Millisecond
-	// joinCheckInterval is how often it looks.
+	// joinCheckInterval is how often a joining host looks for such a peer.
 	joinCheckInterval = 10 * time.Millisecond
-	// leaderCheckInterval is how often a host that has just joined looks for whom to follow.
+	// leaderCheckInterval is how often a host that has just joined checks whether it can follow an
+	// earlier host.
 	leaderCheckInterval = 50 * time.Millisecond
 )
 
@@ -104,8 +105,8 @@
 	}
 }
 
-// join takes everything over from a peer that is up to date, unless none is found in time;
-// then what one has that isn't: the origin may be silent for seconds.
+// join copies everything from a peer that is up to date. If it finds none in time, it copies an
+// outdated list, because the origin may not answer for seconds.
 func (w *follower) join(ctx context.Context) {
 	deadline, finalDeadline := w.startedAt.Add(w.joinTimeout()), w.startedAt.Add(maxJoinTimeout)
 	for w.now().Before(deadline) && !w.peers.anyFound() {
@@ -126,16 +127,16 @@
 	w.takeStaleList(ctx)
 }
 
-// expectsPeerList reports whether other hosts will have the list that this one can take over from: those
-// that are named to all as a site starts for the first time read it, and in a large site those before
-// this one.
+// expectsPeerList reports whether this host can copy the list from another host if it waits. At the
+// first start of a site the seed hosts read the list, and in a large site the hosts before this one
+// receive it first.
 func (w *follower) expectsPeerList(now time.Time) bool {
 	firstReads := w.settings.FirstStart && w.joinTimeout() > 0 && w.peers.noneHasList()
 	return firstReads || w.peers.awaitsList(now)
 }
 
-// readDirectory has the hosts on the directory be known to a host that has found none. It reports
-// whether there are any.
+// readDirectory adds the hosts in the directory to the known peers and asks for a share to all of
+// them. It reports whether the directory lists any. It is for a host that has found no peer.
 func (w *follower) readDirectory(ctx context.Context) bool {
 	reader, ok := w.origin.(HostsReader)
 	if !ok || w.joinTimeout() == 0 {
@@ -153,8 +154,8 @@
 	return len(hosts) > 0
 }
 
-// catchUpConfig takes over the configuration that a peer has offered. It reports whether
-// this host is up to date with that.
+// catchUpConfig fetches the configuration that a peer has offered. It reports whether the newest
+// known configuration is then in force.
 func (w *follower) catchUpConfig(ctx context.Context, peer Peer) bool {
 	if w.versionInForce() < w.newestKnownVersion() {
 		w.fetchConfig(ctx, w.loadPeerPort(), peer)
@@ -162,14 +163,14 @@
 	return w.versionInForce() >= w.newestKnownVersion()
 }
 
-// awaitsLeader reports whether this host has just joined, and knows one that comes before
-// it in the order of leaders but that can't be followed yet.
+// awaitsLeader reports whether this host has just joined and knows a live host before it in the
+// order of leaders, which it should follow as soon as that host can be followed.
 func (w *follower) awaitsLeader(now time.Time) bool {
 	return !w.needsFullRead && w.originStatus.failures == 0 && now.Sub(w.startedAt) < startLasts && w.peers.hasEarlier(now)
 }
 
-// joinTimeout is how long this host looks for a peer to join: not at all if it knows no
-// address, or is one of those that others join when the site starts.
+// joinTimeout returns how long this host looks for a peer to join. It is zero without seed
+// addresses and, at the first start of a site, on the seed hosts themselves, which the others join.
 func (w *follower) joinTimeout() time.Duration {
 	switch firstStart := w.settings.FirstStart; {
 	case len(w.peers.seeds) == 0, firstStart && slices.Contains(w.peers.seeds, w.peers.self.PeerAddress):
@@ -181,14 +182,14 @@
 	}
 }
 
-// markCaughtUp takes in that a peer has told all that it knows: nothing has to be read
-// again, and a watch goes on from there.
+// markCaughtUp records that a peer has sent everything that it knows: no full read is needed, and a
+// watch continues from the revision of the list.
 func (w *follower) markCaughtUp() {
 	w.needsFullRead, w.watchFrom = false, history.Latest(w.watchFrom, w.fleet.Revision())
 }
 
-// followLeader takes over what a peer has that is newer. It reports false when
-// this host has to ask the origin itself.
+// followLeader receives newer state from a peer. It reports false when this host has to ask the
+// origin itself.
 func (w *follower) followLeader(ctx context.Context) bool {
 	now := w.now()
 	originDown := w.originStatus.failures > 0 && now.Before(w.nextOriginRetry)
@@ -200,14 +201,14 @@
 	}
 	w.markCaughtUp()
 	if !originDown {
-		// Another host has the origin again; this one needn't ask.
+		// Another host reaches the origin, so this host needn't ask it.
 		w.originStatus.recordSuccess(now)
 	}
 	return true
 }
 
-// followPreferredPeer follows the leader of the zone, or any fresh host when that is needed;
-// the leader itself follows another zone's host.
+// followPreferredPeer follows the leader of the zone, or any peer with a fresh list while the
+// origin is down. The leader itself follows a host of an earlier zone.
 func (w *follower) followPreferredPeer(ctx context.Context, now time.Time, originDown bool) bool {
 	leader, found := w.peers.leader(now, originDown)
 	switch {
@@ -222,9 +223,9 @@
 	}
 }
 
-// followEarlierZone has the host that leads its zone follow a host of an earlier zone,
-// so that one host watches the origin for all of them. It reports whether that
-// host could be followed; if not, its zone is left alone for a while.
+// followEarlierZone lets the leader of this zone follow a host of an earlier zone, so that one host
+// watches the origin for all zones. It reports whether that host could be followed; if not, its
+// zone is avoided for a while.
 func (w *follower) followEarlierZone(ctx context.Context, now time.Time) bool {
 	peer, found := w.peers.ofEarlierZone(func(z member.Zone) bool { return now.Before(w.zonesAvoidedUntil[z]) }, now)
 	if !found {
@@ -236,19 +237,20 @@
 	if w.zonesAvoidedUntil == nil {
 		w.zonesAvoidedUntil = map[member.Zone]time.Time{}
 	}
-	// The hosts of a site that has just started are up to date a moment later.
+	// Right after a site starts, hosts that aren't up to date yet will be a moment later, so they
+	// are avoided no longer than this host has run.
 	w.zonesAvoidedUntil[peer.Zone] = now.Add(min(zoneAvoidPeriod, now.Sub(w.startedAt)))
 	return false
 }
 
-// followOrigin reads everything or waits for the next news.
+// followOrigin reads everything from the origin or waits for its next update.
 func (w *follower) followOrigin(ctx context.Context) {
 	provedAt, slept := w.now(), w.settings.Clock.Slept()
 	var update OriginUpdate
 	var err error
 	if w.configReadDue(provedAt) {
-		// A watch goes on from the revision of the list, by which the configuration
-		// had been changed already.
+		// A watch continues from the revision of the list, and would miss a configuration that was
+		// written before it.
 		w.needsFullRead, w.lastConfigRead = true, provedAt
 		w.configReadCount++
 	}
@@ -268,11 +270,12 @@
 		w.handleOriginFailure(ctx, &EraRegressedError{Known: w.fleet.Revision(), Received: update.Revision})
 		return
 	case !w.needsFullRead && !update.Revision.SameEra(w.watchFrom):
-		// What came between the watch's point and the restore isn't among the news.
+		// The update lacks what was written between the point of the watch and the restore.
 		w.needsFullRead = true
 		return
 	case !w.needsFullRead && w.settings.Clock.Slept() == slept:
-		// Otherwise the answer may have waited here while this machine was suspended.
+		// The machine wasn't suspended during the watch. If it was, the answer may have waited
+		// here, and is only proved for the time before the call.
 		provedAt = w.now()
 	}
 	if !w.needsFullRead {
@@ -281,18 +284,18 @@
 	w.applyUpdate(provedAt, update)
 	w.needsFullRead, w.watchFrom = false, update.Revision
 	if provedAt.Sub(w.startedAt) < soloPausePeriod && w.peers.live(provedAt) == 1 {
-		// Hosts that start together don't know each other yet, and each change
-		// would be told to every one of them.
+		// Hosts that start together don't know each other yet, and the origin would send each
+		// change to every one of them.
 		PauseFor(ctx, soloWatchPause)
 	}
 }
 
-// maxConfigReadDoublings bounds how often the pause between two such readings doubles: a restored origin
-// may lack a configuration that is known of until it is written again.
+// maxConfigReadDoublings bounds how often the pause between two full reads for a newer configuration
+// doubles: a restored origin may lack that configuration until it is written again.
 const maxConfigReadDoublings = 5
 
-// configReadDue reports whether everything is to be read because a newer configuration is known of
-// than the one in force.
+// configReadDue reports whether a full read is due because a newer configuration than the one in
+// force is known.
 func (w *follower) configReadDue(now time.Time) bool {
 	if w.versionInForce() >= w.newestKnownVersion() {
 		w.configReadCount = 0
@@ -301,8 +304,8 @@
 	return now.Sub(w.lastConfigRead) >= watchTimeout<<min(w.configReadCount, maxConfigReadDoublings)
 }
 
-// handleHistoryGone takes in that the origin doesn't have the point that a watch goes on from, or was
-// restored during a reading: everything has to be read again.
+// handleHistoryGone schedules a full read: the origin no longer has the point after which a watch
+// continues, or was restored during a read. It pauses if that happens repeatedly.
 func (w *follower) handleHistoryGone(ctx context.Context) {
 	w.journal.Belief("history gone", "after", w.watchFrom)
 	w.needsFullRead = true
@@ -312,7 +315,7 @@
 	}
 }
 
-// applyUpdate takes in what the origin told, which was up to date at a time.
+// applyUpdate applies what the origin sent, which was up to date at provedAt.
 func (w *follower) applyUpdate(provedAt time.Time, update OriginUpdate) {
 	now := w.now()
 	if update.UnreadErr != nil {
@@ -323,7 +326,8 @@
 	if w.needsFullRead {
 		w.journal.Belief("list read", "revision", update.Revision, "upstreams", len(update.Changes), "took", now.Sub(provedAt))
 	}
-	// Before the list's revision rises: who follows is told nothing again of what was before it.
+	// Rollouts are applied before the revision of the list rises, because followers aren't sent
+	// again what came before that revision.
 	if w.needsFullRead {
 		w.takeRollouts(now, w.rollouts.Missing(update.Rollouts, update.Revision))
 	}
@@ -343,11 +347,12 @@
 	w.proofInherited.Store(false)
 }
 
-// unreadLogInterval is the least time between two lines about entries that can't be read: they
-// may be written anew several times a second.
+// unreadLogInterval is the minimum interval between two log lines about entries that can't be read:
+// such entries may be rewritten several times a second.
 const unreadLogInterval = time.Second
 
-// logUnread counts entries that couldn't be read or used, and logs them now and then.
+// logUnread counts the entries that couldn't be read or used, and logs the count at most once per
+// unreadLogInterval.
 func (w *follower) logUnread(now time.Time, update OriginUpdate) {
 	w.observer.Unread(update.UnreadCount)
 	w.unreadEntries += update.UnreadCount
@@ -358,13 +363,13 @@
 	w.unreadEntries, w.unreadLoggedAt = 0, now
 }
 
-// handleOriginFailure takes in that the origin can't be had.
+// handleOriginFailure records that the origin can't be reached, and pauses before the next attempt.
 func (w *follower) handleOriginFailure(ctx context.Context, err error) {
 	now := w.now()
 	w.needsFullRead = true
 	w.fleet.ListLost(now)
-	// The proof is withdrawn, so that followers turn elsewhere at once and
-	// engines are asked themselves.
+	// The proof is withdrawn, so that followers turn to another host at once and this host probes
+	// the engines itself.
 	w.originContact.clear()
 	w.fleet.Wake()
 	w.takeStaleList(ctx)
@@ -375,9 +380,9 @@
 	w.pauseUntilFollowable(ctx, extraPause)
 }
 
-// takeStaleList has a host that has started while the origin is away, and knows no upstream,
-// take what a peer has, however old that is: without it the host refuses all until the
-// origin is back. It claims no proof by that, and goes on asking the origin.
+// takeStaleList lets a host that started during an outage of the origin, and so knows no upstream,
+// copy a peer's list however old it is: without a list the host refuses every request until the
+// origin is back. The copy proves nothing, and the host goes on asking the origin.
 func (w *follower) takeStaleList(ctx context.Context) {
 	now := w.now()
 	if !w.fleet.Revision().IsZero() {
@@ -393,7 +398,7 @@
 	}
 }
 
-// pauseUntilFollowable waits, but not on while a peer has regained the origin.
+// pauseUntilFollowable pauses, but ends early when a peer that reaches the origin can be followed.
 func (w *follower) pauseUntilFollowable(ctx context.Context, pause time.Duration) {
 	until := w.now().Add(pause)
 	for ctx.Err() == nil {
@@ -405,13 +410,13 @@
 	}
 }
 
-// isFollowing reports whether a peer gives this host what is new.
+// isFollowing reports whether a peer that this host follows has answered within followTimeout.
 func (f *Forwarder) isFollowing(now time.Time) bool {
 	return f.followed.age(now) < followTimeout
 }
 
-// handleListChanges logs what is new on the list and drops what was believed of lives that are
-// over.
+// handleListChanges drops what is known of earlier lives of upstreams, and logs a restore of the
+// origin and the changes of the list.
 func (f *Forwarder) handleListChanges(changes []Change) {
 	f.dropOldLives()
 	f.logRestore()
@@ -421,11 +426,12 @@
 	}
 }
 
-// minProofAdvance is by how much newer the origin's proof has to become for followers to be told
-// at once: it is renewed each watchWait, and this leaves out what follows closely on that.
+// minProofAdvance is by how much newer the origin's proof has to become for waiting followers to be
+// answered at once. The proof is renewed every watchTimeout; renewals that follow closely on one
+// another are left out.
 const minProofAdvance = watchTimeout / 2
 
-// recordOriginProof takes in when the origin proved that this host is up to date.
+// recordOriginProof records when the origin proved that this host is up to date.
 func (f *Forwarder) recordOriginProof(provedAt time.Time) {
 	now := f.now()
 	oldAge := f.OriginAge(now)
@@ -435,6 +441,6 @@
 	}
 }
 
-// OriginAge is how long ago the origin itself last proved that this host is up
-// to date.
+// OriginAge returns how long ago the origin proved that this host is up to date, to this host or to
+// the peer that it follows.
 func (f *Forwarder) OriginAge(now time.Time) time.Duration { return f.originContact.age(now) }
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -20,8 +20,8 @@
 	"github.com/shedpath/shedpath/roster"
 )
 
-// TestLeader has a host follow the first of its zone with a fresh list, and any
-// host when it can't read the list itself.
+// TestLeader checks that a host follows the first host of its zone that has a fresh list, and any
+// host that has one when it can't read the list itself.
 func TestLeader(t *testing.T) {
 	now := time.Now()
 	peer := func(id, zone string, originAge time.Duration, stopping bool) Share {
@@ -54,12 +54,12 @@
 			is.Equal(leader.ID, c.want)
 			is.Equal(found, c.want != "")
 			_, found = p.leader(now.Add(time.Minute), c.needed)
-			is.True(!found) // they went silent
+			is.True(!found) // the peers went silent
 		})
 	}
 }
 
-// failingOrigin has a list that can be read until it is lost.
+// failingOrigin serves a list until failing is set.
 type failingOrigin struct {
 	failing atomic.Bool
 	reads   atomic.Int32
@@ -81,8 +81,8 @@
 	return OriginUpdate{Revision: after}, nil
 }
 
-// TestOfEarlierZone has the host that leads its zone follow the first live host of
-// the first zone before its own.
+// TestOfEarlierZone checks that the leader of a zone follows the first live host of the first zone
+// before its own.
 func TestOfEarlierZone(t *testing.T) {
 	now := time.Now()
 	peer := func(id, zone string, stopping bool) Share {
@@ -116,7 +116,7 @@
 	}
 }
 
-// countingOrigin can always be read, and counts its watches.
+// countingOrigin never fails, and counts its watches.
 type countingOrigin struct{ watches atomic.Int32 }
 
 func (o *countingOrigin) Read(context.Context, history.Era) (OriginUpdate, error) {
@@ -129,7 +129,7 @@
 	return OriginUpdate{Revision: after}, nil
 }
 
-// fakeFollowedPeer plays the peer that is followed.
+// fakeFollowedPeer implements Peers for a peer that can only be followed.
 type fakeFollowedPeer struct {
 	silent    atomic.Bool
 	originAge atomic.Int64
@@ -167,9 +167,9 @@
 	return FollowReply{OriginAge: time.Duration(p.originAge.Load()), Announcements: []roster.Announcement{{Entry: Peer{ID: "h7", Zone: "z1"}, Count: 1}}, ListRevision: rev(7), Changes: p.changes}, nil
 }
 
-// TestFollowZone has one host watch the origin for several zones, and a zone turn
-// to the origin itself within a fraction of a second when the host that it follows
-// is silent or has lost the origin.
+// TestFollowZone checks that one host watches the origin for several zones, and that a zone's
+// leader turns to the origin itself within a fraction of a second when the host that it follows is
+// silent or has lost the origin.
 func TestFollowZone(t *testing.T) {
 	for name, fail := range map[string]func(p *fakeFollowedPeer){
 		"silent":          func(p *fakeFollowedPeer) { p.silent.Store(true) },
@@ -185,9 +185,9 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Follow(ctx, origin)
 				time.Sleep(2 * time.Second)
-				is.Equal(origin.watches.Load(), int32(0)) // another host watches
-				is.True(f.peers.isKnown("h7"))            // and tells of hosts that it has found
-				// What it has heard of hosts is passed on, once.
+				is.Equal(origin.watches.Load(), int32(0)) // the followed host watches the origin
+				is.True(f.peers.isKnown("h7"))            // the followed host announces hosts that it has found
+				// What it has learned about hosts is passed on, once.
 				reply := f.OnFollow(ctx, FollowRequest{ListRevision: rev(6)})
 				is.Equal(len(reply.Announcements), 2)
 				is.Equal(reply.Announcements[0].Entry, Peer{ID: "h9", Zone: "z0"})
@@ -199,7 +199,7 @@
 				time.Sleep(zoneBounds.timeout + zoneBounds.wait)
 				is.True(origin.watches.Load() > 0)
 				time.Sleep(2 * time.Second)
-				is.True(peers.calls.Load() <= calls+1) // it is left alone for a while
+				is.True(peers.calls.Load() <= calls+1) // the other zone is avoided for a while
 				is.True(f.OriginAge(time.Now()) < watchTimeout+time.Second)
 				cancel()
 				synctest.Wait()
@@ -208,8 +208,8 @@
 	}
 }
 
-// TestFollowAfterCut has a host that was cut off, and so distrusts what is missing
-// from the list, believe the host that it follows when that says an upstream is gone.
+// TestFollowAfterCut guards against a host that keeps an upstream which is gone. After a cut the
+// host distrusts what is missing from the list, but has to accept it from the peer that it follows.
 func TestFollowAfterCut(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
@@ -219,14 +219,14 @@
 	select {
 	case <-f.fleet.Leaving("llm1"):
 	default:
-		t.Error("llm1 is gone")
+		t.Error("llm1 should be leaving, because the followed peer reports that it is gone")
 	}
 	changes, _, _ := f.fleet.Since(rev(4))
-	is.Equal(len(changes), 1) // and those that follow this host are told
+	is.Equal(len(changes), 1) // the followers of this host learn of it
 }
 
-// TestFollowNeeded has a host that can't have the origin be up to date by a peer,
-// but not be one that others follow: they would follow each other.
+// TestFollowNeeded checks that a host that can't reach the origin is kept up to date by a peer, but
+// can't be followed itself: two such hosts would follow each other.
 func TestFollowNeeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -246,8 +246,8 @@
 	})
 }
 
-// TestOriginDown has many hosts that find the origin down ask it seldom, and one
-// that regains it be followed well before the next try.
+// TestOriginDown checks that many hosts seldom ask an origin that is down, and that a host which
+// reaches it again is followed well before the next attempt.
 func TestOriginDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -277,7 +277,7 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		is.True(f.listKnown(time.Now()))
-		is.True(origin.reads.Load() <= before+1) // the one that was about to come
+		is.True(origin.reads.Load() <= before+1) // only the attempt that was already due
 		cancel()
 		synctest.Wait()
 	})
--- a/forward/followgaps_test.go
+++ b/forward/followgaps_test.go
@@ -12,14 +12,15 @@
 	"github.com/shedpath/shedpath/history"
 )
 
-// applyReplyFrom has a fleet take in what another has that is newer.
+// applyReplyFrom applies to a fleet what another has that is newer.
 func applyReplyFrom(now time.Time, f, leader *Fleet) {
 	var r FollowReply
 	leader.fillFollowReply(now, f.Revision(), &r)
 	f.ApplyFollowReply(now, r)
 }
 
-// TestFollowerIsNotToldWhatItsLeaderNeverKnew: a host that knows only a part of the history is followed by one that is behind.
+// TestFollowerIsNotToldWhatItsLeaderNeverKnew guards against a follower that keeps an upstream
+// which has ended. The leader knows only part of the history, and the follower is behind it.
 func TestFollowerIsNotToldWhatItsLeaderNeverKnew(t *testing.T) {
 	now := time.Now()
 	listed := Change{Upstream: up("app1", 3, false)}
@@ -58,7 +59,9 @@
 	}
 }
 
-// TestZoneStaysOutAtAFollower: its leader knows an older order to be taken back, and reads that there is none.
+// TestZoneStaysOutAtAFollower guards against a follower that keeps a zone out of service by an
+// order which is no longer in force. Its leader knows only that an older order was withdrawn, and
+// reads a list without orders.
 func TestZoneStaysOutAtAFollower(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/forward/followpeer.go
+++ b/forward/followpeer.go
@@ -14,85 +14,87 @@
 	"github.com/shedpath/shedpath/roster"
 )
 
-// FollowRequest asks a peer for what is newer than what the asker has. Zero
-// values ask for everything.
+// FollowRequest asks a peer for what is newer than the sender's state. Zero values ask for
+// everything.
 type FollowRequest struct {
-	// From is the asker, and Announced what it knows of hosts that the peer may not.
+	// From is the sender, and Announcements are those of hosts that the peer may not know.
 	From          member.HostID
 	Announcements []roster.Announcement
-	// Version is the newest configuration that the asker knows of.
+	// Version is the newest configuration that the sender knows of, and ListRevision the point up
+	// to which it knows the list of upstreams.
 	Version      Version
 	ListRevision history.Point
 	// HostCursor is the cursor of the peer's last reply.
 	HostCursor HostCursor
-	// Wait is how long the peer may wait for something newer.
+	// Wait bounds how long the peer may wait for something newer.
 	Wait time.Duration
 }
 
-// HostCursor says which of a host's peers another has been told of. It means
-// something to the host that gave it only; the zero value stands for none.
+// HostCursor marks which announcements of hosts the host that issued it has already sent to the
+// holder. Only the issuer can interpret it; the zero value stands for none.
 type HostCursor struct{ Epoch, Position uint64 }
 
-// FollowReply is what a peer has that is newer.
+// FollowReply holds what a peer has that is newer.
 type FollowReply struct {
-	// Version is of the peer's configuration, which is to be asked for by itself.
+	// Version is that of the peer's configuration, which is fetched by a separate call.
 	Version Version
 	Changes []Change
 	Zones   []ZoneOrder
-	// Rollouts are all that the peer knows.
+	// Rollouts are all rollouts that the peer knows.
 	Rollouts []rollout.Status
-	// Complete says that Changes and Zones are all that there are: the peer doesn't
-	// remember all that was dropped since the asker's revision, or knows another era.
+	// Complete says that Changes and Zones are the full state: the peer doesn't remember everything
+	// that was dropped since the sender's revision, or knows another era.
 	Complete bool
-	// HasGaps says that the peer itself has passed over a part of what came since the asker's
-	// revision.
+	// HasGaps says that the peer itself has missed some of the changes since the sender's revision.
 	HasGaps      bool
 	ListRevision history.Point
-	// EraFirstSeen is the lowest revision at which the era of List was seen, and EraAge how long ago
-	// the peer learned of the era first.
+	// EraFirstSeen is the lowest revision at which the era of ListRevision was seen, and EraAge how
+	// long ago the peer first learned of the era.
 	EraFirstSeen history.Point
 	EraAge       time.Duration
-	// Announcements are what the peer has heard of hosts since, up to HostsAt.
+	// Announcements are what the peer has learned about hosts since the request's cursor;
+	// HostCursor marks up to where.
 	Announcements []roster.Announcement
 	HostCursor    HostCursor
 	// ConfigAge and OriginAge are as in Share.
 	ConfigAge, OriginAge time.Duration
-	// Busy says that the peer gives its list to others now, and that nothing else is told but Hosts.
+	// Busy says that the peer is sending its list to others, and that the reply holds nothing but
+	// announcements and their cursor.
 	Busy bool
-	// Generation rises with each change of the peer's list; it isn't told.
+	// Generation rises with each change of the peer's list; it isn't sent.
 	Generation uint64
 }
 
 const (
-	// followTimeout is how long after a peer's answer this host counts as
-	// following it.
+	// followTimeout bounds most calls that follow a peer, and is how long after a peer's answer
+	// this host counts as following it.
 	followTimeout = 1100 * time.Millisecond
-	// zoneAvoidPeriod is how long a zone isn't followed after that has failed.
+	// zoneAvoidPeriod bounds how long a zone is avoided after one of its hosts couldn't be
+	// followed.
 	zoneAvoidPeriod = 5 * time.Second
-	// maxOriginProofAge is how recent a peer's proof by the origin must be to follow it:
-	// its watch returns every watchWait at least.
+	// maxOriginProofAge is the highest age of a peer's proof by the origin at which the peer can be
+	// followed: its watch returns at least every watchTimeout.
 	maxOriginProofAge = watchTimeout + 600*time.Millisecond
-	// maxConfigLag is how much older than the list's the proof of a peer's configuration
-	// may be: a new one may still be on its way to that peer.
+	// maxConfigLag is by how much the proof of a peer's configuration may be older than that of its
+	// list: a new configuration may still be on its way to that peer.
 	maxConfigLag = 2 * time.Second
 )
 
-// followBounds bound one call that follows a peer's list.
+// followBounds bounds one call that follows a peer's list.
 type followBounds struct {
-	// wait is how long the peer may wait for news, and timeout how long the
-	// call may take.
+	// wait is how long the peer may wait for changes, and timeout bounds the call.
 	wait, timeout time.Duration
-	// maxOriginAge is how recent the origin's proof must be that the peer has.
+	// maxOriginAge is the highest accepted age of the peer's proof by the origin.
 	maxOriginAge time.Duration
-	// inheritProof says that the proof counts as this host's own, so that others may
-	// follow it in turn.
+	// inheritProof makes the peer's proof count as this host's own, so that others may follow this
+	// host in turn.
 	inheritProof bool
-	// allowStale says that the peer's list is better than none, and proves nothing.
+	// allowStale accepts a list of any age. Such a list proves nothing.
 	allowStale bool
 }
 
-// accept reports whether a reply's proofs are recent enough to rely on. No proof is
-// younger than its own telling.
+// accept reports whether the proofs of a reply are recent enough to rely on. Negative ages are
+// rejected: no proof is younger than the reply that carries it.
 func (b followBounds) accept(r FollowReply) bool {
 	if b.allowStale {
 		return !r.ListRevision.IsZero()
@@ -101,29 +103,30 @@
 }
 
 var (
-	// leaderBounds are for a host of the own zone.
+	// leaderBounds are for the leader of this host's zone.
 	leaderBounds = followBounds{wait: 700 * time.Millisecond, timeout: followTimeout, maxOriginAge: maxOriginProofAge, inheritProof: true}
-	// originDownBounds are for any host while the origin can't be had: those that
-	// could watch it must not follow this host back.
+	// originDownBounds are for any host while this host can't reach the origin. The proof isn't
+	// inherited, so that hosts which could watch the origin don't follow this host back.
 	originDownBounds = followBounds{wait: 700 * time.Millisecond, timeout: followTimeout, maxOriginAge: maxOriginProofAge}
-	// staleBounds are for any host while none has the origin, and this one knows nothing.
+	// staleBounds are for any host while none reaches the origin and this host knows no upstream.
 	staleBounds = followBounds{timeout: 300 * time.Millisecond, allowStale: true}
-	// zoneBounds are for a host of another zone. The whole zone hears of
-	// engines that leave through this call, and a link that is cut may just be
-	// silent: that is to be noticed in a fraction of an engine's notice.
+	// zoneBounds are for a host of another zone. The whole zone learns of leaving engines through
+	// this call, and a link that is cut may just be silent, which has to be noticed within a
+	// fraction of the notice that an engine gives.
 	zoneBounds = followBounds{
 		wait: 150 * time.Millisecond, timeout: 300 * time.Millisecond, maxOriginAge: watchTimeout + 250*time.Millisecond,
 		inheritProof: true,
 	}
 )
 
-// OnFollow serves a peer that follows this host.
+// OnFollow answers a peer that follows this host. It waits up to the requested time for something
+// newer.
 func (f *Forwarder) OnFollow(ctx context.Context, r FollowRequest) FollowReply {
 	f.peers.takeAnnouncements(f.now(), r.From, r.Announcements)
 	if r.Wait > 0 {
-		// A proof that waited here for the end of each follower's wait would be 1.85 s old at
-		// the third host in a row: a watch, and the waits of a zone's leader and of its
-		// followers. originFresh is 1.6 s.
+		// A renewed proof ends the wait, too. Otherwise a proof could be 1.85 s old at the third
+		// host in a row, after a watch and the waits of a zone's leader and of its followers, while
+		// maxOriginProofAge is 1.6 s.
 		changed, proved := f.fleet.Changed(), f.originProved.wakeChannel()
 		if !f.fleet.Revision().After(r.ListRevision) && f.versionInForce() <= r.Version {
 			timer := time.NewTimer(r.Wait)
@@ -142,8 +145,8 @@
 		reply.Announcements, reply.HostCursor = f.peers.announcementsSince(now, r.From, r.HostCursor)
 		return reply
 	}
-	// Ages first: nothing in the reply is then older than its proof, whatever comes in
-	// meanwhile.
+	// The ages are taken first, so that nothing in the reply is older than its proof, even if
+	// changes arrive meanwhile.
 	reply := FollowReply{ConfigAge: f.ContactAge(now), OriginAge: f.OriginAge(now)}
 	f.fleet.fillFollowReply(now, r.ListRevision, &reply)
 	reply.Announcements, reply.HostCursor = f.peers.announcementsSince(now, r.From, r.HostCursor)
@@ -151,8 +154,8 @@
 	return reply
 }
 
-// followPeer takes over what a peer's list has that is newer. It reports
-// whether the peer's list can be relied on.
+// followPeer asks a peer for changes and applies them. It reports whether the peer's list can be
+// relied on.
 func (f *Forwarder) followPeer(ctx context.Context, peer Peer, bounds followBounds) bool {
 	peers := f.loadPeerPort()
 	if peers == nil {
@@ -185,8 +188,8 @@
 			"list", reply.ListRevision, "own_list", f.fleet.Revision(), "err", err)
 		f.peers.distrust(peer.ID)
 		if err == nil && f.proofInherited.Load() {
-			// What this host knows is no newer than what its leader has. A proof that
-			// the origin gave to it itself stays.
+			// The proof was inherited, and this host knows nothing newer than the rejected peer. A
+			// proof that the origin gave to this host directly stays.
 			f.originContact.clear()
 			f.followed.clear()
 		}
@@ -222,17 +225,19 @@
 }
 
 const (
-	// bytesPerUpstream is about what an upstream takes in a list that is passed on.
+	// bytesPerUpstream is the approximate size of an upstream in a list that is sent to a peer.
 	bytesPerUpstream = 40
-	// fullListTimeout is how long a call may take that brings the list of a large site: a small host
-	// needs a second for it.
+	// fullListTimeout bounds a call that transfers the list of a large site: a small host needs a
+	// second for it.
 	fullListTimeout = 4 * time.Second
-	// maxListBacklog is for how long a host's link may be taken by lists that it gives to others.
+	// maxListBacklog is for how long a host's link may be occupied by lists that it sends to
+	// others.
 	maxListBacklog = 400 * time.Millisecond
 )
 
-// isBusyWithLists reports whether a peer that asks for the whole list has to ask again later, or
-// elsewhere: this host's link carries other things, too. Otherwise the list counts as given.
+// isBusyWithLists reports whether a peer that asks for the full list has to ask again later or
+// elsewhere, because this host's link also carries other traffic. Otherwise it reserves the link
+// for the transfer.
 func (f *Forwarder) isBusyWithLists(now time.Time, after history.Point) bool {
 	capacity := f.peers.self.Capacity
 	if capacity <= 0 || !after.IsZero() {
@@ -254,7 +259,7 @@
 	return len(f.upstreams)
 }
 
-// fillFollowReply puts what changed after a point into a reply.
+// fillFollowReply adds the list's changes after a point to a reply.
 func (f *Fleet) fillFollowReply(now time.Time, after history.Point, r *FollowReply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -268,7 +273,8 @@
 	}
 }
 
-// ApplyFollowReply takes a peer's list in. It returns what made a difference.
+// ApplyFollowReply applies a peer's list. It returns the zone orders and the changes that made a
+// difference.
 func (f *Fleet) ApplyFollowReply(now time.Time, r FollowReply) ([]ZoneOrder, []Change) {
 	f.enterEra(now, r.ListRevision, r.EraFirstSeen, r.EraAge)
 	if r.Complete {
@@ -288,7 +294,7 @@
 	return 0
 }
 
-// loadPeerPort is the interface to the peers; nil before there is one.
+// loadPeerPort returns the interface to the peers; nil before RunPeers has set it.
 func (f *Forwarder) loadPeerPort() Peers {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
--- a/forward/latesttime.go
+++ b/forward/latesttime.go
@@ -8,16 +8,15 @@
 	"time"
 )
 
-// latestTime is the newest moment at which something was seen to hold. The zero value
-// is "never". It is safe for use by several goroutines.
+// latestTime is the latest time at which something was proved to hold. The zero value is "never".
+// It is safe for concurrent use.
 //
-// Moments keep the reading of the steady clock that they came with: the time of day
-// jumps on some hosts, by seconds or an hour, and a proof that lay in the future after
-// such a jump would hold for as long as the jump was. A host that is cut off would go
-// on admitting requests by a configuration that is out of date.
+// Times keep their monotonic clock reading: the wall clock of some hosts jumps, by seconds or an
+// hour, and a proof that lies in the future after such a jump would hold for as long as the jump. A
+// host that is cut off would go on admitting requests by an outdated configuration.
 type latestTime struct{ at atomic.Pointer[time.Time] }
 
-// advance moves the moment forward, never back.
+// advance moves the time forward, never back.
 func (l *latestTime) advance(at time.Time) {
 	for {
 		old := l.at.Load()
@@ -27,10 +26,10 @@
 	}
 }
 
-// clear makes it never.
+// clear resets the time to never.
 func (l *latestTime) clear() { l.at.Store(nil) }
 
-// age is how long ago the moment was, from zero to neverProved.
+// age returns how long ago the time was, from zero to noProofAge.
 func (l *latestTime) age(now time.Time) time.Duration {
 	at := l.at.Load()
 	if at == nil {
@@ -39,6 +38,6 @@
 	return min(max(now.Sub(*at), 0), noProofAge)
 }
 
-// noProofAge is the age of a proof that there is none of, and the highest age that
-// is told; every bound is far below it.
+// noProofAge stands for the age of a proof that doesn't exist, and is the highest age that is
+// reported; every bound is far below it.
 const noProofAge = time.Hour
--- a/forward/listtrust.go
+++ b/forward/listtrust.go
@@ -10,19 +10,19 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// During and shortly after an outage of the platform the list may lack upstreams
-// that live. What follows says when a missing one is believed to be gone.
+// During and shortly after an outage of the platform the list may lack living upstreams. This file
+// decides when a missing upstream counts as gone.
 
 const (
-	// listSettleTime is how long after an outage of the platform the list may
-	// still lack upstreams that live: the platform says about two seconds.
+	// listSettleTime is how long after an outage of the platform the list may still lack living
+	// upstreams: the platform states about two seconds.
 	listSettleTime = 2500 * time.Millisecond
-	// minLapseOutage is the shortest outage in which entries run out: upstreams
-	// write to theirs about every 1.2 s, and three misses drop it.
+	// minLapseOutage is the shortest outage in which entries can expire: upstreams renew theirs
+	// about every 1.2 s, and an entry expires after three misses.
 	minLapseOutage = 1500 * time.Millisecond
 )
 
-// Missing lists the upstreams that the list lacks without being believed.
+// Missing lists the upstreams that the list lacks but that don't count as gone yet.
 func (f *Fleet) Missing() []member.UpstreamID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,8 +35,8 @@
 	return missing
 }
 
-// ListRegained tells that the list can be read again after an outage. In a long
-// one, living upstreams may have been dropped from it.
+// ListRegained records that the list can be read again after an outage. In a long outage, entries
+// of living upstreams may have expired.
 func (f *Fleet) ListRegained(now time.Time, lostFor time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -46,9 +46,9 @@
 	}
 }
 
-// ListTrusted tells that a peer whose list is up to date is followed: it has
-// judged itself what is gone. While this host has missing upstreams of its own, it
-// waits for these as before.
+// ListTrusted records that this host follows a peer with an up-to-date list, which has decided
+// itself which upstreams are gone. While this host has missing upstreams of its own, it goes on
+// waiting for those.
 func (f *Fleet) ListTrusted() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,17 +60,17 @@
 	f.trustGoneFrom = time.Time{}
 }
 
-// ListLost tells that the list can't be read.
+// ListLost records that the list can't be read.
 func (f *Fleet) ListLost(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.trustGoneFrom = now.Add(forgetGone)
 }
 
-// ReplaceFromPeer takes the whole list of a peer in as of a revision, with what that
-// remembers of upstreams that were dropped. One that it lacks may have run out of its
-// entry while the platform was away, before the peer had read anything: it counts as
-// missing first.
+// ReplaceFromPeer applies a peer's complete list as of a revision, including the dropped upstreams
+// that the peer remembers. An upstream that the list lacks counts as missing first, unless it is
+// leaving: its entry may have expired during an outage of the platform, before the peer had read
+// anything.
 func (f *Fleet) ReplaceFromPeer(now time.Time, list []Change, at history.Point) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -100,9 +100,9 @@
 	return changed
 }
 
-// Settle drops what was missing when the list settled after an outage, believes what a
-// restored list has said for long enough, and forgets what is long gone. It is to be called
-// from time to time.
+// Settle drops the upstreams that are still missing once the list has settled after an outage,
+// accepts the entries of a restored list whose grace period is over, and forgets upstreams that are
+// long gone. It is to be called regularly.
 func (f *Fleet) Settle(now time.Time) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/origin.go
+++ b/forward/origin.go
@@ -14,59 +14,59 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// OriginUpdate is what an Origin has that is new, as of a revision.
+// OriginUpdate is what a full read or a watch of an Origin returned, as of a revision.
 type OriginUpdate struct {
-	// Config is nil when the configuration isn't new, or isn't there yet.
+	// Config is nil if the configuration hasn't changed or doesn't exist yet.
 	Config *Config
 	// Changes are those of the list of upstreams.
 	Changes []Change
-	// ZoneOrders are orders about zones: with Read, every one that holds.
+	// ZoneOrders are orders about zones; after Read, every order in force.
 	ZoneOrders []ZoneOrder
-	// HeldRequests are requests that are held, as they were kept.
+	// HeldRequests are requests held in quarantine, as they were saved.
 	HeldRequests []quarantine.Mark
-	// Rollouts are orders to move services to other versions, or that such an order was taken
-	// back; with Read, every one that holds. RolloutRecords are how far they are.
+	// Rollouts are orders to move services to other versions, or withdrawals of such orders; after
+	// Read, every order in force. RolloutRecords say how far the rollouts are.
 	Rollouts, RolloutRecords []rollout.Status
-	// Hosts are hosts of the site that were put on its directory.
+	// Hosts are hosts of the site that were listed in its directory.
 	Hosts []Peer
-	// Revision is where in the origin's history it answered.
+	// Revision is the point in the origin's history at which it answered.
 	Revision history.Point
-	// UnreadErr says of some entries why they couldn't be read or used; nil when all
-	// could. UnreadCount is how many there were.
+	// UnreadErr says why some of the entries couldn't be read or used; nil if all could.
+	// UnreadCount is how many there were.
 	UnreadErr   error
 	UnreadCount int
 }
 
-// Origin is where the configuration and the list of upstreams are kept.
+// Origin stores the configuration and the list of upstreams.
 type Origin interface {
-	// Read returns everything: the configuration, and each upstream as a
-	// change. An answer that doesn't tell its era is taken to be of the known one.
+	// Read returns everything: the configuration, and each upstream as a change. An answer that
+	// doesn't state its era is taken to be of the known one.
 	Read(ctx context.Context, known history.Era) (OriginUpdate, error)
-	// Watch returns the next news after a point, or none when the wait is
-	// over. They may be of a later era than that point, and are then not all.
+	// Watch returns the next update after a point, or an empty one when the wait is over. The
+	// update may be of a later era than the point, and is then incomplete.
 	Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error)
 }
 
-// HostsReader is an Origin that can tell the hosts on the directory alone, which takes one call where
-// Read may take many.
+// HostsReader is an Origin that can read the hosts in the directory alone, which takes one call
+// where Read may take many.
 type HostsReader interface {
 	Hosts(ctx context.Context) ([]Peer, error)
 }
 
-// ErrHistoryGone is an Origin's word that it no longer has the changes after a
-// revision: all has to be read again.
-var ErrHistoryGone = errors.New("the history is gone")
+// ErrHistoryGone is returned by an Origin that no longer has the changes after a revision, or that
+// was restored during a read: everything has to be read again.
+var ErrHistoryGone = errors.New("the origin's history is gone: everything has to be read again")
 
-// EraRegressedError says that the origin told an era before one that is known. Such an answer was
-// under way since before a restore, or comes from another store.
+// EraRegressedError says that the origin answered with an era before a known one. Such an answer
+// was sent before a restore, or comes from another store.
 type EraRegressedError struct{ Known, Received history.Point }
 
 func (e *EraRegressedError) Error() string {
 	return fmt.Sprintf("the origin is at %v, which is before the era of %v", e.Received, e.Known)
 }
 
-// ApplyUpdate takes the origin's list in, the whole of it or what is new. It returns what made a
-// difference.
+// ApplyUpdate applies an update of the origin, which holds the complete list or its changes. It
+// returns the zone orders and the changes that made a difference.
 func (f *Fleet) ApplyUpdate(now time.Time, update OriginUpdate, complete bool) ([]ZoneOrder, []Change) {
 	f.enterEra(now, update.Revision, update.Revision, 0)
 	if complete {
--- a/forward/point_test.go
+++ b/forward/point_test.go
@@ -5,5 +5,5 @@
 
 import "github.com/shedpath/shedpath/history"
 
-// rev is a revision of an origin that tells no era.
+// rev returns a revision of an origin that states no era.
 func rev[N ~int | ~uint64](n N) history.Point { return history.At(0, history.Revision(n)) }
--- a/forward/quarantinestore.go
+++ b/forward/quarantinestore.go
@@ -10,36 +10,37 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// What hosts know of requests that crash upstreams is in their memories. All of them may end
-// at once, and the request goes on coming; so the ones that are held are kept with the
-// origin, too, where a host that starts and finds no peer reads them.
+// Hosts know of requests that crash upstreams only in memory. All hosts may end at once while such a
+// request is still being sent, so the requests held in quarantine are also saved with the origin,
+// where a host that starts and finds no peer reads them.
 
-// QuarantineStore keeps requests that are held.
+// QuarantineStore saves requests that are held in quarantine.
 type QuarantineStore interface {
-	// Keep puts what is known of a request in place of what was kept of it.
+	// Keep replaces what is saved about the mark's request by the mark.
 	Keep(ctx context.Context, m quarantine.Mark) error
 }
 
 const (
-	// saveQueueSize is how many requests may wait to be kept; a few are held in a day.
+	// saveQueueSize is how many requests may wait to be saved; only a few are held in a day.
 	saveQueueSize = 64
-	// maxSaveAttempts bounds how often one is tried: some ten seconds of an origin that is down.
+	// maxSaveAttempts bounds the attempts to save a request: they bridge an outage of the origin of
+	// some ten seconds.
 	maxSaveAttempts = 16
-	// saveTimeout bounds one try.
+	// saveTimeout bounds one attempt.
 	saveTimeout = time.Second
 )
 
-// queueSave has what is known of a request be kept. It doesn't wait.
+// queueSave queues a request to be saved. It doesn't wait.
 func (f *Forwarder) queueSave(fingerprint quarantine.Fingerprint) {
 	select {
 	case f.toKeep <- fingerprint:
 	default:
-		f.journal.Belief("not kept", "asks", fingerprint, "err", "too many wait")
+		f.journal.Belief("not kept", "asks", fingerprint, "err", "the queue of requests to be saved is full")
 	}
 }
 
-// queueHeldAgain has the requests that are held be kept again, which a restored origin may lack. One
-// host does that for all.
+// queueHeldAgain queues all held requests to be saved again, because a restored origin may lack
+// them. One host does that for all.
 func (f *Forwarder) queueHeldAgain(now time.Time) {
 	for _, e := range f.crashes.Entries(now) {
 		if e.Standing == quarantine.Held && f.peers.first(now, e.Request.String()) == f.peers.self.ID {
@@ -48,7 +49,7 @@
 	}
 }
 
-// RunQuarantineSaver keeps what is to be kept until the context ends.
+// RunQuarantineSaver saves the queued requests until the context ends.
 func (f *Forwarder) RunQuarantineSaver(ctx context.Context, k QuarantineStore) {
 	for {
 		select {
--- a/forward/restore.go
+++ b/forward/restore.go
@@ -9,32 +9,32 @@
 	"github.com/shedpath/shedpath/history"
 )
 
-// A restored origin lacks what it acknowledged after the copy was made. What was written since the
-// restore is authoritative; otherwise what this host knew stands for a while, in which upstreams
-// and operators write it again.
+// A restored origin lacks what it acknowledged after the backup was made. What was written since the
+// restore is authoritative; otherwise what this host knew stays valid for a grace period, in which
+// upstreams and operators write it again.
 
 const (
-	// relistGrace is how long after a restore the list may lack upstreams that live.
+	// relistGrace is how long after a restore the list may lack living upstreams.
 	relistGrace = listSettleTime
-	// entryLapseGrace is how long after a restore the list may have upstreams that have ended:
-	// their entries lapse after three heartbeats of 1.2 s.
+	// entryLapseGrace is how long after a restore the list may contain upstreams that have ended:
+	// their entries expire after three missed heartbeats of 1.2 s.
 	entryLapseGrace = 5 * time.Second
-	// zoneOrderGrace is how long an order about a zone that the copy lacks, or has and was taken
-	// back, is kept as it was known unless it is given again.
+	// zoneOrderGrace is how long after a restore a zone's order stays as it was known, unless it is
+	// given again, when the backup lacks the order or contains one that was withdrawn.
 	zoneOrderGrace = 30 * time.Second
 )
 
-// restoreStats are what came of a restore.
+// restoreStats counts the differences between a restored list and what this host knew.
 type restoreStats struct {
 	from, to history.Point
-	// stillLeaving are the upstreams that leave though the copy doesn't say so, notListed those that
-	// it lacks, listedButEnded those that it has although they were gone, and zoneOrdersKept the zoneOrdersKept whose
-	// orders it tells otherwise.
+	// stillLeaving counts the upstreams that leave although the backup doesn't say so, notListed
+	// those that it lacks, listedButEnded those that it contains although they have ended, and
+	// zoneOrdersKept the zones whose orders differ in it.
 	stillLeaving, notListed, listedButEnded, zoneOrdersKept int
 }
 
-// enterEra takes in that the origin is at a point, whose era was first seen at another some time
-// ago. It is to be called before any change that was read there is applied.
+// enterEra records that the origin is at a point whose era was first seen at another point some
+// time ago. It must be called before any change that was read there is applied.
 func (f *Fleet) enterEra(now time.Time, at, firstSeen history.Point, firstSeenAgo time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,10 +50,10 @@
 	f.notify(true)
 }
 
-// OriginEra is the origin's era as this host knows it.
+// OriginEra returns the origin's era as this host knows it.
 func (f *Forwarder) OriginEra() history.Era { return f.fleet.Revision().Era() }
 
-// PeersInOtherEra counts the other hosts, heard lately, that know another era.
+// PeersInOtherEra counts the live peers that know another era.
 func (f *Forwarder) PeersInOtherEra() int {
 	now, era := f.now(), f.OriginEra()
 	return f.peers.count(func(s *peerState) bool { return s.live(now) && s.list.Era() != era })
@@ -62,12 +62,13 @@
 // isFromEarlierEra reports whether something was known before the era of what is read now.
 func isFromEarlierEra(known, read history.Point) bool { return known.Era() < read.Era() }
 
-// reconcile takes in what a list says that may be older than what is known of the upstream.
+// reconcile handles a listed change that may be older than what is known of the upstream. It
+// reports whether the change made a difference.
 func (f *Fleet) reconcile(now time.Time, k *known, c Change) bool {
 	knownBeforeRestore := isFromEarlierEra(k.Revision, c.Revision)
 	switch {
 	case knownBeforeRestore && c.Gone:
-		// Whoever tells so has waited for it to be listed again.
+		// The sender has already waited for the upstream to be listed again.
 		return f.set(now, k, c)
 	case knownBeforeRestore && c.Missing:
 		if !k.confirmEnded(c.Revision) {
@@ -79,7 +80,7 @@
 	}
 	sameLife := c.Life == 0 || k.Life == 0 || c.Life == k.Life
 	if c.Leaving && sameLife && !k.Leaving {
-		// Nothing takes that back in one life, so it holds in whatever order it is heard.
+		// Leaving is final within one life, so it holds in whatever order the changes arrive.
 		k.declared = true
 		k.leave(now, SourceList)
 		if knownBeforeRestore {
@@ -110,8 +111,8 @@
 	return false
 }
 
-// deferRelisting takes in an entry of the copy that a peer doesn't believe yet, for it knew the
-// upstream to have ended. A host that has only the copy's word doesn't believe it, either.
+// deferRelisting handles an entry of the backup that a peer doesn't accept yet because it knew the
+// upstream to have ended. A host that knows only the backup's entry doesn't accept it, either.
 func (f *Fleet) deferRelisting(now time.Time, k *known, c Change) bool {
 	switch {
 	case k.gone:
@@ -126,8 +127,8 @@
 	return true
 }
 
-// markUnlisted takes in that a list of a new era lacks an upstream. It reports false for one that was
-// known in that era already.
+// markUnlisted records that a list of a new era lacks an upstream. It reports false if the upstream
+// has ended or is known in that era already.
 func (f *Fleet) markUnlisted(now time.Time, k *known, at history.Point) bool {
 	if k.gone || !isFromEarlierEra(k.Revision, at) {
 		return false
@@ -140,8 +141,9 @@
 	return true
 }
 
-// confirmEnded takes in that a list lacks an upstream, and reports whether it is known to have
-// ended. Those who follow this host are told, if they may hold the copy's entry.
+// confirmEnded handles a list that lacks an upstream, and reports whether the upstream is known to
+// have ended. A pending entry of the backup is dropped, and the revision rises so that followers
+// which may hold that entry are told.
 func (k *known) confirmEnded(at history.Point) bool {
 	if k.pending != nil {
 		k.pending, k.Revision = nil, at
@@ -154,8 +156,8 @@
 	return k.unlisted && now.Before(f.eraSince.Add(relistGrace))
 }
 
-// deferZoneOrder keeps a zone's order as it was known before a restore, until what the copy has is
-// believed.
+// deferZoneOrder keeps a zone's order as it was known before a restore, until the order of the
+// backup is accepted.
 func (f *Fleet) deferZoneOrder(o ZoneOrder) {
 	known := f.zones[o.Zone]
 	o.BelievedFrom = f.eraSince.Add(zoneOrderGrace)
@@ -168,8 +170,8 @@
 	f.setZone(known)
 }
 
-// SettleZoneOrders believes what a restored list has said of zones for long enough. It returns the
-// orders that made a difference.
+// SettleZoneOrders accepts the zone orders of a restored list whose grace period is over. It
+// returns the orders that made a difference.
 func (f *Fleet) SettleZoneOrders(now time.Time) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,14 +191,15 @@
 	return changed
 }
 
-// update adds to what came of a restore; there is none for a list of an era that is known.
+// update changes the counts of a restore. It does nothing on nil, which stands for a list without a
+// restore.
 func (r *restoreStats) update(change func(*restoreStats)) {
 	if r != nil {
 		change(r)
 	}
 }
 
-// takeRestoreStats returns what came of a restore since the last call; nil when there was none.
+// takeRestoreStats returns the counts of a restore since the last call; nil if there was none.
 func (f *Fleet) takeRestoreStats() *restoreStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,7 +208,7 @@
 	return r
 }
 
-// logRestore logs that the origin was restored.
+// logRestore logs that the origin was restored, and has the held requests saved again.
 func (f *Forwarder) logRestore() {
 	r := f.fleet.takeRestoreStats()
 	if r == nil {
--- a/forward/restore_test.go
+++ b/forward/restore_test.go
@@ -12,7 +12,9 @@
 	"github.com/shedpath/shedpath/history"
 )
 
-// TestUpstreamOfLongDrainComesBack: one that had left for long before it ended is remembered as ended.
+// TestUpstreamOfLongDrainComesBack guards against work for an upstream that has ended. It drained
+// for longer than ended upstreams are remembered, and the list is restored from a backup that still
+// contains it.
 func TestUpstreamOfLongDrainComesBack(t *testing.T) {
 	is := is.New(t)
 	var f Fleet
@@ -29,7 +31,8 @@
 	is.Equal(len(f.Takers(now.Add(2*time.Second), copied.Service)), 0)
 }
 
-// TestProofBeforeANewerConfigurationIsLost: a configuration was the newest until a newer one was offered.
+// TestProofBeforeANewerConfigurationIsLost checks that a configuration counts as proved up to the
+// time when a newer one was first offered.
 func TestProofBeforeANewerConfigurationIsLost(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
--- a/forward/restoremodel_test.go
+++ b/forward/restoremodel_test.go
@@ -16,33 +16,34 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// restoreModel is a store that is restored from copies and hosts that read, watch and follow each
-// other in any order, without time or a network between them.
+// restoreModel models a store that is restored from backups, and hosts that read, watch and follow
+// each other in any order, without time or a network between them.
 type restoreModel struct {
 	now   time.Time
 	store *drillStore
 	hosts []*modelHost
-	// startedCount counts the upstreams that ever were; leaving are those that have said that they
-	// leave, ended those that are gone.
+	// startedCount counts the upstreams that were ever started; leaving holds those that have
+	// announced that they leave, ended those that are gone.
 	startedCount   int
 	leaving, ended map[member.UpstreamID]bool
-	// zoneOut is the newest order that was acknowledged.
+	// zoneOut is the newest acknowledged order about the zone.
 	zoneOut bool
-	// lostEvents are the last changes of keys that a restore has lostEvents and nobody has made again.
+	// lostEvents are the last changes of keys that a restore has lost and that haven't been written
+	// again.
 	lostEvents []drillEvent
 	restoredAt time.Time
 }
 
-// modelHost is one host: what it believes, and what it has believed in its life.
+// modelHost is one host, with its fleet and what it has known so far.
 type modelHost struct {
 	fleet     *Fleet
 	watchFrom history.Point
-	// needsFullRead says that all has to be needsFullRead.
+	// needsFullRead says that the next call reads everything.
 	needsFullRead bool
 	isolated      bool
-	// storeFailingSince is since when the store's calls fail; zero while they don't.
+	// storeFailingSince is when the store's calls began to fail; zero while they don't.
 	storeFailingSince time.Time
-	// knownLeaving are the upstreams that it has known to leave.
+	// knownLeaving are the upstreams that the host has known to leave.
 	knownLeaving map[member.UpstreamID]bool
 }
 
@@ -66,7 +67,7 @@
 	m.store.list(plainUp(member.UpstreamID(fmt.Sprint("app", m.startedCount))))
 }
 
-// livingUpstreams are the upstreams that may get work.
+// livingUpstreams returns the upstreams that may get work.
 func (m *restoreModel) livingUpstreams() (ids []member.UpstreamID) {
 	for n := range m.startedCount {
 		if id := member.UpstreamID(fmt.Sprint("app", n+1)); !m.leaving[id] && !m.ended[id] {
@@ -77,19 +78,19 @@
 }
 
 func (m *restoreModel) restore(lostRevisions int) {
-	copyRevision := m.store.revision() - min(history.Revision(lostRevisions), m.store.revision())
+	backupRevision := m.store.revision() - min(history.Revision(lostRevisions), m.store.revision())
 	for _, e := range slices.Backward(m.store.events) {
-		// What an earlier restore lost is newer than what the copy still had.
+		// A change lost by an earlier restore is newer than what the backup still had.
 		alreadyLost := slices.ContainsFunc(m.lostEvents, func(old drillEvent) bool { return old.key == e.key })
-		if e.revision > copyRevision && e.key != "other" && !alreadyLost {
+		if e.revision > backupRevision && e.key != "other" && !alreadyLost {
 			m.lostEvents = append(m.lostEvents, e)
 		}
 	}
-	m.store.restore(copyRevision)
+	m.store.restore(backupRevision)
 	m.restoredAt = m.now
 }
 
-// rewriteLost has the operator and the upstreams write what a restore has lost.
+// rewriteLost writes what a restore has lost, as the operator and the upstreams do.
 func (m *restoreModel) rewriteLost() {
 	for _, e := range m.lostEvents {
 		m.store.write(e)
@@ -97,13 +98,13 @@
 	m.lostEvents = nil
 }
 
-// supersedeLost makes a change that puts an end to what was lost of the same key.
+// supersedeLost makes a change that replaces the lost change of the same key.
 func (m *restoreModel) supersedeLost(key string, write func()) {
 	m.lostEvents = slices.DeleteFunc(m.lostEvents, func(e drillEvent) bool { return e.key == key })
 	write()
 }
 
-// pollStore has a host read everything or take the next news, as a follower does.
+// pollStore makes a host read everything or take the next update, as a follower does.
 func (m *restoreModel) pollStore(h *modelHost) {
 	if h.isolated {
 		return
@@ -118,16 +119,16 @@
 		h.needsFullRead, h.watchFrom = false, update.Revision
 		return
 	}
-	news, hasHistory, _ := m.store.newest(h.watchFrom.Revision(), false)
-	if !hasHistory || !news.Revision.SameEra(h.watchFrom) {
+	update, hasHistory, _ := m.store.newest(h.watchFrom.Revision(), false)
+	if !hasHistory || !update.Revision.SameEra(h.watchFrom) {
 		h.needsFullRead = true
 		return
 	}
-	h.fleet.ApplyUpdate(m.now, news, false)
-	h.watchFrom = news.Revision
+	h.fleet.ApplyUpdate(m.now, update, false)
+	h.watchFrom = update.Revision
 }
 
-// failStoreCall has a host's call to the store failStoreCall.
+// failStoreCall makes a host's call to the store fail.
 func (m *restoreModel) failStoreCall(h *modelHost) {
 	h.needsFullRead = true
 	h.fleet.ListLost(m.now)
@@ -136,7 +137,7 @@
 	}
 }
 
-// follow has a host take what another has that is newer.
+// follow makes a host apply what another has that is newer.
 func (m *restoreModel) follow(h, leader *modelHost) {
 	if h == leader || h.isolated || leader.isolated || leader.fleet.Revision().Era() < h.fleet.Revision().Era() {
 		return
@@ -151,7 +152,7 @@
 	h.needsFullRead, h.watchFrom = false, history.Latest(h.watchFrom, h.fleet.Revision())
 }
 
-// shareWith has a host hear another's own words and orders, as with each share.
+// shareWith makes a host receive another's own observations and orders, as with each share.
 func (m *restoreModel) shareWith(h, from *modelHost) {
 	if h.isolated || from.isolated {
 		return
@@ -176,7 +177,7 @@
 	}
 }
 
-// checkNoSendToLeaving holds what has to be so at each moment.
+// checkNoSendToLeaving checks that no host sends work to an upstream that it has known to leave.
 func (m *restoreModel) checkNoSendToLeaving(t *rapid.T) {
 	for n, h := range m.hosts {
 		for id := range m.leaving {
@@ -184,14 +185,14 @@
 				h.knownLeaving[id] = true
 			}
 			if h.knownLeaving[id] && m.takesWork(h, id) {
-				t.Fatalf("host %d sends to %s, which it has known to leave", n, id)
+				t.Fatalf("host %d sends work to %s, which it has known to be leaving", n, id)
 			}
 		}
 	}
 }
 
-// checkConvergence has everything be written again and heard, of the store or of the host before, and then
-// all hosts agree with what is so.
+// checkConvergence writes again what was lost, lets every host read it from the store or, in a
+// chain, from the host before, and checks that all hosts then agree with the actual state.
 func (m *restoreModel) checkConvergence(inChain bool) error {
 	m.rewriteLost()
 	for range 3 {
@@ -210,30 +211,31 @@
 	for n, h := range m.hosts {
 		for _, id := range m.livingUpstreams() {
 			if !m.takesWork(h, id) {
-				return errors.New(fmt.Sprint("host ", n, " gives ", id, " no work, which lives"))
+				return errors.New(fmt.Sprint("host ", n, " sends no work to ", id, ", which is alive"))
 			}
 		}
 		for id := range m.leaving {
 			if m.takesWork(h, id) {
-				return errors.New(fmt.Sprint("host ", n, " sends to ", id, ", which leaves"))
+				return errors.New(fmt.Sprint("host ", n, " sends work to ", id, ", which is leaving"))
 			}
 		}
 		for id := range m.ended {
 			if m.takesWork(h, id) {
-				return errors.New(fmt.Sprint("host ", n, " sends to ", id, ", which has ended"))
+				return errors.New(fmt.Sprint("host ", n, " sends work to ", id, ", which has ended"))
 			}
 		}
 	}
 	m.advanceTime(zoneOrderGrace)
 	for n, h := range m.hosts {
 		if h.fleet.InService("z2") == m.zoneOut {
-			return errors.New(fmt.Sprint("host ", n, " has z2 in service: ", !m.zoneOut, " is so"))
+			return errors.New(fmt.Sprint("host ", n, " has zone z2 in the wrong state: InService should be ", !m.zoneOut, " by the newest order"))
 		}
 	}
 	return nil
 }
 
-// TestHostStaysBehindARestoredStore has no host send to what leaves, drop what lives, or stay behind.
+// TestHostStaysBehindARestoredStore checks that no host sends work to upstreams that leave, drops
+// living ones, or stays out of date.
 func TestHostStaysBehindARestoredStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newRestoreModel()
