--- a/forward/directory.go
+++ b/forward/directory.go
@@ -80,7 +80,7 @@
 // are known to take requests. The order is that of the zone's tree where the zone is divided, else
 // by name.
 func (p *peerSet) isAmongFirstOfZone(now time.Time, n int) bool {
-	if position, divided := p.place(now); divided {
+	if position, divided := p.treePosition(now); divided {
 		return position < n
 	}
 	p.mu.Lock()
--- a/forward/drillstore_test.go
+++ b/forward/drillstore_test.go
@@ -90,7 +90,7 @@
 }
 
 func (s *drillStore) order(zone member.Zone, out bool) history.Revision {
-	return s.write(drillEvent{key: "zone/" + string(zone), zone: &ZoneOrder{Zone: zone, Out: out}})
+	return s.write(drillEvent{key: "zone/" + string(zone), zone: &ZoneOrder{Zone: zone, OutOfService: out}})
 }
 
 func (s *drillStore) configure(v Version) history.Revision {
@@ -182,7 +182,7 @@
 		c := *e.upstream
 		c.Revision = history.At(era, e.revision)
 		news.Changes = append(news.Changes, c)
-	case e.zone != nil && !(whole && !e.zone.Out):
+	case e.zone != nil && !(whole && !e.zone.OutOfService):
 		o := *e.zone
 		o.Revision = history.At(era, e.revision)
 		news.ZoneOrders = append(news.ZoneOrders, o)
@@ -374,7 +374,7 @@
 // takes reports whether a host gives an upstream new work.
 func takes(id member.UpstreamID) func(f *Forwarder) bool {
 	return func(f *Forwarder) bool {
-		return slices.ContainsFunc(f.fleet.Takers(f.now(), "app"), func(u Upstream) bool { return u.ID == id })
+		return slices.ContainsFunc(f.fleet.Available(f.now(), "app"), func(u Upstream) bool { return u.ID == id })
 	}
 }
 
--- a/forward/estimates.go
+++ b/forward/estimates.go
@@ -28,15 +28,15 @@
 // EngineEstimates returns the estimates for each service's engines, sorted by service name.
 func (f *Forwarder) EngineEstimates() []EngineEstimate { return f.engines.estimates(f.now()) }
 
-func (e *engines) estimates(now time.Time) []EngineEstimate {
+func (e *enginePlacer) estimates(now time.Time) []EngineEstimate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var all []EngineEstimate
 	for name, p := range e.pools {
-		l := EngineEstimate{Service: name, StepTime: p.step(), StepSamples: p.stepSamples, Age: noProofAge}
+		l := EngineEstimate{Service: name, StepTime: p.expectedStep(), StepSamples: p.stepSamples, Age: noProofAge}
 		l.PrefillRate, l.PrefillSamples = p.pool.ReadRate()
-		if !p.learntAt.IsZero() {
-			l.Age = min(now.Sub(p.learntAt), noProofAge)
+		if !p.lastObserved.IsZero() {
+			l.Age = min(now.Sub(p.lastObserved), noProofAge)
 		}
 		all = append(all, l)
 	}
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -85,7 +85,7 @@
 		x.serveStream(cut)
 		return
 	}
-	x.servePlain(cut)
+	x.serveUnary(cut)
 }
 
 func (x *exchange) version() Version {
@@ -106,7 +106,7 @@
 		return x.unknown(now, CodeNoRoute), false
 	}
 	if t.RequiresKey && !x.route.Public {
-		if x.account, found = t.Account(x.call.Key); !found {
+		if x.account, found = t.Account(x.call.APIKey); !found {
 			return x.unknown(now, CodeBadKey), false
 		}
 	}
@@ -117,10 +117,10 @@
 	// It may have waited in this host's sockets while its machine was suspended; then its
 	// caller has waited, too, and may have left.
 	late := x.settings.Clock.Late(now)
-	if x.call.Patience > 0 && x.call.Patience <= late {
+	if x.call.CallerTimeout > 0 && x.call.CallerTimeout <= late {
 		return Refusal{Code: CodeLate, RetryAfter: retryElsewhere}, false
 	}
-	x.deadline = earliest(now.Add(-late), x.call.Patience, x.route.Timeout)
+	x.deadline = earliest(now.Add(-late), x.call.CallerTimeout, x.route.Timeout)
 	x.zones = x.allowedZones()
 	x.service, found = t.Service(x.pickService(now))
 	if !found {
@@ -130,11 +130,11 @@
 	if x.held(now) {
 		return heldRefusal, false
 	}
-	if x.noneInRegion(now) {
-		return Refusal{Code: CodeRegion, RetryAfter: retryMost}, false
+	if x.noUpstreamInRegions(now) {
+		return Refusal{Code: CodeRegion, RetryAfter: maxRetryAfter}, false
 	}
 	if !x.endsBeforeStop(now) {
-		x.journal.Request(x.call.ID, "would outlast the stop", "stopping_for", now.Sub(x.stopBegan()), "limit", x.call.Prompt.MostOut, "hint", x.call.Prompt.LikelyOut)
+		x.journal.Request(x.call.ID, "would outlast the stop", "stopping_for", now.Sub(x.stopBegan()), "limit", x.call.Prompt.MaxOutputTokens, "hint", x.call.Prompt.ExpectedOutputTokens)
 		return Refusal{Code: CodeStopping, RetryAfter: x.retryStopping(now)}, false
 	}
 	return Refusal{}, true
@@ -181,11 +181,11 @@
 		}
 		draw -= s.Weight
 	}
-	if len(x.route.Services) == 1 || len(x.allowedOf(x.fleet.Takers(now, picked))) > 0 {
+	if len(x.route.Services) == 1 || len(x.filterUpstreams(x.fleet.Available(now, picked))) > 0 {
 		return picked
 	}
 	for _, s := range x.route.Services {
-		if s.Weight > 0 && len(x.allowedOf(x.fleet.Takers(now, s.Service))) > 0 {
+		if s.Weight > 0 && len(x.filterUpstreams(x.fleet.Available(now, s.Service))) > 0 {
 			return s.Service
 		}
 	}
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -109,14 +109,14 @@
 // outdated list, because the origin may not answer for seconds.
 func (w *follower) join(ctx context.Context) {
 	deadline, finalDeadline := w.startedAt.Add(w.joinTimeout()), w.startedAt.Add(maxJoinTimeout)
-	for w.now().Before(deadline) && !w.peers.anyFound() {
+	for w.now().Before(deadline) && !w.peers.anyPeerFound() {
 		PauseFor(ctx, joinCheckInterval)
 	}
-	if !w.peers.anyFound() && w.readDirectory(ctx) {
+	if !w.peers.anyPeerFound() && w.readDirectory(ctx) {
 		deadline = w.now().Add(w.joinTimeout())
 	}
 	for ctx.Err() == nil && (w.now().Before(deadline) || w.now().Before(finalDeadline) && w.expectsPeerList(w.now())) {
-		peer, found := w.peers.joinable(w.now())
+		peer, found := w.peers.bootstrapPeer(w.now())
 		if found && w.followPeer(ctx, peer, originDownBounds) && w.catchUpConfig(ctx, peer) {
 			w.markCaughtUp()
 			w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.watchFrom, "after", w.now().Sub(w.startedAt))
@@ -131,8 +131,8 @@
 // first start of a site the seed hosts read the list, and in a large site the hosts before this one
 // receive it first.
 func (w *follower) expectsPeerList(now time.Time) bool {
-	firstReads := w.settings.FirstStart && w.joinTimeout() > 0 && w.peers.noneHasList()
-	return firstReads || w.peers.awaitsList(now)
+	firstReads := w.settings.FirstStart && w.joinTimeout() > 0 && w.peers.noPeerHasList()
+	return firstReads || w.peers.expectsListFromAncestor(now)
 }
 
 // readDirectory adds the hosts in the directory to the known peers and asks for a share to all of
@@ -149,7 +149,7 @@
 		w.journal.Belief("directory not read", "err", err)
 		return false
 	}
-	w.peers.list(w.now(), hosts)
+	w.peers.addFromDirectory(w.now(), hosts)
 	w.peers.notifyAll()
 	return len(hosts) > 0
 }
@@ -166,7 +166,7 @@
 // awaitsLeader reports whether this host has just joined and knows a live host before it in the
 // order of leaders, which it should follow as soon as that host can be followed.
 func (w *follower) awaitsLeader(now time.Time) bool {
-	return !w.needsFullRead && w.originStatus.failures == 0 && now.Sub(w.startedAt) < startLasts && w.peers.hasEarlier(now)
+	return !w.needsFullRead && w.originStatus.failures == 0 && now.Sub(w.startedAt) < startupDuration && w.peers.hasPredecessor(now)
 }
 
 // joinTimeout returns how long this host looks for a peer to join. It is zero without seed
@@ -227,7 +227,7 @@
 // watches the origin for all zones. It reports whether that host could be followed; if not, its
 // zone is avoided for a while.
 func (w *follower) followEarlierZone(ctx context.Context, now time.Time) bool {
-	peer, found := w.peers.ofEarlierZone(func(z member.Zone) bool { return now.Before(w.zonesAvoidedUntil[z]) }, now)
+	peer, found := w.peers.firstInEarlierZone(func(z member.Zone) bool { return now.Before(w.zonesAvoidedUntil[z]) }, now)
 	if !found {
 		return false
 	}
@@ -283,7 +283,7 @@
 	}
 	w.applyUpdate(provedAt, update)
 	w.needsFullRead, w.watchFrom = false, update.Revision
-	if provedAt.Sub(w.startedAt) < soloPausePeriod && w.peers.live(provedAt) == 1 {
+	if provedAt.Sub(w.startedAt) < soloPausePeriod && w.peers.liveHosts(provedAt) == 1 {
 		// Hosts that start together don't know each other yet, and the origin would send each
 		// change to every one of them.
 		PauseFor(ctx, soloWatchPause)
@@ -321,7 +321,7 @@
 	if update.UnreadErr != nil {
 		w.logUnread(now, update)
 	}
-	w.peers.list(now, update.Hosts)
+	w.peers.addFromDirectory(now, update.Hosts)
 	w.receiveCrashes(now, update.HeldRequests)
 	if w.needsFullRead {
 		w.journal.Belief("list read", "revision", update.Revision, "upstreams", len(update.Changes), "took", now.Sub(provedAt))
@@ -334,7 +334,7 @@
 	w.takeRollouts(now, update.Rollouts)
 	w.takeRolloutRecords(update.RolloutRecords)
 	zones, changes := w.fleet.ApplyUpdate(now, update, w.needsFullRead)
-	w.noteZones(zones)
+	w.logZoneChanges(zones)
 	w.handleListChanges(changes)
 	if lostFor := w.originStatus.recordSuccess(now); lostFor > 0 {
 		w.fleet.ListRegained(now, lostFor)
@@ -371,10 +371,10 @@
 	// The proof is withdrawn, so that followers turn to another host at once and this host probes
 	// the engines itself.
 	w.originContact.clear()
-	w.fleet.Wake()
+	w.fleet.WakeWaiters()
 	w.takeStaleList(ctx)
 	pause := w.originStatus.recordFailure(ctx, err)
-	extraPause := pause * time.Duration(w.peers.liveInZone(now)/hostsPerRetryDelay)
+	extraPause := pause * time.Duration(w.peers.liveHostsInZone(now)/hostsPerRetryDelay)
 	w.nextOriginRetry = now.Add(pause + extraPause + originRetryDelay)
 	PauseFor(ctx, pause)
 	w.pauseUntilFollowable(ctx, extraPause)
@@ -388,7 +388,7 @@
 	if !w.fleet.Revision().IsZero() {
 		return
 	}
-	for _, peer := range w.peers.anyLive(now) {
+	for _, peer := range w.peers.randomLivePeers(now) {
 		if !w.followPeer(ctx, peer, staleBounds) || w.fleet.Revision().IsZero() {
 			continue
 		}
@@ -418,7 +418,7 @@
 // handleListChanges drops what is known of earlier lives of upstreams, and logs a restore of the
 // origin and the changes of the list.
 func (f *Forwarder) handleListChanges(changes []Change) {
-	f.dropOldLives()
+	f.resetRestartedUpstreams()
 	f.logRestore()
 	for _, c := range changes {
 		f.journal.Belief("upstream listed", "upstream", c.ID, "service", c.Service, "zone", c.Zone,
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -48,7 +48,7 @@
 			is := is.New(t)
 			p := newPeerSet(Peer{ID: "h5", Zone: "z1"}, nil)
 			for _, s := range c.peers {
-				p.receive(now, s)
+				p.recordShare(now, s)
 			}
 			leader, found := p.leader(now.Add(time.Second), c.needed)
 			is.Equal(leader.ID, c.want)
@@ -70,7 +70,7 @@
 	if o.failing.Load() {
 		return OriginUpdate{}, errGone
 	}
-	return OriginUpdate{Changes: []Change{{Upstream: up("llm1", 1, false)}}, Revision: rev(1)}, nil
+	return OriginUpdate{Changes: []Change{{Upstream: llmUpstream("llm1", 1, false)}}, Revision: rev(1)}, nil
 }
 
 func (o *failingOrigin) Watch(ctx context.Context, after history.Point, _ time.Duration) (OriginUpdate, error) {
@@ -106,10 +106,10 @@
 			is := is.New(t)
 			p := newPeerSet(Peer{ID: "h5", Zone: "z3"}, nil)
 			for _, s := range c.peers {
-				p.receive(now, s)
+				p.recordShare(now, s)
 			}
 			p.distrust(c.distrusted)
-			got, found := p.ofEarlierZone(func(z member.Zone) bool { return z == c.avoided }, now.Add(time.Second))
+			got, found := p.firstInEarlierZone(func(z member.Zone) bool { return z == c.avoided }, now.Add(time.Second))
 			is.Equal(got.ID, c.want)
 			is.Equal(found, c.want != "")
 		})
@@ -149,8 +149,8 @@
 	return permit.Reply{}, errGone
 }
 func (p *fakeFollowedPeer) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
-func (p *fakeFollowedPeer) Ask(context.Context, Peer, PlaceAsk) (PlaceGrant, error) {
-	return PlaceGrant{}, errGone
+func (p *fakeFollowedPeer) Ask(context.Context, Peer, PlacementRequest) (PlacementGrant, error) {
+	return PlacementGrant{}, errGone
 }
 
 func (p *fakeFollowedPeer) Config(context.Context, Peer, Version) (ConfigReply, error) {
@@ -181,7 +181,7 @@
 				f := newForwarder(t, &fakeTransport{})
 				peers, origin := &fakeFollowedPeer{}, &countingOrigin{}
 				f.peerPort = peers
-				f.peers.receive(time.Now(), Share{From: Peer{ID: "h9", Zone: "z0"}, Epoch: 9, Announcement: 1})
+				f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z0"}, Epoch: 9, AnnouncementCount: 1})
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Follow(ctx, origin)
 				time.Sleep(2 * time.Second)
@@ -217,11 +217,11 @@
 	f.fleet.ListRegained(time.Now(), 10*time.Second)
 	is.True(f.followPeer(t.Context(), Peer{ID: "h0"}, zoneBounds))
 	select {
-	case <-f.fleet.Leaving("llm1"):
+	case <-f.fleet.LeavingStarted("llm1"):
 	default:
 		t.Error("llm1 should be leaving, because the followed peer reports that it is gone")
 	}
-	changes, _, _ := f.fleet.Since(rev(4))
+	changes, _, _ := f.fleet.ChangesSince(rev(4))
 	is.Equal(len(changes), 1) // the followers of this host learn of it
 }
 
@@ -237,7 +237,7 @@
 		go f.Follow(ctx, origin)
 		synctest.Wait()
 		origin.failing.Store(true)
-		f.peers.receive(time.Now(), Share{From: Peer{ID: "h9", Zone: "z1"}})
+		f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z1"}})
 		time.Sleep(2 * time.Second)
 		is.True(f.listKnown(time.Now()))
 		is.True(f.OriginAge(time.Now()) > maxOriginProofAge)
@@ -260,7 +260,7 @@
 		origin.failing.Store(true)
 		receiveShares := func(originAge time.Duration) {
 			for n := range 20 {
-				f.peers.receive(time.Now(), Share{From: Peer{ID: member.HostID(fmt.Sprint("h", 10+n)), Zone: "z1"}, OriginAge: originAge})
+				f.peers.recordShare(time.Now(), Share{From: Peer{ID: member.HostID(fmt.Sprint("h", 10+n)), Zone: "z1"}, OriginAge: originAge})
 			}
 		}
 		receiveShares(time.Minute)
--- a/forward/followgaps_test.go
+++ b/forward/followgaps_test.go
@@ -23,8 +23,8 @@
 // which has ended. The leader knows only part of the history, and the follower is behind it.
 func TestFollowerIsNotToldWhatItsLeaderNeverKnew(t *testing.T) {
 	now := time.Now()
-	listed := Change{Upstream: up("app1", 3, false)}
-	ended := Change{Upstream: up("app1", 4, false), Gone: true}
+	listed := Change{Upstream: llmUpstream("app1", 3, false)}
+	ended := Change{Upstream: llmUpstream("app1", 4, false), Gone: true}
 	read := func(at history.Revision, changes ...Change) *Fleet {
 		f := &Fleet{}
 		f.ApplyUpdate(now, OriginUpdate{Changes: changes, Revision: rev(at)}, true)
@@ -50,11 +50,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			behind := read(3, listed)
-			is.Equal(len(behind.Takers(now, listed.Service)), 1)
+			is.Equal(len(behind.Available(now, listed.Service)), 1)
 			applyReplyFrom(now, behind, leader())
 			now := now.Add(listSettleTime + time.Second)
 			behind.Settle(now)
-			is.Equal(len(behind.Takers(now, listed.Service)), 0)
+			is.Equal(len(behind.Available(now, listed.Service)), 0)
 		})
 	}
 }
@@ -66,9 +66,9 @@
 	is := is.New(t)
 	now := time.Now()
 	var leader, behind Fleet
-	leader.ReceiveZones(now, []ZoneOrder{back("z2", 5)})
+	leader.ReceiveZoneOrders(now, []ZoneOrder{backInService("z2", 5)})
 	leader.ApplyUpdate(now, OriginUpdate{Revision: rev(7)}, true)
-	behind.ApplyUpdate(now, OriginUpdate{ZoneOrders: []ZoneOrder{out("z2", 6)}, Revision: rev(6)}, true)
+	behind.ApplyUpdate(now, OriginUpdate{ZoneOrders: []ZoneOrder{outOfService("z2", 6)}, Revision: rev(6)}, true)
 	is.True(!behind.InService("z2"))
 	applyReplyFrom(now, &behind, &leader)
 	is.True(behind.InService("z2"))
--- a/forward/followpeer.go
+++ b/forward/followpeer.go
@@ -122,7 +122,7 @@
 // OnFollow answers a peer that follows this host. It waits up to the requested time for something
 // newer.
 func (f *Forwarder) OnFollow(ctx context.Context, r FollowRequest) FollowReply {
-	f.peers.takeAnnouncements(f.now(), r.From, r.Announcements)
+	f.peers.receiveAnnouncements(f.now(), r.From, r.Announcements)
 	if r.Wait > 0 {
 		// A renewed proof ends the wait, too. Otherwise a proof could be 1.85 s old at the third
 		// host in a row, after a watch and the waits of a zone's leader and of its followers, while
@@ -142,14 +142,14 @@
 	now := f.now()
 	if f.isBusyWithLists(now, r.ListRevision) {
 		reply := FollowReply{Busy: true}
-		reply.Announcements, reply.HostCursor = f.peers.announcementsSince(now, r.From, r.HostCursor)
+		reply.Announcements, reply.HostCursor = f.peers.announcementsForFollower(now, r.From, r.HostCursor)
 		return reply
 	}
 	// The ages are taken first, so that nothing in the reply is older than its proof, even if
 	// changes arrive meanwhile.
 	reply := FollowReply{ConfigAge: f.ContactAge(now), OriginAge: f.OriginAge(now)}
 	f.fleet.fillFollowReply(now, r.ListRevision, &reply)
-	reply.Announcements, reply.HostCursor = f.peers.announcementsSince(now, r.From, r.HostCursor)
+	reply.Announcements, reply.HostCursor = f.peers.announcementsForFollower(now, r.From, r.HostCursor)
 	reply.Version, reply.Rollouts = f.versionInForce(), f.rollouts.Statuses(now)
 	return reply
 }
@@ -162,25 +162,25 @@
 		return false
 	}
 	timeout := bounds.timeout
-	if f.fleet.Revision().IsZero() && f.peers.isLarge() {
+	if f.fleet.Revision().IsZero() && f.peers.isLargeSite() {
 		timeout = max(timeout, fullListTimeout)
 	}
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	slept := f.settings.Clock.Slept()
-	announcements, announcedUpTo := f.peers.announcementsFor(f.now(), peer.ID)
+	announcements, announcedUpTo := f.peers.announcementsForLeader(f.now(), peer.ID)
 	reply, err := peers.Follow(callCtx, peer, FollowRequest{
 		From: f.peers.self.ID, Announcements: announcements,
-		Version: f.newestKnownVersion(), ListRevision: f.fleet.Revision(), HostCursor: f.peers.cursorOf(peer.ID), Wait: bounds.wait,
+		Version: f.newestKnownVersion(), ListRevision: f.fleet.Revision(), HostCursor: f.peers.rosterCursor(peer.ID), Wait: bounds.wait,
 	})
 	suspendedFor := f.settings.Clock.Slept() - slept
-	reply.ConfigAge, reply.OriginAge = older(reply.ConfigAge, suspendedFor), older(reply.OriginAge, suspendedFor)
-	reply.EraAge = older(reply.EraAge, suspendedFor)
+	reply.ConfigAge, reply.OriginAge = ageWithDelay(reply.ConfigAge, suspendedFor), ageWithDelay(reply.OriginAge, suspendedFor)
+	reply.EraAge = ageWithDelay(reply.EraAge, suspendedFor)
 	if err == nil && reply.Busy {
 		now := f.now()
-		f.peers.takeAnnouncements(now, peer.ID, reply.Announcements)
-		f.peers.gotAnnouncements(peer.ID, reply.HostCursor)
-		f.peers.busy(now, peer.ID)
+		f.peers.receiveAnnouncements(now, peer.ID, reply.Announcements)
+		f.peers.setRosterCursor(peer.ID, reply.HostCursor)
+		f.peers.markBusy(now, peer.ID)
 		return false
 	}
 	if err != nil || !bounds.accept(reply) || reply.ListRevision.Era() < f.fleet.Revision().Era() {
@@ -204,22 +204,22 @@
 		f.recordOriginProof(now.Add(-reply.OriginAge))
 		f.proofInherited.Store(true)
 	}
-	f.peers.toldUp(peer.ID, announcedUpTo)
+	f.peers.recordAnnouncedUpTo(peer.ID, announcedUpTo)
 	for i := range reply.Announcements {
-		reply.Announcements[i].Age = older(reply.Announcements[i].Age, suspendedFor)
+		reply.Announcements[i].Age = ageWithDelay(reply.Announcements[i].Age, suspendedFor)
 	}
-	f.peers.takeAnnouncements(now, peer.ID, reply.Announcements)
-	f.peers.followed(now, peer.ID, reply)
+	f.peers.receiveAnnouncements(now, peer.ID, reply.Announcements)
+	f.peers.recordFollowReply(now, peer.ID, reply)
 	if !bounds.allowStale {
 		f.followed.advance(now)
 		f.fleet.ListTrusted()
 	}
 	for i := range reply.Rollouts {
-		reply.Rollouts[i].Age = older(reply.Rollouts[i].Age, suspendedFor)
+		reply.Rollouts[i].Age = ageWithDelay(reply.Rollouts[i].Age, suspendedFor)
 	}
 	f.takeRollouts(now, reply.Rollouts)
 	zones, changes := f.fleet.ApplyFollowReply(now, reply)
-	f.noteZones(zones)
+	f.logZoneChanges(zones)
 	f.handleListChanges(changes)
 	return true
 }
@@ -249,7 +249,7 @@
 	if f.givenUntil.Sub(now) > maxListBacklog {
 		return true
 	}
-	f.givenUntil = later(f.givenUntil, now).Add(transferTime)
+	f.givenUntil = laterOf(f.givenUntil, now).Add(transferTime)
 	return false
 }
 
@@ -263,13 +263,13 @@
 func (f *Fleet) fillFollowReply(now time.Time, after history.Point, r *FollowReply) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r.Changes, r.ListRevision, r.Complete = f.since(after)
+	r.Changes, r.ListRevision, r.Complete = f.changesSince(after)
 	r.Generation = f.generation
-	r.Zones = f.zonesSince(after, r.Complete)
+	r.Zones = f.zoneOrdersSince(after, r.Complete)
 	r.HasGaps = slices.ContainsFunc(f.gaps, func(g gap) bool { return g.from.Before(r.ListRevision) && after.Before(g.to) })
 	r.EraFirstSeen = f.restore.First()
-	if !f.eraSince.IsZero() {
-		r.EraAge = now.Sub(f.eraSince)
+	if !f.eraFirstSeen.IsZero() {
+		r.EraAge = now.Sub(f.eraFirstSeen)
 	}
 }
 
@@ -278,9 +278,9 @@
 func (f *Fleet) ApplyFollowReply(now time.Time, r FollowReply) ([]ZoneOrder, []Change) {
 	f.enterEra(now, r.ListRevision, r.EraFirstSeen, r.EraAge)
 	if r.Complete {
-		return f.ReplaceZones(now, r.Zones, r.ListRevision), f.ReplaceFromPeer(now, r.Changes, r.ListRevision)
+		return f.ReplaceZoneOrders(now, r.Zones, r.ListRevision), f.ReplaceFromPeer(now, r.Changes, r.ListRevision)
 	}
-	zones := f.ApplyZones(now, f.impliedOrders(r))
+	zones := f.ApplyZoneOrders(now, f.impliedZoneOrders(r))
 	if r.HasGaps {
 		return zones, f.applyWithGaps(now, r.Changes, r.ListRevision)
 	}
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -88,8 +88,8 @@
 
 	fleet   *Fleet
 	table   atomic.Pointer[Table]
-	engines *engines
-	plain   *plainChooser
+	engines *enginePlacer
+	plain   *latencyBalancer
 	// backoffs are the upstreams that asked this host for backoff, and backoffNotices bounds
 	// how often peers are told of that at once.
 	backoffs       backoff.Table
@@ -162,7 +162,7 @@
 func New(s Settings, t Transport, j Journal, o Observer) *Forwarder {
 	f := &Forwarder{
 		settings: s, transport: t, journal: j, observer: o,
-		fleet: &Fleet{}, engines: newEngines(s.Self.ID, s.Self.Zone), plain: newPlainChooser(s.Self.Zone),
+		fleet: &Fleet{}, engines: newEnginePlacer(s.Self.ID, s.Self.Zone), plain: newLatencyBalancer(s.Self.Zone),
 		peers: newPeerSet(s.Self, s.Seeds), offers: newConfigOffers(),
 		inFlight: map[*exchange]context.CancelCauseFunc{}, idle: make(chan struct{}), relist: make(chan struct{}, 1),
 		toKeep: make(chan quarantine.Fingerprint, saveQueueSize),
@@ -203,7 +203,7 @@
 	f.table.Store(t)
 	f.journal.Belief("configuration in force", "version", c.Version, "routes", len(c.Routes), "accounts", len(c.Accounts))
 	f.listEngines(now, t)
-	f.fleet.Wake()
+	f.fleet.WakeWaiters()
 	return true
 }
 
@@ -225,14 +225,14 @@
 
 // Run keeps the placement up to date until the context ends.
 func (f *Forwarder) Run(ctx context.Context) {
-	tick := time.NewTicker(refreshEvery)
+	tick := time.NewTicker(poolRefreshInterval)
 	defer tick.Stop()
 	slept := f.settings.Clock.Slept()
 	for {
 		slept = f.noteSuspended(slept)
 		changed := f.fleet.Changed()
 		f.retireVersions(f.now())
-		if f.peers.divided() {
+		if f.peers.zonesDivided() {
 			PauseFor(ctx, relistPause)
 		}
 		if t := f.table.Load(); t != nil {
@@ -254,7 +254,7 @@
 				}
 				f.journal.Belief("upstream dropped", "upstream", c.ID, "why", "still missing after the list settled")
 			}
-			f.noteZones(f.fleet.SettleZoneOrders(f.now()))
+			f.logZoneChanges(f.fleet.SettleZoneOrders(f.now()))
 		}
 	}
 }
@@ -282,7 +282,7 @@
 	f.fleet.SetLayout(layout, own)
 	for name, s := range t.Services() {
 		if s.Engine != nil {
-			f.engines.list(now, name, f.placedOn(now, name, layout, own))
+			f.engines.setAvailable(now, name, f.placedOn(now, name, layout, own))
 		}
 	}
 }
@@ -296,7 +296,7 @@
 	if !layout.Divided() {
 		return f.candidates(now, service)
 	}
-	takers := f.fleet.TakersIn(now, service, own)
+	takers := f.fleet.AvailableInCell(now, service, own)
 	if f.backoffs.Any() {
 		takers = slices.DeleteFunc(takers, func(u Upstream) bool { return f.backoffs.Remaining(now, u.ID) > 0 })
 	}
@@ -309,6 +309,6 @@
 		rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
 		takers = near[:min(len(near), fallbackEngines)]
 	}
-	slices.SortFunc(takers, byID)
+	slices.SortFunc(takers, compareUpstreamIDs)
 	return takers
 }
--- a/forward/heldbytes.go
+++ b/forward/heldbytes.go
@@ -44,9 +44,9 @@
 }
 
 // read reads an answer's body, whole if it isn't too long and there is room for it.
-func (h *heldBytes) read(a *Answer) (body []byte, long bool, err error) {
+func (h *heldBytes) read(a *Response) (body []byte, long bool, err error) {
 	var held bytes.Buffer
-	for held.Len() < mostHeld && h.take(heldChunk) {
+	for held.Len() < maxBufferedResponse && h.take(heldChunk) {
 		_, err = io.CopyN(&held, a.Body, heldChunk)
 		if err == nil {
 			continue
--- a/forward/interrupted_test.go
+++ b/forward/interrupted_test.go
@@ -35,11 +35,11 @@
 // its final answer then, and truly: what may have run isn't said not to have.
 func TestStopAnswersWhatItEnds(t *testing.T) {
 	const grace = 3 * time.Second
-	silent := func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+	silent := func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 		<-ctx.Done()
 		return nil, context.Cause(ctx)
 	}
-	midway := func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+	midway := func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 		a := answer(http.StatusOK, "")
 		read, write := io.Pipe()
 		a.Body = read
@@ -52,7 +52,7 @@
 	}
 	for name, c := range map[string]struct {
 		path string
-		send func(ctx context.Context, u Upstream, r *Outgoing) (*Answer, error)
+		send func(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error)
 		// cut says that the answer had begun, so that all that can be done is to show
 		// that it isn't whole.
 		cut bool
--- a/forward/listtrust.go
+++ b/forward/listtrust.go
@@ -40,9 +40,9 @@
 func (f *Fleet) ListRegained(now time.Time, lostFor time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.trustGoneFrom = time.Time{}
+	f.trustMissingFrom = time.Time{}
 	if lostFor >= minLapseOutage {
-		f.trustGoneFrom = now.Add(listSettleTime)
+		f.trustMissingFrom = now.Add(listSettleTime)
 	}
 }
 
@@ -57,14 +57,14 @@
 			return
 		}
 	}
-	f.trustGoneFrom = time.Time{}
+	f.trustMissingFrom = time.Time{}
 }
 
 // ListLost records that the list can't be read.
 func (f *Fleet) ListLost(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.trustGoneFrom = now.Add(forgetGone)
+	f.trustMissingFrom = now.Add(goneRetention)
 }
 
 // ReplaceFromPeer applies a peer's complete list as of a revision, including the dropped upstreams
@@ -74,7 +74,7 @@
 func (f *Fleet) ReplaceFromPeer(now time.Time, list []Change, at history.Point) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.touch()
+	f.invalidate()
 	before := f.revision
 	var changed []Change
 	listed := make(map[member.UpstreamID]bool, len(list))
@@ -90,12 +90,12 @@
 		case k.confirmEnded(at):
 		case f.markUnlisted(now, k, at):
 		case !k.Leaving:
-			f.miss(now, k, at)
-		case f.drop(now, k, at):
+			f.markMissing(now, k, at)
+		case f.markGone(now, k, at):
 			changed = append(changed, Change{Upstream: k.Upstream, Gone: true})
 		}
 	}
-	f.skipped(before, at)
+	f.recordGap(before, at)
 	f.notify(len(changed) > 0)
 	return changed
 }
@@ -108,20 +108,20 @@
 	defer f.mu.Unlock()
 	var changed []Change
 	for id, k := range f.upstreams {
-		if k.pending != nil && !now.Before(k.pending.BelievedFrom) {
-			c := *k.pending
+		if k.pendingChange != nil && !now.Before(k.pendingChange.BelievedFrom) {
+			c := *k.pendingChange
 			c.BelievedFrom = time.Time{}
-			if f.set(now, k, c) {
+			if f.applyNewest(now, k, c) {
 				changed = append(changed, c)
 			}
 		}
-		if k.missing && !now.Before(f.trustGoneFrom) && !f.mayBeRelisted(now, k) {
-			k.gone, k.missing, k.unlisted, k.droppedAt = true, false, false, now
-			k.leave(now, SourceList)
+		if k.missing && !now.Before(f.trustMissingFrom) && !f.mayBeRelisted(now, k) {
+			k.gone, k.missing, k.missingSinceRestore, k.droppedAt = true, false, false, now
+			k.startLeaving(now, SourceList)
 			changed = append(changed, Change{Upstream: k.Upstream, Gone: true})
 		}
-		if k.gone && now.Sub(k.droppedAt) > forgetGone && (!k.said || now.Sub(k.droppedAt) > forgetSaid) {
-			f.forgotten = history.Latest(f.forgotten, k.Revision)
+		if k.gone && now.Sub(k.droppedAt) > goneRetention && (!k.leavingSelfReported || now.Sub(k.droppedAt) > forgetSaid) {
+			f.forgottenUpTo = history.Latest(f.forgottenUpTo, k.Revision)
 			delete(f.upstreams, id)
 			f.index.remove(k)
 		}
--- a/forward/move.go
+++ b/forward/move.go
@@ -70,14 +70,14 @@
 
 // watch starts a mover for the engine that the stream comes from, and ends the answer
 // with the engine's life.
-func (s *streamExchange) watch(ctx context.Context, u Upstream, a *Answer) *mover {
+func (s *streamExchange) watch(ctx context.Context, u Upstream, a *Response) *mover {
 	ctx, stop := context.WithCancel(ctx)
 	m := &mover{from: u, stop: stop, done: make(chan struct{})}
 	if s.service.Engine == nil || !s.service.Engine.Moves || s.run == nil {
 		close(m.done)
 		return m
 	}
-	run, leaving, over := s.run, s.fleet.Leaving(u.ID), s.fleet.Over(u.ID)
+	run, leaving, over := s.run, s.fleet.LeavingStarted(u.ID), s.fleet.IncarnationEnded(u.ID)
 	go func() {
 		select {
 		case <-ctx.Done():
@@ -123,7 +123,7 @@
 // mostly lost with it.
 func (m *mover) leaveFailing(ctx context.Context, x *exchange, run *ownRun) *handover {
 	// A copy is a call more to an engine that may have asked for backoff.
-	if !x.fleet.Failing(x.now(), m.from.ID) || x.backoffs.Remaining(x.now(), m.from.ID) > 0 || !x.leavingFailing.TryLock() {
+	if !x.fleet.IsFailing(x.now(), m.from.ID) || x.backoffs.Remaining(x.now(), m.from.ID) > 0 || !x.leavingFailing.TryLock() {
 		return nil
 	}
 	defer x.leavingFailing.Unlock()
@@ -135,15 +135,15 @@
 	defer endTurns()
 	var next *handover
 	if err == nil {
-		x.tellRuns(to)
+		x.shareRunChange(to)
 		next, err = m.moveTo(ctx, x, to, m.expected(x, run, to), x.now().Add(moveTimeout))
 	}
 	if next != nil {
 		return next
 	}
 	x.journal.Request(x.call.ID, "not moved off a failing engine", "from", m.from.ID, "to", to.ID, "err", err)
-	x.engines.stay(x.now(), x.service.Name, run, m.from.ID)
-	x.tellRuns(to)
+	x.engines.returnToEngine(x.now(), x.service.Name, run, m.from.ID)
+	x.shareRunChange(to)
 	m.discard(x)
 	return nil
 }
@@ -214,7 +214,7 @@
 // for the last part. A nil result means that there is nothing left to move.
 func (m *mover) evacuate(ctx context.Context, x *exchange, run *ownRun) *handover {
 	now := x.now()
-	gone := x.fleet.GoneAt(m.from.ID, now, x.settings.DrainFor)
+	gone := x.fleet.ExpectedEnd(m.from.ID, now, x.settings.DrainFor)
 	x.journal.Request(x.call.ID, "engine leaves", "upstream", m.from.ID, "foreseen_left", gone.Sub(now), "list_revision", x.fleet.Revision())
 	// Engines often leave together; the others' notices are a moment behind.
 	PauseFor(ctx, noticeGather)
@@ -238,7 +238,7 @@
 // tryMove waits for the turn and moves the run to the engine that suits best
 // then.
 func (m *mover) tryMove(ctx context.Context, x *exchange, run *ownRun, gone time.Time) (*handover, error) {
-	r := TurnRequest{Engine: m.from.ID, Run: run.request.Run, Worth: x.engines.worth(x.service.Name, run)}
+	r := TurnRequest{Engine: m.from.ID, Run: run.request.Run, Worth: x.engines.movePriority(x.service.Name, run)}
 	turn, cancel := context.WithTimeout(ctx, gone.Add(-moveMargin).Sub(x.now()))
 	end, err := x.takeTurn(turn, m.from, r)
 	cancel()
@@ -254,16 +254,16 @@
 		return nil, errNoTarget
 	}
 	defer endTarget()
-	x.tellRuns(to)
-	x.tellRuns(m.from)
+	x.shareRunChange(to)
+	x.shareRunChange(m.from)
 	next, err := m.moveTo(ctx, x, to, m.expected(x, run, to), gone)
-	if errors.Is(err, ErrNoRoom) {
+	if errors.Is(err, ErrTargetUnavailable) {
 		x.fleet.Suspect(x.now(), to.ID)
 	}
 	if err != nil {
 		m.discard(x)
-		x.engines.stay(x.now(), x.service.Name, run, m.from.ID)
-		x.tellRuns(to)
+		x.engines.returnToEngine(x.now(), x.service.Name, run, m.from.ID)
+		x.shareRunChange(to)
 	}
 	return next, err
 }
@@ -305,7 +305,7 @@
 	if e.LinkBitsPerSecond <= 0 {
 		return 0
 	}
-	bits := 8 * e.TokenBytes * (float64(run.request.Prompt) + float64(run.made.Load()))
+	bits := 8 * e.TokenBytes * (float64(run.request.Prompt) + float64(run.generatedTokens.Load()))
 	took := time.Duration(bits / e.LinkBitsPerSecond * float64(time.Second))
 	if to.Zone != m.from.Zone {
 		took *= 2
@@ -329,9 +329,9 @@
 		// The links were busy with others' copies.
 		free = quickCopy
 	}
-	if v := x.judge(x.now(), to, eligibility.Request); !v.OK() {
+	if v := x.checkEligibility(x.now(), to, eligibility.Request); !v.OK() {
 		// The run isn't stopped yet, and may still go elsewhere.
-		return nil, &keptBackError{v}
+		return nil, &notSentError{v}
 	}
 	m.mu.Lock()
 	m.stopping = true
@@ -341,14 +341,14 @@
 	switch {
 	case err == nil:
 		return &handover{to: to, source: m.from, handle: moved.Handle, stopped: stopped, permitted: permitted}, nil
-	case errors.Is(err, ErrNoRun), errors.Is(err, ErrMoveBusy), errors.Is(err, ErrNoRoom) && moved.Handle == "":
+	case errors.Is(err, ErrRunNotFound), errors.Is(err, ErrMoveBusy), errors.Is(err, ErrTargetUnavailable) && moved.Handle == "":
 		// Nothing was stopped: the run has ended, a copy is still going, or the
 		// target is gone. An engine that has stopped a run names its copy.
 		m.mu.Lock()
 		m.stopping = false
 		m.mu.Unlock()
 		return nil, err
-	case errors.Is(err, ErrNoRoom):
+	case errors.Is(err, ErrTargetUnavailable):
 		return &handover{to: m.from, source: m.from, handle: moved.Handle, stopped: stopped}, nil
 	case m.handle != "":
 		// Whether the run stopped isn't known; its stream will tell.
@@ -358,23 +358,23 @@
 }
 
 // copy has the run's memory copied once and waits until it is.
-func (m *mover) copy(ctx context.Context, x *exchange, to Upstream, stop bool) (Moved, error) {
+func (m *mover) copy(ctx context.Context, x *exchange, to Upstream, stop bool) (MoveResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
 	began := x.now()
-	moved, err := x.askMove(ctx, m.from, MoveRequest{ID: x.call.ID, To: to.Address, Stop: stop})
+	moved, err := x.requestMove(ctx, m.from, MoveRequest{ID: x.call.ID, TargetAddress: to.Address, StopSource: stop})
 	if moved.Handle != "" {
 		m.mu.Lock()
 		m.handle = moved.Handle
 		m.mu.Unlock()
 	}
-	x.journal.Request(x.call.ID, "copied", "from", m.from.ID, "to", to.ID, "stop", stop, "took", x.now().Sub(began), "events", moved.Events, "err", err)
+	x.journal.Request(x.call.ID, "copied", "from", m.from.ID, "to", to.ID, "stop", stop, "took", x.now().Sub(began), "events", moved.EventsProduced, "err", err)
 	return moved, err
 }
 
 // takeUp sends the request to the engine that holds the copy; when that refuses
 // it, to the engine where the run stopped.
-func (s *streamExchange) takeUp(ctx context.Context, h *handover) (Upstream, *Answer, error) {
+func (s *streamExchange) takeUp(ctx context.Context, h *handover) (Upstream, *Response, error) {
 	targets := []Upstream{h.to}
 	if h.to.ID != h.source.ID {
 		targets = append(targets, h.source)
@@ -386,20 +386,20 @@
 	})
 	for _, u := range targets {
 		if u.ID != h.to.ID || s.now().Sub(h.permitted) > permittedFor {
-			s.countSend(ctx, u)
+			s.countForcedSend(ctx, u)
 		}
-		a, err := s.send(ctx, u, &Continuation{Source: h.source.Address, Handle: h.handle, LastEvent: s.lastEvent})
+		a, err := s.send(ctx, u, &Continuation{Source: h.source.Address, Handle: h.handle, LastEventID: s.lastEvent})
 		if err == nil && a.Status == 200 && a.Signed {
 			s.moves++
 			s.observer.Moved("ok", s.now().Sub(h.stopped))
 			s.journal.Request(s.call.ID, "moved", "from", h.source.ID, "to", u.ID, "after", s.lastEvent, "pause", s.now().Sub(h.stopped))
 			return u, a, nil
 		}
-		s.journal.Request(s.call.ID, "not taken up", "upstream", u.ID, "status", status(a), "err", err)
+		s.journal.Request(s.call.ID, "not taken up", "upstream", u.ID, "status", statusOf(a), "err", err)
 		last = err
 		if a != nil {
 			closeBody(a)
-			last = ErrNoRoom
+			last = ErrTargetUnavailable
 		}
 		if err != nil && !errors.Is(err, ErrNotSent) {
 			// It may have been taken up there: two runs must not be joined.
--- a/forward/origin.go
+++ b/forward/origin.go
@@ -70,7 +70,7 @@
 func (f *Fleet) ApplyUpdate(now time.Time, update OriginUpdate, complete bool) ([]ZoneOrder, []Change) {
 	f.enterEra(now, update.Revision, update.Revision, 0)
 	if complete {
-		return f.ReplaceZones(now, update.ZoneOrders, update.Revision), f.ReplaceAll(now, update.Changes, update.Revision)
+		return f.ReplaceZoneOrders(now, update.ZoneOrders, update.Revision), f.ReplaceEntries(now, update.Changes, update.Revision)
 	}
-	return f.ApplyZones(now, update.ZoneOrders), f.Apply(now, update.Changes, update.Revision)
+	return f.ApplyZoneOrders(now, update.ZoneOrders), f.Apply(now, update.Changes, update.Revision)
 }
--- a/forward/panic.go
+++ b/forward/panic.go
@@ -26,7 +26,7 @@
 // panicked gives the caller its final answer when serving it panicked.
 func (x *exchange) panicked() {
 	if x.delivered.Load() {
-		x.to.Cut()
+		x.to.Truncate()
 		x.answered(string(CodeInternal))
 		return
 	}
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -39,11 +39,11 @@
 		case <-tick.C:
 			now := f.now()
 			if !f.listKnown(now) || f.listSuspected(now) {
-				f.probe(ctx, now, f.engines.busy())
+				f.probe(ctx, now, f.engines.enginesWithRuns())
 				continue
 			}
 			if missing := f.fleet.Missing(); len(missing) > 0 {
-				f.probe(ctx, now, intersect(f.engines.busy(), missing))
+				f.probe(ctx, now, intersect(f.engines.enginesWithRuns(), missing))
 			}
 		}
 	}
@@ -108,14 +108,14 @@
 	defer cancel()
 	health, err := f.checkHealth(ctx, s, u)
 	now := f.now()
-	if err != nil || !f.fleet.ReceiveLife(u.ID, health.Life) {
+	if err != nil || !f.fleet.ReceiveIncarnation(u.ID, health.Life) {
 		return
 	}
-	f.dropOldLives()
-	if health.ColdFor > 0 {
-		f.fleet.MarkCold(u.ID, now.Add(health.ColdFor))
+	f.resetRestartedUpstreams()
+	if health.ColdRemaining > 0 {
+		f.fleet.MarkCold(u.ID, now.Add(health.ColdRemaining))
 	}
-	if health.Well || health.Rejected {
+	if health.Healthy || health.Rejected {
 		return
 	}
 	f.journal.Belief("engine says that it leaves", "upstream", u.ID, "origin_age", f.OriginAge(now))
--- a/forward/quarantinestore.go
+++ b/forward/quarantinestore.go
@@ -43,7 +43,7 @@
 // them. One host does that for all.
 func (f *Forwarder) queueHeldAgain(now time.Time) {
 	for _, e := range f.crashes.Entries(now) {
-		if e.Standing == quarantine.Held && f.peers.first(now, e.Request.String()) == f.peers.self.ID {
+		if e.Standing == quarantine.Held && f.peers.siteDutyHost(now, e.Request.String()) == f.peers.self.ID {
 			f.queueSave(e.Request)
 		}
 	}
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -36,22 +36,22 @@
 
 // closeBody closes the body of an answer that isn't passed on. Nothing is lost
 // when that fails: the connection is given up either way.
-func closeBody(a *Answer) {
+func closeBody(a *Response) {
 	if a.Body != nil {
 		_ = a.Body.Close()
 	}
 }
 
 // answerFrom passes an engine's answer on.
-func (s *streamExchange) answerFrom(ctx context.Context, u Upstream, a *Answer) {
-	if a.Status != http.StatusOK || !a.Signed || a.Encoded {
+func (s *streamExchange) answerFrom(ctx context.Context, u Upstream, a *Response) {
+	if a.Status != http.StatusOK || !a.Signed || a.UnexpectedEncoding {
 		s.noteAnswer(s.now(), u, rollout.First, true, 0)
 	}
 	if a.Status != http.StatusOK {
 		s.passFailure(ctx, u, a)
 		return
 	}
-	if !a.Signed || a.Encoded {
+	if !a.Signed || a.UnexpectedEncoding {
 		closeBody(a)
 		s.free(false)
 		s.refuse(Refusal{Code: CodeBadAnswer, MayHaveRun: true}, "upstream", u.ID)
@@ -72,34 +72,34 @@
 }
 
 // followRun passes one run's events on to its end and frees its place.
-func (s *streamExchange) followRun(ctx context.Context, u Upstream, a *Answer) (Upstream, error) {
+func (s *streamExchange) followRun(ctx context.Context, u Upstream, a *Response) (Upstream, error) {
 	last, err := s.follow(ctx, u, a)
 	switch {
 	case err == nil:
 		if s.moves == 0 && s.events > 2 && last.ID == s.firstAt.ID {
 			s.noteAnswer(s.now(), last, rollout.Pace, false, s.lastAt.Sub(s.begunThere)/time.Duration(s.events-1))
 		}
-		s.fleet.Worked(last.ID)
+		s.fleet.RecordSuccess(last.ID)
 		s.survived(s.now())
 	case s.callerGone == nil && ctx.Err() == nil:
 		now := s.now()
 		s.noteAnswer(now, last, rollout.First, true, 0)
-		s.brokeOff(now, last.ID)
-		s.noteBroken(ctx, now, last, s.begunThere, err)
+		s.recordBrokenStream(now, last.ID)
+		s.recordBrokenConnection(ctx, now, last, s.begunThere, err)
 	}
 	s.free(err == nil)
 	return last, err
 }
 
 // passFailure gives the caller an engine's own failure.
-func (s *streamExchange) passFailure(ctx context.Context, u Upstream, a *Answer) {
-	t := plainTry{upstream: u, answer: a}
-	p := &plainExchange{exchange: s.exchange}
-	p.memory.budget = &s.answers
-	defer p.memory.end()
-	t.body, t.long, t.err = p.memory.read(a)
+func (s *streamExchange) passFailure(ctx context.Context, u Upstream, a *Response) {
+	t := upstreamAttempt{upstream: u, response: a}
+	p := &unaryExchange{exchange: s.exchange}
+	p.responseMemory.budget = &s.answers
+	defer p.responseMemory.end()
+	t.body, t.hasMore, t.err = p.responseMemory.read(a)
 	s.free(false)
-	if t.err != nil || !a.Signed || promising(a.Status) {
+	if t.err != nil || !a.Signed || claimsNotRun(a.Status) {
 		s.refuse(Refusal{Code: CodeBadAnswer, MayHaveRun: true}, "upstream", u.ID, "status", a.Status, "err", t.err)
 		return
 	}
@@ -118,12 +118,12 @@
 	}
 	switch {
 	case errors.Is(s.callerGone, spool.ErrStalled):
-		s.to.Cut()
+		s.to.Truncate()
 		s.answered("reader_stalled", about...)
 	case err == nil:
 		s.answered("ok", about...)
 	case s.begun:
-		s.to.Cut()
+		s.to.Truncate()
 		s.answered(why.outcome(), about...)
 	case why != notEnded:
 		s.refuse(Refusal{Code: why.code(), MayHaveRun: true}, about...)
@@ -134,7 +134,7 @@
 
 // follow passes a run's events on, from one engine after another, until the
 // stream has ended. It returns the last engine.
-func (s *streamExchange) follow(ctx context.Context, u Upstream, a *Answer) (Upstream, error) {
+func (s *streamExchange) follow(ctx context.Context, u Upstream, a *Response) (Upstream, error) {
 	first := a
 	for {
 		m := s.watch(ctx, u, a)
@@ -173,16 +173,16 @@
 }
 
 // finish begins the answer of a stream that had no event at all.
-func (s *streamExchange) finish(first *Answer) error {
+func (s *streamExchange) finish(first *Response) error {
 	if s.begun {
 		return nil
 	}
 	s.begun = true
-	return s.to.Begin(first)
+	return s.to.BeginResponse(first)
 }
 
 // relay passes on what one engine sends. It returns nil at a clean end.
-func (s *streamExchange) relay(ctx context.Context, first, a *Answer) error {
+func (s *streamExchange) relay(ctx context.Context, first, a *Response) error {
 	// A caller whose connection fails is noticed while nothing comes from the engine, too.
 	stop := context.AfterFunc(ctx, func() { closeBody(a) })
 	defer stop()
@@ -202,11 +202,11 @@
 }
 
 // pass gives one event to the caller.
-func (s *streamExchange) pass(ctx context.Context, now time.Time, first *Answer, event []byte, id string) error {
+func (s *streamExchange) pass(ctx context.Context, now time.Time, first *Response, event []byte, id string) error {
 	if !s.begun {
 		s.begun = true
 		s.observer.FirstEvent(now.Sub(s.call.Arrived))
-		if s.callerGone = s.to.Begin(first); s.callerGone != nil {
+		if s.callerGone = s.to.BeginResponse(first); s.callerGone != nil {
 			return s.callerGone
 		}
 		s.out = spool.New(spool.Settings{Budget: &s.answers, Most: heldPerStream, Patience: readerPatience, Failed: s.leave}, s.to.Write, s.to.Abort)
@@ -226,7 +226,7 @@
 		s.firstAfter = now.Sub(s.call.Arrived)
 		s.noteAnswer(now, s.firstAt, rollout.First, false, now.Sub(s.sentAt))
 		if s.run != nil {
-			s.engines.begun(now, s.service.Name, s.run)
+			s.engines.recordFirstToken(now, s.service.Name, s.run)
 		}
 	}
 	s.events++
@@ -234,7 +234,7 @@
 		s.lastEvent = id
 	}
 	if s.run != nil {
-		s.run.made.Add(int64(s.eventTokens()))
+		s.run.generatedTokens.Add(int64(s.eventTokens()))
 	}
 	return nil
 }
--- a/forward/restore.go
+++ b/forward/restore.go
@@ -42,11 +42,11 @@
 	if !f.revision.IsZero() && at.Era() <= f.revision.Era() {
 		return
 	}
-	f.eraSince = now.Add(-max(firstSeenAgo, 0))
+	f.eraFirstSeen = now.Add(-max(firstSeenAgo, 0))
 	if f.revision.IsZero() {
 		return
 	}
-	f.restored = &restoreStats{from: f.revision, to: at}
+	f.restoreStats = &restoreStats{from: f.revision, to: at}
 	f.notify(true)
 }
 
@@ -56,7 +56,7 @@
 // PeersInOtherEra counts the live peers that know another era.
 func (f *Forwarder) PeersInOtherEra() int {
 	now, era := f.now(), f.OriginEra()
-	return f.peers.count(func(s *peerState) bool { return s.live(now) && s.list.Era() != era })
+	return f.peers.count(func(s *peerState) bool { return s.live(now) && s.listRevision.Era() != era })
 }
 
 // isFromEarlierEra reports whether something was known before the era of what is read now.
@@ -64,12 +64,12 @@
 
 // reconcile handles a listed change that may be older than what is known of the upstream. It
 // reports whether the change made a difference.
-func (f *Fleet) reconcile(now time.Time, k *known, c Change) bool {
+func (f *Fleet) reconcile(now time.Time, k *knownUpstream, c Change) bool {
 	knownBeforeRestore := isFromEarlierEra(k.Revision, c.Revision)
 	switch {
 	case knownBeforeRestore && c.Gone:
 		// The sender has already waited for the upstream to be listed again.
-		return f.set(now, k, c)
+		return f.applyNewest(now, k, c)
 	case knownBeforeRestore && c.Missing:
 		if !k.confirmEnded(c.Revision) {
 			f.markUnlisted(now, k, c.Revision)
@@ -78,11 +78,11 @@
 	case k.Revision.SameEra(c.Revision), c.Gone, c.Missing, c.Unusable:
 		return false
 	}
-	sameLife := c.Life == 0 || k.Life == 0 || c.Life == k.Life
+	sameLife := c.Incarnation == 0 || k.Incarnation == 0 || c.Incarnation == k.Incarnation
 	if c.Leaving && sameLife && !k.Leaving {
 		// Leaving is final within one life, so it holds in whatever order the changes arrive.
-		k.declared = true
-		k.leave(now, SourceList)
+		k.leavingDeclared = true
+		k.startLeaving(now, SourceList)
 		if knownBeforeRestore {
 			k.Revision = c.Revision
 		} else {
@@ -94,17 +94,17 @@
 		return false
 	}
 	switch {
-	case c.Life.newerThan(k.Life):
-		return f.set(now, k, c)
-	case k.gone && k.pending == nil:
-		c.BelievedFrom = f.eraSince.Add(entryLapseGrace)
-		k.pending = &c
-		f.restored.update(func(r *restoreStats) { r.listedButEnded++ })
+	case c.Incarnation.newerThan(k.Incarnation):
+		return f.applyNewest(now, k, c)
+	case k.gone && k.pendingChange == nil:
+		c.BelievedFrom = f.eraFirstSeen.Add(entryLapseGrace)
+		k.pendingChange = &c
+		f.restoreStats.update(func(r *restoreStats) { r.listedButEnded++ })
 	case k.missing:
-		return f.set(now, k, c)
-	case k.declared && !c.Leaving:
+		return f.applyNewest(now, k, c)
+	case k.leavingDeclared && !c.Leaving:
 		f.tellPeers(k, now.Add(saidShared))
-		f.restored.update(func(r *restoreStats) { r.stillLeaving++ })
+		f.restoreStats.update(func(r *restoreStats) { r.stillLeaving++ })
 	case !k.gone:
 		k.Revision = c.Revision
 	}
@@ -113,29 +113,29 @@
 
 // deferRelisting handles an entry of the backup that a peer doesn't accept yet because it knew the
 // upstream to have ended. A host that knows only the backup's entry doesn't accept it, either.
-func (f *Fleet) deferRelisting(now time.Time, k *known, c Change) bool {
+func (f *Fleet) deferRelisting(now time.Time, k *knownUpstream, c Change) bool {
 	switch {
 	case k.gone:
-		k.pending = &c
+		k.pendingChange = &c
 		return false
 	case k.Revision.After(c.Revision):
 		return false
 	}
-	k.gone, k.missing, k.unlisted, k.droppedAt, k.pending = true, false, false, now, &c
+	k.gone, k.missing, k.missingSinceRestore, k.droppedAt, k.pendingChange = true, false, false, now, &c
 	k.Revision = history.Point{}
-	k.leave(now, SourcePeer)
+	k.startLeaving(now, SourcePeer)
 	return true
 }
 
 // markUnlisted records that a list of a new era lacks an upstream. It reports false if the upstream
 // has ended or is known in that era already.
-func (f *Fleet) markUnlisted(now time.Time, k *known, at history.Point) bool {
+func (f *Fleet) markUnlisted(now time.Time, k *knownUpstream, at history.Point) bool {
 	if k.gone || !isFromEarlierEra(k.Revision, at) {
 		return false
 	}
-	k.Revision, k.missing, k.unlisted = at, true, true
-	f.restored.update(func(r *restoreStats) { r.notListed++ })
-	if k.declared {
+	k.Revision, k.missing, k.missingSinceRestore = at, true, true
+	f.restoreStats.update(func(r *restoreStats) { r.notListed++ })
+	if k.leavingDeclared {
 		f.tellPeers(k, now.Add(saidShared))
 	}
 	return true
@@ -144,30 +144,30 @@
 // confirmEnded handles a list that lacks an upstream, and reports whether the upstream is known to
 // have ended. A pending entry of the backup is dropped, and the revision rises so that followers
 // which may hold that entry are told.
-func (k *known) confirmEnded(at history.Point) bool {
-	if k.pending != nil {
-		k.pending, k.Revision = nil, at
+func (k *knownUpstream) confirmEnded(at history.Point) bool {
+	if k.pendingChange != nil {
+		k.pendingChange, k.Revision = nil, at
 	}
 	return k.gone
 }
 
 // mayBeRelisted reports whether an upstream that a restored list lacks may still be written again.
-func (f *Fleet) mayBeRelisted(now time.Time, k *known) bool {
-	return k.unlisted && now.Before(f.eraSince.Add(relistGrace))
+func (f *Fleet) mayBeRelisted(now time.Time, k *knownUpstream) bool {
+	return k.missingSinceRestore && now.Before(f.eraFirstSeen.Add(relistGrace))
 }
 
 // deferZoneOrder keeps a zone's order as it was known before a restore, until the order of the
 // backup is accepted.
 func (f *Fleet) deferZoneOrder(o ZoneOrder) {
 	known := f.zones[o.Zone]
-	o.BelievedFrom = f.eraSince.Add(zoneOrderGrace)
+	o.BelievedFrom = f.eraFirstSeen.Add(zoneOrderGrace)
 	if known.pending != nil {
 		o.BelievedFrom = known.pending.BelievedFrom
 	} else {
-		f.restored.update(func(r *restoreStats) { r.zoneOrdersKept++ })
+		f.restoreStats.update(func(r *restoreStats) { r.zoneOrdersKept++ })
 	}
 	known.pending = &o
-	f.setZone(known)
+	f.setZoneState(known)
 }
 
 // SettleZoneOrders accepts the zone orders of a restored list whose grace period is over. It
@@ -182,8 +182,8 @@
 		}
 		o := *known.pending
 		o.BelievedFrom = time.Time{}
-		f.zones[zone] = zoneState{ZoneOrder: o, heard: now}
-		if known.Out != o.Out {
+		f.zones[zone] = zoneState{ZoneOrder: o, learnedAt: now}
+		if known.OutOfService != o.OutOfService {
 			changed = append(changed, o)
 		}
 	}
@@ -203,8 +203,8 @@
 func (f *Fleet) takeRestoreStats() *restoreStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.restored
-	f.restored = nil
+	r := f.restoreStats
+	f.restoreStats = nil
 	return r
 }
 
--- a/forward/restore_test.go
+++ b/forward/restore_test.go
@@ -19,16 +19,16 @@
 	is := is.New(t)
 	var f Fleet
 	now := time.Now()
-	f.Replace(now, []Upstream{up("app4", 3, false)}, rev(3))
+	f.Replace(now, []Upstream{llmUpstream("app4", 3, false)}, rev(3))
 	f.MarkLeaving(now, "app4", 0, true)
-	now = now.Add(forgetGone + time.Second)
-	f.Apply(now, []Change{{Upstream: up("app4", 5, false), Gone: true}}, rev(5))
+	now = now.Add(goneRetention + time.Second)
+	f.Apply(now, []Change{{Upstream: llmUpstream("app4", 5, false), Gone: true}}, rev(5))
 	f.Settle(now.Add(time.Second))
 	restored := history.At(1, 4)
-	copied := up("app4", 0, false)
+	copied := llmUpstream("app4", 0, false)
 	copied.Revision = history.At(1, 3)
 	f.ApplyUpdate(now.Add(2*time.Second), OriginUpdate{Changes: []Change{{Upstream: copied}}, Revision: restored}, true)
-	is.Equal(len(f.Takers(now.Add(2*time.Second), copied.Service)), 0)
+	is.Equal(len(f.Available(now.Add(2*time.Second), copied.Service)), 0)
 }
 
 // TestProofBeforeANewerConfigurationIsLost checks that a configuration counts as proved up to the
--- a/forward/restoremodel_test.go
+++ b/forward/restoremodel_test.go
@@ -157,7 +157,7 @@
 	if h.isolated || from.isolated {
 		return
 	}
-	h.fleet.ReceiveZones(m.now, from.fleet.ZonesSince(history.Point{}, true))
+	h.fleet.ReceiveZoneOrders(m.now, from.fleet.ZoneOrdersSince(history.Point{}, true))
 	for _, mark := range from.fleet.Marks(m.now) {
 		if mark.Said {
 			h.fleet.SaidLeaving(m.now, mark.Engine, mark.Life, false)
@@ -166,7 +166,7 @@
 }
 
 func (m *restoreModel) takesWork(h *modelHost, id member.UpstreamID) bool {
-	return slices.ContainsFunc(h.fleet.Takers(m.now, "app"), func(u Upstream) bool { return u.ID == id })
+	return slices.ContainsFunc(h.fleet.Available(m.now, "app"), func(u Upstream) bool { return u.ID == id })
 }
 
 func (m *restoreModel) advanceTime(d time.Duration) {
@@ -181,7 +181,7 @@
 func (m *restoreModel) checkNoSendToLeaving(t *rapid.T) {
 	for n, h := range m.hosts {
 		for id := range m.leaving {
-			if k := h.fleet.upstreams[id]; k != nil && k.declared {
+			if k := h.fleet.upstreams[id]; k != nil && k.leavingDeclared {
 				h.knownLeaving[id] = true
 			}
 			if h.knownLeaving[id] && m.takesWork(h, id) {
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -37,7 +37,7 @@
 
 // takeBudget reports whether the shared budget allows another send.
 func (s *streamExchange) takeBudget(why string) bool {
-	if !s.retries.take(s.now(), s.service.Name) {
+	if !s.retries.takeRetry(s.now(), s.service.Name) {
 		s.journal.Request(s.call.ID, "not repeated", "why", "retry budget used up", "after", why)
 		return false
 	}
@@ -48,13 +48,13 @@
 // sendFirst sends the request to its engine. A resumable stream that has further
 // attempts isn't left with an engine that stays silent: it would be late there,
 // and another engine may still answer it.
-func (s *streamExchange) sendFirst(ctx context.Context, u Upstream) (*Answer, error) {
+func (s *streamExchange) sendFirst(ctx context.Context, u Upstream) (*Response, error) {
 	begin := s.beginning()
 	if !s.route.Resumable || s.sent+1 >= s.route.Attempts || s.route.Objective <= 0 {
 		return s.send(ctx, u, begin)
 	}
 	bounded, cancel := context.WithCancelCause(ctx)
-	silent := time.AfterFunc(lateFirstEvent(s.route.Objective), func() { cancel(errFirstEventLate) })
+	silent := time.AfterFunc(firstEventTimeout(s.route.Objective), func() { cancel(errFirstEventLate) })
 	answer, err := s.send(bounded, u, begin)
 	if err != nil || !silent.Stop() {
 		if answer != nil {
@@ -76,13 +76,13 @@
 	if !s.route.Resumable || s.lastEvent == "" {
 		return nil
 	}
-	return &Continuation{LastEvent: s.lastEvent}
+	return &Continuation{LastEventID: s.lastEvent}
 }
 
 // resume has another engine run a stream that broke off and go on after the last
 // event that the caller has. It returns false when the route, the budget or the
 // engines don't allow it.
-func (s *streamExchange) resume(ctx context.Context, broken Upstream) (Upstream, *Answer, bool) {
+func (s *streamExchange) resume(ctx context.Context, broken Upstream) (Upstream, *Response, bool) {
 	s.mayHaveRun = true
 	if s.events > 0 && s.lastEvent == "" {
 		// Without an id there is no telling where to go on.
@@ -98,7 +98,7 @@
 		return Upstream{}, nil, false
 	}
 	answer, err := s.send(ctx, u, s.beginning())
-	if err == nil && answer.Status == http.StatusOK && answer.Signed && !answer.Encoded {
+	if err == nil && answer.Status == http.StatusOK && answer.Signed && !answer.UnexpectedEncoding {
 		s.journal.Request(s.call.ID, "resumed", "from", broken.ID, "upstream", u.ID, "after", s.lastEvent)
 		return u, answer, true
 	}
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -18,7 +18,7 @@
 	Service ServiceName
 	Engine  member.UpstreamID
 	// Life is the engine's that the run is in.
-	Life Life
+	Life Incarnation
 	// Route and Account are what the length of its answer is foreseen by.
 	Route   resource.Name
 	Account resource.Account
@@ -41,14 +41,14 @@
 
 // endedTold is how long an ended run is told: each peer of the zone hears from this host
 // once meanwhile, and learns from a run when it is no longer listed.
-const endedTold = 2 * shareEvery
+const endedTold = 2 * shareInterval
 
 // endedRuns lists the runs that ended by themselves lately.
-func (e *engines) endedRuns(now time.Time) []EndedRun {
+func (e *enginePlacer) endedRuns(now time.Time) []EndedRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ended = slices.DeleteFunc(e.ended, func(r EndedRun) bool { return now.Sub(r.at) > endedTold })
-	return slices.Clone(e.ended)
+	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(r EndedRun) bool { return now.Sub(r.at) > endedTold })
+	return slices.Clone(e.recentlyEnded)
 }
 
 // first is when the run's first token came; zero while it has none.
@@ -60,18 +60,18 @@
 }
 
 // states lists this host's runs.
-func (e *engines) states(now time.Time) []RunState {
+func (e *enginePlacer) states(now time.Time) []RunState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var states []RunState
 	for service, p := range e.pools {
-		for id, run := range p.own {
+		for id, run := range p.ownRuns {
 			state := RunState{
-				Run: id, Service: service, Engine: run.engine, Life: run.life, Route: run.request.Route, Account: run.request.Account,
-				Prompt: run.request.Prompt, Made: policy.Tokens(run.made.Load()), Limit: run.request.Limit,
+				Run: id, Service: service, Engine: run.engine, Life: run.incarnation, Route: run.request.Route, Account: run.request.Account,
+				Prompt: run.request.Prompt, Made: policy.Tokens(run.generatedTokens.Load()), Limit: run.request.Limit,
 			}
-			if !run.first.IsZero() {
-				state.Begun = max(now.Sub(run.first), 1)
+			if !run.firstTokenAt.IsZero() {
+				state.Begun = max(now.Sub(run.firstTokenAt), 1)
 			}
 			states = append(states, state)
 		}
@@ -80,20 +80,20 @@
 }
 
 // forget drops the runs of peers that aren't known any more.
-func (e *engines) forget(now time.Time, isKnown func(member.HostID) bool) {
+func (e *enginePlacer) forget(now time.Time, isKnown func(member.HostID) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.pools {
-		for id, host := range p.theirs {
+		for id, host := range p.peerRuns {
 			if !isKnown(host) {
-				delete(p.theirs, id)
+				delete(p.peerRuns, id)
 				p.pool.Finish(now, policy.Finish{Run: id})
 			}
 		}
 	}
-	for host := range e.reported {
+	for host := range e.lastReported {
 		if !isKnown(host) {
-			delete(e.reported, host)
+			delete(e.lastReported, host)
 		}
 	}
 }
@@ -103,13 +103,13 @@
 const reportedLately = time.Second
 
 // noteKnown takes in how much of each zone's runs this host knows.
-func (e *engines) noteKnown(now time.Time, zoneOf map[member.HostID]member.Zone) {
+func (e *enginePlacer) noteKnown(now time.Time, zoneOf map[member.HostID]member.Zone) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	hosts, told := map[member.Zone]int{}, map[member.Zone]int{}
 	for host, zone := range zoneOf {
 		hosts[zone]++
-		if at, ever := e.reported[host]; ever && now.Sub(at) <= reportedLately {
+		if at, ever := e.lastReported[host]; ever && now.Sub(at) <= reportedLately {
 			told[zone]++
 		}
 	}
@@ -121,10 +121,10 @@
 }
 
 // adopt replaces what is known of a peer's runs, and learns from those that ended.
-func (e *engines) adopt(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
+func (e *enginePlacer) adopt(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.reported[host] = now
+	e.lastReported[host] = now
 	listed := make(map[policy.RunID]RunState, len(states))
 	for _, s := range states {
 		listed[s.Run] = s
@@ -134,36 +134,36 @@
 		lengths[r.Run] = r.Made
 	}
 	for _, p := range e.pools {
-		for id, of := range p.theirs {
+		for id, of := range p.peerRuns {
 			if of != host {
 				continue
 			}
 			s, still := listed[id]
 			if still && p.pool.EngineOf(id) == s.Engine {
-				delete(p.granted, id)
+				delete(p.unconfirmedGrants, id)
 				continue
 			}
-			if _, isGranted := p.granted[id]; isGranted {
+			if _, isGranted := p.unconfirmedGrants[id]; isGranted {
 				// The share was on its way when the place was given.
 				continue
 			}
-			delete(p.theirs, id)
+			delete(p.peerRuns, id)
 			made, whole := lengths[id]
 			p.pool.Finish(now, policy.Finish{Run: id, Made: made, Whole: whole})
 		}
 	}
 	for id, s := range listed {
 		p := e.pools[s.Service]
-		if p == nil || p.own[id] != nil || p.listed[s.Engine].Life.newerThan(s.Life) {
+		if p == nil || p.ownRuns[id] != nil || p.poolEngines[s.Engine].Incarnation.newerThan(s.Life) {
 			// It is this host's by now, or of a life of its engine that is over.
 			continue
 		}
-		if _, known := p.theirs[id]; known {
+		if _, known := p.peerRuns[id]; known {
 			p.pool.Progress(now, id, s.Made)
 			p.pool.Reading(now, id, s.first(now))
 			continue
 		}
-		p.theirs[id] = host
+		p.peerRuns[id] = host
 		p.pool.Adopt(now, policy.Request{Run: id, Route: s.Route, Account: s.Account, Prompt: s.Prompt, Limit: s.Limit}, s.Engine, s.Made)
 	}
 }
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -150,7 +150,7 @@
 				newest = order
 			}
 		}
-		if newest.Out {
+		if newest.OutOfService {
 			whole.ZoneOrders = append(whole.ZoneOrders, newest)
 		}
 	}
@@ -349,11 +349,11 @@
 	return reply, s.transfer(ctx, s.self)
 }
 
-func (s sitePort) Ask(ctx context.Context, to Peer, a PlaceAsk) (PlaceGrant, error) {
+func (s sitePort) Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error) {
 	if f := s.reached(ctx, s.address, to); f != nil {
 		return f.OnAsk(a), nil
 	}
-	return PlaceGrant{}, errGone
+	return PlacementGrant{}, errGone
 }
 
 func (s sitePort) Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
@@ -386,7 +386,7 @@
 // newSite returns zones of some hosts each, none of them started.
 func newSite(zones, hostsPerZone int, first bool) *site {
 	s := &site{
-		origin: &siteOrigin{config: testConfig(1), list: []Upstream{up("llm1", 3, false), up("llm2", 10, false)}},
+		origin: &siteOrigin{config: testConfig(1), list: []Upstream{llmUpstream("llm1", 3, false), llmUpstream("llm2", 10, false)}},
 		hosts:  map[string]*Forwarder{}, gone: map[string]bool{}, frozen: map[string]bool{}, cut: map[string]bool{}, links: map[member.HostID]time.Time{}, entries: map[member.HostID]*atomic.Int32{},
 	}
 	address := func(zone, host int) string { return fmt.Sprintf("10.%d.0.%d:1", zone, host) }
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -72,21 +72,21 @@
 func (x *exchange) serveStream(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s := &streamExchange{exchange: x, lastEvent: x.call.LastEvent, leave: cancel}
+	s := &streamExchange{exchange: x, lastEvent: x.call.LastEventID, leave: cancel}
 	defer s.closeSpool(ctx)
-	x.retries.first(x.now(), x.service.Name)
+	x.retries.countRequest(x.now(), x.service.Name)
 	var last Refusal
-	for dials := 0; dials < mostStreamDials && (dials < mostDials || s.mayDial(x.now())); dials++ {
+	for dials := 0; dials < mostStreamDials && (dials < maxConnectAttempts || s.mayDial(x.now())); dials++ {
 		u, refusal, ok := s.place(ctx)
 		if !ok {
-			s.refuse(s.honest(refusal), "service", x.service.Name, "avoided", len(s.avoid), "kept_back", x.keptCount(x.now()))
+			s.refuse(s.honest(refusal), "service", x.service.Name, "avoided", len(s.avoid), "kept_back", x.throttledCount(x.now()))
 			return
 		}
 		s.firstAt, s.sentAt = u, s.now()
 		stopWatch := s.watchFirstEvent(u.ID)
 		answer, err := s.sendFirst(ctx, u)
 		stopWatch()
-		if err == nil && !answer.NotRun && !answer.OtherInstance {
+		if err == nil && !answer.NotRun && !answer.WrongInstance {
 			s.answerFrom(ctx, u, answer)
 			return
 		}
@@ -135,13 +135,13 @@
 	if u.Zone == s.engines.zone {
 		return
 	}
-	for _, other := range s.takers(now) {
+	for _, other := range s.acceptingUpstreams(now) {
 		if other.Zone == u.Zone && other.ID != u.ID {
 			s.avoid = append(s.avoid, other.ID)
 		}
 	}
-	s.fleet.ZoneUnreachable(now, s.service.Name, u.Zone)
-	s.peers.notify()
+	s.fleet.MarkZoneUnreachable(now, s.service.Name, u.Zone)
+	s.peers.notifyOwnCell()
 }
 
 // untried reports whether an engine is left that hasn't been tried. Those that
@@ -150,7 +150,7 @@
 	if len(s.avoid) == 0 {
 		return true
 	}
-	takers := s.takers(now)
+	takers := s.acceptingUpstreams(now)
 	without := func(tried []member.UpstreamID) bool {
 		return slices.ContainsFunc(takers, func(u Upstream) bool { return !slices.Contains(tried, u.ID) })
 	}
@@ -168,24 +168,24 @@
 		s.versions.set(s.rollouts.Repeat(s.service.Name))
 	}
 	if !s.untried(now) {
-		takers := s.takers(now)
-		return Upstream{}, s.noUpstream(now, takers, s.soonest(now, takers, nil)), false
+		takers := s.acceptingUpstreams(now)
+		return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 	}
 	if s.backoffs.Any() {
 		candidates := s.Forwarder.candidates(now, s.service.Name)
-		if takers := s.takers(now); len(takers) > 0 && len(candidates) == 0 {
-			return Upstream{}, s.noUpstream(now, takers, s.soonest(now, takers, nil)), false
+		if takers := s.acceptingUpstreams(now); len(takers) > 0 && len(candidates) == 0 {
+			return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 		}
 		// One whose backoff has just ended isn't listed until the next tick.
 		layout, own := s.peers.cellLayout()
-		s.engines.list(now, s.service.Name, s.placedOn(now, s.service.Name, layout, own))
+		s.engines.setAvailable(now, s.service.Name, s.placedOn(now, s.service.Name, layout, own))
 	}
 	p := s.call.Prompt
 	r := policy.Request{
 		Run: s.runID(), Route: policyRoute(s.route), Account: s.account.Name,
 		// The policy ranks upwards.
 		Priority: int(LeastUrgent - s.urgency),
-		Prompt:   max(p.Tokens, 1), Limit: p.MostOut, Prefix: p.Prefix, PrefixTokens: p.PrefixTokens,
+		Prompt:   max(p.Tokens, 1), Limit: p.MaxOutputTokens, Prefix: p.PrefixHash, PrefixTokens: p.PrefixTokens,
 		Bytes: len(s.call.Body), Objective: s.route.Objective, AvoidAlso: s.avoid, Zones: s.zones,
 		OnlyGroup: string(s.versions.get().Only), ButGroup: string(s.versions.get().But),
 		Arrived: s.call.Arrived, Deadline: s.call.Arrived.Add(s.route.Objective),
@@ -193,20 +193,20 @@
 	if s.service.Engine == nil {
 		return s.placePlain(ctx)
 	}
-	u, run, refusal, ok := s.placeBounded(ctx, now, r)
+	u, run, refusal, ok := s.placeWithPermit(ctx, now, r)
 	if !ok {
 		return u, refusal, false
 	}
 	s.run = run.ownRun
 	d := run.decision
-	s.tellRuns(u)
-	s.journal.Request(s.call.ID, "placed", "upstream", u.ID, "waited", d.Waited, "first_foreseen", d.FirstAfter, "memory_foreseen", d.Memory, "runs", d.Batch, "zone", u.Zone, "skipped", s.skipped, "prompt", p.Tokens, "limit", p.MostOut, "hint", p.LikelyOut, "list_revision", s.fleet.Revision(), "contact_age", s.ContactAge(now))
+	s.shareRunChange(u)
+	s.journal.Request(s.call.ID, "placed", "upstream", u.ID, "waited", d.Waited, "first_foreseen", d.FirstAfter, "memory_foreseen", d.Memory, "runs", d.Batch, "zone", u.Zone, "skipped", s.skipped, "prompt", p.Tokens, "limit", p.MaxOutputTokens, "hint", p.ExpectedOutputTokens, "list_revision", s.fleet.Revision(), "contact_age", s.ContactAge(now))
 	return u, Refusal{}, true
 }
 
 // placePlain picks an upstream for a stream that isn't an engine's.
 func (s *streamExchange) placePlain(ctx context.Context) (Upstream, Refusal, bool) {
-	u, none, found := s.choosePlain(ctx, s.avoid, s.sent > 0)
+	u, none, found := s.selectUpstream(ctx, s.avoid, s.sent > 0)
 	if !found {
 		return u, none, false
 	}
@@ -223,7 +223,7 @@
 	case heldBack:
 		return heldRefusal
 	}
-	wait := min(max(d.RetryAfter, retryLeast), retryMost)
+	wait := min(max(d.RetryAfter, minRetryAfter), maxRetryAfter)
 	if d.Reason == policy.ReasonNoEngine {
 		return Refusal{Code: CodeNoUpstream, RetryAfter: wait}
 	}
@@ -239,7 +239,7 @@
 	}
 	s.engines.finish(s.now(), s.service.Name, s.run, whole)
 	if u, known := s.fleet.Upstream(s.run.engine); known {
-		s.tellRuns(u)
+		s.shareRunChange(u)
 	}
 	s.run = nil
 }
@@ -250,25 +250,25 @@
 // and all of it is read again.
 const runUrgency = DefaultUrgency
 
-func (s *streamExchange) send(ctx context.Context, u Upstream, c *Continuation) (*Answer, error) {
-	out := &Outgoing{Call: s.call, Account: s.account.Name, Left: s.left(s.now()), Urgency: runUrgency, Continue: c}
+func (s *streamExchange) send(ctx context.Context, u Upstream, c *Continuation) (*Response, error) {
+	out := &UpstreamRequest{Call: s.call, Account: s.account.Name, TimeLeft: s.left(s.now()), Urgency: runUrgency, Continue: c}
 	return s.sendTo(ctx, u, out)
 }
 
 // judge says what a send that brought no stream means for the caller, and marks
 // the upstream accordingly.
-func (s *streamExchange) judge(ctx context.Context, u Upstream, a *Answer, err error) Refusal {
+func (s *streamExchange) judge(ctx context.Context, u Upstream, a *Response, err error) Refusal {
 	now := s.now()
-	s.journal.Request(s.call.ID, "try failed", "upstream", u.ID, "status", status(a), "err", err)
+	s.journal.Request(s.call.ID, "try failed", "upstream", u.ID, "status", statusOf(a), "err", err)
 	if a != nil {
 		closeBody(a)
 	}
-	kept, isKept := keptBackBy(err)
+	kept, isKept := notSentVerdict(err)
 	switch {
 	case isKept && kept.Reason == eligibility.Quarantined:
 		return heldRefusal
 	case isKept && ctx.Err() == nil:
-		return s.noUpstream(now, s.takers(now), kept.Wait)
+		return s.noUpstream(now, s.acceptingUpstreams(now), kept.Wait)
 	case errors.Is(err, ErrNotSent) && ctx.Err() == nil:
 		s.fleet.Suspect(now, u.ID)
 		s.unreachable(now, u)
@@ -281,10 +281,10 @@
 		// The engine counts as failing already.
 		return Refusal{Code: CodeLost, MayHaveRun: true}
 	case err != nil:
-		s.failed(now, u.ID, "it lost a request")
-		s.noteBroken(ctx, now, u, time.Time{}, err)
+		s.recordEngineFailure(now, u.ID, "it lost a request")
+		s.recordBrokenConnection(ctx, now, u, time.Time{}, err)
 		return Refusal{Code: CodeLost, MayHaveRun: true}
-	case a.OtherInstance:
+	case a.WrongInstance:
 		s.fleet.MarkLeaving(now, u.ID, 0, true)
 		s.dialed = append(s.dialed, u.ID)
 		s.avoid = append(s.avoid, u.ID)
--- a/forward/turns.go
+++ b/forward/turns.go
@@ -189,11 +189,11 @@
 	defer p.mu.Unlock()
 	var near []Peer
 	of := p.layout.OfUpstream(u.ID, u.Zone)
-	if p.own == of {
+	if p.ownCell == of {
 		near = append(near, p.self)
 	}
 	for _, s := range p.known {
-		if s.of == of && s.live(now) {
+		if s.cell == of && s.live(now) {
 			near = append(near, s.Peer)
 		}
 	}
--- a/internal/peer/follow.go
+++ b/internal/peer/follow.go
@@ -107,7 +107,7 @@
 	change := wireChange{
 		ID: string(c.ID), Service: string(c.Service), Address: c.Address, Zone: string(c.Zone),
 		Slots: c.Slots, Leaving: c.Leaving, Gone: c.Gone, Missing: c.Missing,
-		Version: string(c.Version), Unusable: c.Unusable, Life: int64(c.Life), Cold: max(c.ColdUntil.Sub(now).Milliseconds(), 0),
+		Version: string(c.Version), Unusable: c.Unusable, Life: int64(c.Incarnation), Cold: max(c.ColdUntil.Sub(now).Milliseconds(), 0),
 	}
 	change.Era, change.Revision = numbers(c.Revision)
 	change.Believed = believedIn(now, c.BelievedFrom)
@@ -137,7 +137,7 @@
 	c := forward.Change{
 		Upstream: forward.Upstream{
 			ID: member.UpstreamID(w.ID), Service: forward.ServiceName(w.Service), Address: w.Address,
-			Zone: member.Zone(w.Zone), Slots: w.Slots, Version: rollout.Version(w.Version), Leaving: w.Leaving, Life: forward.Life(w.Life), Revision: point(w.Era, w.Revision),
+			Zone: member.Zone(w.Zone), Slots: w.Slots, Version: rollout.Version(w.Version), Leaving: w.Leaving, Incarnation: forward.Incarnation(w.Life), Revision: point(w.Era, w.Revision),
 		},
 		Gone: w.Gone, Missing: w.Missing, Unusable: w.Unusable,
 	}
--- a/internal/peer/points_test.go
+++ b/internal/peer/points_test.go
@@ -19,7 +19,7 @@
 	is := is.New(t)
 	now := time.Now()
 	orders := []forward.ZoneOrder{
-		{Zone: "z1", Out: true, Revision: history.At(3, 5)}, {Zone: "z2", Revision: history.At(4, 6), BelievedFrom: now.Add(30 * time.Second)},
+		{Zone: "z1", OutOfService: true, Revision: history.At(3, 5)}, {Zone: "z2", Revision: history.At(4, 6), BelievedFrom: now.Add(30 * time.Second)},
 	}
 	sent := forward.FollowReply{
 		Complete: true, ListRevision: history.At(4, 9), EraFirstSeen: history.At(4, 7), Zones: orders,
