--- a/forward/broadcast.go
+++ b/forward/broadcast.go
@@ -5,15 +5,15 @@
 
 import "sync"
 
-// broadcast wakes all that wait for something. The zero value works.
+// broadcast wakes all goroutines that wait for an event. The zero value is ready to use.
 type broadcast struct {
 	mu sync.Mutex
 	// next closes at the next wake; nil while nobody waits.
 	next chan struct{}
 }
 
-// waiting returns a channel that closes at the next wake.
-func (b *broadcast) waiting() <-chan struct{} {
+// wakeChannel returns a channel that closes at the next wake.
+func (b *broadcast) wakeChannel() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next == nil {
--- a/forward/brokenconnection.go
+++ b/forward/brokenconnection.go
@@ -32,7 +32,7 @@
 // other request IDs are recognised.
 func (x *exchange) requestIdentity() quarantine.Asked {
 	a := quarantine.Asked{
-		Caller: string(x.account.Name), Method: x.call.Method, Host: hostName(x.call.Host), Target: x.call.Target, Body: x.call.Body,
+		Caller: string(x.account.Name), Method: x.call.Method, Host: normalizeHost(x.call.Host), Target: x.call.Target, Body: x.call.Body,
 	}
 	if a.Caller == "" {
 		a.Caller = x.call.APIKey
--- a/forward/directory.go
+++ b/forward/directory.go
@@ -9,79 +9,79 @@
 	"time"
 )
 
-// Directory lists hosts of the site, for those that start. The origin's news tell who
-// is on it.
+// Directory lists hosts of the site, for hosts that start. The origin's updates contain the listed
+// hosts.
 type Directory interface {
-	// Announce puts this host on the list for a time, or keeps it there.
+	// Announce lists this host for a time, or renews its entry.
 	Announce(ctx context.Context, self Peer, ttl time.Duration) error
-	// Withdraw takes this host off the list.
+	// Withdraw removes this host's entry.
 	Withdraw(ctx context.Context) error
 }
 
-// Timing of the directory. Hosts that know each other keep in touch by
-// themselves; an entry is for those that start, so it may be late.
+// Timing of the directory. Hosts that know each other exchange shares directly; an entry serves
+// hosts that start, so it may be late.
 const (
-	// listedPerZone is how many hosts of a zone are on the directory: the first by
-	// name of those that each of them knows. Hosts that don't know of each other so
-	// come to know: each has the first of its own kind on the list. With every host on
-	// it, each start cost two writes and, at 195 hosts, four pages of every reading.
-	listedPerZone = 2
-	// directoryDelay is how long a host that starts gets to know its peers before it
-	// may count as one of the first.
-	directoryDelay = 1500 * time.Millisecond
-	// directoryCheck is how often a host that isn't on the list looks whether it
-	// should be.
-	directoryCheck = 500 * time.Millisecond
-	// directoryEvery is the period of renewing this host's entry, and
-	// directoryTTL how long an entry stays without that.
-	directoryEvery = 20 * time.Second
-	directoryTTL   = 60 * time.Second
-	// directoryAgain is within what time after a restore of the origin this host's entry is
-	// written again, which a copy may lack.
-	directoryAgain = 2 * time.Second
-	// directoryRetry is the pause after a failed call. Refused calls have a
-	// price, too.
-	directoryRetry = 2 * time.Second
+	// directoryHostsPerZone is how many hosts of a zone are listed: the first by name among those
+	// that each host knows. Groups of hosts that don't know each other find each other by that,
+	// because each group lists its own first hosts. With every host listed, each start would cost
+	// two writes, and each full read several pages more.
+	directoryHostsPerZone = 2
+	// directoryStartDelay gives a host that starts the time to find its peers before it may count
+	// as one of the first.
+	directoryStartDelay = 1500 * time.Millisecond
+	// directoryCheckInterval is how often a host checks whether it has to write its entry.
+	directoryCheckInterval = 500 * time.Millisecond
+	// directoryRenewInterval is how often this host renews its entry, and directoryTTL how long an
+	// entry lasts without renewal.
+	directoryRenewInterval = 20 * time.Second
+	directoryTTL           = 60 * time.Second
+	// directoryRewriteWindow is the time after a restore of the origin within which this host
+	// writes its entry again, because the backup may lack it.
+	directoryRewriteWindow = 2 * time.Second
+	// directoryRetryDelay is added to the pause after a failed call: refused calls have a cost,
+	// too.
+	directoryRetryDelay = 2 * time.Second
 )
 
-// RunDirectory keeps this host in the directory, while it is one of the first of its
-// zone, until the context ends.
+// RunDirectory keeps this host in the directory while it is among the first of its zone, until the
+// context ends. Then it withdraws the entry.
 func (f *Forwarder) RunDirectory(ctx context.Context, d Directory) {
-	dep := dependency{name: "directory", journal: f.journal, now: f.now}
-	PauseFor(ctx, directoryDelay)
+	status := dependencyStatus{name: "directory", journal: f.journal, now: f.now}
+	PauseFor(ctx, directoryStartDelay)
 	var renewAt time.Time
 	era := f.OriginEra()
 	for ctx.Err() == nil {
 		now := f.now()
-		if known := f.OriginEra(); known != era {
-			era = known
-			if again := now.Add(rand.N(directoryAgain)); again.Before(renewAt) {
-				renewAt = again
+		if current := f.OriginEra(); current != era {
+			era = current
+			if rewriteAt := now.Add(rand.N(directoryRewriteWindow)); rewriteAt.Before(renewAt) {
+				renewAt = rewriteAt
 			}
 		}
-		if now.Before(renewAt) || f.Stopping() || !f.peers.firstOfZone(now, listedPerZone) {
-			PauseFor(ctx, directoryCheck)
+		if now.Before(renewAt) || f.Stopping() || !f.peers.isAmongFirstOfZone(now, directoryHostsPerZone) {
+			PauseFor(ctx, directoryCheckInterval)
 			continue
 		}
 		if err := d.Announce(ctx, f.peers.self, directoryTTL); err != nil {
-			PauseFor(ctx, dep.failed(ctx, err)+directoryRetry)
+			PauseFor(ctx, status.recordFailure(ctx, err)+directoryRetryDelay)
 			continue
 		}
-		dep.ok(f.now())
-		renewAt = now.Add(directoryEvery)
+		status.recordSuccess(f.now())
+		renewAt = now.Add(directoryRenewInterval)
 	}
-	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
+	withdrawCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	if err := d.Withdraw(leaving); err != nil {
+	if err := d.Withdraw(withdrawCtx); err != nil {
 		f.journal.Belief("directory entry not withdrawn", "err", err)
 	}
 }
 
-// firstOfZone reports whether this host is one of the first n of its zone by name, of
-// those that it knows to take requests.
-func (p *peerSet) firstOfZone(now time.Time, n int) bool {
-	if at, divided := p.treePosition(now); divided {
-		return at < n
+// isAmongFirstOfZone reports whether this host is among the first n of the hosts of its zone that
+// are known to take requests. The order is that of the zone's tree where the zone is divided, else
+// by name.
+func (p *peerSet) isAmongFirstOfZone(now time.Time, n int) bool {
+	if position, divided := p.treePosition(now); divided {
+		return position < n
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/forward/engineplacer.go
+++ b/forward/engineplacer.go
@@ -148,7 +148,7 @@
 			e.pools[name] = p
 		}
 		p.spec = *s.Engine
-		settings := poolSettings(p.spec, t.ShortestPause(name))
+		settings := poolSettings(p.spec, t.ShortestGapObjective(name))
 		settings.Decider = string(e.self)
 		p.pool.SetSettings(settings)
 	}
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -66,7 +66,7 @@
 	// counts the effects of the last restore until takeRestored collects them.
 	restore      history.Restore
 	eraFirstSeen time.Time
-	restoreStats *restoreCounts
+	restoreStats *restoreStats
 	// forgottenUpTo is the newest revision of the removed upstreams that this host has
 	// forgotten.
 	forgottenUpTo history.Point
@@ -216,7 +216,7 @@
 		if listed[id] || k.Revision.After(revision) {
 			continue
 		}
-		if k.confirmEnded(revision) || f.unlist(now, k, revision) {
+		if k.confirmEnded(revision) || f.markUnlisted(now, k, revision) {
 			continue
 		}
 		gone := Change{Upstream: k.Upstream, Gone: true}
@@ -272,7 +272,7 @@
 		return false
 	case !c.BelievedFrom.IsZero():
 		return f.deferRelisting(now, k, c)
-	case k.pendingChange != nil && ofEarlierEra(c.Revision, k.pendingChange.Revision):
+	case k.pendingChange != nil && isFromEarlierEra(c.Revision, k.pendingChange.Revision):
 		return false
 	case !f.restore.Supersedes(c.Revision, k.Revision):
 		return f.reconcile(now, k, c)
@@ -348,14 +348,14 @@
 // not treat it as gone yet. It always returns false, as the upstream does not count as gone
 // here, either.
 func (f *Fleet) markMissing(now time.Time, k *knownUpstream, revision history.Point) bool {
-	if f.unlist(now, k, revision) {
+	if f.markUnlisted(now, k, revision) {
 		return false
 	}
 	if k.gone || k.Leaving || revision == k.Revision && !k.missing {
 		return false
 	}
 	k.Revision, k.missing = revision, true
-	f.trustMissingFrom = laterOf(f.trustMissingFrom, now.Add(listSettles))
+	f.trustMissingFrom = laterOf(f.trustMissingFrom, now.Add(listSettleTime))
 	return false
 }
 
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -13,137 +13,138 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// watchWait is how long a watch waits. Changes end it at once, but a watch
-// may miss them, so its silence is believed no longer than this: half of
-// the time in which a configuration has to be in force.
-const watchWait = time.Second
+// watchTimeout bounds one watch of the origin. A change ends the watch at once, but a watch may
+// miss a change, so its silence is relied on for no longer than this: half of the time in which a
+// configuration has to be in force.
+const watchTimeout = time.Second
 
-// follower keeps the configuration and the list of upstreams up to date, from
-// the origin or from a peer that watches the origin.
+// follower keeps the configuration and the list of upstreams up to date, from the origin or from a
+// peer that watches the origin.
 type follower struct {
 	*Forwarder
-	from Origin
-	dep  dependency
-	// read says that everything has to be read; at is the point that a watch
-	// goes on from.
-	read bool
-	at   history.Point
-	// refusals are the watches in a row whose point the origin didn't have.
-	refusals int
-	// configRead is when everything was last read because a newer configuration is
-	// known of than the one in force, and configReads how often in a row.
-	configRead  time.Time
-	configReads int
-	// began is when this host started to follow.
-	began time.Time
-	// nextTry is when an origin that failed is asked again although a peer can be
-	// followed.
-	nextTry time.Time
-	// unread counts the entries that couldn't be read since that was last logged, at
-	// unreadNoted.
-	unread      int
-	unreadNoted time.Time
-	// avoided are the zones whose hosts couldn't be followed, until when.
-	avoided map[member.Zone]time.Time
+	origin       Origin
+	originStatus dependencyStatus
+	// needsFullRead says that the next call to the origin reads everything; watchFrom is the point
+	// after which a watch continues.
+	needsFullRead bool
+	watchFrom     history.Point
+	// historyGoneCount counts how often in a row the origin no longer had the history that a call
+	// needed.
+	historyGoneCount int
+	// lastConfigRead is when everything was last read because a newer configuration than the one in
+	// force is known; configReadCount counts such reads in a row.
+	lastConfigRead  time.Time
+	configReadCount int
+	// startedAt is when this host started to follow.
+	startedAt time.Time
+	// nextOriginRetry is when this host asks a failed origin again although it can follow a peer.
+	nextOriginRetry time.Time
+	// unreadEntries counts the entries that couldn't be read since this was last logged, at
+	// unreadLoggedAt.
+	unreadEntries  int
+	unreadLoggedAt time.Time
+	// zonesAvoidedUntil holds the zones whose hosts couldn't be followed, and until when each is
+	// avoided.
+	zonesAvoidedUntil map[member.Zone]time.Time
 }
 
-// While no peer is known, alonePause is waited between two watches, but not for
-// longer than aloneLasts after the start: a site may have one host.
+// While no peer is known, a host pauses for soloWatchPause between two watches, but only within
+// soloPausePeriod after its start: a site may consist of one host.
 const (
-	alonePause = 300 * time.Millisecond
-	aloneLasts = 3 * time.Second
+	soloWatchPause  = 300 * time.Millisecond
+	soloPausePeriod = 3 * time.Second
 )
 
-// originPause is how long a host whose origin failed follows a peer before it
-// tries the origin again.
-const originPause = 4 * time.Second
+// originRetryDelay is how long, beyond the retry pause, a host whose origin failed follows a peer
+// before it asks the origin again.
+const originRetryDelay = 4 * time.Second
 
 const (
-	// hostsAtOnce is how many hosts of a zone try an origin that is down at the
-	// usual pace; with more of them each pauses longer. The first that regains
-	// it is followed by the others.
-	hostsAtOnce = 4
-	// followableCheck is how often a host that pauses looks for such a peer.
-	followableCheck = 100 * time.Millisecond
+	// While the origin is down, each host waits one extra retry delay for every hostsPerRetryDelay
+	// live hosts in its zone. The others follow the first host that reaches the origin again.
+	hostsPerRetryDelay = 4
+	// followableCheckInterval is how often a pausing host looks for a peer that reaches the origin.
+	followableCheckInterval = 100 * time.Millisecond
 )
 
-// A host that starts takes everything over from a peer, if it finds one in time: a
-// reading of the origin takes a call for each page, and many hosts start together.
+// A host that starts copies everything from a peer if it finds one in time: a full read of the
+// origin takes a call for each page, and many hosts may start together.
 const (
-	// joinWait is how long a host looks for such a peer. Its callers are sent to others
+	// defaultJoinTimeout bounds the search for such a peer. Clients are sent to other hosts
 	// meanwhile, and a peer answers within some milliseconds.
-	joinWait = 250 * time.Millisecond
-	// firstJoinWait is the same when the site starts for the first time: there are no
-	// callers, and the peers have only just begun to read.
-	firstJoinWait = time.Second
-	// joinMost is the same where many hosts take the list over one after the other.
-	joinMost = 8 * time.Second
-	// directoryTimeout bounds the reading of the directory: the store may be silent, and a peer be
-	// found meanwhile.
-	directoryTimeout = 300 * time.Millisecond
-	// joinCheck is how often it looks.
-	joinCheck = 10 * time.Millisecond
-	// settleCheck is how often a host that has just joined looks for whom to follow.
-	settleCheck = 50 * time.Millisecond
+	defaultJoinTimeout = 250 * time.Millisecond
+	// firstStartJoinTimeout is the same bound when the whole site starts for the first time: there
+	// are no clients yet, and the peers have only just begun to read.
+	firstStartJoinTimeout = time.Second
+	// maxJoinTimeout is the same bound where many hosts receive the list one after another.
+	maxJoinTimeout = 8 * time.Second
+	// directoryReadTimeout bounds a read of the directory: the store may not answer, and a peer may
+	// be found meanwhile.
+	directoryReadTimeout = 300 * time.Millisecond
+	// joinCheckInterval is how often a joining host looks for such a peer.
+	joinCheckInterval = 10 * time.Millisecond
+	// leaderCheckInterval is how often a host that has just joined checks whether it can follow an
+	// earlier host.
+	leaderCheckInterval = 50 * time.Millisecond
 )
 
 // Follow keeps the configuration and the list of upstreams up to date until the
 // context ends.
-func (f *Forwarder) Follow(ctx context.Context, from Origin) {
-	w := &follower{Forwarder: f, from: from, dep: dependency{name: "store", journal: f.journal, now: f.now}, read: true, began: f.now()}
+func (f *Forwarder) Follow(ctx context.Context, origin Origin) {
+	w := &follower{Forwarder: f, origin: origin, originStatus: dependencyStatus{name: "store", journal: f.journal, now: f.now}, needsFullRead: true, startedAt: f.now()}
 	w.join(ctx)
 	for ctx.Err() == nil {
 		if w.followLeader(ctx) {
 			continue
 		}
-		if w.settling(f.now()) {
-			PauseFor(ctx, settleCheck)
+		if w.awaitsLeader(f.now()) {
+			PauseFor(ctx, leaderCheckInterval)
 			continue
 		}
 		w.followOrigin(ctx)
 	}
 }
 
-// join takes everything over from a peer that is up to date, unless none is found in time;
-// then what one has that isn't: the origin may be silent for seconds.
+// join copies everything from a peer that is up to date. If it finds none in time, it copies an
+// outdated list, because the origin may not answer for seconds.
 func (w *follower) join(ctx context.Context) {
-	until, last := w.began.Add(w.joinWait()), w.began.Add(joinMost)
-	for w.now().Before(until) && !w.peers.anyPeerFound() {
-		PauseFor(ctx, joinCheck)
+	deadline, finalDeadline := w.startedAt.Add(w.joinTimeout()), w.startedAt.Add(maxJoinTimeout)
+	for w.now().Before(deadline) && !w.peers.anyPeerFound() {
+		PauseFor(ctx, joinCheckInterval)
 	}
 	if !w.peers.anyPeerFound() && w.readDirectory(ctx) {
-		until = w.now().Add(w.joinWait())
+		deadline = w.now().Add(w.joinTimeout())
 	}
-	for ctx.Err() == nil && (w.now().Before(until) || w.now().Before(last) && w.awaitsList(w.now())) {
+	for ctx.Err() == nil && (w.now().Before(deadline) || w.now().Before(finalDeadline) && w.expectsPeerList(w.now())) {
 		peer, found := w.peers.bootstrapPeer(w.now())
-		if found && w.followPeer(ctx, peer, neededBounds) && w.joinConfig(ctx, peer) {
-			w.upToDate()
-			w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.at, "after", w.now().Sub(w.began))
+		if found && w.followPeer(ctx, peer, originDownBounds) && w.catchUpConfig(ctx, peer) {
+			w.markCaughtUp()
+			w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.watchFrom, "after", w.now().Sub(w.startedAt))
 			return
 		}
-		PauseFor(ctx, joinCheck)
+		PauseFor(ctx, joinCheckInterval)
 	}
-	w.takeStale(ctx)
+	w.takeStaleList(ctx)
 }
 
-// awaitsList reports whether other hosts will have the list that this one can take over from: those
-// that are named to all as a site starts for the first time read it, and in a large site those before
-// this one.
-func (w *follower) awaitsList(now time.Time) bool {
-	firstReads := w.settings.FirstStart && w.joinWait() > 0 && w.peers.noPeerHasList()
+// expectsPeerList reports whether this host can copy the list from another host if it waits. At the
+// first start of a site the seed hosts read the list, and in a large site the hosts before this one
+// receive it first.
+func (w *follower) expectsPeerList(now time.Time) bool {
+	firstReads := w.settings.FirstStart && w.joinTimeout() > 0 && w.peers.noPeerHasList()
 	return firstReads || w.peers.expectsListFromAncestor(now)
 }
 
-// readDirectory has the hosts on the directory be known to a host that has found none. It reports
-// whether there are any.
+// readDirectory adds the hosts in the directory to the known peers and asks for a share to all of
+// them. It reports whether the directory lists any. It is for a host that has found no peer.
 func (w *follower) readDirectory(ctx context.Context) bool {
-	from, can := w.from.(HostsReader)
-	if !can || w.joinWait() == 0 {
+	reader, ok := w.origin.(HostsReader)
+	if !ok || w.joinTimeout() == 0 {
 		return false
 	}
-	call, cancel := context.WithTimeout(ctx, directoryTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, directoryReadTimeout)
 	defer cancel()
-	hosts, err := from.Hosts(call)
+	hosts, err := reader.Hosts(callCtx)
 	if err != nil {
 		w.journal.Belief("directory not read", "err", err)
 		return false
@@ -153,232 +154,236 @@
 	return len(hosts) > 0
 }
 
-// joinConfig takes over the configuration that a peer has offered. It reports whether
-// this host is up to date with that.
-func (w *follower) joinConfig(ctx context.Context, from Peer) bool {
-	if w.versionInForce() < w.knownVersion() {
-		w.fetchConfig(ctx, w.port(), from)
+// catchUpConfig fetches the configuration that a peer has offered. It reports whether the newest
+// known configuration is then in force.
+func (w *follower) catchUpConfig(ctx context.Context, peer Peer) bool {
+	if w.versionInForce() < w.newestKnownVersion() {
+		w.fetchConfig(ctx, w.loadPeerPort(), peer)
 	}
-	return w.versionInForce() >= w.knownVersion()
+	return w.versionInForce() >= w.newestKnownVersion()
 }
 
-// settling reports whether this host has just joined, and knows one that comes before
-// it in the order of leaders but that can't be followed yet.
-func (w *follower) settling(now time.Time) bool {
-	return !w.read && w.dep.failures == 0 && now.Sub(w.began) < startupDuration && w.peers.hasPredecessor(now)
+// awaitsLeader reports whether this host has just joined and knows a live host before it in the
+// order of leaders, which it should follow as soon as that host can be followed.
+func (w *follower) awaitsLeader(now time.Time) bool {
+	return !w.needsFullRead && w.originStatus.failures == 0 && now.Sub(w.startedAt) < startupDuration && w.peers.hasPredecessor(now)
 }
 
-// joinWait is how long this host looks for a peer to join: not at all if it knows no
-// address, or is one of those that others join when the site starts.
-func (w *follower) joinWait() time.Duration {
-	switch first := w.settings.FirstStart; {
-	case len(w.peers.seeds) == 0, first && slices.Contains(w.peers.seeds, w.peers.self.PeerAddress):
+// joinTimeout returns how long this host looks for a peer to join. It is zero without seed
+// addresses and, at the first start of a site, on the seed hosts themselves, which the others join.
+func (w *follower) joinTimeout() time.Duration {
+	switch firstStart := w.settings.FirstStart; {
+	case len(w.peers.seeds) == 0, firstStart && slices.Contains(w.peers.seeds, w.peers.self.PeerAddress):
 		return 0
-	case first:
-		return firstJoinWait
+	case firstStart:
+		return firstStartJoinTimeout
 	default:
-		return joinWait
+		return defaultJoinTimeout
 	}
 }
 
-// upToDate takes in that a peer has told all that it knows: nothing has to be read
-// again, and a watch goes on from there.
-func (w *follower) upToDate() {
-	w.read, w.at = false, history.Latest(w.at, w.fleet.Revision())
+// markCaughtUp records that a peer has sent everything that it knows: no full read is needed, and a
+// watch continues from the revision of the list.
+func (w *follower) markCaughtUp() {
+	w.needsFullRead, w.watchFrom = false, history.Latest(w.watchFrom, w.fleet.Revision())
 }
 
-// followLeader takes over what a peer has that is newer. It reports false when
-// this host has to ask the origin itself.
+// followLeader receives newer state from a peer. It reports false when this host has to ask the
+// origin itself.
 func (w *follower) followLeader(ctx context.Context) bool {
 	now := w.now()
-	needed := w.dep.failures > 0 && now.Before(w.nextTry)
-	if w.read && !needed {
+	originDown := w.originStatus.failures > 0 && now.Before(w.nextOriginRetry)
+	if w.needsFullRead && !originDown {
 		return false
 	}
-	if !w.followOne(ctx, now, needed) {
+	if !w.followPreferredPeer(ctx, now, originDown) {
 		return false
 	}
-	w.upToDate()
-	if !needed {
-		// Another host has the origin again; this one needn't ask.
-		w.dep.ok(now)
+	w.markCaughtUp()
+	if !originDown {
+		// Another host reaches the origin, so this host needn't ask it.
+		w.originStatus.recordSuccess(now)
 	}
 	return true
 }
 
-// followOne follows the leader of the zone, or any fresh host when that is needed;
-// the leader itself follows another zone's host.
-func (w *follower) followOne(ctx context.Context, now time.Time, needed bool) bool {
-	leader, found := w.peers.leader(now, needed)
+// followPreferredPeer follows the leader of the zone, or any peer with a fresh list while the
+// origin is down. The leader itself follows a host of an earlier zone.
+func (w *follower) followPreferredPeer(ctx context.Context, now time.Time, originDown bool) bool {
+	leader, found := w.peers.leader(now, originDown)
 	switch {
-	case found && needed:
-		return w.followPeer(ctx, leader, neededBounds)
+	case found && originDown:
+		return w.followPeer(ctx, leader, originDownBounds)
 	case found:
 		return w.followPeer(ctx, leader, leaderBounds)
-	case needed:
+	case originDown:
 		return false
 	default:
-		return w.followZone(ctx, now)
+		return w.followEarlierZone(ctx, now)
 	}
 }
 
-// followZone has the host that leads its zone follow a host of an earlier zone,
-// so that one host watches the origin for all of them. It reports whether that
-// host could be followed; if not, its zone is left alone for a while.
-func (w *follower) followZone(ctx context.Context, now time.Time) bool {
-	far, found := w.peers.firstInEarlierZone(func(z member.Zone) bool { return now.Before(w.avoided[z]) }, now)
+// followEarlierZone lets the leader of this zone follow a host of an earlier zone, so that one host
+// watches the origin for all zones. It reports whether that host could be followed; if not, its
+// zone is avoided for a while.
+func (w *follower) followEarlierZone(ctx context.Context, now time.Time) bool {
+	peer, found := w.peers.firstInEarlierZone(func(z member.Zone) bool { return now.Before(w.zonesAvoidedUntil[z]) }, now)
 	if !found {
 		return false
 	}
-	if w.followPeer(ctx, far, zoneBounds) {
+	if w.followPeer(ctx, peer, zoneBounds) {
 		return true
 	}
-	if w.avoided == nil {
-		w.avoided = map[member.Zone]time.Time{}
+	if w.zonesAvoidedUntil == nil {
+		w.zonesAvoidedUntil = map[member.Zone]time.Time{}
 	}
-	// The hosts of a site that has just started are up to date a moment later.
-	w.avoided[far.Zone] = now.Add(min(avoidZoneFor, now.Sub(w.began)))
+	// Right after a site starts, hosts that aren't up to date yet will be a moment later, so they
+	// are avoided no longer than this host has run.
+	w.zonesAvoidedUntil[peer.Zone] = now.Add(min(zoneAvoidPeriod, now.Sub(w.startedAt)))
 	return false
 }
 
-// followOrigin reads everything or waits for the next news.
+// followOrigin reads everything from the origin or waits for its next update.
 func (w *follower) followOrigin(ctx context.Context) {
-	proved, slept := w.now(), w.settings.Clock.Slept()
-	var news News
+	provedAt, slept := w.now(), w.settings.Clock.Slept()
+	var update OriginUpdate
 	var err error
-	if w.configReadDue(proved) {
-		// A watch goes on from the revision of the list, by which the configuration
-		// had been changed already.
-		w.read, w.configRead = true, proved
-		w.configReads++
-	}
-	if w.read {
-		news, err = w.from.Read(ctx, w.fleet.Revision().Era())
+	if w.configReadDue(provedAt) {
+		// A watch continues from the revision of the list, and would miss a configuration that was
+		// written before it.
+		w.needsFullRead, w.lastConfigRead = true, provedAt
+		w.configReadCount++
+	}
+	if w.needsFullRead {
+		update, err = w.origin.Read(ctx, w.fleet.Revision().Era())
 	} else {
-		news, err = w.from.Watch(ctx, w.at, watchWait)
+		update, err = w.origin.Watch(ctx, w.watchFrom, watchTimeout)
 	}
 	switch {
 	case errors.Is(err, ErrHistoryGone):
-		w.historyGone(ctx)
+		w.handleHistoryGone(ctx)
 		return
 	case err != nil:
-		w.lost(ctx, err)
+		w.handleOriginFailure(ctx, err)
 		return
-	case news.At.Era() < w.fleet.Revision().Era():
-		w.lost(ctx, &EraFellError{Known: w.fleet.Revision(), Told: news.At})
+	case update.Revision.Era() < w.fleet.Revision().Era():
+		w.handleOriginFailure(ctx, &EraRegressedError{Known: w.fleet.Revision(), Received: update.Revision})
 		return
-	case !w.read && !news.At.SameEra(w.at):
-		// What came between the watch's point and the restore isn't among the news.
-		w.read = true
+	case !w.needsFullRead && !update.Revision.SameEra(w.watchFrom):
+		// The update lacks what was written between the point of the watch and the restore.
+		w.needsFullRead = true
 		return
-	case !w.read && w.settings.Clock.Slept() == slept:
-		// Otherwise the answer may have waited here while this machine was suspended.
-		proved = w.now()
+	case !w.needsFullRead && w.settings.Clock.Slept() == slept:
+		// The machine wasn't suspended during the watch. If it was, the answer may have waited
+		// here, and is only proved for the time before the call.
+		provedAt = w.now()
 	}
-	if !w.read {
-		w.refusals = 0
+	if !w.needsFullRead {
+		w.historyGoneCount = 0
 	}
-	w.take(proved, news)
-	w.read, w.at = false, news.At
-	if proved.Sub(w.began) < aloneLasts && w.peers.liveHosts(proved) == 1 {
-		// Hosts that start together don't know each other yet, and each change
-		// would be told to every one of them.
-		PauseFor(ctx, alonePause)
+	w.applyUpdate(provedAt, update)
+	w.needsFullRead, w.watchFrom = false, update.Revision
+	if provedAt.Sub(w.startedAt) < soloPausePeriod && w.peers.liveHosts(provedAt) == 1 {
+		// Hosts that start together don't know each other yet, and the origin would send each
+		// change to every one of them.
+		PauseFor(ctx, soloWatchPause)
 	}
 }
 
-// mostConfigReads bounds how often the pause between two such readings doubles: a restored origin
-// may lack a configuration that is known of until it is written again.
-const mostConfigReads = 5
+// maxConfigReadDoublings bounds how often the pause between two full reads for a newer configuration
+// doubles: a restored origin may lack that configuration until it is written again.
+const maxConfigReadDoublings = 5
 
-// configReadDue reports whether everything is to be read because a newer configuration is known of
-// than the one in force.
+// configReadDue reports whether a full read is due because a newer configuration than the one in
+// force is known.
 func (w *follower) configReadDue(now time.Time) bool {
-	if w.versionInForce() >= w.knownVersion() {
-		w.configReads = 0
+	if w.versionInForce() >= w.newestKnownVersion() {
+		w.configReadCount = 0
 		return false
 	}
-	return now.Sub(w.configRead) >= watchWait<<min(w.configReads, mostConfigReads)
+	return now.Sub(w.lastConfigRead) >= watchTimeout<<min(w.configReadCount, maxConfigReadDoublings)
 }
 
-// historyGone takes in that the origin doesn't have the point that a watch goes on from, or was
-// restored during a reading: everything has to be read again.
-func (w *follower) historyGone(ctx context.Context) {
-	w.journal.Belief("history gone", "after", w.at)
-	w.read = true
-	w.refusals++
-	if w.refusals > 1 {
-		PauseFor(ctx, failPause(w.refusals))
+// handleHistoryGone schedules a full read: the origin no longer has the point after which a watch
+// continues, or was restored during a read. It pauses if that happens repeatedly.
+func (w *follower) handleHistoryGone(ctx context.Context) {
+	w.journal.Belief("history gone", "after", w.watchFrom)
+	w.needsFullRead = true
+	w.historyGoneCount++
+	if w.historyGoneCount > 1 {
+		PauseFor(ctx, retryDelay(w.historyGoneCount))
 	}
 }
 
-// take takes in what the origin told, which was up to date at a time.
-func (w *follower) take(proved time.Time, news News) {
+// applyUpdate applies what the origin sent, which was up to date at provedAt.
+func (w *follower) applyUpdate(provedAt time.Time, update OriginUpdate) {
 	now := w.now()
-	if news.Unread != nil {
-		w.noteUnread(now, news)
-	}
-	w.peers.addFromDirectory(now, news.Hosts)
-	w.receiveCrashes(now, news.Crashes)
-	if w.read {
-		w.journal.Belief("list read", "revision", news.At, "upstreams", len(news.Changes), "took", now.Sub(proved))
-	}
-	// Before the list's revision rises: who follows is told nothing again of what was before it.
-	if w.read {
-		w.takeRollouts(now, w.rollouts.Missing(news.Rollouts, news.At))
-	}
-	w.takeRollouts(now, news.Rollouts)
-	w.takeRolloutRecords(news.RolloutRecords)
-	zones, changes := w.fleet.TakeNews(now, news, w.read)
+	if update.UnreadErr != nil {
+		w.logUnread(now, update)
+	}
+	w.peers.addFromDirectory(now, update.Hosts)
+	w.receiveCrashes(now, update.HeldRequests)
+	if w.needsFullRead {
+		w.journal.Belief("list read", "revision", update.Revision, "upstreams", len(update.Changes), "took", now.Sub(provedAt))
+	}
+	// Rollouts are applied before the revision of the list rises, because followers aren't sent
+	// again what came before that revision.
+	if w.needsFullRead {
+		w.takeRollouts(now, w.rollouts.Missing(update.Rollouts, update.Revision))
+	}
+	w.takeRollouts(now, update.Rollouts)
+	w.takeRolloutRecords(update.RolloutRecords)
+	zones, changes := w.fleet.ApplyUpdate(now, update, w.needsFullRead)
 	w.logZoneChanges(zones)
-	w.noteList(changes)
-	if lostFor := w.dep.ok(now); lostFor > 0 {
+	w.handleListChanges(changes)
+	if lostFor := w.originStatus.recordSuccess(now); lostFor > 0 {
 		w.fleet.ListRegained(now, lostFor)
 	}
-	if news.Config != nil {
-		w.Configure(now, *news.Config)
+	if update.Config != nil {
+		w.Configure(now, *update.Config)
 	}
-	w.ContactProved(proved)
-	w.proveOrigin(proved)
+	w.ContactProved(provedAt)
+	w.recordOriginProof(provedAt)
 	w.proofInherited.Store(false)
 }
 
-// unreadPause is the least time between two lines about entries that can't be read: they
-// may be written anew several times a second.
-const unreadPause = time.Second
+// unreadLogInterval is the minimum interval between two log lines about entries that can't be read:
+// such entries may be rewritten several times a second.
+const unreadLogInterval = time.Second
 
-// noteUnread counts entries that couldn't be read or used, and logs them now and then.
-func (w *follower) noteUnread(now time.Time, news News) {
-	w.observer.Unread(news.UnreadCount)
-	w.unread += news.UnreadCount
-	if now.Sub(w.unreadNoted) < unreadPause {
+// logUnread counts the entries that couldn't be read or used, and logs the count at most once per
+// unreadLogInterval.
+func (w *follower) logUnread(now time.Time, update OriginUpdate) {
+	w.observer.Unread(update.UnreadCount)
+	w.unreadEntries += update.UnreadCount
+	if now.Sub(w.unreadLoggedAt) < unreadLogInterval {
 		return
 	}
-	w.journal.Belief("not all could be read", "revision", news.At, "entries", w.unread, "err", news.Unread)
-	w.unread, w.unreadNoted = 0, now
+	w.journal.Belief("not all could be read", "revision", update.Revision, "entries", w.unreadEntries, "err", update.UnreadErr)
+	w.unreadEntries, w.unreadLoggedAt = 0, now
 }
 
-// lost takes in that the origin can't be had.
-func (w *follower) lost(ctx context.Context, err error) {
+// handleOriginFailure records that the origin can't be reached, and pauses before the next attempt.
+func (w *follower) handleOriginFailure(ctx context.Context, err error) {
 	now := w.now()
-	w.read = true
+	w.needsFullRead = true
 	w.fleet.ListLost(now)
-	// The proof is withdrawn, so that followers turn elsewhere at once and
-	// engines are asked themselves.
+	// The proof is withdrawn, so that followers turn to another host at once and this host probes
+	// the engines itself.
 	w.originContact.clear()
 	w.fleet.WakeWaiters()
-	w.takeStale(ctx)
-	pause := w.dep.failed(ctx, err)
-	more := pause * time.Duration(w.peers.liveHostsInZone(now)/hostsAtOnce)
-	w.nextTry = now.Add(pause + more + originPause)
+	w.takeStaleList(ctx)
+	pause := w.originStatus.recordFailure(ctx, err)
+	extraPause := pause * time.Duration(w.peers.liveHostsInZone(now)/hostsPerRetryDelay)
+	w.nextOriginRetry = now.Add(pause + extraPause + originRetryDelay)
 	PauseFor(ctx, pause)
-	w.pauseUntilFollowable(ctx, more)
+	w.pauseUntilFollowable(ctx, extraPause)
 }
 
-// takeStale has a host that has started while the origin is away, and knows no upstream,
-// take what a peer has, however old that is: without it the host refuses all until the
-// origin is back. It claims no proof by that, and goes on asking the origin.
-func (w *follower) takeStale(ctx context.Context) {
+// takeStaleList lets a host that started during an outage of the origin, and so knows no upstream,
+// copy a peer's list however old it is: without a list the host refuses every request until the
+// origin is back. The copy proves nothing, and the host goes on asking the origin.
+func (w *follower) takeStaleList(ctx context.Context) {
 	now := w.now()
 	if !w.fleet.Revision().IsZero() {
 		return
@@ -387,13 +392,13 @@
 		if !w.followPeer(ctx, peer, staleBounds) || w.fleet.Revision().IsZero() {
 			continue
 		}
-		w.joinConfig(ctx, peer)
-		w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.fleet.Revision(), "stale", true, "origin_age", w.OriginAge(now), "after", now.Sub(w.began))
+		w.catchUpConfig(ctx, peer)
+		w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.fleet.Revision(), "stale", true, "origin_age", w.OriginAge(now), "after", now.Sub(w.startedAt))
 		return
 	}
 }
 
-// pauseUntilFollowable waits, but not on while a peer has regained the origin.
+// pauseUntilFollowable pauses, but ends early when a peer that reaches the origin can be followed.
 func (w *follower) pauseUntilFollowable(ctx context.Context, pause time.Duration) {
 	until := w.now().Add(pause)
 	for ctx.Err() == nil {
@@ -401,40 +406,41 @@
 		if _, found := w.peers.leader(now, true); found || !now.Before(until) {
 			return
 		}
-		PauseFor(ctx, min(until.Sub(now), followableCheck))
+		PauseFor(ctx, min(until.Sub(now), followableCheckInterval))
 	}
 }
 
-// following reports whether a peer gives this host what is new.
-func (f *Forwarder) following(now time.Time) bool {
+// isFollowing reports whether a peer that this host follows has answered within followTimeout.
+func (f *Forwarder) isFollowing(now time.Time) bool {
 	return f.followed.age(now) < followTimeout
 }
 
-// noteList logs what is new on the list and drops what was believed of lives that are
-// over.
-func (f *Forwarder) noteList(news []Change) {
+// handleListChanges drops what is known of earlier lives of upstreams, and logs a restore of the
+// origin and the changes of the list.
+func (f *Forwarder) handleListChanges(changes []Change) {
 	f.resetRestartedUpstreams()
-	f.noteRestore()
-	for _, n := range news {
-		f.journal.Belief("upstream listed", "upstream", n.ID, "service", n.Service, "zone", n.Zone,
-			"leaving", n.Leaving, "gone", n.Gone, "unusable", n.Unusable, "cold", !n.ColdUntil.IsZero(), "revision", n.Revision)
+	f.logRestore()
+	for _, c := range changes {
+		f.journal.Belief("upstream listed", "upstream", c.ID, "service", c.Service, "zone", c.Zone,
+			"leaving", c.Leaving, "gone", c.Gone, "unusable", c.Unusable, "cold", !c.ColdUntil.IsZero(), "revision", c.Revision)
 	}
 }
 
-// proofStep is by how much newer the origin's proof has to become for followers to be told
-// at once: it is renewed each watchWait, and this leaves out what follows closely on that.
-const proofStep = watchWait / 2
+// minProofAdvance is by how much newer the origin's proof has to become for waiting followers to be
+// answered at once. The proof is renewed every watchTimeout; renewals that follow closely on one
+// another are left out.
+const minProofAdvance = watchTimeout / 2
 
-// proveOrigin takes in when the origin proved that this host is up to date.
-func (f *Forwarder) proveOrigin(at time.Time) {
+// recordOriginProof records when the origin proved that this host is up to date.
+func (f *Forwarder) recordOriginProof(provedAt time.Time) {
 	now := f.now()
-	before := f.OriginAge(now)
-	f.originContact.raise(at)
-	if before-f.OriginAge(now) >= proofStep {
+	oldAge := f.OriginAge(now)
+	f.originContact.advance(provedAt)
+	if oldAge-f.OriginAge(now) >= minProofAdvance {
 		f.originProved.wake()
 	}
 }
 
-// OriginAge is how long ago the origin itself last proved that this host is up
-// to date.
+// OriginAge returns how long ago the origin proved that this host is up to date, to this host or to
+// the peer that it follows.
 func (f *Forwarder) OriginAge(now time.Time) time.Duration { return f.originContact.age(now) }
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -20,8 +20,8 @@
 	"github.com/shedpath/shedpath/roster"
 )
 
-// TestLeader has a host follow the first of its zone with a fresh list, and any
-// host when it can't read the list itself.
+// TestLeader checks that a host follows the first host of its zone that has a fresh list, and any
+// host that has one when it can't read the list itself.
 func TestLeader(t *testing.T) {
 	now := time.Now()
 	peer := func(id, zone string, originAge time.Duration, stopping bool) Share {
@@ -54,35 +54,35 @@
 			is.Equal(leader.ID, c.want)
 			is.Equal(found, c.want != "")
 			_, found = p.leader(now.Add(time.Minute), c.needed)
-			is.True(!found) // they went silent
+			is.True(!found) // the peers went silent
 		})
 	}
 }
 
-// failingOrigin has a list that can be read until it is lost.
+// failingOrigin serves a list until failing is set.
 type failingOrigin struct {
-	lost  atomic.Bool
-	reads atomic.Int32
+	failing atomic.Bool
+	reads   atomic.Int32
 }
 
-func (o *failingOrigin) Read(context.Context, history.Era) (News, error) {
+func (o *failingOrigin) Read(context.Context, history.Era) (OriginUpdate, error) {
 	o.reads.Add(1)
-	if o.lost.Load() {
-		return News{}, errGone
+	if o.failing.Load() {
+		return OriginUpdate{}, errGone
 	}
-	return News{Changes: []Change{{Upstream: llmUpstream("llm1", 1, false)}}, At: rev(1)}, nil
+	return OriginUpdate{Changes: []Change{{Upstream: llmUpstream("llm1", 1, false)}}, Revision: rev(1)}, nil
 }
 
-func (o *failingOrigin) Watch(ctx context.Context, after history.Point, _ time.Duration) (News, error) {
+func (o *failingOrigin) Watch(ctx context.Context, after history.Point, _ time.Duration) (OriginUpdate, error) {
 	PauseFor(ctx, 100*time.Millisecond)
-	if o.lost.Load() {
-		return News{}, errGone
+	if o.failing.Load() {
+		return OriginUpdate{}, errGone
 	}
-	return News{At: after}, nil
+	return OriginUpdate{Revision: after}, nil
 }
 
-// TestOfEarlierZone has the host that leads its zone follow the first live host of
-// the first zone before its own.
+// TestOfEarlierZone checks that the leader of a zone follows the first live host of the first zone
+// before its own.
 func TestOfEarlierZone(t *testing.T) {
 	now := time.Now()
 	peer := func(id, zone string, stopping bool) Share {
@@ -116,89 +116,91 @@
 	}
 }
 
-// countingOrigin can always be read, and counts its watches.
+// countingOrigin never fails, and counts its watches.
 type countingOrigin struct{ watches atomic.Int32 }
 
-func (o *countingOrigin) Read(context.Context, history.Era) (News, error) {
-	return News{At: rev(1)}, nil
+func (o *countingOrigin) Read(context.Context, history.Era) (OriginUpdate, error) {
+	return OriginUpdate{Revision: rev(1)}, nil
 }
 
-func (o *countingOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (News, error) {
+func (o *countingOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
 	o.watches.Add(1)
 	PauseFor(ctx, wait)
-	return News{At: after}, nil
+	return OriginUpdate{Revision: after}, nil
 }
 
-// followedPeers plays the peer that is followed.
-type followedPeers struct {
+// fakeFollowedPeer implements Peers for a peer that can only be followed.
+type fakeFollowedPeer struct {
 	silent    atomic.Bool
 	originAge atomic.Int64
 	calls     atomic.Int32
 	changes   []Change
 }
 
-func (p *followedPeers) Share(context.Context, Peer, Share) (Share, error) { return Share{}, errGone }
-func (p *followedPeers) Turn(context.Context, Peer, TurnRequest) error     { return nil }
-func (p *followedPeers) Rollout(context.Context, Peer, rollout.Report) (rollout.Status, error) {
+func (p *fakeFollowedPeer) Share(context.Context, Peer, Share) (Share, error) {
+	return Share{}, errGone
+}
+func (p *fakeFollowedPeer) Turn(context.Context, Peer, TurnRequest) error { return nil }
+func (p *fakeFollowedPeer) Rollout(context.Context, Peer, rollout.Report) (rollout.Status, error) {
 	return rollout.Status{}, errGone
 }
 
-func (p *followedPeers) Permit(context.Context, Peer, permit.Ask) (permit.Reply, error) {
+func (p *fakeFollowedPeer) Permit(context.Context, Peer, permit.Ask) (permit.Reply, error) {
 	return permit.Reply{}, errGone
 }
-func (p *followedPeers) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
-func (p *followedPeers) Ask(context.Context, Peer, PlacementRequest) (PlacementGrant, error) {
+func (p *fakeFollowedPeer) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
+func (p *fakeFollowedPeer) Ask(context.Context, Peer, PlacementRequest) (PlacementGrant, error) {
 	return PlacementGrant{}, errGone
 }
 
-func (p *followedPeers) Config(context.Context, Peer, Version) (ConfigReply, error) {
+func (p *fakeFollowedPeer) Config(context.Context, Peer, Version) (ConfigReply, error) {
 	return ConfigReply{}, errGone
 }
 
-func (p *followedPeers) Follow(ctx context.Context, _ Peer, r FollowRequest) (FollowReply, error) {
+func (p *fakeFollowedPeer) Follow(ctx context.Context, _ Peer, r FollowRequest) (FollowReply, error) {
 	p.calls.Add(1)
 	if p.silent.Load() {
 		<-ctx.Done()
 		return FollowReply{}, ctx.Err()
 	}
 	PauseFor(ctx, r.Wait)
-	return FollowReply{OriginAge: time.Duration(p.originAge.Load()), Hosts: []roster.Announcement{{Entry: Peer{ID: "h7", Zone: "z1"}, Count: 1}}, List: rev(7), Changes: p.changes}, nil
+	return FollowReply{OriginAge: time.Duration(p.originAge.Load()), Announcements: []roster.Announcement{{Entry: Peer{ID: "h7", Zone: "z1"}, Count: 1}}, ListRevision: rev(7), Changes: p.changes}, nil
 }
 
-// TestFollowZone has one host watch the origin for several zones, and a zone turn
-// to the origin itself within a fraction of a second when the host that it follows
-// is silent or has lost the origin.
+// TestFollowZone checks that one host watches the origin for several zones, and that a zone's
+// leader turns to the origin itself within a fraction of a second when the host that it follows is
+// silent or has lost the origin.
 func TestFollowZone(t *testing.T) {
-	for name, fail := range map[string]func(p *followedPeers){
-		"silent":          func(p *followedPeers) { p.silent.Store(true) },
-		"lost the origin": func(p *followedPeers) { p.originAge.Store(int64(time.Minute)) },
+	for name, fail := range map[string]func(p *fakeFollowedPeer){
+		"silent":          func(p *fakeFollowedPeer) { p.silent.Store(true) },
+		"lost the origin": func(p *fakeFollowedPeer) { p.originAge.Store(int64(time.Minute)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newForwarder(t, &fakeTransport{})
-				peers, origin := &followedPeers{}, &countingOrigin{}
+				peers, origin := &fakeFollowedPeer{}, &countingOrigin{}
 				f.peerPort = peers
 				f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z0"}, Epoch: 9, AnnouncementCount: 1})
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Follow(ctx, origin)
 				time.Sleep(2 * time.Second)
-				is.Equal(origin.watches.Load(), int32(0)) // another host watches
-				is.True(f.peers.isKnown("h7"))            // and tells of hosts that it has found
-				// What it has heard of hosts is passed on, once.
-				told := f.OnFollow(ctx, FollowRequest{List: rev(6)})
-				is.Equal(len(told.Hosts), 2)
-				is.Equal(told.Hosts[0].Entry, Peer{ID: "h9", Zone: "z0"})
-				is.Equal(told.Hosts[1].Entry, Peer{ID: "h7", Zone: "z1"})
-				is.Equal(len(f.OnFollow(ctx, FollowRequest{List: rev(6), Hosts: told.HostsAt}).Hosts), 0)
+				is.Equal(origin.watches.Load(), int32(0)) // the followed host watches the origin
+				is.True(f.peers.isKnown("h7"))            // the followed host announces hosts that it has found
+				// What it has learned about hosts is passed on, once.
+				reply := f.OnFollow(ctx, FollowRequest{ListRevision: rev(6)})
+				is.Equal(len(reply.Announcements), 2)
+				is.Equal(reply.Announcements[0].Entry, Peer{ID: "h9", Zone: "z0"})
+				is.Equal(reply.Announcements[1].Entry, Peer{ID: "h7", Zone: "z1"})
+				is.Equal(len(f.OnFollow(ctx, FollowRequest{ListRevision: rev(6), HostCursor: reply.HostCursor}).Announcements), 0)
 				is.True(f.OriginAge(time.Now()) < time.Second)
 				fail(peers)
 				calls := peers.calls.Load()
 				time.Sleep(zoneBounds.timeout + zoneBounds.wait)
 				is.True(origin.watches.Load() > 0)
 				time.Sleep(2 * time.Second)
-				is.True(peers.calls.Load() <= calls+1) // it is left alone for a while
-				is.True(f.OriginAge(time.Now()) < watchWait+time.Second)
+				is.True(peers.calls.Load() <= calls+1) // the other zone is avoided for a while
+				is.True(f.OriginAge(time.Now()) < watchTimeout+time.Second)
 				cancel()
 				synctest.Wait()
 			})
@@ -206,76 +208,76 @@
 	}
 }
 
-// TestFollowAfterCut has a host that was cut off, and so distrusts what is missing
-// from the list, believe the host that it follows when that says an upstream is gone.
+// TestFollowAfterCut guards against a host that keeps an upstream which is gone. After a cut the
+// host distrusts what is missing from the list, but has to accept it from the peer that it follows.
 func TestFollowAfterCut(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
-	f.peerPort = &followedPeers{changes: []Change{{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}}}
+	f.peerPort = &fakeFollowedPeer{changes: []Change{{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}}}
 	f.fleet.ListRegained(time.Now(), 10*time.Second)
 	is.True(f.followPeer(t.Context(), Peer{ID: "h0"}, zoneBounds))
 	select {
 	case <-f.fleet.LeavingStarted("llm1"):
 	default:
-		t.Error("llm1 is gone")
+		t.Error("llm1 should be leaving, because the followed peer reports that it is gone")
 	}
 	changes, _, _ := f.fleet.ChangesSince(rev(4))
-	is.Equal(len(changes), 1) // and those that follow this host are told
+	is.Equal(len(changes), 1) // the followers of this host learn of it
 }
 
-// TestFollowNeeded has a host that can't have the origin be up to date by a peer,
-// but not be one that others follow: they would follow each other.
+// TestFollowNeeded checks that a host that can't reach the origin is kept up to date by a peer, but
+// can't be followed itself: two such hosts would follow each other.
 func TestFollowNeeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &fakeTransport{})
-		f.peerPort = &followedPeers{}
+		f.peerPort = &fakeFollowedPeer{}
 		ctx, cancel := context.WithCancel(t.Context())
 		origin := &failingOrigin{}
 		go f.Follow(ctx, origin)
 		synctest.Wait()
-		origin.lost.Store(true)
+		origin.failing.Store(true)
 		f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z1"}})
 		time.Sleep(2 * time.Second)
 		is.True(f.listKnown(time.Now()))
-		is.True(f.OriginAge(time.Now()) > originFresh)
+		is.True(f.OriginAge(time.Now()) > maxOriginProofAge)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestOriginDown has many hosts that find the origin down ask it seldom, and one
-// that regains it be followed well before the next try.
+// TestOriginDown checks that many hosts seldom ask an origin that is down, and that a host which
+// reaches it again is followed well before the next attempt.
 func TestOriginDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &fakeTransport{})
-		peers := &followedPeers{}
+		peers := &fakeFollowedPeer{}
 		peers.originAge.Store(int64(time.Minute))
 		f.peerPort = peers
 		ctx, cancel := context.WithCancel(t.Context())
 		origin := &failingOrigin{}
-		origin.lost.Store(true)
-		hear := func(originAge time.Duration) {
+		origin.failing.Store(true)
+		receiveShares := func(originAge time.Duration) {
 			for n := range 20 {
 				f.peers.recordShare(time.Now(), Share{From: Peer{ID: member.HostID(fmt.Sprint("h", 10+n)), Zone: "z1"}, OriginAge: originAge})
 			}
 		}
-		hear(time.Minute)
+		receiveShares(time.Minute)
 		go f.Follow(ctx, origin)
 		for range 60 {
 			time.Sleep(500 * time.Millisecond)
-			hear(time.Minute)
+			receiveShares(time.Minute)
 		}
 		is.True(origin.reads.Load() <= 17) // in 30 s; a host that is alone asks at least 25 times
 		peers.originAge.Store(0)
 		before := origin.reads.Load()
 		for range 5 {
-			hear(0)
+			receiveShares(0)
 			time.Sleep(500 * time.Millisecond)
 		}
 		is.True(f.listKnown(time.Now()))
-		is.True(origin.reads.Load() <= before+1) // the one that was about to come
+		is.True(origin.reads.Load() <= before+1) // only the attempt that was already due
 		cancel()
 		synctest.Wait()
 	})
--- a/forward/incarnation_test.go
+++ b/forward/incarnation_test.go
@@ -32,7 +32,7 @@
 	type step = func(f *Forwarder, now time.Time)
 	apply := func(changes ...Change) step {
 		return func(f *Forwarder, now time.Time) {
-			f.noteList(f.fleet.Apply(now, changes, changes[len(changes)-1].Revision))
+			f.handleListChanges(f.fleet.Apply(now, changes, changes[len(changes)-1].Revision))
 		}
 	}
 	receive := func(s Share) step {
@@ -94,7 +94,7 @@
 	for _, id := range []member.UpstreamID{"llm2", "llm3"} {
 		f.fleet.MarkLeaving(now, id, 0, true)
 	}
-	f.noteList(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 100, 2, false)}, rev(2)))
+	f.handleListChanges(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 100, 2, false)}, rev(2)))
 	f.listEngines(now, f.Table())
 	place := func(run policy.RunID) (Upstream, *ownRun, policy.Decision) {
 		r := policy.Request{Run: run, Prompt: 15000, Arrived: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
@@ -108,7 +108,7 @@
 	f.engines.adopt(now, "h2", peerRuns, nil)
 	_, _, d = place("full")
 	is.Equal(d.Verdict, policy.Refused) // no room beside the other two
-	f.noteList(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 200, 3, false)}, rev(3)))
+	f.handleListChanges(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 200, 3, false)}, rev(3)))
 	f.listEngines(now, f.Table())
 	f.engines.adopt(now, "h2", peerRuns, nil) // the peer does not know of the restart yet
 	for _, id := range []policy.RunID{"new1", "new2"} {
@@ -147,7 +147,7 @@
 			old = append(old, incarnationEntry(id, 100, 2, false))
 			restarted = append(restarted, incarnationEntry(id, 200, 3, false))
 		}
-		f.noteList(f.fleet.Apply(now, old, rev(2)))
+		f.handleListChanges(f.fleet.Apply(now, old, rev(2)))
 		f.listEngines(now, f.Table())
 		sink := &fakeSink{}
 		served := make(chan struct{})
@@ -156,7 +156,7 @@
 			f.Serve(t.Context(), call("/llm/"), sink)
 		}()
 		time.Sleep(time.Second)
-		f.noteList(f.fleet.Apply(time.Now(), restarted, rev(3)))
+		f.handleListChanges(f.fleet.Apply(time.Now(), restarted, rev(3)))
 		began := time.Now()
 		<-served
 		is.Equal(time.Since(began), time.Duration(0))
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -28,7 +28,7 @@
 		for _, f := range s.hosts {
 			is.Equal(f.versionInForce(), Version(1))
 			is.Equal(f.peers.liveHostsInZone(time.Now()), perZone)
-			is.True(f.ContactAge(time.Now()) <= originFresh)
+			is.True(f.ContactAge(time.Now()) <= maxOriginProofAge)
 			is.Equal(len(f.fleet.Available(time.Now(), "llm")), 2)
 		}
 		is.True(s.origin.reads.Load() <= 6) // the three seed hosts, and those that found them too late
@@ -39,7 +39,7 @@
 				listed++
 			}
 		}
-		is.Equal(listed, zones*listedPerZone)
+		is.Equal(listed, zones*directoryHostsPerZone)
 		is.True(s.origin.watches.Load() < zones*perZone) // only one host watches, one second per watch, once all hosts know each other
 		cancel()
 		synctest.Wait()
@@ -73,7 +73,7 @@
 		time.Sleep(5 * time.Second)
 		is.Equal(s.origin.reads.Load(), reads) // the host has everything up to a revision, so it only watches
 		is.True(s.origin.watches.Load() > watches)
-		is.True(joiner.OriginAge(time.Now()) <= originFresh)
+		is.True(joiner.OriginAge(time.Now()) <= maxOriginProofAge)
 		cancel()
 		synctest.Wait()
 	})
@@ -86,8 +86,8 @@
 		host  string
 		after time.Duration
 	}{
-		"restarted":                   {false, "10.2.0.3:1", joinWait},
-		"first start":                 {true, "10.2.0.3:1", firstJoinWait},
+		"restarted":                   {false, "10.2.0.3:1", defaultJoinTimeout},
+		"first start":                 {true, "10.2.0.3:1", firstStartJoinTimeout},
 		"first start, others join it": {true, "10.2.0.1:1", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 					time.Sleep(c.after - time.Millisecond)
 					is.True(!f.Ready())
 				}
-				time.Sleep(joinCheck + time.Millisecond)
+				time.Sleep(joinCheckInterval + time.Millisecond)
 				is.True(f.Ready())
 				cancel()
 				synctest.Wait()
@@ -135,7 +135,7 @@
 				t.Log("list not known at host", f.peers.self, "origin age", f.OriginAge(time.Now()), "last followed", f.followed.age(time.Now()), "contact age", f.ContactAge(time.Now()))
 			}
 			is.True(f.listKnown(time.Now()))
-			is.True(f.ContactAge(time.Now()) <= originFresh+time.Second)
+			is.True(f.ContactAge(time.Now()) <= maxOriginProofAge+time.Second)
 		}
 		cancel()
 		synctest.Wait()
@@ -148,16 +148,16 @@
 	is := is.New(t)
 	now := time.Now()
 	f := New(Settings{Self: Peer{ID: "h5", Zone: "z1"}}, &fakeTransport{}, silentJournal{}, silentObserver{})
-	is.True(f.peers.firstOfZone(now, listedPerZone)) // it knows no other host
+	is.True(f.peers.isAmongFirstOfZone(now, directoryHostsPerZone)) // it knows no other host
 	for _, id := range []member.HostID{"h1", "h2", "h3"} {
 		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z1"}})
 	}
 	f.peers.recordShare(now, Share{From: Peer{ID: "a", Zone: "z2"}})
-	is.True(!f.peers.firstOfZone(now, listedPerZone))
+	is.True(!f.peers.isAmongFirstOfZone(now, directoryHostsPerZone))
 	f.peers.recordShare(now, Share{From: Peer{ID: "h1", Zone: "z1"}, Stopping: true})
 	f.peers.recordShare(now, Share{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true})
-	is.True(f.peers.firstOfZone(now, listedPerZone))
-	is.True(f.peers.firstOfZone(now.Add(sameCellSilenceTimeout+time.Second), listedPerZone)) // the others went silent
+	is.True(f.peers.isAmongFirstOfZone(now, directoryHostsPerZone))
+	is.True(f.peers.isAmongFirstOfZone(now.Add(sameCellSilenceTimeout+time.Second), directoryHostsPerZone)) // the others went silent
 }
 
 // TestGoneHostsAreForgotten checks that all hosts forget a host that died. It guards against hosts that
@@ -206,10 +206,10 @@
 	is.True(!whole)
 	changes, at, whole := leader.ChangesSince(rev(3))
 	is.True(whole)
-	follower.TakeOver(now, changes, at)
+	follower.ReplaceFromPeer(now, changes, at)
 	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"a": true})
 	is.Equal(follower.Missing(), []member.UpstreamID{"b"}) // the entry of b may only have expired during an outage
-	follower.Settle(now.Add(listSettles + time.Second))
+	follower.Settle(now.Add(listSettleTime + time.Second))
 	<-follower.LeavingStarted("b")
 	is.Equal(follower.Revision(), rev(5))
 
@@ -302,17 +302,17 @@
 		time.Sleep(10 * time.Second)
 		is.True(!joiner.Ready()) // it knows nothing
 		s.start(ctx, joiner)
-		time.Sleep(joinWait + 100*time.Millisecond)
+		time.Sleep(defaultJoinTimeout + 100*time.Millisecond)
 		is.True(joiner.Ready())
 		is.Equal(joiner.versionInForce(), Version(1))
 		is.Equal(availableIDs(joiner.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
-		is.True(joiner.OriginAge(time.Now()) > originFresh)
+		is.True(joiner.OriginAge(time.Now()) > maxOriginProofAge)
 		is.True(!joiner.listKnown(time.Now()))
 		s.origin.lost.Store(false)
 		s.origin.order(backInService("z1", 22))
 		time.Sleep(6 * time.Second)
 		is.Equal(availableIDs(joiner.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
-		is.True(joiner.OriginAge(time.Now()) <= originFresh)
+		is.True(joiner.OriginAge(time.Now()) <= maxOriginProofAge)
 		cancel()
 		synctest.Wait()
 	})
--- a/forward/neighbours.go
+++ b/forward/neighbours.go
@@ -193,7 +193,7 @@
 			s = p.add(h)
 			s.lastSeen = now.Add(-sameCellSilenceTimeout)
 		}
-		if !s.stopping && !s.distrusted && s.originAge <= originFresh {
+		if !s.stopping && !s.distrusted && s.originAge <= maxOriginProofAge {
 			return s.Peer, true
 		}
 	}
@@ -285,10 +285,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if cursor.Epoch != p.epoch {
-		cursor.Found = 0
+		cursor.Position = 0
 	}
-	announcements, upTo := p.roster.Since(now, cursor.Found, to, maxAnnouncementsPerMessage)
-	return announcements, HostCursor{Epoch: p.epoch, Found: upTo}
+	announcements, upTo := p.roster.Since(now, cursor.Position, to, maxAnnouncementsPerMessage)
+	return announcements, HostCursor{Epoch: p.epoch, Position: upTo}
 }
 
 // announcementsForJoiner returns announcements for a host that has just started: the next batch
--- a/forward/peerdiscovery.go
+++ b/forward/peerdiscovery.go
@@ -60,6 +60,6 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
-		s.rosterCursor, s.lastSeen, s.originAge = r.HostsAt, now, r.OriginAge
+		s.rosterCursor, s.lastSeen, s.originAge = r.HostCursor, now, r.OriginAge
 	}
 }
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -242,7 +242,7 @@
 	now := f.now()
 	if s.ConfigAge < 0 || s.OriginAge < 0 {
 		f.journal.Belief("peer told an age below zero", "peer", s.From.ID, "config_age", s.ConfigAge, "origin_age", s.OriginAge)
-		s.ConfigAge, s.OriginAge = neverProved, neverProved
+		s.ConfigAge, s.OriginAge = noProofAge, noProofAge
 	}
 	f.logZoneChanges(f.fleet.ReceiveZoneOrders(now, s.Zones))
 	for _, mark := range s.Leaving {
@@ -274,7 +274,7 @@
 	if version := f.versionInForce(); s.Version == version && version > 0 {
 		f.ContactProved(now.Add(-s.ConfigAge))
 	}
-	f.offerConfig(s.From, s.Version)
+	f.handleConfigOffer(s.From, s.Version)
 }
 
 // ageWithDelay returns an age that a peer reported plus the delay that its message may have had. A
--- a/forward/peerselection.go
+++ b/forward/peerselection.go
@@ -25,10 +25,10 @@
 	}
 	var best *peerState
 	for _, s := range p.known {
-		if !s.live(now) || s.stopping || s.sameCell && s.originAge+now.Sub(s.lastSeen) > originFresh+shareInterval {
+		if !s.live(now) || s.stopping || s.sameCell && s.originAge+now.Sub(s.lastSeen) > maxOriginProofAge+shareInterval {
 			continue
 		}
-		if s.originAge > originFresh {
+		if s.originAge > maxOriginProofAge {
 			continue
 		}
 		if !mustFollow && (s.Zone != p.self.Zone || s.ID > p.self.ID) {
@@ -93,7 +93,7 @@
 	var near, far []Peer
 	for _, s := range p.known {
 		switch {
-		case s.foundNumber == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.lastSeen) > originFresh:
+		case s.foundNumber == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.lastSeen) > maxOriginProofAge:
 		case s.Zone == p.self.Zone:
 			near = append(near, s.Peer)
 		default:
--- a/forward/remoteplacement.go
+++ b/forward/remoteplacement.go
@@ -109,7 +109,7 @@
 // requestPlacement asks one host of each zone in turn until one grants a place.
 // anyUnreachable reports whether some zone had no live host or its host didn't reply.
 func (f *Forwarder) requestPlacement(ctx context.Context, zones []member.Zone, service ServiceName, r policy.Request) (grant PlacementGrant, found, anyUnreachable bool) {
-	peers := f.port()
+	peers := f.loadPeerPort()
 	for _, zone := range zones {
 		now := f.now()
 		peer, found := f.peers.randomPeerOutsideCell(now, zone)
--- a/forward/remoteplacement_test.go
+++ b/forward/remoteplacement_test.go
@@ -17,7 +17,7 @@
 
 // remoteZonePeer is the interface of one host to a single host of another zone.
 type remoteZonePeer struct {
-	followedPeers
+	fakeFollowedPeer
 	remote *Forwarder
 	// dropReplies has answers not arrive, dropRequests requests neither.
 	dropReplies, dropRequests bool
--- a/forward/restore.go
+++ b/forward/restore.go
@@ -9,69 +9,70 @@
 	"github.com/shedpath/shedpath/history"
 )
 
-// A restored origin lacks what it acknowledged after the copy was made. What was written since the
-// restore is authoritative; otherwise what this host knew stands for a while, in which upstreams
-// and operators write it again.
+// A restored origin lacks what it acknowledged after the backup was made. What was written since the
+// restore is authoritative; otherwise what this host knew stays valid for a grace period, in which
+// upstreams and operators write it again.
 
 const (
-	// relistWithin is how long after a restore the list may lack upstreams that live.
-	relistWithin = listSettles
-	// lapseWithin is how long after a restore the list may have upstreams that have ended:
-	// their entries lapse after three heartbeats of 1.2 s.
-	lapseWithin = 5 * time.Second
-	// reorderWithin is how long an order about a zone that the copy lacks, or has and was taken
-	// back, is kept as it was known unless it is given again.
-	reorderWithin = 30 * time.Second
+	// relistGrace is how long after a restore the list may lack living upstreams.
+	relistGrace = listSettleTime
+	// entryLapseGrace is how long after a restore the list may contain upstreams that have ended:
+	// their entries expire after three missed heartbeats of 1.2 s.
+	entryLapseGrace = 5 * time.Second
+	// zoneOrderGrace is how long after a restore a zone's order stays as it was known, unless it is
+	// given again, when the backup lacks the order or contains one that was withdrawn.
+	zoneOrderGrace = 30 * time.Second
 )
 
-// restoreCounts are what came of a restore.
-type restoreCounts struct {
+// restoreStats counts the differences between a restored list and what this host knew.
+type restoreStats struct {
 	from, to history.Point
-	// leaving are the upstreams that leave though the copy doesn't say so, unlisted those that
-	// it lacks, ended those that it has although they were gone, and zones the zones whose
-	// orders it tells otherwise.
-	leaving, unlisted, ended, zones int
+	// stillLeaving counts the upstreams that leave although the backup doesn't say so, notListed
+	// those that it lacks, listedButEnded those that it contains although they have ended, and
+	// zoneOrdersKept the zones whose orders differ in it.
+	stillLeaving, notListed, listedButEnded, zoneOrdersKept int
 }
 
-// enterEra takes in that the origin is at a point, whose era was first seen at another some time
-// ago. It is to be called before any change that was read there is applied.
-func (f *Fleet) enterEra(now time.Time, at, first history.Point, ago time.Duration) {
+// enterEra records that the origin is at a point whose era was first seen at another point some
+// time ago. It must be called before any change that was read there is applied.
+func (f *Fleet) enterEra(now time.Time, at, firstSeen history.Point, firstSeenAgo time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.restore.Observe(first)
+	f.restore.Observe(firstSeen)
 	if !f.revision.IsZero() && at.Era() <= f.revision.Era() {
 		return
 	}
-	f.eraFirstSeen = now.Add(-max(ago, 0))
+	f.eraFirstSeen = now.Add(-max(firstSeenAgo, 0))
 	if f.revision.IsZero() {
 		return
 	}
-	f.restoreStats = &restoreCounts{from: f.revision, to: at}
+	f.restoreStats = &restoreStats{from: f.revision, to: at}
 	f.notify(true)
 }
 
-// OriginEra is the origin's era as this host knows it.
+// OriginEra returns the origin's era as this host knows it.
 func (f *Forwarder) OriginEra() history.Era { return f.fleet.Revision().Era() }
 
-// PeersInOtherEra counts the other hosts, heard lately, that know another era.
+// PeersInOtherEra counts the live peers that know another era.
 func (f *Forwarder) PeersInOtherEra() int {
 	now, era := f.now(), f.OriginEra()
 	return f.peers.count(func(s *peerState) bool { return s.live(now) && s.listRevision.Era() != era })
 }
 
-// ofEarlierEra reports whether something was known before the era of what is read now.
-func ofEarlierEra(known, read history.Point) bool { return known.Era() < read.Era() }
+// isFromEarlierEra reports whether something was known before the era of what is read now.
+func isFromEarlierEra(known, read history.Point) bool { return known.Era() < read.Era() }
 
-// reconcile takes in what a list says that may be older than what is known of the upstream.
+// reconcile handles a listed change that may be older than what is known of the upstream. It
+// reports whether the change made a difference.
 func (f *Fleet) reconcile(now time.Time, k *knownUpstream, c Change) bool {
-	restored := ofEarlierEra(k.Revision, c.Revision)
+	knownBeforeRestore := isFromEarlierEra(k.Revision, c.Revision)
 	switch {
-	case restored && c.Gone:
-		// Whoever tells so has waited for it to be listed again.
+	case knownBeforeRestore && c.Gone:
+		// The sender has already waited for the upstream to be listed again.
 		return f.applyNewest(now, k, c)
-	case restored && c.Missing:
+	case knownBeforeRestore && c.Missing:
 		if !k.confirmEnded(c.Revision) {
-			f.unlist(now, k, c.Revision)
+			f.markUnlisted(now, k, c.Revision)
 		}
 		return false
 	case k.Revision.SameEra(c.Revision), c.Gone, c.Missing, c.Unusable:
@@ -79,39 +80,39 @@
 	}
 	sameLife := c.Incarnation == 0 || k.Incarnation == 0 || c.Incarnation == k.Incarnation
 	if c.Leaving && sameLife && !k.Leaving {
-		// Nothing takes that back in one life, so it holds in whatever order it is heard.
+		// Leaving is final within one life, so it holds in whatever order the changes arrive.
 		k.leavingDeclared = true
 		k.startLeaving(now, SourceList)
-		if restored {
+		if knownBeforeRestore {
 			k.Revision = c.Revision
 		} else {
 			f.tellPeers(k, now.Add(saidShared))
 		}
 		return true
 	}
-	if !restored {
+	if !knownBeforeRestore {
 		return false
 	}
 	switch {
 	case c.Incarnation.newerThan(k.Incarnation):
 		return f.applyNewest(now, k, c)
 	case k.gone && k.pendingChange == nil:
-		c.BelievedFrom = f.eraFirstSeen.Add(lapseWithin)
+		c.BelievedFrom = f.eraFirstSeen.Add(entryLapseGrace)
 		k.pendingChange = &c
-		f.restoreStats.count(func(r *restoreCounts) { r.ended++ })
+		f.restoreStats.update(func(r *restoreStats) { r.listedButEnded++ })
 	case k.missing:
 		return f.applyNewest(now, k, c)
 	case k.leavingDeclared && !c.Leaving:
 		f.tellPeers(k, now.Add(saidShared))
-		f.restoreStats.count(func(r *restoreCounts) { r.leaving++ })
+		f.restoreStats.update(func(r *restoreStats) { r.stillLeaving++ })
 	case !k.gone:
 		k.Revision = c.Revision
 	}
 	return false
 }
 
-// deferRelisting takes in an entry of the copy that a peer doesn't believe yet, for it knew the
-// upstream to have ended. A host that has only the copy's word doesn't believe it, either.
+// deferRelisting handles an entry of the backup that a peer doesn't accept yet because it knew the
+// upstream to have ended. A host that knows only the backup's entry doesn't accept it, either.
 func (f *Fleet) deferRelisting(now time.Time, k *knownUpstream, c Change) bool {
 	switch {
 	case k.gone:
@@ -126,22 +127,23 @@
 	return true
 }
 
-// unlist takes in that a list of a new era lacks an upstream. It reports false for one that was
-// known in that era already.
-func (f *Fleet) unlist(now time.Time, k *knownUpstream, at history.Point) bool {
-	if k.gone || !ofEarlierEra(k.Revision, at) {
+// markUnlisted records that a list of a new era lacks an upstream. It reports false if the upstream
+// has ended or is known in that era already.
+func (f *Fleet) markUnlisted(now time.Time, k *knownUpstream, at history.Point) bool {
+	if k.gone || !isFromEarlierEra(k.Revision, at) {
 		return false
 	}
 	k.Revision, k.missing, k.missingSinceRestore = at, true, true
-	f.restoreStats.count(func(r *restoreCounts) { r.unlisted++ })
+	f.restoreStats.update(func(r *restoreStats) { r.notListed++ })
 	if k.leavingDeclared {
 		f.tellPeers(k, now.Add(saidShared))
 	}
 	return true
 }
 
-// confirmEnded takes in that a list lacks an upstream, and reports whether it is known to have
-// ended. Those who follow this host are told, if they may hold the copy's entry.
+// confirmEnded handles a list that lacks an upstream, and reports whether the upstream is known to
+// have ended. A pending entry of the backup is dropped, and the revision rises so that followers
+// which may hold that entry are told.
 func (k *knownUpstream) confirmEnded(at history.Point) bool {
 	if k.pendingChange != nil {
 		k.pendingChange, k.Revision = nil, at
@@ -151,29 +153,29 @@
 
 // mayBeRelisted reports whether an upstream that a restored list lacks may still be written again.
 func (f *Fleet) mayBeRelisted(now time.Time, k *knownUpstream) bool {
-	return k.missingSinceRestore && now.Before(f.eraFirstSeen.Add(relistWithin))
+	return k.missingSinceRestore && now.Before(f.eraFirstSeen.Add(relistGrace))
 }
 
-// deferOrder keeps a zone's order as it was known before a restore, until what the copy has is
-// believed.
-func (f *Fleet) deferOrder(o ZoneOrder) {
+// deferZoneOrder keeps a zone's order as it was known before a restore, until the order of the
+// backup is accepted.
+func (f *Fleet) deferZoneOrder(o ZoneOrder) {
 	known := f.zones[o.Zone]
-	o.BelievedFrom = f.eraFirstSeen.Add(reorderWithin)
+	o.BelievedFrom = f.eraFirstSeen.Add(zoneOrderGrace)
 	if known.pending != nil {
 		o.BelievedFrom = known.pending.BelievedFrom
 	} else {
-		f.restoreStats.count(func(r *restoreCounts) { r.zones++ })
+		f.restoreStats.update(func(r *restoreStats) { r.zoneOrdersKept++ })
 	}
 	known.pending = &o
 	f.setZoneState(known)
 }
 
-// SettleZones believes what a restored list has said of zones for long enough. It returns the
-// orders that made a difference.
-func (f *Fleet) SettleZones(now time.Time) []ZoneOrder {
+// SettleZoneOrders accepts the zone orders of a restored list whose grace period is over. It
+// returns the orders that made a difference.
+func (f *Fleet) SettleZoneOrders(now time.Time) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var news []ZoneOrder
+	var changed []ZoneOrder
 	for zone, known := range f.zones {
 		if known.pending == nil || now.Before(known.pending.BelievedFrom) {
 			continue
@@ -182,22 +184,23 @@
 		o.BelievedFrom = time.Time{}
 		f.zones[zone] = zoneState{ZoneOrder: o, learnedAt: now}
 		if known.OutOfService != o.OutOfService {
-			news = append(news, o)
+			changed = append(changed, o)
 		}
 	}
-	f.notify(len(news) > 0)
-	return news
+	f.notify(len(changed) > 0)
+	return changed
 }
 
-// count adds to what came of a restore; there is none for a list of an era that is known.
-func (r *restoreCounts) count(add func(*restoreCounts)) {
+// update changes the counts of a restore. It does nothing on nil, which stands for a list without a
+// restore.
+func (r *restoreStats) update(change func(*restoreStats)) {
 	if r != nil {
-		add(r)
+		change(r)
 	}
 }
 
-// takeRestored returns what came of a restore since the last call; nil when there was none.
-func (f *Fleet) takeRestored() *restoreCounts {
+// takeRestoreStats returns the counts of a restore since the last call; nil if there was none.
+func (f *Fleet) takeRestoreStats() *restoreStats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := f.restoreStats
@@ -205,13 +208,13 @@
 	return r
 }
 
-// noteRestore logs that the origin was restored.
-func (f *Forwarder) noteRestore() {
-	r := f.fleet.takeRestored()
+// logRestore logs that the origin was restored, and has the held requests saved again.
+func (f *Forwarder) logRestore() {
+	r := f.fleet.takeRestoreStats()
 	if r == nil {
 		return
 	}
-	f.journal.Belief("origin restored from a copy", "from", r.from, "to", r.to, "still_leaving", r.leaving,
-		"not_listed", r.unlisted, "listed_but_ended", r.ended, "zone_orders_kept", r.zones)
-	f.rekeepHeld(f.now())
+	f.journal.Belief("origin restored from a copy", "from", r.from, "to", r.to, "still_leaving", r.stillLeaving,
+		"not_listed", r.notListed, "listed_but_ended", r.listedButEnded, "zone_orders_kept", r.zoneOrdersKept)
+	f.queueHeldAgain(f.now())
 }
--- a/forward/restore_test.go
+++ b/forward/restore_test.go
@@ -12,7 +12,9 @@
 	"github.com/shedpath/shedpath/history"
 )
 
-// TestUpstreamOfLongDrainComesBack: one that had left for long before it ended is remembered as ended.
+// TestUpstreamOfLongDrainComesBack guards against work for an upstream that has ended. It drained
+// for longer than ended upstreams are remembered, and the list is restored from a backup that still
+// contains it.
 func TestUpstreamOfLongDrainComesBack(t *testing.T) {
 	is := is.New(t)
 	var f Fleet
@@ -25,17 +27,18 @@
 	restored := history.At(1, 4)
 	copied := llmUpstream("app4", 0, false)
 	copied.Revision = history.At(1, 3)
-	f.TakeNews(now.Add(2*time.Second), News{Changes: []Change{{Upstream: copied}}, At: restored}, true)
+	f.ApplyUpdate(now.Add(2*time.Second), OriginUpdate{Changes: []Change{{Upstream: copied}}, Revision: restored}, true)
 	is.Equal(len(f.Available(now.Add(2*time.Second), copied.Service)), 0)
 }
 
-// TestProofBeforeANewerConfigurationIsLost: a configuration was the newest until a newer one was offered.
+// TestProofBeforeANewerConfigurationIsLost checks that a configuration counts as proved up to the
+// time when a newer one was first offered.
 func TestProofBeforeANewerConfigurationIsLost(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	now := f.now().Add(time.Minute)
-	f.offers.raise(now, 2)
-	f.offers.raise(now.Add(time.Second), 3)
+	f.offers.record(now, 2)
+	f.offers.record(now.Add(time.Second), 3)
 	f.ContactProved(now.Add(-time.Second))
 	is.Equal(f.ContactAge(now), time.Second)
 	f.ContactProved(now)
--- a/forward/send.go
+++ b/forward/send.go
@@ -171,7 +171,7 @@
 	v := eligibility.Judge(f.eligibilityState(sent, u), eligibility.Probe)
 	if v.OK() {
 		// If permits are scarce, requests go before health checks.
-		v = f.permitVerdict(ctx, permitRequest{service: s, upstream: u, rank: int(MostPatient), repeat: true})
+		v = f.permitVerdict(ctx, permitRequest{service: s, upstream: u, rank: int(LeastUrgent), repeat: true})
 	}
 	if !v.OK() {
 		f.observer.Send(v)
--- a/forward/storerejects_test.go
+++ b/forward/storerejects_test.go
@@ -49,21 +49,21 @@
 	return errHostRejected
 }
 
-func (o rejectingOrigin) Read(ctx context.Context, known history.Era) (News, error) {
+func (o rejectingOrigin) Read(ctx context.Context, known history.Era) (OriginUpdate, error) {
 	if o.rejects() {
-		return News{}, o.reject(ctx, readHangTimeout)
+		return OriginUpdate{}, o.reject(ctx, readHangTimeout)
 	}
 	return o.siteOrigin.Read(ctx, known)
 }
 
-func (o rejectingOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (News, error) {
+func (o rejectingOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
 	if o.rejects() {
-		return News{}, o.reject(ctx, wait+watchHangMargin)
+		return OriginUpdate{}, o.reject(ctx, wait+watchHangMargin)
 	}
 	news, err := o.siteOrigin.Watch(ctx, after, wait)
 	if o.rejects() {
 		// The host was rejected while the watch waited, and the answer is lost.
-		return News{}, o.reject(ctx, watchHangMargin)
+		return OriginUpdate{}, o.reject(ctx, watchHangMargin)
 	}
 	return news, err
 }
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -52,8 +52,8 @@
 		} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
 				withSuspendableHost(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
-					f.followed.raise(f.now())
-					f.listSuspect.raise(f.now())
+					f.followed.advance(f.now())
+					f.listSuspect.advance(f.now())
 					s.Suspend(slept)
 					is.Equal(age(f), slept)
 				})
@@ -114,7 +114,7 @@
 				func(f *Forwarder) bool { return f.peers.liveHosts(f.now()) == 2 }, otherCellSilenceTimeout,
 			},
 			"the list is up to date": {
-				func(f *Forwarder) { f.originContact.raise(f.now()) },
+				func(f *Forwarder) { f.originContact.advance(f.now()) },
 				func(f *Forwarder) bool { return f.listKnown(f.now()) }, listLate,
 			},
 			"the budget is spent": {
@@ -183,10 +183,10 @@
 			},
 			"an answer of a leader": func(f *Forwarder, s *clocktest.Machine) {
 				f.peerPort = suspendingPeers{machine: s, duration: slept}
-				f.followPeer(context.Background(), Peer{ID: "h2", Zone: "z1"}, followBounds{timeout: time.Second, fresh: time.Hour, inherit: true})
+				f.followPeer(context.Background(), Peer{ID: "h2", Zone: "z1"}, followBounds{timeout: time.Second, maxOriginAge: time.Hour, inheritProof: true})
 			},
 			"a watch of the origin": func(f *Forwarder, s *clocktest.Machine) {
-				w := &follower{Forwarder: f, from: suspendingOrigin{machine: s, duration: slept}, dep: dependency{name: "store", journal: f.journal, now: f.now}, began: f.now()}
+				w := &follower{Forwarder: f, origin: suspendingOrigin{machine: s, duration: slept}, originStatus: dependencyStatus{name: "store", journal: f.journal, now: f.now}, startedAt: f.now()}
 				w.followOrigin(context.Background())
 			},
 		} {
@@ -218,7 +218,7 @@
 
 func (p suspendingPeers) Follow(context.Context, Peer, FollowRequest) (FollowReply, error) {
 	p.machine.Suspend(p.duration)
-	return FollowReply{Version: 1, List: rev(1)}, nil
+	return FollowReply{Version: 1, ListRevision: rev(1)}, nil
 }
 
 // suspendingOrigin answers a watch while the machine of the calling host is suspended.
@@ -228,9 +228,9 @@
 	duration time.Duration
 }
 
-func (o suspendingOrigin) Watch(context.Context, history.Point, time.Duration) (News, error) {
+func (o suspendingOrigin) Watch(context.Context, history.Point, time.Duration) (OriginUpdate, error) {
 	o.machine.Suspend(o.duration)
-	return News{At: rev(1)}, nil
+	return OriginUpdate{Revision: rev(1)}, nil
 }
 
 // TestRequestQueuedDuringSuspension checks a request that is read just after the machine has resumed: it
--- a/forward/zones.go
+++ b/forward/zones.go
@@ -76,8 +76,8 @@
 			if at.After(known.Revision) {
 				f.setZoneState(zoneState{ZoneOrder: restored, learnedAt: known.learnedAt})
 			}
-		case ofEarlierEra(known.Revision, at):
-			f.deferOrder(restored)
+		case isFromEarlierEra(known.Revision, at):
+			f.deferZoneOrder(restored)
 		case f.applyZoneOrder(now, restored):
 			changed = append(changed, restored)
 		}
@@ -95,8 +95,8 @@
 	orders := r.Zones
 	for zone, known := range f.zones {
 		listed := slices.ContainsFunc(r.Zones, func(o ZoneOrder) bool { return o.Zone == zone })
-		if known.OutOfService && !listed && known.Revision.After(f.revision) && known.Revision.Before(r.List) {
-			orders = append(orders, ZoneOrder{Zone: zone, Revision: r.List})
+		if known.OutOfService && !listed && known.Revision.After(f.revision) && known.Revision.Before(r.ListRevision) {
+			orders = append(orders, ZoneOrder{Zone: zone, Revision: r.ListRevision})
 		}
 	}
 	return orders
@@ -130,16 +130,16 @@
 		return false
 	case known.pending != nil && !o.Revision.After(known.pending.Revision):
 		return false
-	case !o.BelievedFrom.IsZero() && (!any || ofEarlierEra(known.Revision, o.Revision) && known.OutOfService != o.OutOfService):
+	case !o.BelievedFrom.IsZero() && (!any || isFromEarlierEra(known.Revision, o.Revision) && known.OutOfService != o.OutOfService):
 		wasOut := known.OutOfService
 		known.Zone, known.OutOfService, known.pending = o.Zone, !o.OutOfService, &o
 		f.setZoneState(known)
 		return wasOut != known.OutOfService
 	case any && !f.restore.Supersedes(o.Revision, known.Revision):
 		switch {
-		case !ofEarlierEra(known.Revision, o.Revision):
+		case !isFromEarlierEra(known.Revision, o.Revision):
 		case o.OutOfService != known.OutOfService:
-			f.deferOrder(o)
+			f.deferZoneOrder(o)
 		default:
 			f.setZoneState(zoneState{ZoneOrder: o, learnedAt: known.learnedAt})
 		}
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -102,7 +102,7 @@
 		orders := leader.ZoneOrdersSince(follower.Revision(), whole)
 		if whole {
 			follower.ReplaceZoneOrders(now, orders, at)
-			follower.TakeOver(now, changes, at)
+			follower.ReplaceFromPeer(now, changes, at)
 			return
 		}
 		follower.ApplyZoneOrders(now, orders)
@@ -302,7 +302,7 @@
 	now := time.Now()
 	var f Fleet
 	f.ReceiveZoneOrders(now, []ZoneOrder{backInService("z2", 9)})
-	f.TakeNews(now, News{At: rev(7)}, true)
+	f.ApplyUpdate(now, OriginUpdate{Revision: rev(7)}, true)
 	f.ReceiveZoneOrders(now, []ZoneOrder{outOfService("z2", 8)})
 	is.True(f.InService("z2"))
 }
