--- a/forward/asking_test.go
+++ b/forward/asking_test.go
@@ -57,7 +57,7 @@
 	near.peers.receive(now, Share{From: far.peers.self})
 	far.peers.receive(now, Share{From: near.peers.self})
 	peer = &askedPeer{other: far}
-	near.peerPort = peer
+	near.peerTransport = peer
 	return near, far, peer
 }
 
@@ -149,13 +149,13 @@
 				defer cancel()
 				_, _, _ = find(ctx, near, "r")
 				counted := func() bool { return far.engines.pools["llm"].pool.EngineOf("r") == "far2" }
-				far.engines.adopt(time.Now(), "h1", nil, nil) // a share that was on its way
+				far.engines.replacePeerRuns(time.Now(), "h1", nil, nil) // a share that was on its way
 				is.True(counted())
 				if c.told {
-					far.engines.adopt(time.Now(), "h1", near.engines.states(time.Now()), nil)
+					far.engines.replacePeerRuns(time.Now(), "h1", near.engines.runStates(time.Now()), nil)
 				}
 				time.Sleep(grantedFor + time.Millisecond)
-				far.listEngines(time.Now(), far.Table())
+				far.updatePlacementEngines(time.Now(), far.Table())
 				is.Equal(counted(), c.want)
 			})
 		})
--- a/forward/boundchoice.go
+++ b/forward/boundchoice.go
@@ -28,11 +28,11 @@
 		return Upstream{}, x.noUpstream(now, takers, x.soonest(now, takers, nil)), false
 	}
 	kept := x.keptFrom(now, takers)
-	x.skipped = len(kept)
+	x.skippedUpstreams = len(kept)
 	not := slices.Concat(tried, kept)
 	refused := time.Duration(0)
 	for {
-		u, found := x.plain.choose(now, takers, not)
+		u, found := x.plainChooser.choose(now, takers, not)
 		if !found {
 			takers = x.takers(now)
 			return u, x.noUpstream(now, takers, sooner(refused, x.soonest(now, takers, tried))), false
@@ -43,7 +43,7 @@
 		}
 		refused = sooner(refused, v.Wait)
 		now = x.now()
-		x.plain.done(now, u.ID, 0, false)
+		x.plainChooser.done(now, u.ID, 0, false)
 		not = append(not, u.ID)
 	}
 }
@@ -67,14 +67,14 @@
 	var refused keptEngines
 	for {
 		kept := s.keptEngines(now)
-		s.skipped = len(kept.near) + len(kept.far)
+		s.skippedUpstreams = len(kept.near) + len(kept.far)
 		kept.also(&refused)
-		r.AvoidAlso = slices.Concat(s.avoid, kept.near)
+		r.AvoidAlso = slices.Concat(s.excluded, kept.near)
 		p := s.findPlace(ctx, now, r, kept)
 		if p.decision.Verdict != policy.Granted {
-			return p.at, placedRun{}, s.noPlace(ctx, p.decision), false
+			return p.at, placedRun{}, s.placementRefusal(ctx, p.decision), false
 		}
-		v := s.eligible(ctx, p.at, s.sent > 0)
+		v := s.eligible(ctx, p.at, s.attempts > 0)
 		if v.OK() {
 			return p.at, placedRun{p.run, p.decision}, Refusal{}, true
 		}
@@ -83,7 +83,7 @@
 		refused.keep(p.at, s.peers.self.Zone, v.Wait)
 		if ctx.Err() != nil || p.decision.Waited > 0 {
 			// It has waited for a place once.
-			return p.at, placedRun{}, s.noPlace(ctx, policy.Decision{Verdict: policy.Refused, Reason: policy.ReasonDeadline, RetryAfter: v.Wait}), false
+			return p.at, placedRun{}, s.placementRefusal(ctx, policy.Decision{Verdict: policy.Refused, Reason: policy.ReasonDeadline, RetryAfter: v.Wait}), false
 		}
 	}
 }
--- a/forward/broken.go
+++ b/forward/broken.go
@@ -47,7 +47,7 @@
 		return
 	}
 	ended, err := x.upstreamEnded(ctx, u)
-	x.observer.Broken(ended)
+	x.observer.ConnectionBroken(ended)
 	// One that had said that it leaves has ended as it said.
 	left := x.fleet.LeavingFor(now, u.ID) >= noticeLeast
 	keyvals := []any{"upstream", u.ID, "life", u.Life, "ended", ended, "leaving", left, "asks", x.fingerprint(), "runs_beside", x.engines.beside(x.service.Name, u.ID, x.runID())}
--- a/forward/broken_test.go
+++ b/forward/broken_test.go
@@ -22,10 +22,10 @@
 }
 
 func (j *linesJournal) Request(id RequestID, event string, keyvals ...any) {
-	j.Belief(event, append([]any{"request", id}, keyvals...)...)
+	j.HostEvent(event, append([]any{"request", id}, keyvals...)...)
 }
 
-func (j *linesJournal) Belief(event string, keyvals ...any) {
+func (j *linesJournal) HostEvent(event string, keyvals ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	line := event
--- a/forward/callergone_test.go
+++ b/forward/callergone_test.go
@@ -123,7 +123,7 @@
 					return Moved{}, ctx.Err()
 				}
 				s.f = newForwarder(t, transport)
-				s.f.listEngines(time.Now(), s.f.Table())
+				s.f.updatePlacementEngines(time.Now(), s.f.Table())
 				if c.before != nil {
 					c.before(s)
 				}
@@ -165,9 +165,9 @@
 	ctx, leave := context.WithCancel(t.Context())
 	transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
 		leave()
-		return broken("id: 1\n\n"), nil
+		return brokenAnswer("id: 1\n\n"), nil
 	}}
-	f := resumableForwarder(t, transport, 2, 100)
+	f := newResumableForwarder(t, transport, 2, 100)
 	f.Serve(ctx, call("/llm/"), &fakeSink{})
 	is.Equal(len(transport.sentTo()), 1)
 }
@@ -188,8 +188,8 @@
 				f.Serve(ctx, call(path), sink)
 				synctest.Wait()
 				is.Equal(len(transport.sentTo()), 0)
-				is.Equal(sink.refused, nil)                 // nobody is told
-				is.Equal(len(f.engines.states(f.now())), 0) // no place is held
+				is.Equal(sink.refused, nil)                    // nobody is told
+				is.Equal(len(f.engines.runStates(f.now())), 0) // no place is held
 			})
 		})
 	}
--- a/forward/clock_test.go
+++ b/forward/clock_test.go
@@ -46,16 +46,16 @@
 			func(f *Forwarder, now time.Time) time.Duration { return f.ContactAge(now) },
 		},
 		"list": {
-			func(f *Forwarder, now time.Time) { f.originContact.raise(now) },
+			func(f *Forwarder, now time.Time) { f.originProvedAt.raise(now) },
 			func(f *Forwarder, now time.Time) time.Duration { return f.OriginAge(now) },
 		},
 		"followed": {
-			func(f *Forwarder, now time.Time) { f.followed.raise(now) },
-			func(f *Forwarder, now time.Time) time.Duration { return f.followed.age(now) },
+			func(f *Forwarder, now time.Time) { f.followedPeerAnsweredAt.raise(now) },
+			func(f *Forwarder, now time.Time) time.Duration { return f.followedPeerAnsweredAt.age(now) },
 		},
 		"doubt": {
 			func(f *Forwarder, now time.Time) { f.suspectList(now) },
-			func(f *Forwarder, now time.Time) time.Duration { return f.listSuspect.age(now) },
+			func(f *Forwarder, now time.Time) time.Duration { return f.listSuspectedAt.age(now) },
 		},
 	}
 	for name, p := range proofs {
@@ -83,7 +83,7 @@
 	f.ContactProved(jumped(start, time.Hour))
 	f.ContactProved(start)
 	cutOff := &exchange{Forwarder: f, call: call("/nowhere/")}
-	refusal := cutOff.unknown(start.Add(10*time.Second), CodeNoRoute)
+	refusal := cutOff.refuseUnknown(start.Add(10*time.Second), CodeNoRoute)
 	is.Equal(refusal.Code, CodeNotReady) // and not that there is no such route
 	is.True(!f.listKnown(start.Add(10 * time.Second)))
 }
@@ -119,13 +119,13 @@
 func TestAgeBelowZero(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
-	f.contact.clear()
+	f.contactProvedAt.clear()
 	f.receive(Share{From: Peer{ID: "h9", Zone: "z1"}, Version: 1, ConfigAge: -time.Hour, OriginAge: -time.Hour})
 	is.Equal(f.ContactAge(time.Now()), neverProved)
 	_, found := f.peers.leader(time.Now(), true)
 	is.True(!found)
 	peers := &followedPeers{}
 	peers.originAge.Store(int64(-time.Hour))
-	f.peerPort = peers
+	f.peerTransport = peers
 	is.True(!f.followPeer(t.Context(), Peer{ID: "h9"}, zoneBounds))
 }
--- a/forward/configfetch.go
+++ b/forward/configfetch.go
@@ -95,13 +95,13 @@
 	if v <= f.versionInForce() {
 		return
 	}
-	f.offers.raise(f.now(), v)
+	f.configOffers.raise(f.now(), v)
 	offer := configOffer{from: from, version: v}
 	for {
 		select {
-		case f.offers.next <- offer:
+		case f.configOffers.next <- offer:
 			return
-		case old := <-f.offers.next:
+		case old := <-f.configOffers.next:
 			if f.prefers(old, offer) {
 				offer = old
 			}
@@ -120,7 +120,7 @@
 
 // knownVersion is the newest version that this host has or was offered.
 func (f *Forwarder) knownVersion() Version {
-	return max(f.offers.newest(), f.versionInForce())
+	return max(f.configOffers.newest(), f.versionInForce())
 }
 
 // fetchConfigs takes up what peers offer, one after another, until the context ends.
@@ -130,7 +130,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case offer := <-f.offers.next:
+		case offer := <-f.configOffers.next:
 			f.fetchConfig(ctx, peers, offer.from)
 		}
 	}
@@ -147,14 +147,14 @@
 	asked := f.now()
 	reply, err := peers.Config(call, from, have)
 	if err != nil {
-		f.journal.Belief("configuration not fetched", "peer", from.ID, "offered", f.knownVersion(), "took", f.now().Sub(asked), "err", err)
+		f.journal.HostEvent("configuration not fetched", "peer", from.ID, "offered", f.knownVersion(), "took", f.now().Sub(asked), "err", err)
 		return
 	}
 	now := f.now()
 	if reply.Config == nil || !f.Configure(now, *reply.Config) {
 		return
 	}
-	f.journal.Belief("configuration fetched", "peer", from.ID, "version", reply.Config.Version, "took", now.Sub(asked))
+	f.journal.HostEvent("configuration fetched", "peer", from.ID, "version", reply.Config.Version, "took", now.Sub(asked))
 	// The peer's proof was no older than this when it began to answer.
 	f.ContactProved(asked.Add(-reply.Age))
 }
@@ -163,7 +163,7 @@
 func (f *Forwarder) OnConfig(have Version) ConfigReply {
 	// The age first: the configuration is then no older than its proof.
 	reply := ConfigReply{Age: f.ContactAge(f.now())}
-	if c := f.newest.Load(); c != nil && c.Version > have {
+	if c := f.newestConfig.Load(); c != nil && c.Version > have {
 		reply.Config = c
 	}
 	return reply
--- a/forward/dependency.go
+++ b/forward/dependency.go
@@ -40,7 +40,7 @@
 	}
 	if d.lost.IsZero() {
 		d.lost = d.now()
-		d.journal.Belief("dependency lost", "what", d.name, "err", err)
+		d.journal.HostEvent("dependency lost", "what", d.name, "err", err)
 	}
 	d.failures++
 	return failPause(d.failures)
@@ -54,7 +54,7 @@
 		return 0
 	}
 	lostFor := now.Sub(d.lost)
-	d.journal.Belief("dependency regained", "what", d.name, "lost_for", lostFor)
+	d.journal.HostEvent("dependency regained", "what", d.name, "lost_for", lostFor)
 	d.lost = time.Time{}
 	return lostFor
 }
--- a/forward/directory.go
+++ b/forward/directory.go
@@ -73,7 +73,7 @@
 	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
 	if err := d.Withdraw(leaving); err != nil {
-		f.journal.Belief("directory entry not withdrawn", "err", err)
+		f.journal.HostEvent("directory entry not withdrawn", "err", err)
 	}
 }
 
--- a/forward/engines.go
+++ b/forward/engines.go
@@ -332,7 +332,7 @@
 	delete(p.own, run.request.Run)
 	p.pool.Finish(now, policy.Finish{Run: run.request.Run, Made: made, Whole: whole})
 	if whole {
-		e.ended = append(e.ended, EndedRun{Run: run.request.Run, Made: made, at: now})
+		e.ended = append(e.ended, EndedRun{Run: run.request.Run, Made: made, endedAt: now})
 	}
 	p.advance(now)
 }
--- a/forward/engines_test.go
+++ b/forward/engines_test.go
@@ -73,7 +73,7 @@
 	f.fleet.Replace(now, []Upstream{
 		{ID: "near", Service: "llm", Zone: "z1", Revision: rev(2)}, {ID: "far", Service: "llm", Zone: "z2", Revision: rev(2)},
 	}, rev(2))
-	f.listEngines(now, f.Table())
+	f.updatePlacementEngines(now, f.Table())
 	for _, id := range []member.HostID{"a", "b"} {
 		f.peers.receive(now, Share{From: Peer{ID: id, Zone: "z2"}})
 	}
@@ -89,13 +89,13 @@
 		"nobody told": {nil, now, 0},
 		"half told":   {[]member.HostID{"a"}, now, 0.5},
 		"all told":    {[]member.HostID{"a", "b"}, now, 1},
-		"long ago":    {[]member.HostID{"a", "b"}, now.Add(reportedLately + time.Millisecond), 0},
+		"long ago":    {[]member.HostID{"a", "b"}, now.Add(maxReportAge + time.Millisecond), 0},
 	} {
 		clear(f.engines.reported)
 		for _, id := range c.tell {
-			f.engines.adopt(now, id, nil, nil)
+			f.engines.replacePeerRuns(now, id, nil, nil)
 		}
-		f.engines.noteKnown(c.at, f.peers.zones())
+		f.engines.updateKnownParts(c.at, f.peers.zones())
 		if got := pool.KnownPart("z2"); got != c.want {
 			t.Errorf("%s: %v of the zone is known, not %v", name, got, c.want)
 		}
@@ -109,11 +109,11 @@
 	now := time.Now()
 	teller, hearer := newForwarder(t, &fakeTransport{}), newForwarder(t, &fakeTransport{})
 	for _, f := range []*Forwarder{teller, hearer} {
-		f.listEngines(now, f.Table())
+		f.updatePlacementEngines(now, f.Table())
 	}
 	tell := func() {
 		s := teller.share(now)
-		hearer.engines.adopt(now, "h9", s.Runs, s.Ended)
+		hearer.engines.replacePeerRuns(now, "h9", s.Runs, s.Ended)
 	}
 	request := policy.Request{Route: "/llm/", Account: "counter", Prompt: 100}
 	mean := func() policy.Tokens { return hearer.engines.pools["llm"].pool.MeanLength(&request) }
@@ -121,7 +121,7 @@
 	for i := range 200 {
 		r := request
 		r.Run = policy.RunID(fmt.Sprint("r", i))
-		teller.listEngines(now, teller.Table())
+		teller.updatePlacementEngines(now, teller.Table())
 		_, run, _ := teller.engines.place(t.Context(), now, "llm", r)
 		run.made.Store(1000)
 		tell()
--- a/forward/failing.go
+++ b/forward/failing.go
@@ -136,7 +136,7 @@
 	if hold == 0 {
 		return
 	}
-	s.journal.Belief("upstream fails", "upstream", id, "request", s.call.ID, "why", why, "no_new_work_for", hold)
+	s.journal.HostEvent("upstream fails", "upstream", id, "request", s.call.ID, "why", why, "no_new_work_for", hold)
 	s.peers.notify()
 }
 
--- a/forward/failing_test.go
+++ b/forward/failing_test.go
@@ -24,7 +24,7 @@
 		"resets": func(context.Context) (*Answer, error) { return nil, io.ErrUnexpectedEOF },
 		"breaks streams off": func(context.Context) (*Answer, error) {
 			a := answer(200, "")
-			a.Body = io.NopCloser(io.MultiReader(&chunked{from: &oneEvent{}, n: 64}, errReader{}))
+			a.Body = io.NopCloser(io.MultiReader(&chunkedReader{source: &oneEvent{}, size: 64}, errReader{}))
 			return a, nil
 		},
 		"is silent": func(ctx context.Context) (*Answer, error) {
@@ -185,7 +185,7 @@
 				var failed time.Duration
 				for made := policy.Tokens(100); time.Since(began) < 10*time.Second; made += 50 {
 					if time.Since(began) < c.worksFor {
-						f.engines.adopt(time.Now(), "h2", []RunState{{Run: "other", Service: "llm", Engine: on, Prompt: 100, Made: made, Limit: 5000}}, nil)
+						f.engines.replacePeerRuns(time.Now(), "h2", []RunState{{Run: "other", Service: "llm", Engine: on, Prompt: 100, Made: made, Limit: 5000}}, nil)
 					}
 					if len(f.fleet.FailingMarks(time.Now())) > 0 && failed == 0 {
 						failed = time.Since(began)
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -118,7 +118,7 @@
 		peer, found := w.peers.joinable(w.now())
 		if found && w.followPeer(ctx, peer, neededBounds) && w.joinConfig(ctx, peer) {
 			w.upToDate()
-			w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.at, "after", w.now().Sub(w.began))
+			w.journal.HostEvent("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.at, "after", w.now().Sub(w.began))
 			return
 		}
 		PauseFor(ctx, joinCheck)
@@ -145,7 +145,7 @@
 	defer cancel()
 	hosts, err := from.Hosts(call)
 	if err != nil {
-		w.journal.Belief("directory not read", "err", err)
+		w.journal.HostEvent("directory not read", "err", err)
 		return false
 	}
 	w.peers.list(w.now(), hosts)
@@ -304,7 +304,7 @@
 // historyGone takes in that the origin doesn't have the point that a watch goes on from, or was
 // restored during a reading: everything has to be read again.
 func (w *follower) historyGone(ctx context.Context) {
-	w.journal.Belief("history gone", "after", w.at)
+	w.journal.HostEvent("history gone", "after", w.at)
 	w.read = true
 	w.refusals++
 	if w.refusals > 1 {
@@ -321,7 +321,7 @@
 	w.peers.list(now, news.Hosts)
 	w.receiveCrashes(now, news.Crashes)
 	if w.read {
-		w.journal.Belief("list read", "revision", news.At, "upstreams", len(news.Changes), "took", now.Sub(proved))
+		w.journal.HostEvent("list read", "revision", news.At, "upstreams", len(news.Changes), "took", now.Sub(proved))
 	}
 	// Before the list's revision rises: who follows is told nothing again of what was before it.
 	if w.read {
@@ -340,7 +340,7 @@
 	}
 	w.ContactProved(proved)
 	w.proveOrigin(proved)
-	w.proofInherited.Store(false)
+	w.originProofInherited.Store(false)
 }
 
 // unreadPause is the least time between two lines about entries that can't be read: they
@@ -349,12 +349,12 @@
 
 // noteUnread counts entries that couldn't be read or used, and logs them now and then.
 func (w *follower) noteUnread(now time.Time, news News) {
-	w.observer.Unread(news.UnreadCount)
+	w.observer.UnreadableEntries(news.UnreadCount)
 	w.unread += news.UnreadCount
 	if now.Sub(w.unreadNoted) < unreadPause {
 		return
 	}
-	w.journal.Belief("not all could be read", "revision", news.At, "entries", w.unread, "err", news.Unread)
+	w.journal.HostEvent("not all could be read", "revision", news.At, "entries", w.unread, "err", news.Unread)
 	w.unread, w.unreadNoted = 0, now
 }
 
@@ -365,7 +365,7 @@
 	w.fleet.ListLost(now)
 	// The proof is withdrawn, so that followers turn elsewhere at once and
 	// engines are asked themselves.
-	w.originContact.clear()
+	w.originProvedAt.clear()
 	w.fleet.Wake()
 	w.takeStale(ctx)
 	pause := w.dep.failed(ctx, err)
@@ -388,7 +388,7 @@
 			continue
 		}
 		w.joinConfig(ctx, peer)
-		w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.fleet.Revision(), "stale", true, "origin_age", w.OriginAge(now), "after", now.Sub(w.began))
+		w.journal.HostEvent("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.fleet.Revision(), "stale", true, "origin_age", w.OriginAge(now), "after", now.Sub(w.began))
 		return
 	}
 }
@@ -407,7 +407,7 @@
 
 // following reports whether a peer gives this host what is new.
 func (f *Forwarder) following(now time.Time) bool {
-	return f.followed.age(now) < followTimeout
+	return f.followedPeerAnsweredAt.age(now) < followTimeout
 }
 
 // noteList logs what is new on the list and drops what was believed of lives that are
@@ -416,7 +416,7 @@
 	f.dropOldLives()
 	f.noteRestore()
 	for _, n := range news {
-		f.journal.Belief("upstream listed", "upstream", n.ID, "service", n.Service, "zone", n.Zone,
+		f.journal.HostEvent("upstream listed", "upstream", n.ID, "service", n.Service, "zone", n.Zone,
 			"leaving", n.Leaving, "gone", n.Gone, "unusable", n.Unusable, "cold", !n.ColdUntil.IsZero(), "revision", n.Revision)
 	}
 }
@@ -429,12 +429,12 @@
 func (f *Forwarder) proveOrigin(at time.Time) {
 	now := f.now()
 	before := f.OriginAge(now)
-	f.originContact.raise(at)
+	f.originProvedAt.raise(at)
 	if before-f.OriginAge(now) >= proofStep {
-		f.originProved.wake()
+		f.originProofRenewed.wake()
 	}
 }
 
 // OriginAge is how long ago the origin itself last proved that this host is up
 // to date.
-func (f *Forwarder) OriginAge(now time.Time) time.Duration { return f.originContact.age(now) }
+func (f *Forwarder) OriginAge(now time.Time) time.Duration { return f.originProvedAt.age(now) }
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -178,7 +178,7 @@
 				is := is.New(t)
 				f := newForwarder(t, &fakeTransport{})
 				peers, origin := &followedPeers{}, &countingOrigin{}
-				f.peerPort = peers
+				f.peerTransport = peers
 				f.peers.receive(time.Now(), Share{From: Peer{ID: "h9", Zone: "z0"}, Epoch: 9, Announcement: 1})
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Follow(ctx, origin)
@@ -211,7 +211,7 @@
 func TestFollowAfterCut(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
-	f.peerPort = &followedPeers{changes: []Change{{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}}}
+	f.peerTransport = &followedPeers{changes: []Change{{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}}}
 	f.fleet.ListRegained(time.Now(), 10*time.Second)
 	is.True(f.followPeer(t.Context(), Peer{ID: "h0"}, zoneBounds))
 	select {
@@ -229,7 +229,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &fakeTransport{})
-		f.peerPort = &followedPeers{}
+		f.peerTransport = &followedPeers{}
 		ctx, cancel := context.WithCancel(t.Context())
 		origin := &failingOrigin{}
 		go f.Follow(ctx, origin)
@@ -252,7 +252,7 @@
 		f := newForwarder(t, &fakeTransport{})
 		peers := &followedPeers{}
 		peers.originAge.Store(int64(time.Minute))
-		f.peerPort = peers
+		f.peerTransport = peers
 		ctx, cancel := context.WithCancel(t.Context())
 		origin := &failingOrigin{}
 		origin.lost.Store(true)
--- a/forward/followpeer.go
+++ b/forward/followpeer.go
@@ -124,7 +124,7 @@
 		// A proof that waited here for the end of each follower's wait would be 1.85 s old at
 		// the third host in a row: a watch, and the waits of a zone's leader and of its
 		// followers. originFresh is 1.6 s.
-		changed, proved := f.fleet.Changed(), f.originProved.waiting()
+		changed, proved := f.fleet.Changed(), f.originProofRenewed.waiting()
 		if !f.fleet.Revision().After(r.List) && f.versionInForce() <= r.Version {
 			timer := time.NewTimer(r.Wait)
 			defer timer.Stop()
@@ -181,14 +181,14 @@
 		return false
 	}
 	if err != nil || !bounds.accept(reply) || reply.List.Era() < f.fleet.Revision().Era() {
-		f.journal.Belief("leader not followed", "peer", leader.ID, "origin_age", reply.OriginAge, "config_age", reply.ConfigAge,
+		f.journal.HostEvent("leader not followed", "peer", leader.ID, "origin_age", reply.OriginAge, "config_age", reply.ConfigAge,
 			"list", reply.List, "own_list", f.fleet.Revision(), "err", err)
 		f.peers.distrust(leader.ID)
-		if err == nil && f.proofInherited.Load() {
+		if err == nil && f.originProofInherited.Load() {
 			// What this host knows is no newer than what its leader has. A proof that
 			// the origin gave to it itself stays.
-			f.originContact.clear()
-			f.followed.clear()
+			f.originProvedAt.clear()
+			f.followedPeerAnsweredAt.clear()
 		}
 		return false
 	}
@@ -199,7 +199,7 @@
 	f.offerConfig(leader, reply.Version)
 	if bounds.inherit {
 		f.proveOrigin(now.Add(-reply.OriginAge))
-		f.proofInherited.Store(true)
+		f.originProofInherited.Store(true)
 	}
 	f.peers.toldUp(leader.ID, upTo)
 	for i := range reply.Hosts {
@@ -208,7 +208,7 @@
 	f.peers.takeAnnouncements(now, leader.ID, reply.Hosts)
 	f.peers.followed(now, leader.ID, reply)
 	if !bounds.stale {
-		f.followed.raise(now)
+		f.followedPeerAnsweredAt.raise(now)
 		f.fleet.ListTrusted()
 	}
 	for i := range reply.Rollouts {
@@ -239,12 +239,12 @@
 		return false
 	}
 	takes := time.Duration(float64(f.fleet.count()*bytesPerUpstream*8) / (float64(capacity) * 1e6) * float64(time.Second))
-	f.givenLists.Lock()
-	defer f.givenLists.Unlock()
-	if f.givenUntil.Sub(now) > listBacklog {
+	f.listSendMu.Lock()
+	defer f.listSendMu.Unlock()
+	if f.listSendDoneAt.Sub(now) > listBacklog {
 		return true
 	}
-	f.givenUntil = later(f.givenUntil, now).Add(takes)
+	f.listSendDoneAt = later(f.listSendDoneAt, now).Add(takes)
 	return false
 }
 
@@ -292,5 +292,5 @@
 func (f *Forwarder) port() Peers {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
-	return f.peerPort
+	return f.peerTransport
 }
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -131,7 +131,7 @@
 		is.Equal(s.origin.reads.Load(), reads)
 		for _, f := range s.hosts {
 			if !f.listKnown(time.Now()) {
-				t.Log(f.peers.self, f.OriginAge(time.Now()), f.followed.age(time.Now()), f.ContactAge(time.Now()))
+				t.Log(f.peers.self, f.OriginAge(time.Now()), f.followedPeerAnsweredAt.age(time.Now()), f.ContactAge(time.Now()))
 			}
 			is.True(f.listKnown(time.Now()))
 			is.True(f.ContactAge(time.Now()) <= originFresh+time.Second)
@@ -232,8 +232,8 @@
 		s.startAll(ctx)
 		time.Sleep(3100 * time.Millisecond)
 		teller, hearer := s.hosts["10.1.0.1:1"], s.hosts["10.1.0.2:1"]
-		teller.listEngines(time.Now(), teller.Table())
-		hearer.listEngines(time.Now(), hearer.Table())
+		teller.updatePlacementEngines(time.Now(), teller.Table())
+		hearer.updatePlacementEngines(time.Now(), hearer.Table())
 		now := time.Now()
 		u, run, _ := teller.engines.place(ctx, now, "llm", policy.Request{Run: "r", Prompt: 100})
 		teller.tellRuns(u)
@@ -257,7 +257,7 @@
 		time.Sleep(3100 * time.Millisecond)
 		teller := s.hosts["10.1.0.1:1"]
 		for _, f := range s.hosts {
-			f.listEngines(time.Now(), f.Table())
+			f.updatePlacementEngines(time.Now(), f.Table())
 		}
 		far, _ := teller.fleet.Upstream("llm2")
 		_, run, _, ok := teller.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlaceGrant{Engine: far.ID})
--- a/forward/keeper.go
+++ b/forward/keeper.go
@@ -32,9 +32,9 @@
 // keep has what is known of a request be kept. It doesn't wait.
 func (f *Forwarder) keep(print quarantine.Fingerprint) {
 	select {
-	case f.toKeep <- print:
+	case f.fingerprintsToStore <- print:
 	default:
-		f.journal.Belief("not kept", "asks", print, "err", "too many wait")
+		f.journal.HostEvent("not kept", "asks", print, "err", "too many wait")
 	}
 }
 
@@ -54,7 +54,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case print := <-f.toKeep:
+		case print := <-f.fingerprintsToStore:
 			f.keepOne(ctx, k, print)
 		}
 	}
@@ -75,5 +75,5 @@
 		}
 		PauseFor(ctx, failPause(tries))
 	}
-	f.journal.Belief("not kept", "asks", print, "err", err)
+	f.journal.HostEvent("not kept", "asks", print, "err", err)
 }
--- a/forward/lives.go
+++ b/forward/lives.go
@@ -87,9 +87,9 @@
 func (f *Forwarder) dropOldLives() {
 	for _, id := range f.fleet.TakeRenewed() {
 		u, _ := f.fleet.Upstream(id)
-		f.journal.Belief("upstream started again", "upstream", id, "life", u.Life)
+		f.journal.HostEvent("upstream started again", "upstream", id, "life", u.Life)
 		f.engines.renew(id)
-		f.plain.renew(id)
+		f.plainChooser.renew(id)
 		f.limiter.Renew(id)
 		f.backoffs.Renew(id)
 	}
--- a/forward/lives_test.go
+++ b/forward/lives_test.go
@@ -94,7 +94,7 @@
 		f.fleet.MarkLeaving(now, id, 0, true)
 	}
 	f.noteList(f.fleet.Apply(now, []Change{born("llm1", 100, 2, false)}, rev(2)))
-	f.listEngines(now, f.Table())
+	f.updatePlacementEngines(now, f.Table())
 	place := func(run policy.RunID) (Upstream, *ownRun, policy.Decision) {
 		r := policy.Request{Run: run, Prompt: 15000, Arrived: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
@@ -104,12 +104,12 @@
 	_, run, d := place("own")
 	is.Equal(d.Verdict, policy.Granted)
 	theirs := []RunState{{Run: "theirs", Service: "llm", Engine: "llm1", Life: 100, Prompt: 15000, Limit: 16000}}
-	f.engines.adopt(now, "h2", theirs, nil)
+	f.engines.replacePeerRuns(now, "h2", theirs, nil)
 	_, _, d = place("full")
 	is.Equal(d.Verdict, policy.Refused) // no room beside the two
 	f.noteList(f.fleet.Apply(now, []Change{born("llm1", 200, 3, false)}, rev(3)))
-	f.listEngines(now, f.Table())
-	f.engines.adopt(now, "h2", theirs, nil) // it doesn't know yet
+	f.updatePlacementEngines(now, f.Table())
+	f.engines.replacePeerRuns(now, "h2", theirs, nil) // it doesn't know yet
 	for _, id := range []policy.RunID{"new1", "new2"} {
 		u, _, d := place(id)
 		is.Equal(d.Verdict, policy.Granted)
@@ -146,7 +146,7 @@
 			reborn = append(reborn, born(id, 200, 3, false))
 		}
 		f.noteList(f.fleet.Apply(now, old, rev(2)))
-		f.listEngines(now, f.Table())
+		f.updatePlacementEngines(now, f.Table())
 		sink := &fakeSink{}
 		served := make(chan struct{})
 		go func() {
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -119,7 +119,7 @@
 // RunPeers tells the peers about this host until the context ends.
 func (f *Forwarder) RunPeers(ctx context.Context, peers Peers) {
 	f.peers.mu.Lock()
-	f.peerPort = peers
+	f.peerTransport = peers
 	f.peers.mu.Unlock()
 	var sending sync.WaitGroup
 	defer sending.Wait()
@@ -148,8 +148,8 @@
 			f.peers.announce(now)
 		}
 		f.shareRetries(now, now.Sub(began))
-		f.engines.forget(now, f.peers.isKnown)
-		f.engines.noteKnown(now, f.peers.zones())
+		f.engines.forgetUnknownPeers(now, f.peers.isKnown)
+		f.engines.updateKnownParts(now, f.peers.zones())
 		share := f.share(now)
 		for _, to := range f.peers.targets(now, period, every, f.crashes.Behind) {
 			sending.Go(func() { f.shareWith(ctx, peers, to, share) })
@@ -198,7 +198,7 @@
 
 func (f *Forwarder) share(now time.Time) Share {
 	s := f.shareWithoutRuns(now)
-	s.Runs, s.Ended = f.engines.states(now), f.engines.endedRuns(now)
+	s.Runs, s.Ended = f.engines.runStates(now), f.engines.endedRuns(now)
 	return s
 }
 
@@ -225,7 +225,7 @@
 		late := f.settings.Clock.Slept() - slept
 		reply.ConfigAge, reply.OriginAge = older(reply.ConfigAge, late), older(reply.OriginAge, late)
 		if f.peers.isNear(reply.From.ID) {
-			f.engines.adopt(f.now(), reply.From.ID, reply.Runs, reply.Ended)
+			f.engines.replacePeerRuns(f.now(), reply.From.ID, reply.Runs, reply.Ended)
 			f.peers.exchangedWith(f.now(), reply.From.ID)
 		}
 		f.receive(reply)
@@ -237,7 +237,7 @@
 func (f *Forwarder) receive(s Share) {
 	now := f.now()
 	if s.ConfigAge < 0 || s.OriginAge < 0 {
-		f.journal.Belief("peer told an age below zero", "peer", s.From.ID, "config_age", s.ConfigAge, "origin_age", s.OriginAge)
+		f.journal.HostEvent("peer told an age below zero", "peer", s.From.ID, "config_age", s.ConfigAge, "origin_age", s.OriginAge)
 		s.ConfigAge, s.OriginAge = neverProved, neverProved
 	}
 	f.noteZones(f.fleet.ReceiveZones(now, s.Zones))
@@ -265,7 +265,7 @@
 		f.peers.takeAnnouncements(now, s.From.ID, s.Announced)
 	}
 	if f.peers.receive(now, s) {
-		f.journal.Belief("peer found", "peer", s.From.ID, "zone", s.From.Zone)
+		f.journal.HostEvent("peer found", "peer", s.From.ID, "zone", s.From.Zone)
 	}
 	if version := f.versionInForce(); s.Version == version && version > 0 {
 		f.ContactProved(now.Add(-s.ConfigAge))
@@ -287,12 +287,12 @@
 	// It may have waited here while this machine was suspended.
 	late := f.settings.Clock.Late(f.now())
 	s.ConfigAge, s.OriginAge = older(s.ConfigAge, late), older(s.OriginAge, late)
-	f.engines.adopt(f.now(), s.From.ID, s.Runs, s.Ended)
+	f.engines.replacePeerRuns(f.now(), s.From.ID, s.Runs, s.Ended)
 	f.receive(s)
 	now := f.now()
 	reply := f.shareWithoutRuns(now)
 	if f.peers.isNear(s.From.ID) {
-		reply.Runs, reply.Ended = f.engines.states(now), f.engines.endedRuns(now)
+		reply.Runs, reply.Ended = f.engines.runStates(now), f.engines.endedRuns(now)
 		f.peers.exchangedWith(now, s.From.ID)
 	}
 	reply.Crashes, _ = f.crashes.Tell(now, s.From.ID)
--- a/forward/plain.go
+++ b/forward/plain.go
@@ -69,7 +69,7 @@
 	// lastCode says what the last try failed of.
 	lastCode Code
 	// held is what the answers of its tries take in memory.
-	memory heldBytes
+	memory answerMemory
 }
 
 // servePlain answers a request by one upstream's whole answer.
@@ -77,8 +77,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	p := &plainExchange{exchange: x, tries: make(chan plainTry, mostDials+max(x.route.Attempts, 1)+1)}
-	p.memory.budget = &x.answers
-	defer p.memory.end()
+	p.memory.budget = &x.answerBudget
+	defer p.memory.release()
 	x.retries.first(x.now(), x.service.Name)
 	if !p.launch(ctx, false) {
 		x.refuse(p.none, "service", x.service.Name, "kept_back", x.keptCount(x.now()))
@@ -126,9 +126,9 @@
 	p.tried = append(p.tried, u.ID)
 	p.open++
 	p.sent++
-	out := &Outgoing{Call: p.call, Account: p.account.Name, Left: p.left(now), Urgency: p.urgency}
+	out := &Outgoing{Call: p.call, Account: p.account.Name, Left: p.timeLeft(now), Urgency: p.urgency}
 	go func() {
-		defer p.contain(func() { p.tries <- plainTry{upstream: u, err: errPanicked} })
+		defer p.recoverPanic(func() { p.tries <- plainTry{upstream: u, err: errPanicked} })
 		p.tries <- p.try(ctx, now, u, out)
 	}()
 	return true
@@ -139,7 +139,7 @@
 	t := plainTry{upstream: u}
 	t.answer, t.err = p.sendTo(ctx, u, out)
 	if t.err == nil {
-		t.body, t.long, t.err = p.memory.read(t.answer)
+		t.body, t.long, t.err = p.memory.readBody(t.answer)
 	}
 	now := p.now()
 	t.took = now.Sub(began)
@@ -147,9 +147,9 @@
 	switch {
 	case errors.Is(t.err, ErrNotSent), t.err == nil && (t.answer.OtherInstance || t.answer.Signals.RetryAfter > 0):
 		// What asks for backoff gets that, and counts as no worse afterwards.
-		p.plain.done(now, u.ID, 0, true)
+		p.plainChooser.done(now, u.ID, 0, true)
 	default:
-		p.plain.done(now, u.ID, t.took, !t.good())
+		p.plainChooser.done(now, u.ID, t.took, !t.good())
 	}
 	return t
 }
@@ -263,27 +263,27 @@
 	if t.long {
 		err = p.deliverLong(t)
 	} else {
-		err = p.to.Whole(t.answer, t.body)
+		err = p.sink.Whole(t.answer, t.body)
 	}
 	outcome := "ok"
 	if err != nil {
 		outcome = "not_delivered"
 	}
-	p.answered(outcome, "upstream", t.upstream.ID, "status", t.answer.Status, "tries", len(p.tried), "skipped", p.skipped, "err", err)
+	p.recordOutcome(outcome, "upstream", t.upstream.ID, "status", t.answer.Status, "tries", len(p.tried), "skipped", p.skippedUpstreams, "err", err)
 }
 
 // deliverLong passes on an answer that is too long to be held.
 func (p *plainExchange) deliverLong(t *plainTry) error {
 	defer t.answer.Body.Close()
-	err := p.to.Begin(t.answer)
+	err := p.sink.Begin(t.answer)
 	if err == nil {
-		err = p.to.Write(t.body)
+		err = p.sink.Write(t.body)
 	}
 	chunk := make([]byte, 64<<10)
 	for err == nil {
 		n, readErr := t.answer.Body.Read(chunk)
 		if n > 0 {
-			err = p.to.Write(chunk[:n])
+			err = p.sink.Write(chunk[:n])
 		}
 		if errors.Is(readErr, io.EOF) {
 			return err
@@ -292,7 +292,7 @@
 			err = readErr
 		}
 	}
-	p.to.Cut()
+	p.sink.Cut()
 	return err
 }
 
@@ -307,7 +307,7 @@
 	case p.held(now):
 		p.refuse(heldRefusal, "tries", len(p.tried))
 	default:
-		refusal := Refusal{Code: p.lastCode, RetryAfter: retryUnknown}
+		refusal := Refusal{Code: p.lastCode, RetryAfter: defaultRetryAfter}
 		if p.lastCode == CodeOverloaded {
 			refusal = p.rejectedEverywhere(now)
 		}
@@ -318,8 +318,8 @@
 // giveUp answers when the request's time is over, or the host's, or notes that its
 // caller has left. Tries that are still open end with the context.
 func (p *plainExchange) giveUp(ctx context.Context) {
-	why := endingOf(ctx)
-	if why != callerLeft && p.failure != nil {
+	why := endCauseOf(ctx)
+	if why != endCallerLeft && p.failure != nil {
 		p.deliver(p.failure)
 		return
 	}
--- a/forward/restore.go
+++ b/forward/restore.go
@@ -211,7 +211,7 @@
 	if r == nil {
 		return
 	}
-	f.journal.Belief("origin restored from a copy", "from", r.from, "to", r.to, "still_leaving", r.leaving,
+	f.journal.HostEvent("origin restored from a copy", "from", r.from, "to", r.to, "still_leaving", r.leaving,
 		"not_listed", r.unlisted, "listed_but_ended", r.ended, "zone_orders_kept", r.zones)
 	f.rekeepHeld(f.now())
 }
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -25,8 +25,8 @@
 	Prompt  policy.Tokens
 	Made    policy.Tokens
 	Limit   policy.Tokens
-	// Begun is how long ago its first token came; zero while it has none.
-	Begun time.Duration
+	// FirstTokenAge is how long ago its first token came; zero while it has none.
+	FirstTokenAge time.Duration
 }
 
 // EndedRun is what a host tells its peers of a run whose answer ended by itself: each of
@@ -35,32 +35,32 @@
 	Run policy.RunID
 	// Made is the answer's length.
 	Made policy.Tokens
-	// at is when it ended; it isn't told.
-	at time.Time
+	// endedAt is when it ended; it isn't told.
+	endedAt time.Time
 }
 
-// endedTold is how long an ended run is told: each peer of the zone hears from this host
+// endedRunTTL is how long an ended run is told: each peer of the zone hears from this host
 // once meanwhile, and learns from a run when it is no longer listed.
-const endedTold = 2 * shareEvery
+const endedRunTTL = 2 * shareEvery
 
 // endedRuns lists the runs that ended by themselves lately.
 func (e *engines) endedRuns(now time.Time) []EndedRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ended = slices.DeleteFunc(e.ended, func(r EndedRun) bool { return now.Sub(r.at) > endedTold })
+	e.ended = slices.DeleteFunc(e.ended, func(r EndedRun) bool { return now.Sub(r.endedAt) > endedRunTTL })
 	return slices.Clone(e.ended)
 }
 
-// first is when the run's first token came; zero while it has none.
-func (s RunState) first(now time.Time) time.Time {
-	if s.Begun <= 0 {
+// firstTokenAt is when the run's firstTokenAt token came; zero while it has none.
+func (s RunState) firstTokenAt(now time.Time) time.Time {
+	if s.FirstTokenAge <= 0 {
 		return time.Time{}
 	}
-	return now.Add(-s.Begun)
+	return now.Add(-s.FirstTokenAge)
 }
 
-// states lists this host's runs.
-func (e *engines) states(now time.Time) []RunState {
+// runStates lists this host's runs.
+func (e *engines) runStates(now time.Time) []RunState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var states []RunState
@@ -71,7 +71,7 @@
 				Prompt: run.request.Prompt, Made: policy.Tokens(run.made.Load()), Limit: run.request.Limit,
 			}
 			if !run.first.IsZero() {
-				state.Begun = max(now.Sub(run.first), 1)
+				state.FirstTokenAge = max(now.Sub(run.first), 1)
 			}
 			states = append(states, state)
 		}
@@ -79,8 +79,8 @@
 	return states
 }
 
-// forget drops the runs of peers that aren't known any more.
-func (e *engines) forget(now time.Time, isKnown func(member.HostID) bool) {
+// forgetUnknownPeers drops the runs of peers that aren't known any more.
+func (e *engines) forgetUnknownPeers(now time.Time, isKnown func(member.HostID) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.pools {
@@ -98,18 +98,18 @@
 	}
 }
 
-// reportedLately is how recent a peer's word of its runs must be for them to be known: new
+// maxReportAge is how recent a peer's word of its runs must be for them to be known: new
 // runs come and prompts are read within about a second.
-const reportedLately = time.Second
+const maxReportAge = time.Second
 
-// noteKnown takes in how much of each zone's runs this host knows.
-func (e *engines) noteKnown(now time.Time, zoneOf map[member.HostID]member.Zone) {
+// updateKnownParts takes in how much of each zone's runs this host knows.
+func (e *engines) updateKnownParts(now time.Time, zoneOf map[member.HostID]member.Zone) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	hosts, told := map[member.Zone]int{}, map[member.Zone]int{}
 	for host, zone := range zoneOf {
 		hosts[zone]++
-		if at, ever := e.reported[host]; ever && now.Sub(at) <= reportedLately {
+		if at, ever := e.reported[host]; ever && now.Sub(at) <= maxReportAge {
 			told[zone]++
 		}
 	}
@@ -120,8 +120,8 @@
 	}
 }
 
-// adopt replaces what is known of a peer's runs, and learns from those that ended.
-func (e *engines) adopt(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
+// replacePeerRuns replaces what is known of a peer's runs, and learns from those that ended.
+func (e *engines) replacePeerRuns(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.reported[host] = now
@@ -160,7 +160,7 @@
 		}
 		if _, known := p.theirs[id]; known {
 			p.pool.Progress(now, id, s.Made)
-			p.pool.Reading(now, id, s.first(now))
+			p.pool.Reading(now, id, s.firstTokenAt(now))
 			continue
 		}
 		p.theirs[id] = host
--- a/forward/send.go
+++ b/forward/send.go
@@ -190,7 +190,7 @@
 	f.relistEngines()
 	// Under overload every upstream asks again and again; what isn't told at once goes with
 	// the next share.
-	if f.backoffNotices.allow(now, "") {
+	if f.backoffNoticeLimiter.allow(now, "") {
 		f.peers.notifyAll()
 	}
 	return true
@@ -202,8 +202,8 @@
 		return
 	}
 	f.relistEngines()
-	if f.signalLines.allow(now, mark.Upstream) {
-		f.journal.Belief("upstream asks several hosts for backoff", "upstream", mark.Upstream, "peer", from, "for", mark.For)
+	if f.signalLogLimiter.allow(now, mark.Upstream) {
+		f.journal.HostEvent("upstream asks several hosts for backoff", "upstream", mark.Upstream, "peer", from, "for", mark.For)
 	}
 }
 
@@ -211,7 +211,7 @@
 // that doesn't any more goes elsewhere.
 func (f *Forwarder) relistEngines() {
 	select {
-	case f.relist <- struct{}{}:
+	case f.relistRequested <- struct{}{}:
 	default:
 	}
 }
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := clocktest.NewMachine(t)
 		f := newForwarder(t, transport)
-		f.useClock(s.Clock())
+		f.setClock(s.Clock())
 		play(is.New(t), f, s)
 	})
 }
@@ -44,16 +44,16 @@
 		for name, age := range map[string]func(f *Forwarder) time.Duration{
 			"configuration":      func(f *Forwarder) time.Duration { return f.ContactAge(f.now()) },
 			"list":               func(f *Forwarder) time.Duration { return f.OriginAge(f.now()) },
-			"followed":           func(f *Forwarder) time.Duration { return f.followed.age(f.now()) },
-			"list suspect":       func(f *Forwarder) time.Duration { return f.listSuspect.age(f.now()) },
+			"followed":           func(f *Forwarder) time.Duration { return f.followedPeerAnsweredAt.age(f.now()) },
+			"list suspect":       func(f *Forwarder) time.Duration { return f.listSuspectedAt.age(f.now()) },
 			"told to peers":      func(f *Forwarder) time.Duration { return f.share(f.now()).ConfigAge },
 			"told to followers":  func(f *Forwarder) time.Duration { return f.OnFollow(context.Background(), FollowRequest{}).OriginAge },
 			"told with a config": func(f *Forwarder) time.Duration { return f.OnConfig(0).Age },
 		} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
 				onSuspendable(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
-					f.followed.raise(f.now())
-					f.listSuspect.raise(f.now())
+					f.followedPeerAnsweredAt.raise(f.now())
+					f.listSuspectedAt.raise(f.now())
 					s.Suspend(slept)
 					is.Equal(age(f), slept)
 				})
@@ -77,7 +77,7 @@
 					asked.Key, asked.Arrived = c.key, f.now()
 					f.Serve(context.Background(), asked, sink)
 					want := c.code
-					if slept > f.settings.ContactBound {
+					if slept > f.settings.MaxContactAge {
 						want = CodeNotReady
 					}
 					is.Equal(sink.refused.Code, want)
@@ -114,7 +114,7 @@
 				func(f *Forwarder) bool { return f.peers.live(f.now()) == 2 }, farSilent,
 			},
 			"the list is up to date": {
-				func(f *Forwarder) { f.originContact.raise(f.now()) },
+				func(f *Forwarder) { f.originProvedAt.raise(f.now()) },
 				func(f *Forwarder) bool { return f.listKnown(f.now()) }, listLate,
 			},
 			"the budget is spent": {
@@ -182,7 +182,7 @@
 				f.shareWith(context.Background(), sleepyPeers{s: s, d: slept}, Peer{ID: "h2", Zone: "z1"}, Share{})
 			},
 			"an answer of a leader": func(f *Forwarder, s *clocktest.Machine) {
-				f.peerPort = sleepyPeers{s: s, d: slept}
+				f.peerTransport = sleepyPeers{s: s, d: slept}
 				f.followPeer(context.Background(), Peer{ID: "h2", Zone: "z1"}, followBounds{timeout: time.Second, fresh: time.Hour, inherit: true})
 			},
 			"a watch of the origin": func(f *Forwarder, s *clocktest.Machine) {
@@ -192,8 +192,8 @@
 		} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
 				onSuspendable(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
-					f.contact.clear()
-					f.originContact.clear()
+					f.contactProvedAt.clear()
+					f.originProvedAt.clear()
 					hear(f, s)
 					is.True(f.ContactAge(f.now()) >= slept)
 					is.True(f.OriginAge(f.now()) >= slept)
--- a/forward/zones.go
+++ b/forward/zones.go
@@ -194,6 +194,6 @@
 		if o.Out {
 			event = "zone out of service"
 		}
-		f.journal.Belief(event, "zone", o.Zone, "revision", o.Revision)
+		f.journal.HostEvent(event, "zone", o.Zone, "revision", o.Revision)
 	}
 }
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -138,7 +138,7 @@
 	now := time.Now()
 	f.fleet.ApplyZones(now, orders)
 	f.fleet.Apply(now, nil, orders[len(orders)-1].Revision)
-	f.listEngines(now, f.Table())
+	f.updatePlacementEngines(now, f.Table())
 }
 
 // TestZoneOutOfServiceGetsNothing has calls, streams, repeats and second tries go to the
@@ -203,7 +203,7 @@
 		f.order(out("z1", 4), back("z2", 5))
 		f.engines.finish(time.Now(), "llm", run, true)
 		time.Sleep(queueStagger)
-		f.listEngines(time.Now(), f.Table())
+		f.updatePlacementEngines(time.Now(), f.Table())
 		got := <-granted
 		is.Equal(got.Zone, member.Zone("z2"))
 	})
@@ -231,7 +231,7 @@
 				to, _ := f.fleet.Upstream("llm2")
 				source, _ := f.fleet.Upstream("llm3")
 				s := &streamExchange{exchange: &exchange{Forwarder: f, call: call("/llm/")}}
-				_, _, err := s.takeUp(t.Context(), &handover{to: to, source: source, handle: "h"})
+				_, _, err := s.continueRun(t.Context(), &handover{target: to, source: source, handle: "h"})
 				kept, _ := keptBackBy(err)
 				is.Equal(kept.Reason, c.want)
 				is.Equal(err != nil, c.want != "")
