--- a/forward/answermemory.go
+++ b/forward/answermemory.go
@@ -15,16 +15,20 @@
 // readChunkBytes is how much of an answer is read at once.
 const readChunkBytes = 16 << 10
 
-// answerMemory counts what the answers to one request take in memory, until it has been answered.
+// answerMemory counts the memory that the answers to one request take until the request has
+// been answered. Its budget must be set.
 type answerMemory struct {
 	budget *spool.Budget
 
-	mu       sync.Mutex
-	held     int
+	mu sync.Mutex
+	// held is how many bytes are reserved.
+	held int
+	// released is set once the request has been answered; nothing is reserved after that.
 	released bool
 }
 
-// reserve counts some bytes; false says that there is no room, or that the request was answered.
+// reserve reserves n bytes. It returns false if there is no room or the request has been
+// answered.
 func (h *answerMemory) reserve(n int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -35,7 +39,7 @@
 	return true
 }
 
-// release gives back what was taken.
+// release returns all reserved bytes to the budget.
 func (h *answerMemory) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,21 +47,23 @@
 	h.budget.Free(h.held)
 }
 
-// readBody reads an answer's body, whole if it isn't too long and there is room for it.
+// readBody reads an answer's body and closes it. If the body is too long to be held, or there
+// is no room for all of it, long is set: body is only its beginning then, and a.Body stays
+// open.
 func (h *answerMemory) readBody(a *Answer) (body []byte, long bool, err error) {
-	var held bytes.Buffer
-	for held.Len() < mostHeld && h.reserve(readChunkBytes) {
-		_, err = io.CopyN(&held, a.Body, readChunkBytes)
+	var buf bytes.Buffer
+	for buf.Len() < mostHeld && h.reserve(readChunkBytes) {
+		_, err = io.CopyN(&buf, a.Body, readChunkBytes)
 		if err == nil {
 			continue
 		}
 		if errors.Is(err, io.EOF) {
 			err = nil
 		}
-		if closing := a.Body.Close(); err == nil && closing != nil {
-			err = closing
+		if closeErr := a.Body.Close(); err == nil && closeErr != nil {
+			err = closeErr
 		}
-		return held.Bytes(), false, err
+		return buf.Bytes(), false, err
 	}
-	return held.Bytes(), true, nil
+	return buf.Bytes(), true, nil
 }
--- a/forward/endcause.go
+++ b/forward/endcause.go
@@ -8,29 +8,29 @@
 	"errors"
 )
 
-// endCause is why a request's context ended.
+// endCause says why a request's context ended.
 type endCause int
 
 const (
-	// endNone: it goes on.
+	// endNone: the context hasn't ended.
 	endNone endCause = iota
 	// endCallerLeft: the caller's connection is gone.
 	endCallerLeft
-	// endDeadline: the caller's or the route's time is over.
+	// endDeadline: the caller's or the route's deadline has passed.
 	endDeadline
-	// endHostStopped: this host's time to stop is over.
+	// endHostStopped: this host's time for stopping is over.
 	endHostStopped
-	// endQuarantined: upstreams have ended under the same request meanwhile.
+	// endQuarantined: upstreams ended under the same request after it was admitted.
 	endQuarantined
 )
 
 // Causes of contexts that this package ends.
 var (
-	errDeadline = errors.New("the request's time is over")
-	errStopped  = errors.New("the host's time to stop is over")
+	errDeadline = errors.New("the deadline of the request has passed")
+	errStopped  = errors.New("the time for stopping this host is over")
 )
 
-// endCauseOf tells why a request's context ended.
+// endCauseOf returns why a request's context ended.
 func endCauseOf(ctx context.Context) endCause {
 	cause := context.Cause(ctx)
 	switch {
@@ -47,7 +47,7 @@
 	}
 }
 
-// code is what a request that ended so is refused with.
+// code returns the code of the refusal for a request that ended for this cause.
 func (e endCause) code() Code {
 	switch e {
 	case endDeadline:
@@ -61,7 +61,7 @@
 	}
 }
 
-// outcome is the word for the end of an answer that had begun.
+// outcome returns the recorded outcome of an answer that had started.
 func (e endCause) outcome() string {
 	switch e {
 	case endCallerLeft:
--- a/forward/eventreader.go
+++ b/forward/eventreader.go
@@ -10,18 +10,18 @@
 	"io"
 )
 
-// errEventTooLong says that an event of a stream is longer than any real one.
-var errEventTooLong = errors.New("an event is too long")
+// errEventTooLong is returned for an event that exceeds maxEventBytes, which no real one does.
+var errEventTooLong = errors.New("an event of the stream exceeds 1 MiB")
 
 const (
-	// maxEventBytes bounds one event.
+	// maxEventBytes bounds the size of one event.
 	maxEventBytes = 1 << 20
-	// eventReadBufferBytes is read at once; events have some hundred bytes.
+	// eventReadBufferBytes is the size of the read buffer; events have a few hundred bytes.
 	eventReadBufferBytes = 4096
 )
 
-// eventReader splits a stream into its events, each with the bytes that the
-// upstream wrote. A part of an event at the stream's end is never returned.
+// eventReader splits a stream into its events, each with the bytes that the upstream wrote. It
+// never returns an incomplete event at the end of the stream.
 type eventReader struct {
 	source *bufio.Reader
 	buf    []byte
@@ -31,9 +31,9 @@
 	return &eventReader{source: bufio.NewReaderSize(r, eventReadBufferBytes)}
 }
 
-// next returns the next whole event and its id, which is empty when the event
-// has none. They are valid until the next call. At a clean end between two
-// events the error is io.EOF.
+// next returns the next complete event and its id, which is empty if the event has none. The
+// event is valid until the next call. The error is io.EOF if the stream ends between two
+// events, and io.ErrUnexpectedEOF if it ends within one.
 func (r *eventReader) next() (event []byte, id string, err error) {
 	r.buf = r.buf[:0]
 	for {
@@ -54,7 +54,7 @@
 	}
 }
 
-// readLine appends the next readLine with its end to the buffer.
+// readLine appends the next line, with its line ending, to the buffer.
 func (r *eventReader) readLine() error {
 	for {
 		part, err := r.source.ReadSlice('\n')
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -15,16 +15,16 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// When refused callers are told to come back.
+// Retry times in refusals.
 const (
-	// notReadyRetryAfter: a host that starts has its configuration in well under a
-	// second.
+	// notReadyRetryAfter is used while this host has no configuration that is known to be the
+	// newest. A host that starts gets one in well under a second.
 	notReadyRetryAfter = 300 * time.Millisecond
-	// defaultRetryAfter is told where nothing is known.
+	// defaultRetryAfter is used where no better estimate is known.
 	defaultRetryAfter = 200 * time.Millisecond
 )
 
-// exchange is one request on its way through this host.
+// exchange is one request while this host serves it.
 type exchange struct {
 	*Forwarder
 	call    *Call
@@ -32,25 +32,26 @@
 	route   Route
 	service Service
 	account Account
-	// deadline is the earlier of the caller's and the route's.
+	// deadline is the earlier of the caller's and the route's; zero if neither sets one.
 	deadline time.Time
-	// urgency is the account's, or else the route's.
+	// urgency is the account's if it has one, else the route's.
 	urgency Urgency
-	// zones are those in which the request may be served; nil for all.
+	// zones are the zones in which the request may be served; nil allows all.
 	zones []member.Zone
-	// versions are those that may get the request.
+	// versions restricts the upstream versions that may get the request.
 	versions versionBound
-	// cachedFingerprint is what the request asks, once that has been worked out.
+	// cachedFingerprint identifies what the request asks; nil until it is computed.
 	cachedFingerprint atomic.Pointer[quarantine.Fingerprint]
-	// quarantineTrialMu guards isTry, for sends beside each other are judged at the same time.
+	// quarantineTrialMu guards isQuarantineTrial, because parallel sends of the request are
+	// decided at the same time.
 	quarantineTrialMu sync.Mutex
-	// isQuarantineTrial says that upstreams ended under the same request, and this one finds out
-	// whether they bear it by now.
+	// isQuarantineTrial is set if upstreams ended under the same request and this one is sent
+	// to find out whether they can run it by now.
 	isQuarantineTrial bool
-	// skippedUpstreams is how many upstreams got no request when one was chosen last, for a
-	// backoff or a limit.
+	// skippedUpstreams is how many upstreams the last choice passed over because of a backoff
+	// or a limit.
 	skippedUpstreams int
-	// delivered says that something of an upstream's answer has come.
+	// delivered is set once an event of a stream has been passed on to the caller.
 	delivered atomic.Bool
 }
 
@@ -70,24 +71,25 @@
 		x.refuse(refusal, "version", x.configVersion())
 		return
 	}
-	if why := endCauseOf(ctx); why != endNone {
-		// Its caller left before it was read: upstreams would be at work for nobody.
-		x.refuse(Refusal{Code: why.code()})
+	if cause := endCauseOf(ctx); cause != endNone {
+		// The caller left before its request was read; upstreams would work for nobody.
+		x.refuse(Refusal{Code: cause.code()})
 		return
 	}
-	cut := ctx
+	deadlineCtx := ctx
 	if !x.deadline.IsZero() {
 		var cancel context.CancelFunc
-		cut, cancel = x.settings.Clock.WithTimeoutCause(ctx, x.deadline.Sub(x.now()), errDeadline)
+		deadlineCtx, cancel = x.settings.Clock.WithTimeoutCause(ctx, x.deadline.Sub(x.now()), errDeadline)
 		defer cancel()
 	}
 	if x.route.Kind == KindStream {
-		x.serveStream(cut)
+		x.serveStream(deadlineCtx)
 		return
 	}
-	x.servePlain(cut)
+	x.servePlain(deadlineCtx)
 }
 
+// configVersion returns the version of the configuration in force; zero if there is none.
 func (x *exchange) configVersion() Version {
 	if t := x.table.Load(); t != nil {
 		return t.Version
@@ -95,7 +97,8 @@
 	return 0
 }
 
-// admit finds the route, the account and the service, or says why not.
+// admit determines the route, the account and the service of the request. If it can't be served
+// here, it returns the refusal and false.
 func (x *exchange) admit(now time.Time) (Refusal, bool) {
 	t := x.table.Load()
 	if t == nil {
@@ -114,8 +117,8 @@
 	if x.account.Ranked {
 		x.urgency = x.account.Urgency
 	}
-	// It may have waited in this host's sockets while its machine was suspended; then its
-	// caller has waited, too, and may have left.
+	// The request may have waited in a socket of this host while the machine was suspended. Its
+	// caller has waited for that time, too, and may have left.
 	late := x.settings.Clock.Late(now)
 	if x.call.Patience > 0 && x.call.Patience <= late {
 		return Refusal{Code: CodeLate, RetryAfter: retryElsewhere}, false
@@ -140,8 +143,9 @@
 	return Refusal{}, true
 }
 
-// refuseUnknown refuses for what the configuration doesn't hold, but only while the
-// configuration is known to be the newest; else another host may know more.
+// refuseUnknown refuses a request for something that the configuration doesn't hold. It returns
+// the code only while the configuration is known to be the newest. Otherwise it asks the caller
+// to retry, because another host may have a newer one.
 func (x *exchange) refuseUnknown(now time.Time, code Code) Refusal {
 	if x.ContactAge(now) > x.settings.MaxContactAge {
 		return Refusal{Code: CodeNotReady, RetryAfter: notReadyRetryAfter}
@@ -149,21 +153,22 @@
 	return Refusal{Code: code}
 }
 
+// earliestDeadline returns from plus the least positive bound; zero if no bound is positive.
 func earliestDeadline(from time.Time, bounds ...time.Duration) time.Time {
-	var first time.Time
+	var earliest time.Time
 	for _, b := range bounds {
 		if b <= 0 {
 			continue
 		}
-		if at := from.Add(b); first.IsZero() || at.Before(first) {
-			first = at
+		if at := from.Add(b); earliest.IsZero() || at.Before(earliest) {
+			earliest = at
 		}
 	}
-	return first
+	return earliest
 }
 
-// pickService draws one of the route's services by weight; one without upstreams
-// is passed over while another has some.
+// pickService draws one of the route's services by weight. A service without upstreams is
+// passed over if another one has some.
 func (x *exchange) pickService(now time.Time) ServiceName {
 	total := 0
 	for _, s := range x.route.Services {
@@ -192,7 +197,7 @@
 	return picked
 }
 
-// timeLeft is how long an upstream may still work on the request.
+// timeLeft is how long an upstream may still work on the request; zero sets no limit.
 func (x *exchange) timeLeft(now time.Time) time.Duration {
 	if x.deadline.IsZero() {
 		return 0
@@ -200,7 +205,7 @@
 	return max(x.deadline.Sub(now), time.Millisecond)
 }
 
-// refuse gives the caller its final answer and notes it.
+// refuse sends the caller a refusal as its final answer, and records it.
 func (x *exchange) refuse(r Refusal, keyvals ...any) {
 	took := x.now().Sub(x.call.Arrived)
 	keyvals = append([]any{"route", x.route.Name, "code", r.Code, "may_have_run", r.MayHaveRun, "retry_after", r.RetryAfter, "took", took}, keyvals...)
@@ -214,7 +219,7 @@
 	}
 }
 
-// recordOutcome notes the end of a request that an upstream recordOutcome.
+// recordOutcome records the end of a request that an upstream answered.
 func (x *exchange) recordOutcome(outcome string, keyvals ...any) {
 	took := x.now().Sub(x.call.Arrived)
 	x.observer.Answered(x.route.Kind, outcome, took)
@@ -222,5 +227,5 @@
 	x.journal.Request(x.call.ID, "answered", keyvals...)
 }
 
-// runID names the request's run on the engines.
+// runID returns the id of the request's run on the engines.
 func (x *exchange) runID() policy.RunID { return policy.RunID(x.call.ID) }
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -22,26 +22,26 @@
 	"github.com/shedpath/shedpath/spool"
 )
 
-// Settings are what a forwarder is told at its start.
+// Settings configure a forwarder when it is created.
 type Settings struct {
-	// Self is this host, as its peers know it.
+	// Self is this host as its peers know it.
 	Self Peer
-	// Seeds are addresses of peers to try while none is known.
+	// Seeds are the peer addresses to try while no peer is known.
 	Seeds []string
-	// FirstStart says that the whole site starts for the first time.
+	// FirstStart is set if the whole site starts for the first time.
 	FirstStart bool
-	// RetryLimit bounds the requests that are sent once more, over all hosts.
+	// RetryLimit bounds the retries of all hosts together.
 	RetryLimit RetryLimit
-	// DrainTime is how long an upstream surely goes on serving after the first
-	// sign that it leaves.
+	// DrainTime is how long an upstream is sure to go on serving after the first sign that it
+	// leaves.
 	DrainTime time.Duration
-	// MaxContactAge is how old the proof of contact with the platform may be
-	// for this host to say that a route or key doesn't exist.
+	// MaxContactAge is how old the last proof of contact with the platform may be for this host
+	// to answer that a route or key doesn't exist.
 	MaxContactAge time.Duration
-	// MaxHeldAnswerBytes is how many bytes of answers this host holds for callers that are slower than
-	// their upstreams; zero sets no bound.
+	// MaxHeldAnswerBytes bounds the answers that this host holds in memory for callers that are
+	// slower than their upstreams; zero sets no bound.
 	MaxHeldAnswerBytes int64
-	// Regions tells each zone's region. A zone that it lacks is of none.
+	// Regions maps each zone to its region. A zone that is missing has no region.
 	Regions map[member.Zone]member.Region
 	// RolloutLimits bound what a version on trial gets.
 	RolloutLimits rollout.Limits
@@ -49,31 +49,37 @@
 	Clock *clock.Clock
 }
 
-// Journal takes the decision lines of the log. It must not block.
+// Journal receives the log lines about decisions. Its methods must not block.
 type Journal interface {
-	// Request notes a decision about one request.
+	// Request records a decision about one request.
 	Request(id RequestID, event string, keyvals ...any)
-	// HostEvent notes a change of what this host believes.
+	// HostEvent records a change in what this host knows about the site, its upstreams, its
+	// peers or itself.
 	HostEvent(event string, keyvals ...any)
 }
 
-// Observer counts what happens. It is called on the data path.
+// Observer counts events for the metrics. It is called on the data path.
 type Observer interface {
+	// Answered counts a request that got its final answer, took after it arrived.
 	Answered(kind Kind, outcome string, took time.Duration)
+	// FirstEvent records the time from a request's arrival to the first event of its stream.
 	FirstEvent(took time.Duration)
+	// EventGap records the time between two events of a stream.
 	EventGap(d time.Duration)
+	// Repeated counts a request that is sent to a further upstream, and why.
 	Repeated(why string)
+	// Moved counts a stopped run that was moved or lost, and for how long it stood still.
 	Moved(outcome string, pause time.Duration)
-	// UnreadableEntries counts entries of the origin that couldn't be read or used.
+	// UnreadableEntries counts entries of the origin that could not be read or used.
 	UnreadableEntries(entries int)
-	// ConnectionBroken counts a connection that an upstream ended before its answer, and whether
-	// the upstream itself had ended.
+	// ConnectionBroken counts a connection that an upstream ended before its answer was
+	// complete. ended is set if the upstream itself had ended.
 	ConnectionBroken(ended bool)
-	// Permit counts the answers to whether something may be sent to a bounded upstream.
+	// Permit counts the outcome of a request for a permit to send to a bounded upstream.
 	Permit(permit.Outcome)
-	// Signal counts what upstreams tell about themselves in their answers.
+	// Signal counts what upstreams report about themselves in their answers.
 	Signal(SignalKind)
-	// Send counts what was not sent, or sent all the same.
+	// Send counts sends that were withheld, or made despite a reason against them.
 	Send(eligibility.Verdict)
 	// Suspended counts the time for which this machine was suspended.
 	Suspended(d time.Duration)
@@ -90,54 +96,56 @@
 	table        atomic.Pointer[Table]
 	engines      *engines
 	plainChooser *plainChooser
-	// backoffs are the upstreams that asked this host for backoff, and backoffNotices bounds
-	// how often peers are told of that at once.
+	// backoffs holds the upstreams that asked this host for backoff. backoffNoticeLimiter
+	// bounds how often peers are notified of that at once.
 	backoffs             backoff.Table
 	backoffNoticeLimiter eventLimiter
-	// relistRequested asks Run to tell the placement which engines take work.
+	// relistRequested asks Run to pass the engines that take work to the placement.
 	relistRequested chan struct{}
-	// limiter gets leave to send to bounded upstreams, and limitLines bounds the log's
-	// lines about the limits that they name.
+	// limiter obtains permits to send to bounded upstreams. limitLogLimiter bounds the log
+	// lines about the limits that upstreams name.
 	limiter         *permit.Limiter
 	limitLogLimiter eventLimiter
-	// signalLogLimiter bounds the lines about what upstreams tell about themselves.
+	// signalLogLimiter bounds the log lines about what upstreams report about themselves.
 	signalLogLimiter eventLimiter
 	retries          retryBudget
-	// contactProvedAt is when this host last had proof that its configuration is the
-	// newest.
+	// contactProvedAt is when this host last had proof that its configuration is the newest.
 	contactProvedAt latest
-	// originProvedAt is when the origin proved that the list is up to date, to
-	// this host or to the one that it follows; never while neither has it.
+	// originProvedAt is when the origin last proved that the list of upstreams is up to date,
+	// to this host or to the one that it follows; never if neither has such a proof.
 	originProvedAt latest
-	// originProofRenewed wakes when it is renewed.
+	// originProofRenewed wakes its waiters when originProvedAt advances.
 	originProofRenewed broadcast
-	// originProofInherited says that this proof is a peer's.
+	// originProofInherited is set if the proof came from a peer.
 	originProofInherited atomic.Bool
-	// followedPeerAnsweredAt is when a peer that is followedPeerAnsweredAt last answered.
+	// followedPeerAnsweredAt is when the peer that this host follows last answered.
 	followedPeerAnsweredAt latest
-	// listSuspectedAt is when an engine last went without notice that the list had.
+	// listSuspectedAt is when an engine that was on the list last disappeared without notice.
 	listSuspectedAt latest
-	// newestConfig is the configuration in force as it came, for peers.
+	// newestConfig is the configuration in force in the form in which it was received, for
+	// peers.
 	newestConfig atomic.Pointer[Config]
 	peers        *peerSet
 	turns        turns
-	// peerTransport is set by RunPeers, under the lock of peers.
+	// peerTransport is set by RunPeers under the lock of peers.
 	peerTransport Peers
-	// crashes are requests under which upstreams ended.
+	// crashes holds the requests under which upstreams ended.
 	crashes quarantine.Register
-	// fingerprintsToStore are requests that the origin is to keep.
+	// fingerprintsToStore queues the requests whose quarantine the origin is to store.
 	fingerprintsToStore chan quarantine.Fingerprint
-	// rollouts are the moves of services to other versions, seen what this host has seen of
-	// these, and desk what it decides for all.
+	// rollouts holds the moves of services to other versions, rolloutObservations what this
+	// host has observed of them, and rolloutDecider what it needs to decide about them for all
+	// hosts.
 	rollouts            rollout.Book
 	rolloutObservations rollout.Observations
 	rolloutDecider      rolloutDesk
-	// answerBudget bounds what is held of answerBudget.
+	// answerBudget bounds the memory that answers take.
 	answerBudget spool.Budget
-	// configOffers are peers' newer configurations.
+	// configOffers holds the newer configurations that peers offer.
 	configOffers *configOffers
 
-	// givenUntil is when this host's link will have carried the lists that it gives to others.
+	// listSendDoneAt is when this host's link will have transmitted the upstream lists that it
+	// sends to peers. listSendMu guards it.
 	listSendMu     sync.Mutex
 	listSendDoneAt time.Time
 
@@ -145,16 +153,16 @@
 	leaveFailingMu sync.Mutex
 
 	mu sync.Mutex
-	// inFlight are the requests under way, with what ends each of them.
+	// inFlight maps each request in progress to the function that ends it.
 	inFlight map[*exchange]context.CancelCauseFunc
 	stopping bool
 	// stoppingSince is when the host was first told to stop.
 	stoppingSince time.Time
-	// stopDeadline is when the host will have stopped; zero when it isn't known.
+	// stopDeadline is when the host will have stopped; zero if that isn't known.
 	stopDeadline time.Time
-	// idle closes when the forwarder is stopping and nothing is in flight.
+	// idle is closed when the forwarder is stopping and no request is in flight.
 	idle chan struct{}
-	// closed says that nothing is taken any more, whatever it is.
+	// closed is set once no further request is accepted.
 	closed bool
 }
 
@@ -174,22 +182,22 @@
 	return f
 }
 
-// setClock has everything here be decided by a clock.
+// setClock makes the forwarder, its placement and its turns use c.
 func (f *Forwarder) setClock(c *clock.Clock) {
 	f.settings.Clock, f.engines.clock, f.turns.clock = c, c, c
 }
 
-// now is the present moment, by which everything here is decided.
+// now returns the time by which the forwarder decides.
 func (f *Forwarder) now() time.Time { return f.settings.Clock.Now() }
 
-// Fleet is what this host believes about the upstreams.
+// Fleet returns what this host knows about the upstreams.
 func (f *Forwarder) Fleet() *Fleet { return f.fleet }
 
-// Table is the configuration in force here; nil before the first.
+// Table returns the configuration in force; nil before the first one.
 func (f *Forwarder) Table() *Table { return f.table.Load() }
 
-// Configure puts a configuration in force, unless it is older than the one
-// that is. It reports whether it is now in force.
+// Configure puts a configuration in force, unless it is older than the present one. It reports
+// whether the configuration's version is in force now.
 func (f *Forwarder) Configure(now time.Time, c Config) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -207,29 +215,29 @@
 	return true
 }
 
-// ContactProved takes in that the configuration was the newest at a time. A restored origin has
-// an older one than the newest that it acknowledged, so that isn't believed where a newer one was
-// known by then.
+// ContactProved records that the configuration in force was proved to be the newest at a time.
+// The proof is ignored if a newer configuration was already known then: a restored origin
+// serves an older configuration than the newest that it acknowledged.
 func (f *Forwarder) ContactProved(at time.Time) {
 	if since, newer := f.configOffers.newerSince(f.versionInForce()); !newer || at.Before(since) {
 		f.contactProvedAt.raise(at)
 	}
 }
 
-// ContactAge is how long ago the configuration was last proved to be the newest;
-// neverProved when it wasn't.
+// ContactAge returns how long ago the configuration was last proved to be the newest, or the
+// greatest age that is reported if it never was.
 func (f *Forwarder) ContactAge(now time.Time) time.Duration { return f.contactProvedAt.age(now) }
 
-// SetRetryLimit changes the bound on repeats.
+// SetRetryLimit changes the bound on retries.
 func (f *Forwarder) SetRetryLimit(l RetryLimit) { f.retries.setLimit(l) }
 
-// Run keeps the placement up to date until the context ends.
+// Run keeps the placement up to date, and drops state that has expired, until the context ends.
 func (f *Forwarder) Run(ctx context.Context) {
 	tick := time.NewTicker(refreshEvery)
 	defer tick.Stop()
-	slept := f.settings.Clock.Slept()
+	suspended := f.settings.Clock.Slept()
 	for {
-		slept = f.reportSuspension(slept)
+		suspended = f.reportSuspension(suspended)
 		changed := f.fleet.Changed()
 		f.retireVersions(f.now())
 		if f.peers.divided() {
@@ -259,24 +267,25 @@
 	}
 }
 
-// relistDelay gathers changes of the list: a fleet that is divided has many, and a request to an
-// upstream that has left is turned back as it is sent.
+// relistDelay gathers changes of the upstream list into one update. A fleet that is divided
+// into cells has many changes. A request to an upstream that left meanwhile is still turned
+// back when it is sent.
 const relistDelay = 25 * time.Millisecond
 
-// reportSuspension tells of a suspension of this machine since it was suspended for so long in
-// all, and returns for how long it has been by now. Peers then learn at once that the host
-// is there again, and it learns what they know.
-func (f *Forwarder) reportSuspension(before time.Duration) time.Duration {
-	slept := f.settings.Clock.Slept()
-	if slept > before {
-		f.journal.HostEvent("was suspended", "for", slept-before)
-		f.observer.Suspended(slept - before)
+// reportSuspension reports how long this machine was suspended since reported, the total at the
+// last call, and returns the present total. After a suspension it notifies all peers at once,
+// so that they learn that this host is back, and it learns what they know.
+func (f *Forwarder) reportSuspension(reported time.Duration) time.Duration {
+	suspended := f.settings.Clock.Slept()
+	if suspended > reported {
+		f.journal.HostEvent("was suspended", "for", suspended-reported)
+		f.observer.Suspended(suspended - reported)
 		f.peers.notifyAll()
 	}
-	return slept
+	return suspended
 }
 
-// updatePlacementEngines tells the placement which engines take work.
+// updatePlacementEngines passes the engines that take work to the placement.
 func (f *Forwarder) updatePlacementEngines(now time.Time, t *Table) {
 	layout, own := f.peers.cellLayout()
 	f.fleet.SetLayout(layout, own)
@@ -287,11 +296,13 @@
 	}
 }
 
-// maxFallbackEngines is how many engines of other cells a host places on by itself whose cell has none.
+// maxFallbackEngines bounds the engines of other cells on which a host places by itself when
+// its own cell has none.
 const maxFallbackEngines = 64
 
-// placementEngines are the engines on which this host places: all where the zones aren't divided, else those
-// of its cell.
+// placementEngines returns the engines on which this host places runs: all of them if the zones
+// aren't divided into cells, else those of its own cell. If its cell has none, it returns some
+// random ones, of its zone if possible.
 func (f *Forwarder) placementEngines(now time.Time, service ServiceName, layout cell.Layout, own cell.ID) []Upstream {
 	if !layout.Divided() {
 		return f.candidates(now, service)
@@ -302,12 +313,12 @@
 	}
 	if len(takers) == 0 {
 		all := f.candidates(now, service)
-		near := slices.DeleteFunc(slices.Clone(all), func(u Upstream) bool { return u.Zone != own.Zone })
-		if len(near) == 0 {
-			near = slices.Clone(all)
+		fallback := slices.DeleteFunc(slices.Clone(all), func(u Upstream) bool { return u.Zone != own.Zone })
+		if len(fallback) == 0 {
+			fallback = slices.Clone(all)
 		}
-		rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-		takers = near[:min(len(near), maxFallbackEngines)]
+		rand.Shuffle(len(fallback), func(i, j int) { fallback[i], fallback[j] = fallback[j], fallback[i] })
+		takers = fallback[:min(len(fallback), maxFallbackEngines)]
 	}
 	slices.SortFunc(takers, byID)
 	return takers
--- a/forward/interrupted_test.go
+++ b/forward/interrupted_test.go
@@ -15,24 +15,15 @@
 	"github.com/matryer/is"
 )
 
-// What happened: hosts were stopped one after another, a new one every 1.8 s. A host
-// took a stream 4.2 s after it was told to stop, passed it on, and closed the caller's
-// connection without a word when its grace was over.
+// TestStopAnswersInterruptedRequests checks that a request in progress when the time for
+// stopping is over gets its final answer then, and one that may have run isn't reported as not
+// run.
 //
-// The cause is in two parts. A host that stops takes what will have ended before it
-// does, by an estimate. At the time it believed the caller's guess of the length, which
-// is often far off. Since then it goes by the bound; but any estimate can be wrong, and
-// for what it was wrong about there was no end: the process went, and its connections
-// with it.
-//
-// Evidence: on four runs of such a series, the code that went by the guess broke off
-// two streams that it had taken 3.1 s after its stop began; the code that goes by the
-// bound none on 12. With half of the engines twelve times slower, that one closed
-// the connections of seven requests, taken 2.9 to 5.1 s after the stop began, without
-// an answer (two runs).
-
-// TestStopAnswersInterruptedRequests has every request under way when a stop's time is over get
-// its final answer then, and truly: what may have run isn't said not to have.
+// A stopping host accepts the requests that it expects to end before it does. It used to go by
+// the caller's guess of a stream's length, which is often far off. It now goes by the bound of
+// the length, but that estimate can be wrong too, for example when engines are twelve times
+// slower than usual. The host then exited with such requests open and closed their connections
+// without an answer.
 func TestStopAnswersInterruptedRequests(t *testing.T) {
 	const grace = 3 * time.Second
 	silent := func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
@@ -53,8 +44,8 @@
 	for name, c := range map[string]struct {
 		path string
 		send func(ctx context.Context, u Upstream, r *Outgoing) (*Answer, error)
-		// cut says that the answer had begun, so that all that can be done is to show
-		// that it isn't whole.
+		// cut is set if the answer had begun, so that the host can only show that it is
+		// incomplete.
 		cut bool
 	}{
 		"a stream without an event yet": {"/llm/", silent, false},
@@ -80,13 +71,13 @@
 				ctx, cancel := context.WithTimeout(t.Context(), grace)
 				defer cancel()
 				f.Stop(ctx)
-				// The host has stopped when the last request has its answer; its goroutine
-				// returns at the same moment, in whatever order.
+				// Stop returns when the last request has its answer. The goroutine of that request
+				// returns at the same moment, before or after it.
 				synctest.Wait()
 				select {
 				case <-served:
 				default:
-					t.Fatal("the host has stopped, and the request under way has no end")
+					t.Fatal("the host has stopped, but Serve has not returned for the request in progress")
 				}
 				is.Equal(sink.cut, c.cut)
 				is.Equal(sink.refused != nil, !c.cut)
@@ -101,9 +92,9 @@
 	}
 }
 
-// TestCloseRefusesNewRequests has a request that comes when the host has closed refused,
-// not passed on: its connection is closed a moment later. One that comes before that is
-// waited for.
+// TestCloseRefusesNewRequests checks that a request that arrives after the host has closed is
+// refused, not passed on, because its connection is closed a moment later. Close waits for a
+// request that arrived before.
 func TestCloseRefusesNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/forward/move.go
+++ b/forward/move.go
@@ -17,59 +17,66 @@
 
 // Timing of moves.
 const (
-	// idleLinkCopyTime is how long a copy may take for the links to count as free: the
-	// last part, for which the run stands still, then takes no longer, well
-	// under the pause that a person notices.
+	// idleLinkCopyTime is how much longer than expected a copy may take for the links to count
+	// as idle. The final copy, for which the run is stopped, then takes no longer, well below a
+	// pause that a person notices.
 	idleLinkCopyTime = 40 * time.Millisecond
-	// finalCopyMargin is how long before the engine may be gone the run is stopped
-	// for its last part even if the links are busy.
+	// finalCopyMargin is how long before the engine may be gone the run is stopped for the
+	// final copy, even if the links are busy.
 	finalCopyMargin = 500 * time.Millisecond
-	// noticeGatherDelay is waited after the first sign that an engine leaves.
+	// noticeGatherDelay is the wait between the first sign that an engine leaves and the first
+	// move.
 	noticeGatherDelay = 5 * time.Millisecond
-	// maxMoveTargets is how many engines are asked whether their link is free, and
-	// targetTurnTimeout how long each answer may take.
+	// maxMoveTargets bounds the engines that are asked whether their link is free, and
+	// targetTurnTimeout bounds the wait for each reply.
 	maxMoveTargets    = 4
 	targetTurnTimeout = 30 * time.Millisecond
-	// busyTargetTimeout is how long a run waits for a target in use: most of a
-	// copy's time.
+	// busyTargetTimeout bounds the wait for a target whose link is in use. It is most of the
+	// time that a copy takes.
 	busyTargetTimeout = 250 * time.Millisecond
-	// failingCheckInterval is how often a run looks whether its engine is failing.
+	// failingCheckInterval is how often a mover checks whether its engine is failing.
 	failingCheckInterval = 600 * time.Millisecond
-	// moveRetryDelay is waited before a move that couldn't be made is tried again.
+	// moveRetryDelay is the wait before a failed move is tried again.
 	moveRetryDelay = 50 * time.Millisecond
-	// permitValidity is how long a run may take to its target and still count there as sent
-	// when that was chosen; limits are kept to in some four seconds.
+	// permitValidity is how long a permit that was taken when the target was chosen covers the
+	// run's arrival there; a later arrival is counted as another send. Limits are enforced over
+	// about four seconds.
 	permitValidity = time.Second
-	// moveTimeout bounds one copy; several may wait on one link.
+	// moveTimeout bounds one copy; several copies may wait for one link.
 	moveTimeout = 3 * time.Second
 )
 
-// handover says where a stopped run goes on.
+// handover says where a stopped run continues.
 type handover struct {
+	// target is where the run continues, source where it was stopped, and handle names the copy
+	// of its memory.
 	target Upstream
 	source Upstream
 	handle string
-	// stoppedAt is when the run was stoppedAt, and permittedAt when it was to be sent there.
+	// stoppedAt is when the source was asked to stop the run. permittedAt is when sending the
+	// run to the target was permitted; zero if it continues at its source.
 	stoppedAt, permittedAt time.Time
 }
 
-// mover watches one engine of a stream and moves the run when it leaves.
+// mover watches the engine that a stream comes from, and moves the run when the engine leaves
+// or fails.
 type mover struct {
 	source Upstream
 	stop   context.CancelFunc
 	done   chan struct{}
 
 	mu sync.Mutex
-	// runStopping says that the run was told to stop at the source; it isn't at
-	// its end when its stream is.
+	// runStopping is set once the source was asked to stop the run. The end of the stream isn't
+	// the end of the answer then.
 	runStopping bool
-	// handle names a copy that was made; empty for none.
+	// handle names the copy that was made; empty if there is none.
 	handle string
+	// result is where the run continues, once done is closed; nil if it wasn't moved.
 	result *handover
 }
 
-// startMover starts a mover for the engine that the stream comes from, and ends the answer
-// with the engine's life.
+// startMover starts a mover for the engine that the stream comes from. It also closes the
+// answer when that instance of the engine is over.
 func (s *streamExchange) startMover(ctx context.Context, u Upstream, a *Answer) *mover {
 	ctx, stop := context.WithCancel(ctx)
 	m := &mover{source: u, stop: stop, done: make(chan struct{})}
@@ -82,15 +89,15 @@
 		select {
 		case <-ctx.Done():
 		case <-over:
-			// The run ended with its engine's life, and no copy is to be looked for
-			// in the new one. The connection may just be silent.
+			// The engine restarted: the run is gone, and the new instance has no copy of
+			// it. The connection may merely be silent, so the body is closed here.
 			stop()
 			closeBody(a)
 		}
 	}()
 	go func() {
 		defer close(m.done)
-		// The run goes on where it is.
+		// After a panic the run stays on its engine.
 		defer s.recoverPanic(func() {})
 		next := m.watchEngine(ctx, s.exchange, run, leaving)
 		m.mu.Lock()
@@ -100,7 +107,8 @@
 	return m
 }
 
-// watchEngine waits until the engine leaves, or is failing, and moves the watchEngine.
+// watchEngine waits until the engine leaves or fails, and then moves the run. The result is nil
+// if the run wasn't moved.
 func (m *mover) watchEngine(ctx context.Context, x *exchange, run *ownRun, leaving <-chan struct{}) *handover {
 	tick := time.NewTicker(failingCheckInterval)
 	defer tick.Stop()
@@ -118,11 +126,10 @@
 	}
 }
 
-// leaveFailing moves the run off an engine that is failing, if another has room and
-// nothing else uses the links. Without it a stream on an engine that goes bad is
-// mostly lost with it.
+// leaveFailing moves the run off a failing engine if another engine has room and the links of
+// both are unused. Otherwise most streams on an engine that starts to fail are lost with it.
 func (m *mover) leaveFailing(ctx context.Context, x *exchange, run *ownRun) *handover {
-	// A copy is a call more to an engine that may have asked for backoff.
+	// A copy needs another call to the engine, which may have asked for backoff.
 	if !x.fleet.Failing(x.now(), m.source.ID) || x.backoffs.Remaining(x.now(), m.source.ID) > 0 || !x.leaveFailingMu.TryLock() {
 		return nil
 	}
@@ -148,7 +155,7 @@
 	return nil
 }
 
-// tryTurns takes the turns of both links if nobody uses them.
+// tryTurns takes the turns of both engines' links if nobody uses them.
 func (m *mover) tryTurns(ctx context.Context, x *exchange, run *ownRun, to Upstream) (end func(), err error) {
 	endSource, err := x.takeTurn(ctx, m.source, TurnRequest{Engine: m.source.ID, Run: run.request.Run, AtOnce: true})
 	if err != nil {
@@ -161,22 +168,22 @@
 	}, err
 }
 
-// isRunStopping reports whether the run was told to stop, so that the end of its
-// stream isn't the end of the answer.
+// isRunStopping reports whether the source was asked to stop the run, in which case the end of
+// its stream isn't the end of the answer.
 func (m *mover) isRunStopping() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.runStopping
 }
 
-// cancel ends the mover and frees a copy that won't be used.
+// cancel ends the mover and frees its copy, if there is one.
 func (m *mover) cancel(s *streamExchange) {
 	m.stop()
 	<-m.done
 	m.discardCopy(s.exchange)
 }
 
-// discardCopy frees the copy that was made, if any, in the background.
+// discardCopy frees the copy, if there is one, in the background.
 func (m *mover) discardCopy(x *exchange) {
 	m.mu.Lock()
 	handle := m.handle
@@ -189,14 +196,14 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := x.discardCopy(ctx, m.source, handle); err != nil {
-			// The engines free it by themselves within seconds.
+			// Engines free unused copies by themselves within seconds.
 			x.journal.Request(x.call.ID, "copy not freed", "upstream", m.source.ID, "err", err)
 		}
 	}()
 }
 
-// awaitHandover waits for a move that is under way and returns where the run goes
-// on, or nil when it was lost.
+// awaitHandover waits for a move in progress and returns where the run continues. It returns
+// nil if no move is in progress or the run is lost.
 func (m *mover) awaitHandover(ctx context.Context) *handover {
 	if !m.isRunStopping() {
 		return nil
@@ -210,20 +217,20 @@
 	return m.result
 }
 
-// evacuate copies the run to another engine while it goes on, and then stops it
-// for the last part. A nil result means that there is nothing left to move.
+// evacuate copies the run to another engine while it continues, and stops it only for the final
+// copy. A nil result means that there is nothing left to move.
 func (m *mover) evacuate(ctx context.Context, x *exchange, run *ownRun) *handover {
 	now := x.now()
-	gone := x.fleet.GoneAt(m.source.ID, now, x.settings.DrainTime)
-	x.journal.Request(x.call.ID, "engine leaves", "upstream", m.source.ID, "foreseen_left", gone.Sub(now), "list_revision", x.fleet.Revision())
-	// Engines often leave together; the others' notices are a moment behind.
+	goneAt := x.fleet.GoneAt(m.source.ID, now, x.settings.DrainTime)
+	x.journal.Request(x.call.ID, "engine leaves", "upstream", m.source.ID, "foreseen_left", goneAt.Sub(now), "list_revision", x.fleet.Revision())
+	// Engines often leave together; the notices of the others arrive a moment later.
 	PauseFor(ctx, noticeGatherDelay)
 	for ctx.Err() == nil {
-		next, err := m.tryMove(ctx, x, run, gone)
+		next, err := m.tryMove(ctx, x, run, goneAt)
 		if next != nil {
 			return next
 		}
-		x.journal.Request(x.call.ID, "move failed", "from", m.source.ID, "err", err, "foreseen_left", gone.Sub(x.now()))
+		x.journal.Request(x.call.ID, "move failed", "from", m.source.ID, "err", err, "foreseen_left", goneAt.Sub(x.now()))
 		if m.isRunStopping() {
 			return nil
 		}
@@ -232,20 +239,20 @@
 	return nil
 }
 
-// errNoTarget says that no other engine has room for a run.
-var errNoTarget = errors.New("no other engine has room")
+// errNoTarget means that no other engine has room for a run.
+var errNoTarget = errors.New("no other engine has room for the run")
 
-// tryMove waits for the turn and moves the run to the engine that suits best
-// then.
-func (m *mover) tryMove(ctx context.Context, x *exchange, run *ownRun, gone time.Time) (*handover, error) {
+// tryMove waits for the turn of the source's link and moves the run to the engine that is best
+// at that time.
+func (m *mover) tryMove(ctx context.Context, x *exchange, run *ownRun, goneAt time.Time) (*handover, error) {
 	r := TurnRequest{Engine: m.source.ID, Run: run.request.Run, Worth: x.engines.worth(x.service.Name, run)}
-	turn, cancel := context.WithTimeout(ctx, gone.Add(-finalCopyMargin).Sub(x.now()))
-	end, err := x.takeTurn(turn, m.source, r)
+	turnCtx, cancel := context.WithTimeout(ctx, goneAt.Add(-finalCopyMargin).Sub(x.now()))
+	endTurn, err := x.takeTurn(turnCtx, m.source, r)
 	cancel()
 	if err != nil {
 		x.journal.Request(x.call.ID, "no turn", "engine", m.source.ID, "err", err)
 	}
-	defer end()
+	defer endTurn()
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
@@ -256,7 +263,7 @@
 	defer endTarget()
 	x.tellRuns(to)
 	x.tellRuns(m.source)
-	next, err := m.moveTo(ctx, x, to, m.expectedCopyTime(x, run, to), gone)
+	next, err := m.moveTo(ctx, x, to, m.expectedCopyTime(x, run, to), goneAt)
 	if errors.Is(err, ErrNoRoom) {
 		x.fleet.Suspect(x.now(), to.ID)
 	}
@@ -268,19 +275,19 @@
 	return next, err
 }
 
-// chooseTarget finds the best engine whose link isn't in use by another move; when all
-// that were tried are, it waits for the last of them.
-func (m *mover) chooseTarget(ctx context.Context, x *exchange, run *ownRun) (to Upstream, end func(), found bool) {
+// chooseTarget finds the best engine whose link no other move uses. If all links that it tried
+// are in use, it waits for the last of them, and returns that engine even if the wait fails.
+func (m *mover) chooseTarget(ctx context.Context, x *exchange, run *ownRun) (to Upstream, endTurn func(), found bool) {
 	var busy []member.UpstreamID
-	end = func() {}
+	endTurn = func() {}
 	for range maxMoveTargets {
 		next, ok := x.relocate(ctx, x.now(), run, busy)
 		if !ok {
 			break
 		}
 		to, found = next, true
-		turn, cancel := context.WithTimeout(ctx, targetTurnTimeout)
-		free, err := x.takeTurn(turn, to, TurnRequest{Engine: to.ID, Run: run.request.Run, AtOnce: true})
+		turnCtx, cancel := context.WithTimeout(ctx, targetTurnTimeout)
+		free, err := x.takeTurn(turnCtx, to, TurnRequest{Engine: to.ID, Run: run.request.Run, AtOnce: true})
 		cancel()
 		if err == nil {
 			return to, free, true
@@ -288,7 +295,7 @@
 		busy = append(busy, to.ID)
 	}
 	if !found {
-		return to, end, false
+		return to, endTurn, false
 	}
 	turn, cancel := context.WithTimeout(ctx, busyTargetTimeout)
 	defer cancel()
@@ -299,65 +306,68 @@
 	return to, free, true
 }
 
-// expectedCopyTime is how long the whole copy takes on free links.
+// expectedCopyTime estimates how long a copy of the whole run takes on idle links. It is zero
+// if the bandwidth is unknown.
 func (m *mover) expectedCopyTime(x *exchange, run *ownRun, to Upstream) time.Duration {
 	e := x.service.Engine
 	if e.LinkBitsPerSecond <= 0 {
 		return 0
 	}
 	bits := 8 * e.TokenBytes * (float64(run.request.Prompt) + float64(run.made.Load()))
-	took := time.Duration(bits / e.LinkBitsPerSecond * float64(time.Second))
+	copyTime := time.Duration(bits / e.LinkBitsPerSecond * float64(time.Second))
 	if to.Zone != m.source.Zone {
-		took *= 2
+		copyTime *= 2
 	}
-	return took
+	return copyTime
 }
 
-// moveTo moves the run to one engine.
-func (m *mover) moveTo(ctx context.Context, x *exchange, to Upstream, expected time.Duration, gone time.Time) (*handover, error) {
-	permitted := x.now()
-	free := expected + idleLinkCopyTime
+// moveTo moves the run to one engine. goneAt is when the source may be gone.
+func (m *mover) moveTo(ctx context.Context, x *exchange, to Upstream, expected time.Duration, goneAt time.Time) (*handover, error) {
+	permittedAt := x.now()
+	idleCopyLimit := expected + idleLinkCopyTime
 	for {
 		began := x.now()
 		if _, err := m.copyMemory(ctx, x, to, false); err != nil {
 			return nil, err
 		}
 		now := x.now()
-		if now.Sub(began) <= free || now.Add(finalCopyMargin).After(gone) {
+		if now.Sub(began) <= idleCopyLimit || now.Add(finalCopyMargin).After(goneAt) {
 			break
 		}
-		// The links were busy with others' copies.
-		free = idleLinkCopyTime
+		// The links were busy with other copies. The next copy is expected to be short, as the
+		// target holds most of the run by then.
+		idleCopyLimit = idleLinkCopyTime
 	}
 	if v := x.judge(x.now(), to, eligibility.Request); !v.OK() {
-		// The run isn't stopped yet, and may still go elsewhere.
+		// The run isn't stopped yet and can still move elsewhere.
 		return nil, &keptBackError{v}
 	}
 	m.mu.Lock()
 	m.runStopping = true
 	m.mu.Unlock()
-	stopped := x.now()
+	stoppedAt := x.now()
 	moved, err := m.copyMemory(ctx, x, to, true)
 	switch {
 	case err == nil:
-		return &handover{target: to, source: m.source, handle: moved.Handle, stoppedAt: stopped, permittedAt: permitted}, nil
+		return &handover{target: to, source: m.source, handle: moved.Handle, stoppedAt: stoppedAt, permittedAt: permittedAt}, nil
 	case errors.Is(err, ErrNoRun), errors.Is(err, ErrMoveBusy), errors.Is(err, ErrNoRoom) && moved.Handle == "":
-		// Nothing was stopped: the run has ended, a copy is still going, or the
-		// target is gone. An engine that has stopped a run names its copy.
+		// The run was not stopped: it has ended, another copy is in progress, or the target is
+		// gone. An engine that has stopped a run returns the handle of its copy.
 		m.mu.Lock()
 		m.runStopping = false
 		m.mu.Unlock()
 		return nil, err
 	case errors.Is(err, ErrNoRoom):
-		return &handover{target: m.source, source: m.source, handle: moved.Handle, stoppedAt: stopped}, nil
+		return &handover{target: m.source, source: m.source, handle: moved.Handle, stoppedAt: stoppedAt}, nil
 	case m.handle != "":
-		// Whether the run stopped isn't known; its stream will tell.
-		return &handover{target: to, source: m.source, handle: m.handle, stoppedAt: stopped, permittedAt: permitted}, nil
+		// It is unknown whether the run was stopped; its stream will show that.
+		return &handover{target: to, source: m.source, handle: m.handle, stoppedAt: stoppedAt, permittedAt: permittedAt}, nil
 	}
 	return nil, err
 }
 
-// copyMemory has the run's memory copied once and waits until it is.
+// copyMemory asks the source to copy the run's memory to an engine, and waits until that is
+// done. stop stops the run first.
 func (m *mover) copyMemory(ctx context.Context, x *exchange, to Upstream, stop bool) (Moved, error) {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
@@ -372,15 +382,15 @@
 	return moved, err
 }
 
-// continueRun sends the request to the engine that holds the copy; when that refuses
-// it, to the engine where the run stopped.
+// continueRun sends the request to the engine that holds the copy. If that engine refuses, it
+// sends the request to the engine where the run was stopped.
 func (s *streamExchange) continueRun(ctx context.Context, h *handover) (Upstream, *Answer, error) {
 	targets := []Upstream{h.target}
 	if h.target.ID != h.source.ID {
 		targets = append(targets, h.source)
 	}
-	var last error
-	// One that wants nothing now is the last resort.
+	var lastErr error
+	// An engine that asked for backoff is tried last.
 	slices.SortStableFunc(targets, func(a, b Upstream) int {
 		return cmp.Compare(s.backoffs.Remaining(s.now(), a.ID), s.backoffs.Remaining(s.now(), b.ID))
 	})
@@ -396,21 +406,21 @@
 			return u, a, nil
 		}
 		s.journal.Request(s.call.ID, "not taken up", "upstream", u.ID, "status", status(a), "err", err)
-		last = err
+		lastErr = err
 		if a != nil {
 			closeBody(a)
-			last = ErrNoRoom
+			lastErr = ErrNoRoom
 		}
 		if err != nil && !errors.Is(err, ErrNotSent) {
-			// It may have been taken up there: two runs must not be joined.
+			// The engine may have continued the run; events of two runs must not be mixed.
 			break
 		}
 	}
 	s.observer.Moved("lost", s.now().Sub(h.stoppedAt))
-	return Upstream{}, nil, last
+	return Upstream{}, nil, lastErr
 }
 
-// PauseFor waits for a while or until the context ends; not at all for less than nothing.
+// PauseFor waits for d or until the context ends. It returns at once if d is zero or negative.
 func PauseFor(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/forward/panic.go
+++ b/forward/panic.go
@@ -8,22 +8,23 @@
 	"runtime/debug"
 )
 
-// errPanicked is what a try comes to that brought out a mistake in this program.
-var errPanicked = errors.New("the request brought out a mistake in this program")
+// errPanicked is the error of a try that panicked.
+var errPanicked = errors.New("this program panicked while it handled the request")
 
-// recoverPanic ends a panic of one request's goroutine with that request. Without it the host
-// would end, with all that it serves, and then each host that the request comes to next. It
-// is to be deferred; then is told of the panic once that is noted.
-func (x *exchange) recoverPanic(then func()) {
+// recoverPanic recovers from a panic in a goroutine of one request, so that only this request
+// fails. Otherwise the host would end with everything that it serves, and so would every host
+// to which the request is sent next. It must be deferred. onPanic is called after the panic is
+// logged.
+func (x *exchange) recoverPanic(onPanic func()) {
 	reason := recover()
 	if reason == nil {
 		return
 	}
 	x.journal.Request(x.call.ID, "panicked", "route", x.route.Name, "why", reason, "stack", string(debug.Stack()))
-	then()
+	onPanic()
 }
 
-// answerPanic gives the caller its final answer when serving it answerPanic.
+// answerPanic gives the caller its final answer after a panic.
 func (x *exchange) answerPanic() {
 	if x.delivered.Load() {
 		x.sink.Cut()
--- a/forward/panic_test.go
+++ b/forward/panic_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// panicReader panics instead of reading on.
+// panicReader panics where its reader returns an error.
 type panicReader struct{ io.Reader }
 
 func (r panicReader) Read(p []byte) (int, error) {
@@ -21,8 +21,8 @@
 	panic("a mistake")
 }
 
-// TestRequestPanics has a request on which this program panics get its final
-// answer, be said to may have run, and not end the host with all others.
+// TestRequestPanics checks that a request whose handling panics gets a final answer that says
+// that it may have run, and the host goes on serving all others.
 func TestRequestPanics(t *testing.T) {
 	sends := func(context.Context, Upstream, *Outgoing) (*Answer, error) { panic("a mistake") }
 	midway := func(context.Context, Upstream, *Outgoing) (*Answer, error) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// twoEventReader are the beginning of a stream.
+// twoEventReader returns the first two events of a stream, and then io.EOF.
 type twoEventReader struct{ done bool }
 
 func (e *twoEventReader) Read(p []byte) (int, error) {
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// maxStreamSpoolBytes is how much of one stream is held for a caller that is slower than its
-	// engine: most answers are shorter as a whole.
+	// maxStreamSpoolBytes bounds the bytes of one stream that are held for a caller that reads
+	// more slowly than its engine writes. Most whole answers are shorter.
 	maxStreamSpoolBytes = 128 << 10
-	// readerStallTimeout is how long a caller may take nothing while its engine waits for it.
+	// readerStallTimeout is how long a caller may read nothing while its engine waits for it.
 	// Upstreams cut off answers that stay unread for a few seconds.
 	readerStallTimeout = 2 * time.Second
 )
 
-// closeSpool waits until the caller has what was passed on, unless the context has ended.
+// closeSpool waits until the caller has received everything that was passed on, or until the
+// context ends.
 func (s *streamExchange) closeSpool(ctx context.Context) error {
 	if s.spool == nil {
 		return nil
@@ -34,15 +35,16 @@
 	return out.Close(ctx)
 }
 
-// closeBody closes the body of an answer that isn't passed on. Nothing is lost
-// when that fails: the connection is given up either way.
+// closeBody closes the body of an answer that isn't read any further. Its error is ignored,
+// because the connection is given up either way.
 func closeBody(a *Answer) {
 	if a.Body != nil {
 		_ = a.Body.Close()
 	}
 }
 
-// relayAnswer passes an engine's answer on.
+// relayAnswer relays an engine's answer to the caller, and resumes the stream when it breaks
+// off.
 func (s *streamExchange) relayAnswer(ctx context.Context, u Upstream, a *Answer) {
 	if a.Status != http.StatusOK || !a.Signed || a.Encoded {
 		s.noteAnswer(s.now(), u, rollout.First, true, 0)
@@ -60,38 +62,39 @@
 	if a.Signals.Closing {
 		s.hintedLeaving(ctx, u)
 	}
-	last, err := s.relayRun(ctx, u, a)
+	lastEngine, err := s.relayRun(ctx, u, a)
 	for err != nil && s.callerErr == nil {
 		var resumed bool
-		if u, a, resumed = s.resume(ctx, last); !resumed {
+		if u, a, resumed = s.resume(ctx, lastEngine); !resumed {
 			break
 		}
-		last, err = s.relayRun(ctx, u, a)
+		lastEngine, err = s.relayRun(ctx, u, a)
 	}
-	s.endAnswer(ctx, last, err)
+	s.endAnswer(ctx, lastEngine, err)
 }
 
-// relayRun passes one run's events on to its end and frees its place.
+// relayRun relays one run's events to its end and frees its place. It returns the last engine
+// of the run.
 func (s *streamExchange) relayRun(ctx context.Context, u Upstream, a *Answer) (Upstream, error) {
-	last, err := s.relayAcrossMoves(ctx, u, a)
+	lastEngine, err := s.relayAcrossMoves(ctx, u, a)
 	switch {
 	case err == nil:
-		if s.moveCount == 0 && s.eventCount > 2 && last.ID == s.initialEngine.ID {
-			s.noteAnswer(s.now(), last, rollout.Pace, false, s.lastEventAt.Sub(s.engineFirstEventAt)/time.Duration(s.eventCount-1))
+		if s.moveCount == 0 && s.eventCount > 2 && lastEngine.ID == s.initialEngine.ID {
+			s.noteAnswer(s.now(), lastEngine, rollout.Pace, false, s.lastEventAt.Sub(s.engineFirstEventAt)/time.Duration(s.eventCount-1))
 		}
-		s.fleet.Worked(last.ID)
+		s.fleet.Worked(lastEngine.ID)
 		s.survived(s.now())
 	case s.callerErr == nil && ctx.Err() == nil:
 		now := s.now()
-		s.noteAnswer(now, last, rollout.First, true, 0)
-		s.brokeOff(now, last.ID)
-		s.noteBroken(ctx, now, last, s.engineFirstEventAt, err)
+		s.noteAnswer(now, lastEngine, rollout.First, true, 0)
+		s.brokeOff(now, lastEngine.ID)
+		s.noteBroken(ctx, now, lastEngine, s.engineFirstEventAt, err)
 	}
 	s.releasePlace(err == nil)
-	return last, err
+	return lastEngine, err
 }
 
-// relayFailure gives the caller an engine's own failure.
+// relayFailure relays an engine's own failure to the caller.
 func (s *streamExchange) relayFailure(ctx context.Context, u Upstream, a *Answer) {
 	t := plainTry{upstream: u, answer: a}
 	p := &plainExchange{exchange: s.exchange}
@@ -106,34 +109,34 @@
 	p.deliver(&t)
 }
 
-// endAnswer closes the answer: whole, cut, or refused when nothing had come.
+// endAnswer ends the caller's answer: complete, cut, or refused if it hasn't started.
 func (s *streamExchange) endAnswer(ctx context.Context, u Upstream, err error) {
-	about := []any{"upstream", u.ID, "first_event", s.timeToFirstEvent, "events", s.eventCount, "moves", s.moveCount, "longest_pause", s.longestGap, "err", err}
+	keyvals := []any{"upstream", u.ID, "first_event", s.timeToFirstEvent, "events", s.eventCount, "moves", s.moveCount, "longest_pause", s.longestGap, "err", err}
 	if undelivered := s.closeSpool(ctx); s.callerErr == nil && undelivered != nil && !errors.Is(undelivered, context.Cause(ctx)) {
 		s.callerErr, err = undelivered, undelivered
 	}
-	why := endCauseOf(ctx)
+	cause := endCauseOf(ctx)
 	if s.callerErr != nil {
-		why = endCallerLeft
+		cause = endCallerLeft
 	}
 	switch {
 	case errors.Is(s.callerErr, spool.ErrStalled):
 		s.sink.Cut()
-		s.recordOutcome("reader_stalled", about...)
+		s.recordOutcome("reader_stalled", keyvals...)
 	case err == nil:
-		s.recordOutcome("ok", about...)
+		s.recordOutcome("ok", keyvals...)
 	case s.answerStarted:
 		s.sink.Cut()
-		s.recordOutcome(why.outcome(), about...)
-	case why != endNone:
-		s.refuse(Refusal{Code: why.code(), MayHaveRun: true}, about...)
+		s.recordOutcome(cause.outcome(), keyvals...)
+	case cause != endNone:
+		s.refuse(Refusal{Code: cause.code(), MayHaveRun: true}, keyvals...)
 	default:
-		s.refuse(s.truly(s.now(), Refusal{Code: CodeLost, MayHaveRun: true}), about...)
+		s.refuse(s.truly(s.now(), Refusal{Code: CodeLost, MayHaveRun: true}), keyvals...)
 	}
 }
 
-// relayAcrossMoves passes a run's events on, from one engine after another, until the
-// stream has ended. It returns the last engine.
+// relayAcrossMoves relays the events of a run, from one engine after another when it is moved,
+// until the stream ends. It returns the last engine.
 func (s *streamExchange) relayAcrossMoves(ctx context.Context, u Upstream, a *Answer) (Upstream, error) {
 	first := a
 	for {
@@ -142,14 +145,14 @@
 		err := s.relayEvents(ctx, first, a)
 		closeBody(a)
 		if err == nil && (a.Framed || !m.isRunStopping()) {
-			// A framed answer that has its end is whole, whatever became of a
-			// move: the run ended before it could be stopped.
+			// A framed answer that reached its end is complete, even if a move is in progress:
+			// the run ended before it could be stopped.
 			m.cancel(s)
 			return u, s.ensureAnswerStarted(first)
 		}
 		next := m.awaitHandover(ctx)
 		if next == nil && err == nil && !m.isRunStopping() {
-			// The run had ended by itself before it could be stopped.
+			// The run ended by itself before it could be stopped.
 			m.cancel(s)
 			return u, s.ensureAnswerStarted(first)
 		}
@@ -164,7 +167,8 @@
 	}
 }
 
-// orUnexpectedEOF is the error of a stream that ended before its end.
+// orUnexpectedEOF returns the error of a stream that ended too early: err, or
+// io.ErrUnexpectedEOF if err is nil.
 func orUnexpectedEOF(err error) error {
 	if err == nil {
 		return io.ErrUnexpectedEOF
@@ -172,7 +176,7 @@
 	return err
 }
 
-// ensureAnswerStarted begins the answer of a stream that had no event at all.
+// ensureAnswerStarted starts the answer of a stream that had no event.
 func (s *streamExchange) ensureAnswerStarted(first *Answer) error {
 	if s.answerStarted {
 		return nil
@@ -181,9 +185,10 @@
 	return s.sink.Begin(first)
 }
 
-// relayEvents passes on what one engine sends. It returns nil at a clean end.
+// relayEvents passes on the events that one engine sends. It returns nil if the stream ends
+// between two events.
 func (s *streamExchange) relayEvents(ctx context.Context, first, a *Answer) error {
-	// A caller whose connection fails is noticed while nothing comes from the engine, too.
+	// Closing the body ends the read when the caller leaves while the engine is silent.
 	stop := context.AfterFunc(ctx, func() { closeBody(a) })
 	defer stop()
 	events := newEventReader(a.Body)
@@ -201,7 +206,7 @@
 	}
 }
 
-// relayEvent gives one event to the caller.
+// relayEvent passes one event to the caller.
 func (s *streamExchange) relayEvent(ctx context.Context, now time.Time, first *Answer, event []byte, id string) error {
 	if !s.answerStarted {
 		s.answerStarted = true
@@ -239,8 +244,8 @@
 	return nil
 }
 
-// noteEngineEvent takes in an event of the present engine. A run that has gone on for long enough
-// doesn't bring its engine down.
+// noteEngineEvent records the current engine's first event. A run that has lasted long enough
+// after it shows that the request doesn't crash the engine.
 func (s *streamExchange) noteEngineEvent(now time.Time) {
 	switch {
 	case s.engineFirstEventAt.IsZero():
@@ -251,6 +256,7 @@
 	}
 }
 
+// tokensPerEvent returns how many tokens an event carries, at least 1.
 func (s *streamExchange) tokensPerEvent() policy.Tokens {
 	if s.service.Engine == nil {
 		return 1
@@ -258,7 +264,7 @@
 	return max(s.service.Engine.EventTokens, 1)
 }
 
-// recordStep takes the time between two events as the engine's step.
+// recordStep derives the engine's step time from the gap between two events.
 func (s *streamExchange) recordStep(now time.Time, gap time.Duration) {
 	if s.run != nil {
 		s.engines.observeStep(now, s.service.Name, gap/time.Duration(s.tokensPerEvent()))
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// errFirstEventLate ends a send to an engine that is silent for too long.
+// errFirstEventLate cancels a send to an engine that is silent for too long.
 var errFirstEventLate = errors.New("the engine's first event is late")
 
-// markMayHaveRun says of a refusal that the request may have run if an earlier engine
-// may have worked on it, whatever the last one said.
+// markMayHaveRun returns r, unless an earlier engine may have worked on the request. Then it
+// returns a refusal that says so, whatever the last engine reported.
 func (s *streamExchange) markMayHaveRun(r Refusal) Refusal {
 	if !s.mayHaveRun || r.MayHaveRun || r.Code == CodeCallerLeft {
 		return r
@@ -22,32 +22,34 @@
 	return s.truly(s.now(), Refusal{Code: CodeLost, MayHaveRun: true})
 }
 
-// mayRunAgain reports whether a request that an engine may have worked on may be
-// sent to another: only streams that can be resumed are, while their time lasts.
-func (s *streamExchange) mayRunAgain(ctx context.Context, why Code) bool {
-	return s.route.Resumable && why == CodeLost && ctx.Err() == nil
+// mayRunAgain reports whether a request that an engine may have worked on may be sent to
+// another one. That holds only for lost requests of resumable streams, until their context
+// ends.
+func (s *streamExchange) mayRunAgain(ctx context.Context, code Code) bool {
+	return s.route.Resumable && code == CodeLost && ctx.Err() == nil
 }
 
-// takeRetry counts a request that an engine got, and reports whether the route
-// and the shared budget allow another.
-func (s *streamExchange) takeRetry(why string) bool {
+// takeRetry counts an engine that may have run the request, and reports whether the route and
+// the shared retry budget allow another send.
+func (s *streamExchange) takeRetry(reason string) bool {
 	s.attempts++
-	return s.attempts < s.route.Attempts && s.takeRetryBudget(why)
+	return s.attempts < s.route.Attempts && s.takeRetryBudget(reason)
 }
 
-// takeRetryBudget reports whether the shared budget allows another send.
-func (s *streamExchange) takeRetryBudget(why string) bool {
+// takeRetryBudget takes a retry from the shared budget, records it, and reports whether one was
+// left.
+func (s *streamExchange) takeRetryBudget(reason string) bool {
 	if !s.retries.take(s.now(), s.service.Name) {
-		s.journal.Request(s.call.ID, "not repeated", "why", "retry budget used up", "after", why)
+		s.journal.Request(s.call.ID, "not repeated", "why", "retry budget used up", "after", reason)
 		return false
 	}
-	s.observer.Repeated(why)
+	s.observer.Repeated(reason)
 	return true
 }
 
-// sendFirst sends the request to its engine. A resumable stream that has further
-// attempts isn't left with an engine that stays silent: it would be late there,
-// and another engine may still answer it.
+// sendFirst sends the request to its engine. A resumable stream with attempts left is withdrawn
+// from an engine that stays silent for too long: it would be late there, and another engine may
+// still answer in time.
 func (s *streamExchange) sendFirst(ctx context.Context, u Upstream) (*Answer, error) {
 	begin := s.initialContinuation()
 	if !s.route.Resumable || s.attempts+1 >= s.route.Attempts || s.route.Objective <= 0 {
@@ -66,12 +68,13 @@
 		}
 		return nil, err
 	}
-	// The answer lives as long as the request.
+	// The body of the answer is read under this context until the request ends.
 	context.AfterFunc(ctx, func() { cancel(nil) })
 	return answer, nil
 }
 
-// initialContinuation is where a run starts: from the caller's last event, if it has one.
+// initialContinuation returns where a new run starts: after the last event that the caller has
+// of an earlier answer. It is nil for a run from the beginning.
 func (s *streamExchange) initialContinuation() *Continuation {
 	if !s.route.Resumable || s.lastEventID == "" {
 		return nil
@@ -79,13 +82,13 @@
 	return &Continuation{LastEvent: s.lastEventID}
 }
 
-// resume has another engine run a stream that broke off and go on after the last
-// event that the caller has. It returns false when the route, the budget or the
-// engines don't allow it.
+// resume lets another engine run a stream that broke off and continue it after the last event
+// that the caller has. It returns false if the route, the retry budget or the engines don't
+// allow that, or if the other engine brings no stream.
 func (s *streamExchange) resume(ctx context.Context, broken Upstream) (Upstream, *Answer, bool) {
 	s.mayHaveRun = true
 	if s.eventCount > 0 && s.lastEventID == "" {
-		// Without an id there is no telling where to go on.
+		// Without an event id it is unknown where to continue.
 		return Upstream{}, nil, false
 	}
 	if !s.mayRunAgain(ctx, CodeLost) || s.held(s.now()) || !s.takeRetry("broken_off") {
@@ -103,7 +106,8 @@
 		return u, answer, true
 	}
 	s.releasePlace(false)
-	// The caller's answer is cut either way; judge marks the engine.
+	// The caller's answer is cut either way, so the refusal is dropped; the call records the
+	// engine's failure.
 	s.classifyFailure(ctx, u, answer, err)
 	return Upstream{}, nil, false
 }
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -15,7 +15,7 @@
 	"github.com/matryer/is"
 )
 
-// newResumableForwarder has a route "/llm/" of resumable streams.
+// newResumableForwarder returns a forwarder whose route "/llm/" has resumable streams.
 func newResumableForwarder(t *testing.T, transport Transport, attempts int, slack float64) *Forwarder {
 	f := newForwarder(t, transport)
 	c := testConfig(2)
@@ -25,31 +25,31 @@
 	return f
 }
 
-// brokenAnswer is an answer that breaks off after some events.
+// brokenAnswer returns an answer that breaks off after some events.
 func brokenAnswer(events string) *Answer {
 	a := answer(200, "")
 	a.Length, a.Body = -1, io.NopCloser(io.MultiReader(strings.NewReader(events), errReader{}))
 	return a
 }
 
-// TestResume has a resumable stream that an engine lost or broke off go on at
-// another engine after the last event that the caller has, and no other stream.
+// TestResume checks that a resumable stream that an engine lost or broke off continues at
+// another engine after the last event that the caller has. No other stream does.
 func TestResume(t *testing.T) {
 	const first, rest = "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
 	for name, c := range map[string]struct {
 		resumable bool
 		attempts  int
 		slack     float64
-		// firstAnswer is nil where the first engine loses the request.
+		// firstAnswer is nil if the first engine loses the request.
 		firstAnswer *Answer
-		// callerHas is the event that the caller names.
+		// callerHas is the id of the last event that the caller reports.
 		callerHas string
 		sent      int
-		// after are the events that the engines are told to go on after.
-		after   []string
-		want    string
-		cut     bool
-		refused Code
+		// continuedAfter lists the event ids after which the engines are asked to continue.
+		continuedAfter []string
+		want           string
+		cut            bool
+		refused        Code
 	}{
 		"lost":                      {true, 2, 100, nil, "", 2, []string{"", ""}, rest, false, ""},
 		"lost, not resumable":       {false, 2, 100, nil, "", 1, []string{""}, "", false, CodeLost},
@@ -68,7 +68,7 @@
 			transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
 				last := ""
 				if r.Continue != nil {
-					is.Equal(r.Continue.Handle, "") // nothing is kept of the run
+					is.Equal(r.Continue.Handle, "") // the run left no copy
 					last = r.Continue.LastEvent
 				}
 				after = append(after, last)
@@ -92,20 +92,20 @@
 			f.Serve(t.Context(), request, sink)
 			sent := transport.sentTo()
 			is.Equal(len(sent), c.sent)
-			is.True(len(sent) < 2 || sent[0] != sent[1]) // another engine
-			is.Equal(after, c.after)
+			is.True(len(sent) < 2 || sent[0] != sent[1]) // resumed at another engine
+			is.Equal(after, c.continuedAfter)
 			is.Equal(sink.body.String(), c.want)
 			is.Equal(sink.cut, c.cut)
 			if c.refused != "" {
 				is.Equal(*sink.refused, Refusal{Code: c.refused, MayHaveRun: true})
 			}
-			is.Equal(len(f.engines.runStates(time.Now())), 0) // every place is free again
+			is.Equal(len(f.engines.runStates(time.Now())), 0) // every place was freed
 		})
 	}
 }
 
-// TestResumeNoRoom has the final answer of a stream that an engine may have
-// worked on say so, though the next engine surely didn't run it.
+// TestResumeNoRoom checks that the final answer of a stream that an engine may have worked on
+// says so, although the engines that were tried next surely didn't run it.
 func TestResumeNoRoom(t *testing.T) {
 	is := is.New(t)
 	tries := 0
@@ -123,8 +123,8 @@
 	is.Equal(*sink.refused, Refusal{Code: CodeLost, MayHaveRun: true})
 }
 
-// TestResumeSilent has a resumable stream leave an engine that stays silent, and
-// the connection to that engine closed.
+// TestResumeSilent checks that a resumable stream leaves an engine that stays silent, and the
+// request to that engine is cancelled.
 func TestResumeSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -12,38 +12,40 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// RunState is what a host tells its peers of one of its runs.
+// RunState describes one of a host's runs to its peers.
 type RunState struct {
 	Run     policy.RunID
 	Service ServiceName
 	Engine  member.UpstreamID
-	// Life is the engine's that the run is in.
+	// Life is the engine's life to which the run belongs.
 	Life Life
-	// Route and Account are what the length of its answer is foreseen by.
+	// Route and Account are what the length of the answer is predicted from.
 	Route   resource.Name
 	Account resource.Account
-	Prompt  policy.Tokens
-	Made    policy.Tokens
-	Limit   policy.Tokens
-	// FirstTokenAge is how long ago its first token came; zero while it has none.
+	// Prompt is the length of the prompt, Made what was generated so far, and Limit the bound
+	// of the answer's length.
+	Prompt policy.Tokens
+	Made   policy.Tokens
+	Limit  policy.Tokens
+	// FirstTokenAge is how long ago the run's first token came; zero before.
 	FirstTokenAge time.Duration
 }
 
-// EndedRun is what a host tells its peers of a run whose answer ended by itself: each of
-// many hosts sees too few answers to know how long they get.
+// EndedRun describes to the peers a run whose answer is complete. A single host among many sees
+// too few answers to learn how long they get.
 type EndedRun struct {
 	Run policy.RunID
 	// Made is the answer's length.
 	Made policy.Tokens
-	// endedAt is when it ended; it isn't told.
+	// endedAt is when the run ended; it isn't sent.
 	endedAt time.Time
 }
 
-// endedRunTTL is how long an ended run is told: each peer of the zone hears from this host
-// once meanwhile, and learns from a run when it is no longer listed.
+// endedRunTTL is how long an ended run is reported. Within that time each peer of the zone gets
+// a report from this host at least once, and it learns from a run when that is no longer listed.
 const endedRunTTL = 2 * shareEvery
 
-// endedRuns lists the runs that ended by themselves lately.
+// endedRuns returns the runs that were completed within endedRunTTL.
 func (e *engines) endedRuns(now time.Time) []EndedRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,7 +53,7 @@
 	return slices.Clone(e.ended)
 }
 
-// firstTokenAt is when the run's firstTokenAt token came; zero while it has none.
+// firstTokenAt is when the run's first token came; zero before.
 func (s RunState) firstTokenAt(now time.Time) time.Time {
 	if s.FirstTokenAge <= 0 {
 		return time.Time{}
@@ -59,7 +61,7 @@
 	return now.Add(-s.FirstTokenAge)
 }
 
-// runStates lists this host's runs.
+// runStates returns this host's runs.
 func (e *engines) runStates(now time.Time) []RunState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,7 +81,7 @@
 	return states
 }
 
-// forgetUnknownPeers drops the runs of peers that aren't known any more.
+// forgetUnknownPeers drops the runs and report times of peers that are no longer known.
 func (e *engines) forgetUnknownPeers(now time.Time, isKnown func(member.HostID) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -98,29 +100,31 @@
 	}
 }
 
-// maxReportAge is how recent a peer's word of its runs must be for them to be known: new
-// runs come and prompts are read within about a second.
+// maxReportAge is how old a peer's last report may be for its runs to count as known: new runs
+// arrive, and prompts are read, within about a second.
 const maxReportAge = time.Second
 
-// updateKnownParts takes in how much of each zone's runs this host knows.
+// updateKnownParts tells the placement, for each zone, which part of the zone's hosts have
+// reported their runs recently.
 func (e *engines) updateKnownParts(now time.Time, zoneOf map[member.HostID]member.Zone) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	hosts, told := map[member.Zone]int{}, map[member.Zone]int{}
+	hosts, reported := map[member.Zone]int{}, map[member.Zone]int{}
 	for host, zone := range zoneOf {
 		hosts[zone]++
 		if at, ever := e.reported[host]; ever && now.Sub(at) <= maxReportAge {
-			told[zone]++
+			reported[zone]++
 		}
 	}
 	for _, p := range e.pools {
 		for zone, n := range hosts {
-			p.pool.SetKnownPart(zone, float64(told[zone])/float64(n))
+			p.pool.SetKnownPart(zone, float64(reported[zone])/float64(n))
 		}
 	}
 }
 
-// replacePeerRuns replaces what is known of a peer's runs, and learns from those that ended.
+// replacePeerRuns replaces what is known of a peer's runs by its report, and learns from those
+// that ended.
 func (e *engines) replacePeerRuns(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,17 +138,17 @@
 		lengths[r.Run] = r.Made
 	}
 	for _, p := range e.pools {
-		for id, of := range p.theirs {
-			if of != host {
+		for id, owner := range p.theirs {
+			if owner != host {
 				continue
 			}
-			s, still := listed[id]
-			if still && p.pool.EngineOf(id) == s.Engine {
+			s, stillListed := listed[id]
+			if stillListed && p.pool.EngineOf(id) == s.Engine {
 				delete(p.granted, id)
 				continue
 			}
 			if _, isGranted := p.granted[id]; isGranted {
-				// The share was on its way when the place was given.
+				// The peer sent this report before it learned of the place.
 				continue
 			}
 			delete(p.theirs, id)
@@ -155,7 +159,7 @@
 	for id, s := range listed {
 		p := e.pools[s.Service]
 		if p == nil || p.own[id] != nil || p.listed[s.Engine].Life.newerThan(s.Life) {
-			// It is this host's by now, or of a life of its engine that is over.
+			// The run is this host's by now, or its engine has restarted since.
 			continue
 		}
 		if _, known := p.theirs[id]; known {
--- a/forward/slowreaders_test.go
+++ b/forward/slowreaders_test.go
@@ -18,7 +18,7 @@
 	"github.com/matryer/is"
 )
 
-// slowSink is a caller that takes each part after a pause.
+// slowSink is a caller that pauses before it takes each part.
 type slowSink struct {
 	fakeSink
 	pause   time.Duration
@@ -43,8 +43,8 @@
 
 func (s *slowSink) Abort() { s.once.Do(func() { close(s.aborted) }) }
 
-// unreadTimeoutEngines play engines whose answers must be read: one that stays unread for three
-// seconds is cut off.
+// unreadTimeoutEngines play engines that cut off an answer of which a part stays unread for
+// unreadTimeout.
 type unreadTimeoutEngines struct {
 	eventCount, eventBytes int
 	cutOff                 atomic.Int64
@@ -75,12 +75,12 @@
 	return a, nil
 }
 
-// TestSlowReaders has a host with many callers that read slowly, or not at all, serve the others
-// as if there were none, within its memory, and have no engine wait for them.
+// TestSlowReaders checks that a host with many callers that read slowly, or not at all, serves
+// the others as if there were none and stays within its memory, and no engine waits for them.
 func TestSlowReaders(t *testing.T) {
 	for name, c := range map[string]struct {
 		slow, stalled int
-		// whole says that the slow ones get all.
+		// whole is set if the slow callers get the complete answer.
 		whole bool
 	}{
 		"some that are slow":         {slow: 20, whole: true},
@@ -96,11 +96,11 @@
 				f := newForwarder(t, &fakeTransport{send: engines.send})
 				f.answerBudget.Most = 14 << 20 // an eighth of 112 MB
 				config := testConfig(2)
-				config.Services[1].Engine = nil // the engines' places aren't what is tested
+				config.Services[1].Engine = nil // the test isn't about placement
 				f.Configure(time.Now(), config)
-				var under sync.WaitGroup
+				var requests sync.WaitGroup
 				serve := func(n int, sink Sink) {
-					under.Go(func() {
+					requests.Go(func() {
 						call := call("/llm/")
 						call.ID, call.Patience = RequestID(fmt.Sprint("r", n)), time.Hour
 						f.Serve(t.Context(), call, sink)
@@ -108,7 +108,7 @@
 				}
 				var slow []*slowSink
 				var fast []*fakeSink
-				var most int64
+				var peak int64
 				for n := range max(c.slow, c.stalled) {
 					if n < c.slow {
 						slow = append(slow, newSlowSink(250*time.Millisecond))
@@ -125,7 +125,7 @@
 				done := make(chan struct{})
 				go func() {
 					for {
-						most = max(most, f.answerBudget.Held())
+						peak = max(peak, f.answerBudget.Held())
 						select {
 						case <-done:
 							return
@@ -133,27 +133,28 @@
 						}
 					}
 				}()
-				under.Wait()
+				requests.Wait()
 				close(done)
 				synctest.Wait()
 				whole := engines.eventCount * (engines.eventBytes + len("id: 1\ndata: \n\n"))
-				t.Logf("held %d at most; engines cut off %d", most, engines.cutOff.Load())
+				t.Logf("at most %d bytes held; engines cut off %d answers", peak, engines.cutOff.Load())
 				for _, s := range fast {
-					is.True(s.body.Len() >= whole && !s.cut) // whoever reads gets all
+					is.True(s.body.Len() >= whole && !s.cut) // a fast reader gets everything
 				}
 				for _, s := range slow {
 					is.True(!c.whole || s.body.Len() >= whole && !s.cut)
 				}
-				one := int64(engines.eventBytes + 32)
-				is.True(most <= f.answerBudget.Most+one*int64(c.slow+c.stalled+len(fast))) // and one event each
-				is.Equal(engines.cutOff.Load(), int64(0))                                  // no engine waited too long
+				eventSize := int64(engines.eventBytes + 32)
+				is.True(peak <= f.answerBudget.Most+eventSize*int64(c.slow+c.stalled+len(fast))) // one event per caller beyond the bound
+				is.Equal(engines.cutOff.Load(), int64(0))                                        // no engine waited until its timeout
 				is.Equal(f.answerBudget.Held(), int64(0))
 			})
 		})
 	}
 }
 
-// TestStalledReaderIsCut has the answer of a caller that takes nothing be cut, not ended as whole.
+// TestStalledReaderIsCut checks that the answer of a caller that takes nothing is cut, not
+// ended as if it were complete, and its place is freed.
 func TestStalledReaderIsCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -169,8 +170,8 @@
 	})
 }
 
-// TestAnswersForSlowReadersAreBounded has long answers be passed on as they come while what is
-// held has reached its bound.
+// TestAnswersForSlowReadersAreBounded checks that long answers are passed on as they come once
+// the memory held for answers has reached its bound.
 func TestAnswersForSlowReadersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -179,22 +180,22 @@
 			return answer(http.StatusOK, body), nil
 		}})
 		f.answerBudget.Most = 2 << 20
-		var most int64
-		var under sync.WaitGroup
+		var peak int64
+		var requests sync.WaitGroup
 		var sinks []*slowSink
 		for range 100 {
 			s := newSlowSink(100 * time.Millisecond)
 			sinks = append(sinks, s)
-			under.Go(func() {
+			requests.Go(func() {
 				c := call("/order/")
 				f.Serve(t.Context(), c, slowWholeSink{s})
 			})
-			most = max(most, f.answerBudget.Held())
+			peak = max(peak, f.answerBudget.Held())
 		}
 		synctest.Wait()
-		most = max(most, f.answerBudget.Held())
-		under.Wait()
-		is.True(most <= f.answerBudget.Most)
+		peak = max(peak, f.answerBudget.Held())
+		requests.Wait()
+		is.True(peak <= f.answerBudget.Most)
 		is.Equal(f.answerBudget.Held(), int64(0))
 		for _, s := range sinks {
 			is.Equal(s.body.Len(), len(body))
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -16,55 +16,59 @@
 	"github.com/shedpath/shedpath/spool"
 )
 
-// streamExchange passes one stream on, from one engine after another when it is
-// moved.
+// streamExchange serves one streaming request. It relays the events of one engine after another
+// when the run is moved or resumed.
 type streamExchange struct {
 	*exchange
+	// run is the place that the request holds on an engine; nil while it holds none.
 	run *ownRun
-	// spool holds what the caller hasn't taken yet; nil before the answer's beginning.
+	// spool buffers what the caller hasn't read yet; nil before the answer starts.
 	spool *spool.Spool
-	// cancel ends what runs for the caller.
+	// cancel ends the context under which the request is served.
 	cancel context.CancelFunc
-	// answerStarted says that the caller has the answer's beginning.
+	// answerStarted is set when the answer's status and header are passed to the caller.
 	answerStarted bool
-	// lastEventID is the id of the last event that the caller has, and events
-	// how many it has.
+	// lastEventID is the id of the last event that the caller has, at first from an earlier
+	// answer. eventCount is how many events were passed on.
 	lastEventID string
 	eventCount  int
-	// engineFirstEventAt is when the first event of the present engine came; zero before.
+	// engineFirstEventAt is when the current engine's first event came; zero before.
 	engineFirstEventAt time.Time
-	// initialEngine is the engine that it was sent to first, and sentAt when.
+	// initialEngine is the engine to which a new run was last sent, and initialSentAt when that
+	// was. Engines that resume the stream or take over a moved run are not recorded here.
 	initialEngine Upstream
 	initialSentAt time.Time
-	// survivalRecorded says that an engine has run it for longer than it takes to begin.
+	// survivalRecorded is set once a run of the request has lasted long enough after its first
+	// event to show that the request doesn't crash engines.
 	survivalRecorded bool
 	// lastEventAt is when the last event was passed on; zero before the first.
 	lastEventAt time.Time
-	// timeToFirstEvent is the time to the first event.
+	// timeToFirstEvent is the time from the request's arrival to its first event.
 	timeToFirstEvent time.Duration
-	// longestGap is the longestGap pause between two events.
+	// longestGap is the longest time between two events.
 	longestGap time.Duration
-	// moveCount counts the engines that the run was moved to.
+	// moveCount is how often the run was continued after it was stopped for a move.
 	moveCount int
-	// failedDials are the engines that couldn't be reached for this request, and
-	// excluded those and the ones that probably can't either.
+	// failedDials lists the engines that could not be connected to or whose address now belongs
+	// to another upstream. excluded lists these, the engines that are presumed unreachable, and
+	// those that rejected the request or broke off its run.
 	failedDials, excluded []member.UpstreamID
-	// attempts counts the engines that may have run the request, and rejections those that said
-	// that they didn't.
+	// attempts counts the engines that may have run the request, and rejections those that
+	// reported that they didn't.
 	attempts, rejections int
-	// mayHaveRun says that one of them may have worked on it.
+	// mayHaveRun is set if an engine may have worked on the request.
 	mayHaveRun bool
-	// callerErr is the error of the caller's connection.
+	// callerErr is the error of the caller's connection; nil while it works.
 	callerErr error
 }
 
 const (
-	// maxStreamDials bounds the engines that one stream is tried on. A refused
-	// connection takes a millisecond or two, and after an outage of the list
-	// half of it may be gone.
+	// maxStreamDials bounds the engines that one stream is tried on. A refused connection takes
+	// a millisecond or two, and after an outage of the upstream list half of its engines may be
+	// gone.
 	maxStreamDials = 12
-	// dialTimeFraction is the part of the objective after which no further engine is
-	// tried: what is left has to do for the prompt.
+	// dialTimeFraction is the fraction of the route's objective after which no further engine
+	// is tried. The rest is needed to process the prompt.
 	dialTimeFraction = 0.5
 )
 
@@ -102,15 +106,15 @@
 	s.refuse(s.truly(x.now(), s.markMayHaveRun(last)), "service", x.service.Name, "sent", s.attempts)
 }
 
-// mayTryAnother reports whether the request may be sent to another engine after one
-// that brought no stream. notRun is that engine's word.
+// mayTryAnother reports whether the request may be sent to another engine after u brought no
+// stream. notRun is set if u reported that it didn't run the request.
 func (s *streamExchange) mayTryAnother(ctx context.Context, u Upstream, last Refusal, notRun bool) bool {
 	s.mayHaveRun = s.mayHaveRun || last.MayHaveRun
 	switch {
 	case last.Code == CodeCallerLeft, last.MayHaveRun && !s.mayRunAgain(ctx, last.Code), s.held(s.now()):
 		return false
 	case !last.MayHaveRun && !notRun:
-		// The engine never had it.
+		// The request never reached the engine.
 		return true
 	}
 	s.excluded = append(s.excluded, u.ID)
@@ -126,9 +130,9 @@
 	return s.route.Objective <= 0 || now.Sub(s.call.Arrived) < time.Duration(dialTimeFraction*float64(s.route.Objective))
 }
 
-// excludeUnreachable keeps this request from an engine that couldn't be connected to,
-// and from the others of its zone if that isn't this host's own: a link that is
-// cut leads to all of them.
+// excludeUnreachable excludes an engine that could not be connected to. If the engine is in
+// another zone, all engines of that zone are excluded, because a cut link cuts off every one of
+// them.
 func (s *streamExchange) excludeUnreachable(now time.Time, u Upstream) {
 	s.failedDials = append(s.failedDials, u.ID)
 	s.excluded = append(s.excluded, u.ID)
@@ -144,24 +148,25 @@
 	s.peers.notify()
 }
 
-// hasUntriedEngine reports whether an engine is left that hasn't been tried. Those that
-// were only guessed to be out of reach are tried when there are no others.
+// hasUntriedEngine reports whether an engine is left to try. Once all are excluded, it reduces
+// the exclusions to the failed dials, so that the engines that were only presumed unreachable
+// are tried as well.
 func (s *streamExchange) hasUntriedEngine(now time.Time) bool {
 	if len(s.excluded) == 0 {
 		return true
 	}
 	takers := s.takers(now)
-	without := func(tried []member.UpstreamID) bool {
+	anyBesides := func(tried []member.UpstreamID) bool {
 		return slices.ContainsFunc(takers, func(u Upstream) bool { return !slices.Contains(tried, u.ID) })
 	}
-	if without(s.excluded) {
+	if anyBesides(s.excluded) {
 		return true
 	}
 	s.excluded = slices.Clone(s.failedDials)
-	return without(s.failedDials)
+	return anyBesides(s.failedDials)
 }
 
-// place finds an engine, or says why there is none.
+// place finds an engine for the request. Without one it returns the refusal to answer with.
 func (s *streamExchange) place(ctx context.Context) (Upstream, Refusal, bool) {
 	now := s.now()
 	if s.attempts > 0 {
@@ -176,14 +181,14 @@
 		if takers := s.takers(now); len(takers) > 0 && len(candidates) == 0 {
 			return Upstream{}, s.noUpstream(now, takers, s.soonest(now, takers, nil)), false
 		}
-		// One whose backoff has just ended isn't listed until the next tick.
+		// An engine whose backoff has just ended is missing from the list until the next refresh.
 		layout, own := s.peers.cellLayout()
 		s.engines.list(now, s.service.Name, s.placementEngines(now, s.service.Name, layout, own))
 	}
 	p := s.call.Prompt
 	r := policy.Request{
 		Run: s.runID(), Route: policyRoute(s.route), Account: s.account.Name,
-		// The policy ranks upwards.
+		// A more urgent request has a lower urgency, but a higher priority in the policy.
 		Priority: int(MostPatient - s.urgency),
 		Prompt:   max(p.Tokens, 1), Limit: p.MostOut, Prefix: p.Prefix, PrefixTokens: p.PrefixTokens,
 		Bytes: len(s.call.Body), Objective: s.route.Objective, AvoidAlso: s.excluded, Zones: s.zones,
@@ -204,7 +209,7 @@
 	return u, Refusal{}, true
 }
 
-// placePlain picks an upstream for a stream that isn't an engine's.
+// placePlain picks an upstream for a stream whose service isn't run by engines.
 func (s *streamExchange) placePlain(ctx context.Context) (Upstream, Refusal, bool) {
 	u, none, found := s.choosePlain(ctx, s.excluded, s.attempts > 0)
 	if !found {
@@ -214,12 +219,13 @@
 	return u, Refusal{}, true
 }
 
+// placementRefusal returns the refusal of a request that got no place.
 func (s *streamExchange) placementRefusal(ctx context.Context, d policy.Decision) Refusal {
-	switch why := endCauseOf(ctx); why {
+	switch cause := endCauseOf(ctx); cause {
 	case endCallerLeft:
 		return Refusal{Code: CodeCallerLeft}
 	case endHostStopped:
-		return Refusal{Code: why.code(), RetryAfter: s.retryStopping(s.now())}
+		return Refusal{Code: cause.code(), RetryAfter: s.retryStopping(s.now())}
 	case endQuarantined:
 		return heldRefusal
 	}
@@ -232,7 +238,8 @@
 
 func policyRoute(r Route) ServiceName { return ServiceName(r.Name) }
 
-// releasePlace gives the run's place back; whole says that its length is known.
+// releasePlace frees the place of the run, if there is one. whole reports that the answer is
+// complete, so that its length is known.
 func (s *streamExchange) releasePlace(whole bool) {
 	if s.run == nil {
 		return
@@ -244,19 +251,20 @@
 	s.run = nil
 }
 
-// runUrgency is what every engine is told of every run, whatever its route or account:
-// urgency orders who gets a place here. An engine whose memory is full throws a run of
-// lower urgency back in the midst of its stream to admit another; its caller gets it late,
-// and all of it is read again.
+// runUrgency is the urgency sent to engines with every run, whatever its route or account;
+// urgency only orders who gets a place on this host. An engine whose memory is full evicts a
+// run of lower urgency in mid-stream to admit another. The evicted stream is late, and the
+// engine reads all of it again.
 const runUrgency = DefaultUrgency
 
+// send sends the request to an engine. c says where to continue; nil starts a new run.
 func (s *streamExchange) send(ctx context.Context, u Upstream, c *Continuation) (*Answer, error) {
 	out := &Outgoing{Call: s.call, Account: s.account.Name, Left: s.timeLeft(s.now()), Urgency: runUrgency, Continue: c}
 	return s.sendTo(ctx, u, out)
 }
 
-// classifyFailure says what a send that brought no stream means for the caller, and marks
-// the upstream accordingly.
+// classifyFailure returns the refusal for a send that brought no stream, closes its answer and
+// records the failure of the upstream.
 func (s *streamExchange) classifyFailure(ctx context.Context, u Upstream, a *Answer, err error) Refusal {
 	now := s.now()
 	s.journal.Request(s.call.ID, "try failed", "upstream", u.ID, "status", status(a), "err", err)
@@ -278,7 +286,8 @@
 	case ctx.Err() != nil:
 		return Refusal{Code: endCauseOf(ctx).code(), MayHaveRun: !errors.Is(err, ErrNotSent)}
 	case errors.Is(err, errFirstEventLate):
-		// The engine counts as failing already.
+		// The watch of the first event has marked the engine as failing, unless its other
+		// runs make progress.
 		return Refusal{Code: CodeLost, MayHaveRun: true}
 	case err != nil:
 		s.failed(now, u.ID, "it lost a request")
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -19,8 +19,8 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// TestStream has events passed on as they are, and an answer that is cut short
-// never look whole.
+// TestStream checks that the events of a stream are passed on unchanged, and an answer that
+// breaks off never looks complete.
 func TestStream(t *testing.T) {
 	const two = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n"
 	for name, c := range map[string]struct {
@@ -48,17 +48,17 @@
 			f.Serve(t.Context(), call("/llm/"), sink)
 			is.Equal(sink.body.String(), c.want)
 			is.Equal(sink.cut, c.cut)
-			is.Equal(len(transport.sentTo()), 1) // a stream runs once
+			is.Equal(len(transport.sentTo()), 1) // a stream is sent once
 			if c.code != "" {
 				is.Equal(*sink.refused, Refusal{Code: c.code, MayHaveRun: true})
 			}
-			is.Equal(len(f.engines.runStates(time.Now())), 0) // its place is free again
+			is.Equal(len(f.engines.runStates(time.Now())), 0) // its place was freed
 		})
 	}
 }
 
-// TestStreamNotBegun has a stream that no engine began refused, or sent on where
-// nothing was sent.
+// TestStreamNotBegun checks that a stream that no engine started is refused, and sent to
+// another engine only if the first one didn't run it.
 func TestStreamNotBegun(t *testing.T) {
 	notRun := answer(503, "")
 	notRun.NotRun = true
@@ -91,7 +91,8 @@
 	}
 }
 
-// TestStreamRejectedEverywhere has a stream that every engine turns away refused as not run.
+// TestStreamRejectedEverywhere checks that a stream that every engine rejects is refused as not
+// run.
 func TestStreamRejectedEverywhere(t *testing.T) {
 	is := is.New(t)
 	transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
@@ -105,13 +106,13 @@
 	is.Equal(*sink.refused, Refusal{Code: CodeOverloaded, RetryAfter: defaultRetryAfter})
 }
 
-// TestStreamUnreachableEngines has a stream that many engines refuse the
-// connection of reach the one that lives, each being tried once; after an engine
-// of another zone none of that zone is.
+// TestStreamUnreachableEngines checks that a stream to which many engines refuse the connection
+// reaches the one that is up, and tries each engine once. After a failed connection to an
+// engine of another zone, it tries no other engine of that zone.
 func TestStreamUnreachableEngines(t *testing.T) {
 	for name, c := range map[string]struct {
 		zones []member.Zone
-		// alive is the engine that can be reached; empty for none.
+		// alive is the engine that can be reached; empty if none can.
 		alive member.UpstreamID
 		sent  int
 	}{
@@ -153,7 +154,7 @@
 	}
 }
 
-// TestStreamCallerLeft has the run end when the caller's connection fails.
+// TestStreamCallerLeft checks that a run ends when the caller's connection fails.
 func TestStreamCallerLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -172,23 +173,24 @@
 	})
 }
 
-// engineScript plays the engines of a stream that is moved: the first makes
-// events until it is stopped or ends by itself, the one that takes up goes on.
+// engineScript plays the engines of a stream that is moved: the first generates events until it
+// is stopped or ends by itself, and the engine that takes over generates the rest.
 type engineScript struct {
-	// eventCount is how many events the first engine makes, one each 20 ms; then it
-	// ends whole.
+	// eventCount is how many events the whole run has. The first engine generates one every 20
+	// ms.
 	eventCount int
-	// stopped closes when the first engine is told to stop.
+	// stopped is closed when the first engine is told to stop.
 	stopped chan struct{}
-	// moveErr answers the stopping copy; copyTook is how long a copy takes.
+	// moveErr is the error of the copy that stops the run. copyTime is how long a copy takes.
 	moveErr error
-	// refusedStops is how many stops are refused without stopping the run.
+	// refusedStops is how many stops fail without stopping the run.
 	refusedStops int
 	handle       string
 	copyTime     time.Duration
-	// refusesContinuation are the engines that refuse to take up.
+	// refusesContinuation lists the engines that refuse to continue the run.
 	refusesContinuation map[member.UpstreamID]bool
-	// lastEventID is what the taking engine was told that the caller has.
+	// lastEventID and continuedFrom are what the engine that continues the run was sent: the
+	// caller's last event, and the source and handle of the copy.
 	lastEventID   string
 	continuedFrom string
 }
@@ -203,10 +205,10 @@
 			return a, nil
 		}
 		e.lastEventID, e.continuedFrom = c.LastEvent, c.Source+"/"+c.Handle
-		var n int
-		_, _ = fmt.Sscan(c.LastEvent, &n)
+		var lastMade int
+		_, _ = fmt.Sscan(c.LastEvent, &lastMade)
 		var rest strings.Builder
-		for i := n + 1; i <= e.eventCount; i++ {
+		for i := lastMade + 1; i <= e.eventCount; i++ {
 			rest.WriteString(sseEvent(i))
 		}
 		return answer(200, rest.String()), nil
@@ -246,8 +248,8 @@
 	return Moved{Handle: e.handle}, e.moveErr
 }
 
-// TestMove has a stream go on at another engine when its own leaves, with each
-// event once and in order, or be cut where it can't.
+// TestMove checks that when its engine leaves, a stream continues at another engine with each
+// event once and in order. It is cut if no engine continues it.
 func TestMove(t *testing.T) {
 	whole := func(n int) string {
 		var all strings.Builder
@@ -260,7 +262,7 @@
 		script engineScript
 		cut    bool
 		moved  bool
-		// upstreams is how many got the request.
+		// upstreams is how many sends the stream takes.
 		upstreams int
 	}{
 		"moved":                      {engineScript{eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond}, false, true, 2},
@@ -293,7 +295,7 @@
 				f, sink := newForwarder(t, transport), &fakeSink{}
 				f.fleet.Suspect(time.Now(), "llm2")
 				f.fleet.Suspect(time.Now(), "llm3")
-				f.updatePlacementEngines(time.Now(), f.Table()) // the first engine gets the run
+				f.updatePlacementEngines(time.Now(), f.Table()) // llm1 gets the run
 				time.AfterFunc(100*time.Millisecond, func() {
 					f.fleet.Replace(time.Now(), upstreamsWithLeaving(f, "llm1"), rev(2))
 					f.updatePlacementEngines(time.Now(), f.Table())
@@ -313,8 +315,8 @@
 	}
 }
 
-// TestEndedWhileStopped has a stream that has its end be whole although a move
-// has got its memory: taken up again, its last events would come twice.
+// TestEndedWhileStopped checks that a stream that reached its end is complete although a move
+// has copied its memory. If another engine continued it, its last events would come twice.
 func TestEndedWhileStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -341,7 +343,7 @@
 	})
 }
 
-// upstreamsWithLeaving lists a forwarder's upstreams with some of them upstreamsWithLeaving.
+// upstreamsWithLeaving lists a forwarder's upstreams, some of them marked as leaving.
 func upstreamsWithLeaving(f *Forwarder, ids ...member.UpstreamID) []Upstream {
 	changes, _, _ := f.fleet.Since(rev(0))
 	var list []Upstream
@@ -369,17 +371,17 @@
 				break
 			}
 			if !strings.HasSuffix(string(e), "\n") {
-				t.Fatalf("an event without its end: %q", e)
+				t.Fatalf("event %q doesn't end with a newline", e)
 			}
 			got.Write(e)
 		}
 		if !strings.HasPrefix(stream, got.String()) {
-			t.Fatalf("%q isn't the beginning of %q", got.String(), stream)
+			t.Fatalf("the events %q aren't a prefix of the stream %q", got.String(), stream)
 		}
 	})
 }
 
-// chunkedReader reads a few bytes at a time.
+// chunkedReader returns at most size bytes per read.
 type chunkedReader struct {
 	source io.Reader
 	size   int
@@ -389,13 +391,13 @@
 	return c.source.Read(p[:min(len(p), max(c.size, 1))])
 }
 
-// TestRunsSentWithDefaultUrgency has an engine be told the same urgency of every run, so that
-// none displaces another in the midst of its stream.
+// TestRunsSentWithDefaultUrgency checks that every run is sent to its engine with the same
+// urgency, so that no run evicts another in mid-stream.
 func TestRunsSentWithDefaultUrgency(t *testing.T) {
 	is := is.New(t)
-	var told []Urgency
+	var urgencies []Urgency
 	transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
-		told = append(told, r.Urgency)
+		urgencies = append(urgencies, r.Urgency)
 		return answer(http.StatusOK, "id: 1\ndata: a\n\n"), nil
 	}}
 	f := newForwarder(t, transport)
@@ -405,5 +407,5 @@
 		f.Configure(time.Now(), c)
 		f.Serve(t.Context(), call("/llm/"), &fakeSink{})
 	}
-	is.Equal(told, []Urgency{DefaultUrgency, DefaultUrgency, DefaultUrgency})
+	is.Equal(urgencies, []Urgency{DefaultUrgency, DefaultUrgency, DefaultUrgency})
 }
