--- a/forward/answermemory.go
+++ b/forward/answermemory.go
@@ -50,9 +50,9 @@
 // readBody reads an answer's body and closes it. If the body is too long to be held, or there
 // is no room for all of it, long is set: body is only its beginning then, and a.Body stays
 // open.
-func (h *answerMemory) readBody(a *Answer) (body []byte, long bool, err error) {
+func (h *answerMemory) readBody(a *Response) (body []byte, long bool, err error) {
 	var buf bytes.Buffer
-	for buf.Len() < mostHeld && h.reserve(readChunkBytes) {
+	for buf.Len() < maxBufferedResponse && h.reserve(readChunkBytes) {
 		_, err = io.CopyN(&buf, a.Body, readChunkBytes)
 		if err == nil {
 			continue
--- a/forward/asking_test.go
+++ b/forward/asking_test.go
@@ -15,31 +15,31 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// askedPeer is a host's interface to one host of another zone.
-type askedPeer struct {
-	followedPeers
-	other *Forwarder
-	// lost has answers not arrive, silent requests neither.
-	lost, silent bool
-	asked        int
+// remoteZonePeer is a host's interface to one host of another zone.
+type remoteZonePeer struct {
+	fakeFollowedPeer
+	remote *Forwarder
+	// dropReplies has answers not arrive, dropRequests requests neither.
+	dropReplies, dropRequests bool
+	calls                     int
 }
 
-func (p *askedPeer) Ask(ctx context.Context, _ Peer, a PlaceAsk) (PlaceGrant, error) {
-	p.asked++
-	if p.silent {
+func (p *remoteZonePeer) Ask(ctx context.Context, _ Peer, a PlacementRequest) (PlacementGrant, error) {
+	p.calls++
+	if p.dropRequests {
 		<-ctx.Done()
-		return PlaceGrant{}, ctx.Err()
+		return PlacementGrant{}, ctx.Err()
 	}
-	grant := p.other.OnAsk(a)
-	if p.lost {
-		return PlaceGrant{}, errGone
+	grant := p.remote.OnAsk(a)
+	if p.dropReplies {
+		return PlacementGrant{}, errGone
 	}
 	return grant, nil
 }
 
-// twoZones returns a host of z1, with engine near, and one of z2, with engines far1 and
+// newTwoZoneHosts returns a host of z1, with engine near, and one of z2, with engines far1 and
 // far2, that know each other.
-func twoZones(t *testing.T) (near, far *Forwarder, peer *askedPeer) {
+func newTwoZoneHosts(t *testing.T) (near, far *Forwarder, peer *remoteZonePeer) {
 	t.Helper()
 	now := time.Now()
 	list := []Upstream{
@@ -54,35 +54,35 @@
 		return f
 	}
 	near, far = host("h1", "z1"), host("h2", "z2")
-	near.peers.receive(now, Share{From: far.peers.self})
-	far.peers.receive(now, Share{From: near.peers.self})
-	peer = &askedPeer{other: far}
+	near.peers.recordShare(now, Share{From: far.peers.self})
+	far.peers.recordShare(now, Share{From: near.peers.self})
+	peer = &remoteZonePeer{remote: far}
 	near.peerTransport = peer
 	return near, far, peer
 }
 
-// fill has a host carry a run that leaves no room for another on an engine.
-func fill(t *testing.T, f *Forwarder, engine member.UpstreamID) {
+// fillEngine has a host carry a run that leaves no room for another on an engine.
+func fillEngine(t *testing.T, f *Forwarder, engine member.UpstreamID) {
 	t.Helper()
 	r := policy.Request{Run: policy.RunID("fill-" + engine), Prompt: 32500, Limit: 100, Zone: f.engines.zone}
-	if _, _, _, ok := f.engines.placeAt(time.Now(), "llm", r, PlaceGrant{Engine: engine}); !ok {
+	if _, _, _, ok := f.engines.placeAt(time.Now(), "llm", r, PlacementGrant{Engine: engine}); !ok {
 		t.Fatal("not placed")
 	}
 }
 
-// find places a request at a host as a stream does.
-func find(ctx context.Context, f *Forwarder, run policy.RunID) (Upstream, *ownRun, policy.Decision) {
-	p := findPlacing(ctx, f, run)
-	return p.at, p.run, p.decision
+// placeRun places a request at a host as a stream does.
+func placeRun(ctx context.Context, f *Forwarder, run policy.RunID) (Upstream, *ownRun, policy.Decision) {
+	p := findPlacementOn(ctx, f, run)
+	return p.upstream, p.run, p.decision
 }
 
-func findPlacing(ctx context.Context, f *Forwarder, run policy.RunID) placing {
+func findPlacementOn(ctx context.Context, f *Forwarder, run policy.RunID) placementResult {
 	now := time.Now()
 	s := &streamExchange{exchange: &exchange{Forwarder: f, call: call("/llm/")}}
 	s.service, _ = f.Table().Service("llm")
-	return s.findPlace(ctx, now, policy.Request{
+	return s.findPlacement(ctx, now, policy.Request{
 		Run: run, Route: "/llm/", Prompt: 3000, Limit: 500, Objective: 1800 * time.Millisecond, Arrived: now, Deadline: now.Add(1800 * time.Millisecond),
-	}, s.keptEngines(now))
+	}, s.throttledEngines(now))
 }
 
 // TestAskForPlaces has a host place in its own zone while that has room, and then where
@@ -104,33 +104,33 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				near, far, peer := twoZones(t)
-				peer.lost, peer.silent = c.lost, c.silent
+				near, far, peer := newTwoZoneHosts(t)
+				peer.dropReplies, peer.dropRequests = c.lost, c.silent
 				for _, id := range c.full {
 					if id == "near" {
-						fill(t, near, id)
+						fillEngine(t, near, id)
 						continue
 					}
-					fill(t, far, id)
+					fillEngine(t, far, id)
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 				defer cancel()
-				u, run, d := find(ctx, near, "r")
+				u, run, d := placeRun(ctx, near, "r")
 				is.Equal(d.Verdict, c.verdict)
 				is.Equal(u.ID, c.want)
-				is.Equal(peer.asked, c.asked)
+				is.Equal(peer.calls, c.asked)
 				is.Equal(run != nil, c.want != "")
 				if c.verdict == policy.Granted && c.asked == 1 && !c.silent {
-					is.Equal(far.engines.pools["llm"].theirs["r"], near.peers.self.ID) // counted there at once
+					is.Equal(far.engines.pools["llm"].peerRuns["r"], near.peers.self.ID) // counted there at once
 				}
 			})
 		})
 	}
 }
 
-// TestPlaceGivenInVain has a place that was given to a peer's run be kept until the peer
+// TestUnusedGrantExpires has a place that was given to a peer's run be kept until the peer
 // must have told of the run, and then be free again unless it did.
-func TestPlaceGivenInVain(t *testing.T) {
+func TestUnusedGrantExpires(t *testing.T) {
 	for name, c := range map[string]struct {
 		told bool
 		want bool
@@ -141,20 +141,20 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				near, far, peer := twoZones(t)
-				peer.lost = !c.told
-				fill(t, near, "near")
-				fill(t, far, "far1")
+				near, far, peer := newTwoZoneHosts(t)
+				peer.dropReplies = !c.told
+				fillEngine(t, near, "near")
+				fillEngine(t, far, "far1")
 				ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 				defer cancel()
-				_, _, _ = find(ctx, near, "r")
+				_, _, _ = placeRun(ctx, near, "r")
 				counted := func() bool { return far.engines.pools["llm"].pool.EngineOf("r") == "far2" }
 				far.engines.replacePeerRuns(time.Now(), "h1", nil, nil) // a share that was on its way
 				is.True(counted())
 				if c.told {
 					far.engines.replacePeerRuns(time.Now(), "h1", near.engines.runStates(time.Now()), nil)
 				}
-				time.Sleep(grantedFor + time.Millisecond)
+				time.Sleep(placementGrantTTL + time.Millisecond)
 				far.updatePlacementEngines(time.Now(), far.Table())
 				is.Equal(counted(), c.want)
 			})
@@ -167,18 +167,18 @@
 func TestAskForTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		near, far, peer := twoZones(t)
-		_, run, d := find(t.Context(), near, "r")
+		near, far, peer := newTwoZoneHosts(t)
+		_, run, d := placeRun(t.Context(), near, "r")
 		is.Equal(d.Engine, member.UpstreamID("near"))
-		fill(t, far, "far2")
+		fillEngine(t, far, "far2")
 		x := &exchange{Forwarder: near, call: call("/llm/")}
 		x.service, _ = near.Table().Service("llm")
 		to, found := x.relocate(t.Context(), time.Now(), run, nil)
 		is.True(found)
 		is.Equal(to.ID, member.UpstreamID("far1"))
 		is.Equal(run.engine, member.UpstreamID("far1"))
-		is.Equal(peer.asked, 1)
-		fill(t, far, "far1")
+		is.Equal(peer.calls, 1)
+		fillEngine(t, far, "far1")
 		_, found = x.relocate(t.Context(), time.Now(), run, nil)
 		is.True(found) // back to the own zone
 		is.Equal(run.engine, member.UpstreamID("near"))
@@ -190,12 +190,12 @@
 func TestAskedRunStaysCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		near, far, _ := twoZones(t)
-		fill(t, near, "near")
-		_, run, d := find(t.Context(), near, "r")
+		near, far, _ := newTwoZoneHosts(t)
+		fillEngine(t, near, "near")
+		_, run, d := placeRun(t.Context(), near, "r")
 		is.True(d.Engine == "far1" || d.Engine == "far2")
 		other := map[member.UpstreamID]member.UpstreamID{"far1": "far2", "far2": "far1"}[d.Engine]
-		fill(t, far, other)
+		fillEngine(t, far, other)
 		x := &exchange{Forwarder: near, call: call("/llm/")}
 		x.service, _ = near.Table().Service("llm")
 		_, found := x.relocate(t.Context(), time.Now(), run, nil)
--- a/forward/broadcast.go
+++ b/forward/broadcast.go
@@ -12,8 +12,8 @@
 	next chan struct{}
 }
 
-// waiting returns a channel that closes at the next wake.
-func (b *broadcast) waiting() <-chan struct{} {
+// wakeChannel returns a channel that closes at the next wake.
+func (b *broadcast) wakeChannel() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.next == nil {
--- a/forward/broken_test.go
+++ b/forward/broken_test.go
@@ -15,17 +15,17 @@
 	"github.com/matryer/is"
 )
 
-// linesJournal keeps the lines.
-type linesJournal struct {
+// recordingJournal keeps the lines.
+type recordingJournal struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (j *linesJournal) Request(id RequestID, event string, keyvals ...any) {
+func (j *recordingJournal) Request(id RequestID, event string, keyvals ...any) {
 	j.HostEvent(event, append([]any{"request", id}, keyvals...)...)
 }
 
-func (j *linesJournal) HostEvent(event string, keyvals ...any) {
+func (j *recordingJournal) HostEvent(event string, keyvals ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	line := event
@@ -35,8 +35,8 @@
 	j.lines = append(j.lines, line)
 }
 
-// with returns the lines that begin so.
-func (j *linesJournal) with(event string) []string {
+// linesWithPrefix returns the lines that begin so.
+func (j *recordingJournal) linesWithPrefix(event string) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var found []string
@@ -48,23 +48,23 @@
 	return found
 }
 
-// TestBrokenConnectionIsTold has the log tell of each connection that broke before its
+// TestBrokenConnectionIsLogged has the log tell of each connection that broke before its
 // answer had ended whether the upstream itself had, and what was asked.
-func TestBrokenConnectionIsTold(t *testing.T) {
+func TestBrokenConnectionIsLogged(t *testing.T) {
 	closed := func(Upstream) error { return fmt.Errorf("%w: refused", ErrPortClosed) }
-	breaks := func(body io.Reader, err error) func(context.Context, Upstream, *Outgoing) (*Answer, error) {
-		return func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+	breaks := func(body io.Reader, err error) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
+		return func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 			if err != nil {
 				return nil, err
 			}
 			a := answer(200, "")
-			a.Length, a.Body = -1, io.NopCloser(body)
+			a.ContentLength, a.Body = -1, io.NopCloser(body)
 			return a, nil
 		}
 	}
 	for name, c := range map[string]struct {
 		path  string
-		send  func(context.Context, Upstream, *Outgoing) (*Answer, error)
+		send  func(context.Context, Upstream, *UpstreamRequest) (*Response, error)
 		reach func(Upstream) error
 		want  string
 	}{
@@ -74,18 +74,18 @@
 		"call":                        {"/order/", breaks(nil, syscall.ECONNRESET), closed, "ended=true"},
 		"the upstream still listens":  {"/order/", breaks(nil, io.ErrUnexpectedEOF), nil, "ended=false"},
 		"the upstream can't be asked": {"/order/", breaks(nil, io.ErrUnexpectedEOF), func(Upstream) error { return errGone }, "ended=false"},
-		"bytes that are no answer":    {"/order/", breaks(nil, ErrForeign), closed, ""},
+		"bytes that are no answer":    {"/order/", breaks(nil, ErrMismatchedResponse), closed, ""},
 		"a link that fell silent":     {"/order/", breaks(nil, syscall.ETIMEDOUT), closed, ""},
 		"nothing was sent":            {"/order/", breaks(nil, ErrNotSent), closed, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newForwarder(t, &fakeTransport{send: c.send, reach: c.reach})
-			journal := &linesJournal{}
+			journal := &recordingJournal{}
 			f.journal = journal
 			asked := call(c.path)
 			f.Serve(t.Context(), asked, &fakeSink{})
-			lines := journal.with("connection broke")
+			lines := journal.linesWithPrefix("connection broke")
 			if c.want == "" {
 				is.Equal(len(lines), 0)
 				return
--- a/forward/budget.go
+++ b/forward/budget.go
@@ -25,26 +25,26 @@
 	// one has no part of it.
 	hosts    int
 	services map[ServiceName]*retryWindow
-	// began is the first moment that was counted, from which buckets are numbered:
+	// startedAt is the first moment that was counted, from which buckets are numbered:
 	// by the time of day, a jump back would stop the window for as long as the jump
 	// was, and one ahead would forget what has been spent.
-	began time.Time
+	startedAt time.Time
 }
 
 // retryWindow counts one service's requests and repeats in a window that
 // slides by buckets.
 type retryWindow struct {
 	buckets [windowBuckets]struct{ first, again float64 }
-	// at is the number of the newest bucket since the budget began.
-	at int64
+	// newestBucket is the number of the newest bucket since the budget began.
+	newestBucket int64
 }
 
 const (
 	// windowBuckets is how many parts a window slides by.
 	windowBuckets = 10
-	// usedPart of the limit is used, so that hosts that count a little
+	// usableFraction of the limit is used, so that hosts that count a little
 	// differently stay within it together.
-	usedPart = 0.8
+	usableFraction = 0.8
 )
 
 // setHosts says how many hosts share the limit.
@@ -60,40 +60,40 @@
 	b.limit = l
 }
 
-// first counts a request that is sent for the first time.
-func (b *retryBudget) first(now time.Time, service ServiceName) {
+// countRequest counts a request that is sent for the countRequest time.
+func (b *retryBudget) countRequest(now time.Time, service ServiceName) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.window(now, service)
-	w.buckets[w.at%windowBuckets].first++
+	w := b.currentWindow(now, service)
+	w.buckets[w.newestBucket%windowBuckets].first++
 }
 
-// take reports whether a request may be sent once more, and counts it.
-func (b *retryBudget) take(now time.Time, service ServiceName) bool {
+// takeRetry reports whether a request may be sent once more, and counts it.
+func (b *retryBudget) takeRetry(now time.Time, service ServiceName) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w := b.window(now, service)
+	w := b.currentWindow(now, service)
 	var first, again float64
 	for _, bucket := range w.buckets {
 		first += bucket.first
 		again += bucket.again
 	}
-	if again+1 > usedPart*(b.limit.Ratio*first+b.slack()) {
+	if again+1 > usableFraction*(b.limit.Ratio*first+b.slackShare()) {
 		return false
 	}
-	w.buckets[w.at%windowBuckets].again++
+	w.buckets[w.newestBucket%windowBuckets].again++
 	return true
 }
 
-// slack is this host's part of it.
-func (b *retryBudget) slack() float64 {
+// slackShare is this host's part of it.
+func (b *retryBudget) slackShare() float64 {
 	if b.hosts == 0 {
 		return 0
 	}
 	return b.limit.Slack / float64(b.hosts)
 }
 
-func (b *retryBudget) window(now time.Time, service ServiceName) *retryWindow {
+func (b *retryBudget) currentWindow(now time.Time, service ServiceName) *retryWindow {
 	if b.services == nil {
 		b.services = map[ServiceName]*retryWindow{}
 	}
@@ -102,14 +102,14 @@
 		w = &retryWindow{}
 		b.services[service] = w
 	}
-	if b.began.IsZero() {
-		b.began = now
+	if b.startedAt.IsZero() {
+		b.startedAt = now
 	}
-	at := int64(now.Sub(b.began) / max(b.limit.Window/windowBuckets, 1))
-	for steps := 0; w.at < at && steps < windowBuckets; steps++ {
-		w.at++
-		w.buckets[w.at%windowBuckets] = struct{ first, again float64 }{}
+	at := int64(now.Sub(b.startedAt) / max(b.limit.Window/windowBuckets, 1))
+	for steps := 0; w.newestBucket < at && steps < windowBuckets; steps++ {
+		w.newestBucket++
+		w.buckets[w.newestBucket%windowBuckets] = struct{ first, again float64 }{}
 	}
-	w.at = max(w.at, at)
+	w.newestBucket = max(w.newestBucket, at)
 	return w
 }
--- a/forward/budget_test.go
+++ b/forward/budget_test.go
@@ -18,7 +18,7 @@
 	now := time.Now()
 	b := retryBudget{limit: RetryLimit{Ratio: 0.2, Slack: 10, Window: 10 * time.Second}}
 	count := func(now time.Time) (n int) {
-		for b.take(now, "app") {
+		for b.takeRetry(now, "app") {
 			n++
 		}
 		return n
@@ -27,13 +27,13 @@
 	is.Equal(count(now), 8) // 0.8 of the slack
 	b.setHosts(5)
 	for range 100 {
-		b.first(now, "app")
+		b.countRequest(now, "app")
 	}
 	is.Equal(count(now), 9) // 0.8 of (20 and a fifth of the slack), less the 8
 	is.Equal(count(now.Add(5*time.Second)), 0)
 	is.Equal(count(now.Add(11*time.Second)), 1) // only a part of the slack is left
 	var none retryBudget
-	is.True(!none.take(now, "app"))
+	is.True(!none.takeRetry(now, "app"))
 }
 
 // TestRetryBudgetOfAllHosts has the repeats of all hosts together stay within the limit of
@@ -61,19 +61,19 @@
 			for zone := range zones {
 				s.cutOff(s.zone(zone + 1)...)
 			}
-			time.Sleep(farSilent + time.Second)
+			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"one zone is cut off": {func(s *site) {
 			time.Sleep(settled)
 			s.cutOff(s.zone(1)...)
-			time.Sleep(farSilent + time.Second)
+			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"cut off for longer than silent hosts are kept": {func(s *site) {
 			time.Sleep(settled)
 			for zone := range zones {
 				s.cutOff(s.zone(zone + 1)...)
 			}
-			time.Sleep(peerForgotten + time.Second)
+			time.Sleep(peerForgetTimeout + time.Second)
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -88,9 +88,9 @@
 				for _, f := range s.hosts {
 					f.SetRetryLimit(limit)
 					for range firstTries {
-						f.retries.first(f.now(), "app")
+						f.retries.countRequest(f.now(), "app")
 					}
-					for f.retries.take(f.now(), "app") {
+					for f.retries.takeRetry(f.now(), "app") {
 						repeats++
 					}
 				}
@@ -113,11 +113,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s := newSite(1, 1, true)
 		s.startAll(ctx)
-		time.Sleep(2 * startLasts)
+		time.Sleep(2 * startupDuration)
 		f := s.first()
 		f.SetRetryLimit(RetryLimit{Slack: 10, Window: 10 * time.Second})
 		repeats := 0
-		for f.retries.take(f.now(), "app") {
+		for f.retries.takeRetry(f.now(), "app") {
 			repeats++
 		}
 		is.Equal(repeats, 8) // 0.8 of the slack
--- a/forward/call.go
+++ b/forward/call.go
@@ -27,15 +27,15 @@
 	// that this system sets itself.
 	Header http.Header
 	Body   []byte
-	// Key is the caller's; empty when it gave none.
-	Key string
+	// APIKey is the caller's; empty when it gave none.
+	APIKey string
 	// Arrived is when the request began to be served here.
 	Arrived time.Time
-	// Patience is how long the caller waits; zero when it didn't say.
-	Patience time.Duration
-	// LastEvent is the id of the last event that the caller has of an earlier
+	// CallerTimeout is how long the caller waits; zero when it didn't say.
+	CallerTimeout time.Duration
+	// LastEventID is the id of the last event that the caller has of an earlier
 	// answer; empty when it begins anew.
-	LastEvent string
+	LastEventID string
 	// Prompt is what a generation asks of an engine's memory; zero for other
 	// requests.
 	Prompt Prompt
@@ -44,33 +44,33 @@
 // Prompt is the size of a generation's request.
 type Prompt struct {
 	Tokens policy.Tokens
-	// MostOut bounds the answer; zero when the caller set no bound.
-	MostOut policy.Tokens
-	// LikelyOut is the caller's guess of the answer's length; zero when it
+	// MaxOutputTokens bounds the answer; zero when the caller set no bound.
+	MaxOutputTokens policy.Tokens
+	// ExpectedOutputTokens is the caller's guess of the answer's length; zero when it
 	// made none.
-	LikelyOut policy.Tokens
-	// Prefix names the first PrefixTokens of the prompt, which other prompts
+	ExpectedOutputTokens policy.Tokens
+	// PrefixHash names the first PrefixTokens of the prompt, which other prompts
 	// may share; zero when none are.
-	Prefix       uint64
+	PrefixHash   uint64
 	PrefixTokens policy.Tokens
 }
 
 // Sink takes the answer on its way to the caller. Its methods return an error
 // when the caller is gone.
 type Sink interface {
-	// Whole answers with an upstream's whole answer.
-	Whole(a *Answer, body []byte) error
-	// Begin answers with an upstream's status and header; what follows is
+	// SendResponse answers with an upstream's whole answer.
+	SendResponse(a *Response, body []byte) error
+	// BeginResponse answers with an upstream's status and header; what follows is
 	// written as it comes.
-	Begin(a *Answer) error
+	BeginResponse(a *Response) error
 	Write(p []byte) error
 	// Abort has a Write that is under way fail, and all later ones. It may be called beside Write.
 	Abort()
 	// Refuse is the final answer to a request that failed.
 	Refuse(r Refusal) error
-	// Cut ends an answer that has begun so that the caller sees that it isn't
+	// Truncate ends an answer that has begun so that the caller sees that it isn't
 	// whole.
-	Cut()
+	Truncate()
 }
 
 // Code is the stable word for why a request failed here.
@@ -111,18 +111,18 @@
 	RetryAfter time.Duration
 }
 
-// Outgoing is a request on its way to an upstream.
-type Outgoing struct {
+// UpstreamRequest is a request on its way to an upstream.
+type UpstreamRequest struct {
 	Call    *Call
 	Account resource.Account
-	// Left is how long the upstream may work.
-	Left time.Duration
+	// TimeLeft is how long the upstream may work.
+	TimeLeft time.Duration
 	// Urgency is what the upstream is told of the request's.
 	Urgency Urgency
 	// Continue takes a run up from where another engine stopped it.
 	Continue *Continuation
-	// BackupAt is an engine that a copy of the run is kept on; empty for none.
-	BackupAt string
+	// BackupEngine is an engine that a copy of the run is kept on; empty for none.
+	BackupEngine string
 }
 
 // Continuation says where a run's memory is and what the caller has of it.
@@ -132,30 +132,30 @@
 	// only a resumable route allows.
 	Source string
 	Handle string
-	// LastEvent is the id of the last event that the caller has.
-	LastEvent string
+	// LastEventID is the id of the last event that the caller has.
+	LastEventID string
 }
 
-// Answer is an upstream's answer. Body is to be closed, which ends the work if
+// Response is an upstream's answer. Body is to be closed, which ends the work if
 // it isn't done.
-type Answer struct {
+type Response struct {
 	Status int
 	// Header is what is passed on to the caller.
 	Header http.Header
-	// Length is the body's, or -1 when the upstream didn't say.
-	Length int64
+	// ContentLength is the body's, or -1 when the upstream didn't say.
+	ContentLength int64
 	// Framed says that the body's end can be told from a broken connection.
 	Framed bool
 	Body   io.ReadCloser
 	// NotRun is the upstream's word that it didn't run the request and won't.
 	NotRun bool
-	// OtherInstance says that the address is another upstream's by now.
-	OtherInstance bool
+	// WrongInstance says that the address is another upstream's by now.
+	WrongInstance bool
 	// Signed says that the answer carries the upstream's signature.
 	Signed bool
-	// Encoded says that the body isn't in the form that the caller asked for.
-	Encoded bool
-	Signals Signals
+	// UnexpectedEncoding says that the body isn't in the form that the caller asked for.
+	UnexpectedEncoding bool
+	Signals            Signals
 }
 
 // Errors of a Transport, besides those of the context.
@@ -163,9 +163,9 @@
 	// ErrNotSent says that no byte of the request can have reached the
 	// upstream.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrForeign says that the bytes on the connection were no answer to this
+	// ErrMismatchedResponse says that the bytes on the connection were no answer to this
 	// request.
-	ErrForeign = errors.New("the answer isn't this request's")
+	ErrMismatchedResponse = errors.New("the answer isn't this request's")
 	// ErrPortClosed says that nobody listens at the upstream's address.
 	ErrPortClosed = errors.New("nobody listens there")
 )
@@ -173,52 +173,52 @@
 // Transport sends requests to upstreams. After any error but ErrNotSent the
 // request may have run. When the context ends, the connection is closed.
 type Transport interface {
-	Send(ctx context.Context, u Upstream, r *Outgoing) (*Answer, error)
+	Send(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error)
 	// Move copies a run's memory to another engine.
-	Move(ctx context.Context, from Upstream, r MoveRequest) (Moved, error)
+	Move(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error)
 	// Health asks an upstream how it is.
 	Health(ctx context.Context, u Upstream, path string) (Health, error)
-	// Reach opens a connection to an upstream and closes it. The error is
+	// CheckReachable opens a connection to an upstream and closes it. The error is
 	// ErrPortClosed where its machine answers and it doesn't listen.
-	Reach(ctx context.Context, u Upstream) error
+	CheckReachable(ctx context.Context, u Upstream) error
 	// Discard frees a copy that won't be used.
 	Discard(ctx context.Context, at Upstream, handle string) (Signals, error)
 }
 
 // Health is what an upstream says of itself.
 type Health struct {
-	// Well says that it works and isn't leaving.
-	Well bool
+	// Healthy says that it works and isn't leaving.
+	Healthy bool
 	// Rejected says that it had no room for the question, which tells nothing about Well.
 	Rejected bool
-	// ColdFor is how much longer it is cold; zero when it isn't.
-	ColdFor time.Duration
+	// ColdRemaining is how much longer it is cold; zero when it isn't.
+	ColdRemaining time.Duration
 	// Life is its present one; zero when it doesn't say.
-	Life    Life
+	Life    Incarnation
 	Signals Signals
 }
 
 // MoveRequest asks the engine that runs a request to copy its memory.
 type MoveRequest struct {
-	ID RequestID
-	To string
-	// Stop ends the run at the source before the last part is copied.
-	Stop bool
+	ID            RequestID
+	TargetAddress string
+	// StopSource ends the run at the source before the last part is copied.
+	StopSource bool
 }
 
-// Moved is an engine's answer to a MoveRequest.
-type Moved struct {
+// MoveResult is an engine's answer to a MoveRequest.
+type MoveResult struct {
 	// Handle names the copy; it may be set beside an error.
 	Handle string
-	// Events is how many events the run had made.
-	Events  int
-	Signals Signals
+	// EventsProduced is how many events the run had made.
+	EventsProduced int
+	Signals        Signals
 }
 
 // Errors of Transport.Move.
 var (
-	ErrNoRun    = errors.New("the engine doesn't have the run")
-	ErrMoveBusy = errors.New("another copy of the run is under way")
-	ErrNoRoom   = errors.New("the target has no room or can't be reached")
-	ErrMoveLost = errors.New("the engine gave no answer to the move")
+	ErrRunNotFound       = errors.New("the engine doesn't have the run")
+	ErrMoveBusy          = errors.New("another copy of the run is under way")
+	ErrTargetUnavailable = errors.New("the target has no room or can't be reached")
+	ErrNoMoveReply       = errors.New("the engine gave no answer to the move")
 )
--- a/forward/callergone_test.go
+++ b/forward/callergone_test.go
@@ -17,42 +17,42 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// goneBound is how long after its caller left anything of a request may reach an
+// maxWorkAfterLeave is how long after its caller left anything of a request may reach an
 // upstream, or be worked on there.
-const goneBound = 500 * time.Millisecond
+const maxWorkAfterLeave = 500 * time.Millisecond
 
 // workLog notes when upstreams were called and when they were let go.
 type workLog struct {
 	mu      sync.Mutex
 	started []time.Time
-	open    int
+	active  int
 }
 
 func (l *workLog) start() (end func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.started = append(l.started, time.Now())
-	l.open++
+	l.active++
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.open--
+		l.active--
 	}
 }
 
-// stuckBody is a stream that brings one event and then nothing until it is closed.
-type stuckBody struct {
+// stalledBody is a stream that brings one event and then nothing until it is closed.
+type stalledBody struct {
 	io.Reader
 	closed func()
 }
 
-func (b *stuckBody) Close() error {
+func (b *stalledBody) Close() error {
 	b.closed()
 	return nil
 }
 
-// stuckStream is an answer that stays open, and ends with its request's context.
-func stuckStream(ctx context.Context, l *workLog) *Answer {
+// stalledStream is an answer that stays open, and ends with its request's context.
+func stalledStream(ctx context.Context, l *workLog) *Response {
 	read, write := io.Pipe()
 	var once sync.Once
 	end := l.start()
@@ -63,34 +63,34 @@
 	context.AfterFunc(ctx, closed)
 	go func() { _, _ = io.WriteString(write, "id: 1\n\n") }() // an error says that it was closed
 	a := answer(200, "")
-	a.Length, a.Body = -1, &stuckBody{Reader: read, closed: closed}
+	a.ContentLength, a.Body = -1, &stalledBody{Reader: read, closed: closed}
 	return a
 }
 
-// TestCallerGone has nothing of a request reach an upstream, and none work on it,
+// TestCallerLeftEndsWork has nothing of a request reach an upstream, and none work on it,
 // half a second after its caller left, wherever the request then was.
-func TestCallerGone(t *testing.T) {
+func TestCallerLeftEndsWork(t *testing.T) {
 	type site struct {
 		f    *Forwarder
 		work *workLog
 	}
 	// hang waits until the request is let go.
-	hang := func(s *site) func(context.Context, Upstream, *Outgoing) (*Answer, error) {
-		return func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+	hang := func(s *site) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
+		return func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 			end := s.work.start()
 			defer end()
 			<-ctx.Done()
 			return nil, context.Cause(ctx)
 		}
 	}
-	stream := func(s *site) func(context.Context, Upstream, *Outgoing) (*Answer, error) {
-		return func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
-			return stuckStream(ctx, s.work), nil
+	stream := func(s *site) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
+		return func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
+			return stalledStream(ctx, s.work), nil
 		}
 	}
 	for name, c := range map[string]struct {
 		path string
-		send func(s *site) func(context.Context, Upstream, *Outgoing) (*Answer, error)
+		send func(s *site) func(context.Context, Upstream, *UpstreamRequest) (*Response, error)
 		// before is done before the request comes, during while it is served.
 		before, during func(s *site)
 		// reached is how many calls upstreams get, before the caller leaves.
@@ -116,11 +116,11 @@
 				s := &site{work: &workLog{}}
 				transport := &fakeTransport{}
 				transport.send = c.send(s)
-				transport.move = func(ctx context.Context, _ Upstream, _ MoveRequest) (Moved, error) {
+				transport.move = func(ctx context.Context, _ Upstream, _ MoveRequest) (MoveResult, error) {
 					end := s.work.start()
 					defer end()
 					<-ctx.Done()
-					return Moved{}, ctx.Err()
+					return MoveResult{}, ctx.Err()
 				}
 				s.f = newForwarder(t, transport)
 				s.f.updatePlacementEngines(time.Now(), s.f.Table())
@@ -140,10 +140,10 @@
 				time.Sleep(180 * time.Millisecond)
 				leave()
 				left := time.Now()
-				time.Sleep(goneBound)
+				time.Sleep(maxWorkAfterLeave)
 				synctest.Wait()
 				s.work.mu.Lock()
-				is.Equal(s.work.open, 0)
+				is.Equal(s.work.active, 0)
 				s.work.mu.Unlock()
 				time.Sleep(10 * time.Second)
 				<-served
@@ -151,19 +151,19 @@
 				defer s.work.mu.Unlock()
 				is.Equal(len(s.work.started), c.reached)
 				for _, at := range s.work.started {
-					is.True(at.Sub(left) <= goneBound)
+					is.True(at.Sub(left) <= maxWorkAfterLeave)
 				}
 			})
 		})
 	}
 }
 
-// TestCallerGoneNotResumed has a resumable stream that broke off not run again once
+// TestCallerLeftNotResumed has a resumable stream that broke off not run again once
 // its caller has left.
-func TestCallerGoneNotResumed(t *testing.T) {
+func TestCallerLeftNotResumed(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(t.Context())
-	transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+	transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		leave()
 		return brokenAnswer("id: 1\n\n"), nil
 	}}
@@ -178,7 +178,7 @@
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 					return answer(http.StatusOK, "id: 1\ndata: a\n\n"), nil
 				}}
 				f := newForwarder(t, transport)
--- a/forward/clock_test.go
+++ b/forward/clock_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// jumped returns a moment as a host sees it whose time of day has jumped: the steady
+// withClockJump returns a moment as a host sees it whose time of day has withClockJump: the steady
 // clock's reading in it stays as it was.
-func jumped(at time.Time, by time.Duration) time.Time {
+func withClockJump(at time.Time, by time.Duration) time.Time {
 	// A time.Time that has a steady reading holds its seconds of the day from bit 30
 	// of its first word on.
 	const secondsFrom = 30
@@ -22,13 +22,13 @@
 	return at
 }
 
-// TestJumped holds the helper to what it says.
-func TestJumped(t *testing.T) {
+// TestWithClockJump holds the helper to what it says.
+func TestWithClockJump(t *testing.T) {
 	for _, by := range []time.Duration{time.Hour, -time.Hour} {
 		is := is.New(t)
 		at := time.Now()
-		is.Equal(jumped(at, by).Sub(at), time.Duration(0))               // the steady clock didn't move
-		is.Equal(jumped(at, by).Unix()-at.Unix(), int64(by/time.Second)) // the time of day did
+		is.Equal(withClockJump(at, by).Sub(at), time.Duration(0))               // the steady clock didn't move
+		is.Equal(withClockJump(at, by).Unix()-at.Unix(), int64(by/time.Second)) // the time of day did
 	}
 }
 
@@ -46,11 +46,11 @@
 			func(f *Forwarder, now time.Time) time.Duration { return f.ContactAge(now) },
 		},
 		"list": {
-			func(f *Forwarder, now time.Time) { f.originProvedAt.raise(now) },
+			func(f *Forwarder, now time.Time) { f.originProvedAt.advance(now) },
 			func(f *Forwarder, now time.Time) time.Duration { return f.OriginAge(now) },
 		},
 		"followed": {
-			func(f *Forwarder, now time.Time) { f.followedPeerAnsweredAt.raise(now) },
+			func(f *Forwarder, now time.Time) { f.followedPeerAnsweredAt.advance(now) },
 			func(f *Forwarder, now time.Time) time.Duration { return f.followedPeerAnsweredAt.age(now) },
 		},
 		"doubt": {
@@ -64,11 +64,11 @@
 				is := is.New(t)
 				f := newForwarder(t, &fakeTransport{})
 				start := time.Now()
-				p.prove(f, jumped(start.Add(time.Second), jump))
+				p.prove(f, withClockJump(start.Add(time.Second), jump))
 				p.prove(f, start.Add(2*time.Second)) // the jump is over
 				is.Equal(p.age(f, start.Add(2*time.Second+bound)), bound)
 				is.Equal(p.age(f, start.Add(2*time.Second+later)), later)
-				is.Equal(p.age(f, jumped(start.Add(2*time.Second+later), -jump)), later)
+				is.Equal(p.age(f, withClockJump(start.Add(2*time.Second+later), -jump)), later)
 			})
 		}
 	}
@@ -80,7 +80,7 @@
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	start := time.Now()
-	f.ContactProved(jumped(start, time.Hour))
+	f.ContactProved(withClockJump(start, time.Hour))
 	f.ContactProved(start)
 	cutOff := &exchange{Forwarder: f, call: call("/nowhere/")}
 	refusal := cutOff.refuseUnknown(start.Add(10*time.Second), CodeNoRoute)
@@ -100,31 +100,31 @@
 			start := time.Now()
 			spend := func(now time.Time) int {
 				spent := 0
-				for b.take(now, "app") {
+				for b.takeRetry(now, "app") {
 					spent++
 				}
 				return spent
 			}
 			all := spend(start)
 			is.True(all > 0)
-			is.Equal(spend(jumped(start.Add(2*time.Second), jump)), 0) // the window isn't over
+			is.Equal(spend(withClockJump(start.Add(2*time.Second), jump)), 0) // the window isn't over
 			is.Equal(spend(start.Add(4*time.Second)), 0)
-			is.Equal(spend(jumped(start.Add(12*time.Second), jump)), all) // now it is
+			is.Equal(spend(withClockJump(start.Add(12*time.Second), jump)), all) // now it is
 			is.Equal(spend(start.Add(24*time.Second)), all)
 		})
 	}
 }
 
-// TestAgeBelowZero has a peer that tells proofs from the future not be relied on.
-func TestAgeBelowZero(t *testing.T) {
+// TestNegativeProofAge has a peer that tells proofs from the future not be relied on.
+func TestNegativeProofAge(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	f.contactProvedAt.clear()
-	f.receive(Share{From: Peer{ID: "h9", Zone: "z1"}, Version: 1, ConfigAge: -time.Hour, OriginAge: -time.Hour})
-	is.Equal(f.ContactAge(time.Now()), neverProved)
+	f.receiveShare(Share{From: Peer{ID: "h9", Zone: "z1"}, Version: 1, ConfigAge: -time.Hour, OriginAge: -time.Hour})
+	is.Equal(f.ContactAge(time.Now()), noProofAge)
 	_, found := f.peers.leader(time.Now(), true)
 	is.True(!found)
-	peers := &followedPeers{}
+	peers := &fakeFollowedPeer{}
 	peers.originAge.Store(int64(-time.Hour))
 	f.peerTransport = peers
 	is.True(!f.followPeer(t.Context(), Peer{ID: "h9"}, zoneBounds))
--- a/forward/cold.go
+++ b/forward/cold.go
@@ -13,21 +13,21 @@
 // A cold upstream bears only so many requests in a second from all hosts together, and
 // falls over when it gets many more. It is bounded as one is that names a limit.
 
-// coldPart of what a cold upstream bears is given out: for a moment, while hosts haven't
+// coldRateShare of what a cold upstream bears is given out: for a moment, while hosts haven't
 // heard of each other, two may give it out at once.
-const coldPart = 0.5
+const coldRateShare = 0.5
 
-// coldBound is what a cold upstream is given at most; false for one that isn't cold, or
+// coldRateLimit is what a cold upstream is given at most; false for one that isn't cold, or
 // whose service sets no bound.
-func (f *Forwarder) coldBound(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
-	if s.ColdRate <= 0 || !f.fleet.Cold(now, u.ID) {
+func (f *Forwarder) coldRateLimit(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
+	if s.ColdRate <= 0 || !f.fleet.IsCold(now, u.ID) {
 		return 0, false
 	}
-	return ratelimit.Rate(coldPart * s.ColdRate), true
+	return ratelimit.Rate(coldRateShare * s.ColdRate), true
 }
 
-// Cold reports whether an upstream is cold.
-func (f *Fleet) Cold(now time.Time, id member.UpstreamID) bool {
+// IsCold reports whether an upstream is cold.
+func (f *Fleet) IsCold(now time.Time, id member.UpstreamID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.upstreams[id]
@@ -46,17 +46,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if k := f.upstreams[id]; k != nil {
-		k.coldUntil = later(k.coldUntil, until)
-		f.coldUntil = later(f.coldUntil, until)
+		k.coldUntil = laterOf(k.coldUntil, until)
+		f.coldUntil = laterOf(f.coldUntil, until)
 	}
 }
 
 // ColdMark is a host's word that an upstream is cold, for its peers.
 type ColdMark struct {
-	Upstream member.UpstreamID
-	Life     Life
-	// For is how much longer it is.
-	For time.Duration
+	Upstream    member.UpstreamID
+	Incarnation Incarnation
+	// Remaining is how much longer it is.
+	Remaining time.Duration
 }
 
 // ColdMarks returns what this host knows of cold upstreams.
@@ -67,11 +67,11 @@
 		return nil
 	}
 	var marks []ColdMark
-	f.eachForPeers(func(k *known) bool {
+	f.visitOwnCellFirst(func(k *knownUpstream) bool {
 		if left := k.coldUntil.Sub(now); left > 0 {
-			marks = append(marks, ColdMark{Upstream: k.ID, Life: k.Life, For: left})
+			marks = append(marks, ColdMark{Upstream: k.ID, Incarnation: k.Incarnation, Remaining: left})
 		}
-		return len(marks) < mostMarks
+		return len(marks) < maxMarksPerKind
 	})
 	return marks
 }
--- a/forward/cold_test.go
+++ b/forward/cold_test.go
@@ -22,14 +22,14 @@
 	p := newPeerSet(Peer{ID: "h0", Zone: "z1"}, nil)
 	now := time.Now()
 	for n := range 65 {
-		p.receive(now, Share{From: Peer{ID: member.HostID(fmt.Sprint("h", n+1)), Zone: "z1"}})
+		p.recordShare(now, Share{From: Peer{ID: member.HostID(fmt.Sprint("h", n+1)), Zone: "z1"}})
 	}
-	is.Equal(p.mostKnown(now), 66)
+	is.Equal(p.recentMaxHosts(now), 66)
 	now = now.Add(30 * time.Second)
-	p.targets(now, true, false, func(member.HostID) bool { return false }) // forgets who was silent for long
-	is.Equal(p.live(now), 1)
-	is.Equal(p.mostKnown(now), 66)
-	is.Equal(p.mostKnown(now.Add(mostKnownFor)), 1)
+	p.shareTargets(now, true, false, func(member.HostID) bool { return false }) // forgets who was silent for long
+	is.Equal(p.liveHosts(now), 1)
+	is.Equal(p.recentMaxHosts(now), 66)
+	is.Equal(p.recentMaxHosts(now.Add(hostCountWindow)), 1)
 }
 
 // TestColdUpstreams has calls, streams and moves go to upstreams that are warm while this
@@ -40,7 +40,7 @@
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 					return answer(http.StatusOK, "id: 1\ndata: a\n\n"), nil
 				}}
 				f := newForwarder(t, transport)
@@ -53,7 +53,7 @@
 				// One of the cold upstreams' zone gives out what they take, and can't be asked
 				// here: this host has its own turns, and never the place of who gives out.
 				for n := range 9 {
-					f.peers.receive(now, Share{From: Peer{ID: member.HostID(fmt.Sprint("p", n)), Zone: "z2"}})
+					f.peers.recordShare(now, Share{From: Peer{ID: member.HostID(fmt.Sprint("p", n)), Zone: "z2"}})
 				}
 				cold := func(ids ...string) {
 					var changes []Change
--- a/forward/config.go
+++ b/forward/config.go
@@ -22,7 +22,7 @@
 
 // The range of Urgency, and what a request has that nobody ranked.
 const (
-	MostPatient    Urgency = 9
+	LeastUrgent    Urgency = 9
 	DefaultUrgency Urgency = 5
 )
 
@@ -137,29 +137,29 @@
 type Table struct {
 	Version Version
 	Limits  Limits
-	// Keyed says that requests need a key on routes that aren't public.
-	Keyed bool
+	// RequiresKey says that requests need a key on routes that aren't public.
+	RequiresKey bool
 
 	// routes holds each host's routes, the longest prefixes first.
 	routes   map[string][]Route
 	services map[ServiceName]Service
 	accounts map[string]Account
-	// pauses are the shortest pauses between events that the routes to each
+	// gapObjectives are the shortest gapObjectives between events that the routes to each
 	// service aim at; those that set none are left out.
-	pauses map[ServiceName]time.Duration
+	gapObjectives map[ServiceName]time.Duration
 }
 
 // NewTable makes a configuration ready for look-ups.
 func NewTable(c Config) *Table {
 	t := &Table{
-		Version: c.Version, Limits: c.Limits, Keyed: len(c.Accounts) > 0,
+		Version: c.Version, Limits: c.Limits, RequiresKey: len(c.Accounts) > 0,
 		routes: map[string][]Route{}, services: map[ServiceName]Service{}, accounts: map[string]Account{},
-		pauses: map[ServiceName]time.Duration{},
+		gapObjectives: map[ServiceName]time.Duration{},
 	}
 	for _, r := range c.Routes {
 		host := strings.ToLower(r.Host)
 		t.routes[host] = append(t.routes[host], r)
-		t.notePause(r)
+		t.addGapObjective(r)
 	}
 	for _, routes := range t.routes {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].PathPrefix) > len(routes[j].PathPrefix) })
@@ -175,24 +175,24 @@
 	return t
 }
 
-// notePause takes in the pause that a route aims at.
-func (t *Table) notePause(r Route) {
+// addGapObjective takes in the pause that a route aims at.
+func (t *Table) addGapObjective(r Route) {
 	if r.Kind != KindStream || r.GapObjective <= 0 {
 		return
 	}
 	for _, s := range r.Services {
-		if old := t.pauses[s.Service]; old == 0 || r.GapObjective < old {
-			t.pauses[s.Service] = r.GapObjective
+		if old := t.gapObjectives[s.Service]; old == 0 || r.GapObjective < old {
+			t.gapObjectives[s.Service] = r.GapObjective
 		}
 	}
 }
 
-// ShortestPause is the shortest pause between two events that a route to a
+// ShortestGapObjective is the shortest pause between two events that a route to a
 // service aims at; zero when none sets one.
-func (t *Table) ShortestPause(name ServiceName) time.Duration { return t.pauses[name] }
+func (t *Table) ShortestGapObjective(name ServiceName) time.Duration { return t.gapObjectives[name] }
 
-// hostName is the host that a caller named, without a port and in lower case.
-func hostName(host string) string {
+// normalizeHost is the host that a caller named, without a port and in lower case.
+func normalizeHost(host string) string {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
 	}
@@ -202,7 +202,7 @@
 // Match finds the route with the longest prefix of the path. The host may
 // carry a port.
 func (t *Table) Match(host, path string) (Route, bool) {
-	for _, r := range t.routes[hostName(host)] {
+	for _, r := range t.routes[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r, true
 		}
--- a/forward/configfetch.go
+++ b/forward/configfetch.go
@@ -23,9 +23,9 @@
 	Age time.Duration
 }
 
-// configTimeout bounds one call for a configuration: half a megabyte takes 0.4 s over
+// configFetchTimeout bounds one call for a configuration: half a megabyte takes 0.4 s over
 // 10 Mbit/s, and the peer may be sending it to several hosts.
-const configTimeout = 3 * time.Second
+const configFetchTimeout = 3 * time.Second
 
 // configOffer says that a peer has a newer configuration.
 type configOffer struct {
@@ -35,35 +35,35 @@
 
 // configOffers holds the offer to be taken up next. Use newConfigOffers.
 type configOffers struct {
-	// next has room for one: what is older than another offer needn't be fetched.
-	next chan configOffer
+	// pending has room for one: what is older than another offer needn't be fetched.
+	pending chan configOffer
 
 	mu sync.Mutex
-	// known are the versions that were offered, each newer than the one before.
-	known []knownVersion
+	// offered are the versions that were offered, each newer than the one before.
+	offered []offeredVersion
 }
 
-// knownVersion is a version that was offered, and when that was first.
-type knownVersion struct {
-	version Version
-	since   time.Time
+// offeredVersion is a version that was offered, and when that was first.
+type offeredVersion struct {
+	version        Version
+	firstOfferedAt time.Time
 }
 
-// mostKnownVersions bounds how many are remembered.
-const mostKnownVersions = 64
+// maxOfferedVersions bounds how many are remembered.
+const maxOfferedVersions = 64
 
-func newConfigOffers() *configOffers { return &configOffers{next: make(chan configOffer, 1)} }
+func newConfigOffers() *configOffers { return &configOffers{pending: make(chan configOffer, 1)} }
 
-// raise takes in that a version was offered.
-func (o *configOffers) raise(now time.Time, v Version) {
+// record takes in that a version was offered.
+func (o *configOffers) record(now time.Time, v Version) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if n := len(o.known); n > 0 && o.known[n-1].version >= v {
+	if n := len(o.offered); n > 0 && o.offered[n-1].version >= v {
 		return
 	}
-	o.known = append(o.known, knownVersion{v, now})
-	if len(o.known) > mostKnownVersions {
-		o.known = slices.Delete(o.known, 0, 1)
+	o.offered = append(o.offered, offeredVersion{v, now})
+	if len(o.offered) > maxOfferedVersions {
+		o.offered = slices.Delete(o.offered, 0, 1)
 	}
 }
 
@@ -71,55 +71,55 @@
 func (o *configOffers) newest() Version {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if n := len(o.known); n > 0 {
-		return o.known[n-1].version
+	if n := len(o.offered); n > 0 {
+		return o.offered[n-1].version
 	}
 	return 0
 }
 
-// newerSince tells since when a version is known that is newer than another, if one is.
-func (o *configOffers) newerSince(v Version) (time.Time, bool) {
+// newerOfferedAt tells since when a version is known that is newer than another, if one is.
+func (o *configOffers) newerOfferedAt(v Version) (time.Time, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, k := range o.known {
+	for _, k := range o.offered {
 		if k.version > v {
-			return k.since, true
+			return k.firstOfferedAt, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// offerConfig takes in that a peer has a configuration of a version, which is fetched if
+// handleConfigOffer takes in that a peer has a configuration of a version, which is fetched if
 // it is newer than the one in force.
-func (f *Forwarder) offerConfig(from Peer, v Version) {
+func (f *Forwarder) handleConfigOffer(from Peer, v Version) {
 	if v <= f.versionInForce() {
 		return
 	}
-	f.configOffers.raise(f.now(), v)
+	f.configOffers.record(f.now(), v)
 	offer := configOffer{from: from, version: v}
 	for {
 		select {
-		case f.configOffers.next <- offer:
+		case f.configOffers.pending <- offer:
 			return
-		case old := <-f.configOffers.next:
-			if f.prefers(old, offer) {
+		case old := <-f.configOffers.pending:
+			if f.prefersOffer(old, offer) {
 				offer = old
 			}
 		}
 	}
 }
 
-// prefers reports whether one offer is better than another: newer, or as new and of the
+// prefersOffer reports whether one offer is better than another: newer, or as new and of the
 // own zone, for bytes between zones have a price.
-func (f *Forwarder) prefers(a, b configOffer) bool {
+func (f *Forwarder) prefersOffer(a, b configOffer) bool {
 	if a.version != b.version {
 		return a.version > b.version
 	}
 	return a.from.Zone == f.peers.self.Zone
 }
 
-// knownVersion is the newest version that this host has or was offered.
-func (f *Forwarder) knownVersion() Version {
+// newestKnownVersion is the newest version that this host has or was offered.
+func (f *Forwarder) newestKnownVersion() Version {
 	return max(f.configOffers.newest(), f.versionInForce())
 }
 
@@ -130,7 +130,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case offer := <-f.configOffers.next:
+		case offer := <-f.configOffers.pending:
 			f.fetchConfig(ctx, peers, offer.from)
 		}
 	}
@@ -139,15 +139,15 @@
 // fetchConfig takes a newer configuration over from a peer.
 func (f *Forwarder) fetchConfig(ctx context.Context, peers Peers, from Peer) {
 	have := f.versionInForce()
-	if have >= f.knownVersion() {
+	if have >= f.newestKnownVersion() {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, configTimeout)
+	call, cancel := context.WithTimeout(ctx, configFetchTimeout)
 	defer cancel()
 	asked := f.now()
 	reply, err := peers.Config(call, from, have)
 	if err != nil {
-		f.journal.HostEvent("configuration not fetched", "peer", from.ID, "offered", f.knownVersion(), "took", f.now().Sub(asked), "err", err)
+		f.journal.HostEvent("configuration not fetched", "peer", from.ID, "offered", f.newestKnownVersion(), "took", f.now().Sub(asked), "err", err)
 		return
 	}
 	now := f.now()
--- a/forward/dependency.go
+++ b/forward/dependency.go
@@ -10,51 +10,51 @@
 )
 
 const (
-	// failLeast and failMost bound the pause after a failed call; it doubles
+	// initialRetryDelay and failMost bound the pause after a failed call; it doubles
 	// with each failure in a row.
-	failLeast = 50 * time.Millisecond
-	failMost  = 800 * time.Millisecond
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = 800 * time.Millisecond
 )
 
-// failPause is the pause after so many failures in a row, half of it jitter.
-func failPause(failures int) time.Duration {
-	pause := min(failLeast<<min(failures, 8), failMost)
+// retryDelay is the pause after so many failures in a row, half of it jitter.
+func retryDelay(failures int) time.Duration {
+	pause := min(initialRetryDelay<<min(failures, 8), maxRetryDelay)
 	return pause/2 + rand.N(pause)
 }
 
-// dependency notes when something that this host depends on is lost and
+// dependencyStatus notes when something that this host depends on is lost and
 // regained. It is for one goroutine.
-type dependency struct {
+type dependencyStatus struct {
 	name     string
 	journal  Journal
-	lost     time.Time
+	lostAt   time.Time
 	failures int
 	// now tells the present time.
 	now func() time.Time
 }
 
-// failed notes a failure and returns the pause before the next try.
-func (d *dependency) failed(ctx context.Context, err error) time.Duration {
+// recordFailure notes a failure and returns the pause before the next try.
+func (d *dependencyStatus) recordFailure(ctx context.Context, err error) time.Duration {
 	if ctx.Err() != nil {
 		return 0
 	}
-	if d.lost.IsZero() {
-		d.lost = d.now()
+	if d.lostAt.IsZero() {
+		d.lostAt = d.now()
 		d.journal.HostEvent("dependency lost", "what", d.name, "err", err)
 	}
 	d.failures++
-	return failPause(d.failures)
+	return retryDelay(d.failures)
 }
 
-// ok notes a success and returns how long the outage was that it ended; zero
+// recordSuccess notes a success and returns how long the outage was that it ended; zero
 // when there was none.
-func (d *dependency) ok(now time.Time) time.Duration {
+func (d *dependencyStatus) recordSuccess(now time.Time) time.Duration {
 	d.failures = 0
-	if d.lost.IsZero() {
+	if d.lostAt.IsZero() {
 		return 0
 	}
-	lostFor := now.Sub(d.lost)
+	lostFor := now.Sub(d.lostAt)
 	d.journal.HostEvent("dependency regained", "what", d.name, "lost_for", lostFor)
-	d.lost = time.Time{}
+	d.lostAt = time.Time{}
 	return lostFor
 }
--- a/forward/directory.go
+++ b/forward/directory.go
@@ -21,54 +21,54 @@
 // Timing of the directory. Hosts that know each other keep in touch by
 // themselves; an entry is for those that start, so it may be late.
 const (
-	// listedPerZone is how many hosts of a zone are on the directory: the first by
+	// directoryHostsPerZone is how many hosts of a zone are on the directory: the first by
 	// name of those that each of them knows. Hosts that don't know of each other so
 	// come to know: each has the first of its own kind on the list. With every host on
 	// it, each start cost two writes and, at 195 hosts, four pages of every reading.
-	listedPerZone = 2
-	// directoryDelay is how long a host that starts gets to know its peers before it
+	directoryHostsPerZone = 2
+	// directoryStartDelay is how long a host that starts gets to know its peers before it
 	// may count as one of the first.
-	directoryDelay = 1500 * time.Millisecond
-	// directoryCheck is how often a host that isn't on the list looks whether it
+	directoryStartDelay = 1500 * time.Millisecond
+	// directoryCheckInterval is how often a host that isn't on the list looks whether it
 	// should be.
-	directoryCheck = 500 * time.Millisecond
-	// directoryEvery is the period of renewing this host's entry, and
+	directoryCheckInterval = 500 * time.Millisecond
+	// directoryRenewInterval is the period of renewing this host's entry, and
 	// directoryTTL how long an entry stays without that.
-	directoryEvery = 20 * time.Second
-	directoryTTL   = 60 * time.Second
-	// directoryAgain is within what time after a restore of the origin this host's entry is
+	directoryRenewInterval = 20 * time.Second
+	directoryTTL           = 60 * time.Second
+	// directoryRewriteWindow is within what time after a restore of the origin this host's entry is
 	// written again, which a copy may lack.
-	directoryAgain = 2 * time.Second
-	// directoryRetry is the pause after a failed call. Refused calls have a
+	directoryRewriteWindow = 2 * time.Second
+	// directoryRetryDelay is the pause after a failed call. Refused calls have a
 	// price, too.
-	directoryRetry = 2 * time.Second
+	directoryRetryDelay = 2 * time.Second
 )
 
 // RunDirectory keeps this host in the directory, while it is one of the first of its
 // zone, until the context ends.
 func (f *Forwarder) RunDirectory(ctx context.Context, d Directory) {
-	dep := dependency{name: "directory", journal: f.journal, now: f.now}
-	PauseFor(ctx, directoryDelay)
+	dep := dependencyStatus{name: "directory", journal: f.journal, now: f.now}
+	PauseFor(ctx, directoryStartDelay)
 	var renewAt time.Time
 	era := f.OriginEra()
 	for ctx.Err() == nil {
 		now := f.now()
 		if known := f.OriginEra(); known != era {
 			era = known
-			if again := now.Add(rand.N(directoryAgain)); again.Before(renewAt) {
+			if again := now.Add(rand.N(directoryRewriteWindow)); again.Before(renewAt) {
 				renewAt = again
 			}
 		}
-		if now.Before(renewAt) || f.Stopping() || !f.peers.firstOfZone(now, listedPerZone) {
-			PauseFor(ctx, directoryCheck)
+		if now.Before(renewAt) || f.Stopping() || !f.peers.isAmongFirstOfZone(now, directoryHostsPerZone) {
+			PauseFor(ctx, directoryCheckInterval)
 			continue
 		}
 		if err := d.Announce(ctx, f.peers.self, directoryTTL); err != nil {
-			PauseFor(ctx, dep.failed(ctx, err)+directoryRetry)
+			PauseFor(ctx, dep.recordFailure(ctx, err)+directoryRetryDelay)
 			continue
 		}
-		dep.ok(f.now())
-		renewAt = now.Add(directoryEvery)
+		dep.recordSuccess(f.now())
+		renewAt = now.Add(directoryRenewInterval)
 	}
 	leaving, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
@@ -77,10 +77,10 @@
 	}
 }
 
-// firstOfZone reports whether this host is one of the first n of its zone by name, of
+// isAmongFirstOfZone reports whether this host is one of the first n of its zone by name, of
 // those that it knows to take requests.
-func (p *peerSet) firstOfZone(now time.Time, n int) bool {
-	if at, divided := p.place(now); divided {
+func (p *peerSet) isAmongFirstOfZone(now time.Time, n int) bool {
+	if at, divided := p.treePosition(now); divided {
 		return at < n
 	}
 	p.mu.Lock()
--- a/forward/drill_test.go
+++ b/forward/drill_test.go
@@ -272,7 +272,7 @@
 func TestOlderConfigurationTakenForTheNewest(t *testing.T) {
 	playDrill(t, 3, 3, nil, func(d *drill) {
 		fresh := d.restart("10.1.0.1:1")
-		fresh.configOffers.raise(fresh.now(), 2) // by a host that has ended since
+		fresh.configOffers.record(fresh.now(), 2) // by a host that has ended since
 		d.hold("version 1 isn't taken for the newest", fresh.settings.MaxContactAge, 3*time.Second, func(f *Forwarder) bool {
 			return f != fresh || f.ContactAge(f.now()) > f.settings.MaxContactAge
 		})
@@ -290,7 +290,7 @@
 		for host, n := range d.entries {
 			before[host] = n.Load()
 		}
-		time.Sleep(leavingKnownWithin + directoryAgain + directoryCheck)
+		time.Sleep(leavingKnownWithin + directoryRewriteWindow + directoryCheckInterval)
 		for host, n := range d.entries {
 			if wrote, listed := n.Load()-before[host], before[host] > 0; wrote > 1 || (wrote == 1) != listed {
 				d.finding("%s, listed %v, wrote its entry %d times", host, listed, wrote)
@@ -313,8 +313,8 @@
 	playDrill(t, 3, 3, before, func(d *drill) {
 		time.Sleep(3 * time.Second)
 		news, err := drillLink{d.store, "", &d.cutMu, d.noStore}.Read(d.ctx, 0)
-		if err != nil || len(news.Crashes) != 1 || news.Crashes[0].Request != mark.Request {
-			d.finding("the store keeps %v, err %v", news.Crashes, err)
+		if err != nil || len(news.HeldRequests) != 1 || news.HeldRequests[0].Request != mark.Request {
+			d.finding("the store keeps %v, err %v", news.HeldRequests, err)
 		}
 	})
 }
@@ -341,6 +341,6 @@
 			}
 		}
 		setEra(1)
-		d.hold("app2 leaves", leavingKnownWithin+failMost, 3*time.Second, takesNot("app2"))
+		d.hold("app2 leaves", leavingKnownWithin+maxRetryDelay, 3*time.Second, takesNot("app2"))
 	})
 }
--- a/forward/drillday_test.go
+++ b/forward/drillday_test.go
@@ -108,7 +108,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, h := range hosts {
-		d.disturbed[h] = later(d.disturbed[h], time.Now().Add(lasts+drillContact))
+		d.disturbed[h] = laterOf(d.disturbed[h], time.Now().Add(lasts+drillContact))
 	}
 }
 
@@ -153,9 +153,9 @@
 	for _, f := range d.each() {
 		host := f.settings.Self.ID
 		bound := !now.Before(d.disturbed[host]) && !now.Before(d.storeStable)
-		for _, u := range f.fleet.Takers(f.now(), "app") {
+		for _, u := range f.fleet.Available(f.now(), "app") {
 			left, key := d.leftAt[u.ID], string(host)+string(u.ID)
-			since := now.Sub(later(left, d.storeStable))
+			since := now.Sub(laterOf(left, d.storeStable))
 			late := bound && !left.IsZero() && since > leavingKnownWithin
 			if knew := d.knew[f][u.ID]; (late || knew) && !found[key] {
 				found[key] = true
@@ -174,7 +174,7 @@
 	f.fleet.mu.Lock()
 	defer f.fleet.mu.Unlock()
 	for id, k := range f.fleet.upstreams {
-		if k.declared {
+		if k.leavingDeclared {
 			d.knew[f][id] = true
 		}
 	}
@@ -182,7 +182,7 @@
 
 // settle has nothing happen any more, and then all hosts know what is so.
 func (d *drillDay) settle() {
-	time.Sleep(max(lapseWithin, relistWithin) + drillContact + 2*time.Second)
+	time.Sleep(max(entryLapseGrace, relistGrace) + drillContact + 2*time.Second)
 	for _, f := range d.each() {
 		d.mu.Lock()
 		for n := range d.next {
--- a/forward/drillstore_test.go
+++ b/forward/drillstore_test.go
@@ -90,7 +90,7 @@
 }
 
 func (s *drillStore) order(zone member.Zone, out bool) history.Revision {
-	return s.write(drillEvent{key: "zone/" + string(zone), zone: &ZoneOrder{Zone: zone, Out: out}})
+	return s.write(drillEvent{key: "zone/" + string(zone), zone: &ZoneOrder{Zone: zone, OutOfService: out}})
 }
 
 func (s *drillStore) configure(v Version) history.Revision {
@@ -159,10 +159,10 @@
 }
 
 // newest are the events after a revision, the newest of each key if only that is wanted.
-func (s *drillStore) newest(after history.Revision, whole bool) (News, bool, <-chan struct{}) {
+func (s *drillStore) newest(after history.Revision, whole bool) (OriginUpdate, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news := News{At: history.At(s.era, s.at)}
+	news := OriginUpdate{Revision: history.At(s.era, s.at)}
 	last := map[string]history.Revision{}
 	for _, e := range s.events {
 		last[e.key] = e.revision
@@ -176,50 +176,50 @@
 }
 
 // tell puts an event among news; a reading doesn't have what is gone.
-func (e drillEvent) tell(news *News, era history.Era, whole bool) {
+func (e drillEvent) tell(news *OriginUpdate, era history.Era, whole bool) {
 	switch {
 	case e.upstream != nil && !(whole && e.upstream.Gone):
 		c := *e.upstream
 		c.Revision = history.At(era, e.revision)
 		news.Changes = append(news.Changes, c)
-	case e.zone != nil && !(whole && !e.zone.Out):
+	case e.zone != nil && !(whole && !e.zone.OutOfService):
 		o := *e.zone
 		o.Revision = history.At(era, e.revision)
-		news.Zones = append(news.Zones, o)
+		news.ZoneOrders = append(news.ZoneOrders, o)
 	case e.config != nil:
 		news.Config = e.config
 	case e.crash != nil:
-		news.Crashes = append(news.Crashes, *e.crash)
+		news.HeldRequests = append(news.HeldRequests, *e.crash)
 	}
 }
 
-func (n *News) isEmpty() bool {
-	return len(n.Changes)+len(n.Zones)+len(n.Crashes) == 0 && n.Config == nil
+func (n *OriginUpdate) isEmpty() bool {
+	return len(n.Changes)+len(n.ZoneOrders)+len(n.HeldRequests) == 0 && n.Config == nil
 }
 
 // drillAnswers is how long the store takes for an answer.
 const drillAnswers = 4 * time.Millisecond
 
-func (l drillLink) Read(ctx context.Context, known history.Era) (News, error) {
+func (l drillLink) Read(ctx context.Context, known history.Era) (OriginUpdate, error) {
 	PauseFor(ctx, drillAnswers)
 	if !l.call() {
-		return News{}, errGone
+		return OriginUpdate{}, errGone
 	}
 	news, _, _ := l.newest(0, true)
 	return news, nil
 }
 
-func (l drillLink) Watch(ctx context.Context, after history.Point, wait time.Duration) (News, error) {
+func (l drillLink) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
 	PauseFor(ctx, drillAnswers)
 	if !l.call() {
-		return News{}, errGone
+		return OriginUpdate{}, errGone
 	}
 	over := time.NewTimer(wait)
 	defer over.Stop()
 	for {
 		news, had, changed := l.newest(after.Revision(), false)
 		if !had {
-			return News{}, ErrHistoryGone
+			return OriginUpdate{}, ErrHistoryGone
 		}
 		if !news.isEmpty() {
 			return news, nil
@@ -229,13 +229,13 @@
 		case <-over.C:
 			return news, nil
 		case <-ctx.Done():
-			return News{}, ctx.Err()
+			return OriginUpdate{}, ctx.Err()
 		}
 		l.drillStore.mu.Lock()
 		away := l.away
 		l.drillStore.mu.Unlock()
 		if away {
-			return News{}, errGone
+			return OriginUpdate{}, errGone
 		}
 	}
 }
@@ -374,7 +374,7 @@
 // takes reports whether a host gives an upstream new work.
 func takes(id member.UpstreamID) func(f *Forwarder) bool {
 	return func(f *Forwarder) bool {
-		return slices.ContainsFunc(f.fleet.Takers(f.now(), "app"), func(u Upstream) bool { return u.ID == id })
+		return slices.ContainsFunc(f.fleet.Available(f.now(), "app"), func(u Upstream) bool { return u.ID == id })
 	}
 }
 
--- a/forward/engines.go
+++ b/forward/engines.go
@@ -16,10 +16,10 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// engines places generations on the engines of each service. Each host decides
+// enginePlacer places generations on the enginePlacer of each service. Each host decides
 // by itself on what it knows: its own runs exactly, and its peers' runs as they
 // tell them.
-type engines struct {
+type enginePlacer struct {
 	self member.HostID
 	zone member.Zone
 	// clock tells the present time; nil is the usual one.
@@ -27,107 +27,109 @@
 
 	mu    sync.Mutex
 	pools map[ServiceName]*enginePool
-	// reported is when each peer last told its runs.
-	reported map[member.HostID]time.Time
-	// ended are this host's runs whose answers ended by themselves lately.
-	ended []EndedRun
+	// lastReported is when each peer last told its runs.
+	lastReported map[member.HostID]time.Time
+	// recentlyEnded are this host's runs whose answers recentlyEnded by themselves lately.
+	recentlyEnded []EndedRun
 }
 
 // enginePool is the placement of one service's engines.
 type enginePool struct {
 	pool *policy.Pool
 	spec Engine
-	// takers are the engines that this host places on, as it was told last.
-	takers []Upstream
-	// borrowed are engines of other cells on which this host has runs.
-	borrowed map[member.UpstreamID]Upstream
-	// listed are the engines that take work, as the pool was told.
-	listed map[member.UpstreamID]Upstream
+	// available are the engines that this host places on, as it was told last.
+	available []Upstream
+	// remote are engines of other cells on which this host has runs.
+	remote map[member.UpstreamID]Upstream
+	// poolEngines are the engines that take work, as the pool was told.
+	poolEngines map[member.UpstreamID]Upstream
 	// waiting are the requests that wait for a place.
 	waiting map[policy.RunID]chan policy.Decision
-	// own are this host's runs, theirs those of its peers.
-	own    map[policy.RunID]*ownRun
-	theirs map[policy.RunID]member.HostID
-	// granted are when places were given to runs of peers that haven't told of them yet.
-	granted map[policy.RunID]time.Time
-	// usualStep is the time of a step as it was observed of all engines; zero
+	// ownRuns are this host's runs, theirs those of its peers.
+	ownRuns  map[policy.RunID]*ownRun
+	peerRuns map[policy.RunID]member.HostID
+	// unconfirmedGrants are when places were given to runs of peers that haven't told of them yet.
+	unconfirmedGrants map[policy.RunID]time.Time
+	// averageStep is the time of a step as it was observed of all engines; zero
 	// before the first.
-	usualStep time.Duration
+	averageStep time.Duration
 	// stepSamples counts the pauses that steps were learnt from, and learntAt is
 	// when anything was last learnt of the engines.
-	stepSamples uint64
-	learntAt    time.Time
+	stepSamples  uint64
+	lastObserved time.Time
 }
 
-// step is the usual time of a step as far as it is known.
-func (p *enginePool) step() time.Duration {
-	if p.usualStep > 0 {
-		return p.usualStep
+// expectedStep is the usual time of a expectedStep as far as it is known.
+func (p *enginePool) expectedStep() time.Duration {
+	if p.averageStep > 0 {
+		return p.averageStep
 	}
-	return stepPrior
+	return assumedStep
 }
 
-// short is the length below which answers count as short.
-func (p *enginePool) short() policy.Tokens { return policy.Tokens(shortTakes / p.step()) }
+// shortAnswerLength is the length below which answers count as shortAnswerLength.
+func (p *enginePool) shortAnswerLength() policy.Tokens {
+	return policy.Tokens(shortAnswerDuration / p.expectedStep())
+}
 
 // ownRun is one generation of this host that holds a place.
 type ownRun struct {
 	request policy.Request
 	// engine changes under the lock of engines.
 	engine member.UpstreamID
-	// life is the engine's; it changes with it.
-	life Life
-	// first is when its first token came; zero before. It changes under the lock of
+	// incarnation is the engine's; it changes with it.
+	incarnation Incarnation
+	// firstTokenAt is when its firstTokenAt token came; zero before. It changes under the lock of
 	// engines.
-	first time.Time
-	// made counts the tokens passed on so far.
-	made atomic.Int64
+	firstTokenAt time.Time
+	// generatedTokens counts the tokens passed on so far.
+	generatedTokens atomic.Int64
 }
 
 // Placement settings.
 const (
-	// farCostToStart is what an engine of another zone costs a new run, as a
+	// crossZoneStartCost is what an engine of another zone costs a new run, as a
 	// share of an engine's memory: a stream across zones is cut when the zones
 	// are, so it goes there only when the own zone's engines are much fuller. Short
 	// answers pay it, too: hosts hear of each run on their own zone's engines at
 	// once, but of another's only now and then, so an engine that looks idle from
 	// afar mostly isn't.
-	farCostToStart = 0.7
-	// farCostToMove is the same for a run that moves; a move between zones also
+	crossZoneStartCost = 0.7
+	// crossZoneMoveCost is the same for a run that moves; a move between zones also
 	// takes the links twice as long.
-	farCostToMove = 0.8
-	// stepPrior is assumed of engines until any run has shown a step.
-	stepPrior = 10 * time.Millisecond
-	// stepMemory is the weight of the newest observation of a step.
-	stepMemory = 0.01
-	// shortTakes is how long short answers take: an engine that leaves mostly
+	crossZoneMoveCost = 0.8
+	// assumedStep is assumed of engines until any run has shown a step.
+	assumedStep = 10 * time.Millisecond
+	// stepWeight is the weight of the newest observation of a step.
+	stepWeight = 0.01
+	// shortAnswerDuration is how long short answers take: an engine that leaves mostly
 	// still ends them.
-	shortTakes = 500 * time.Millisecond
-	// readRatePrior is how many prompt tokens an engine is taken to read in a
+	shortAnswerDuration = 500 * time.Millisecond
+	// assumedReadRate is how many prompt tokens an engine is taken to read in a
 	// second beside its decoding until that is learnt: half of the 14,000 of the
 	// first engines' sheets, for a step in which a part of a prompt is read takes
 	// about twice as long.
-	readRatePrior = 7000.0
+	assumedReadRate = 7000.0
 	// queueStagger spreads over a zone's hosts when what waits at each goes to an engine
 	// that has just begun to take work: they hear of each other's runs within some 5 ms,
 	// and a zone has some ten or twenty hosts.
 	queueStagger = 100 * time.Millisecond
-	// refreshEvery is how often the pools are told where their runs stand.
-	refreshEvery = 100 * time.Millisecond
-	// retryMost bounds what a refused caller is told to wait: engines that
+	// poolRefreshInterval is how often the pools are told where their runs stand.
+	poolRefreshInterval = 100 * time.Millisecond
+	// maxRetryAfter bounds what a refused caller is told to wait: engines that
 	// leave are replaced within a few seconds.
-	retryMost  = 2 * time.Second
-	retryLeast = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+	minRetryAfter = 50 * time.Millisecond
 )
 
-func newEngines(self member.HostID, zone member.Zone) *engines {
-	return &engines{self: self, zone: zone, pools: map[ServiceName]*enginePool{}, reported: map[member.HostID]time.Time{}}
+func newEnginePlacer(self member.HostID, zone member.Zone) *enginePlacer {
+	return &enginePlacer{self: self, zone: zone, pools: map[ServiceName]*enginePool{}, lastReported: map[member.HostID]time.Time{}}
 }
 
-func (e *engines) now() time.Time { return e.clock.Now() }
+func (e *enginePlacer) now() time.Time { return e.clock.Now() }
 
 // configure takes in the engine services of a new configuration.
-func (e *engines) configure(t *Table) {
+func (e *enginePlacer) configure(t *Table) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for name, s := range t.Services() {
@@ -137,120 +139,120 @@
 		p := e.pools[name]
 		if p == nil {
 			p = &enginePool{
-				listed: map[member.UpstreamID]Upstream{}, waiting: map[policy.RunID]chan policy.Decision{},
-				own: map[policy.RunID]*ownRun{}, theirs: map[policy.RunID]member.HostID{}, granted: map[policy.RunID]time.Time{},
+				poolEngines: map[member.UpstreamID]Upstream{}, waiting: map[policy.RunID]chan policy.Decision{},
+				ownRuns: map[policy.RunID]*ownRun{}, peerRuns: map[policy.RunID]member.HostID{}, unconfirmedGrants: map[policy.RunID]time.Time{},
 			}
 			p.pool = policy.NewPool(policy.Settings{})
 			e.pools[name] = p
 		}
 		p.spec = *s.Engine
-		settings := poolSettings(p.spec, t.ShortestPause(name))
+		settings := poolSettings(p.spec, t.ShortestGapObjective(name))
 		settings.Decider = string(e.self)
 		p.pool.SetSettings(settings)
 	}
 }
 
 const (
-	// stepPart of the shortest pause that a route allows between two events is
+	// stepShareOfPause of the shortest pause that a route allows between two events is
 	// the longest step that placement aims at, for each token of an event.
-	stepPart = 0.9
-	// stepBound is the same where no route sets a pause.
-	stepBound = 40 * time.Millisecond
+	stepShareOfPause = 0.9
+	// defaultMaxStep is the same where no route sets a pause.
+	defaultMaxStep = 40 * time.Millisecond
 )
 
 func poolSettings(e Engine, pause time.Duration) policy.Settings {
-	s := policy.Settings{BetweenTokens: stepBound, MaxBatch: e.Batch, ReadRate: readRatePrior, Stagger: queueStagger}
+	s := policy.Settings{BetweenTokens: defaultMaxStep, MaxBatch: e.Batch, ReadRate: assumedReadRate, Stagger: queueStagger}
 	if pause > 0 {
-		s.BetweenTokens = time.Duration(stepPart * float64(pause) / float64(max(e.EventTokens, 1)))
+		s.BetweenTokens = time.Duration(stepShareOfPause * float64(pause) / float64(max(e.EventTokens, 1)))
 	}
 	if e.Moves && e.TokenBytes > 0 {
-		s.Movable = policy.Tokens(e.LinkBitsPerSecond / 8 / e.TokenBytes * shortNotice.Seconds())
+		s.Movable = policy.Tokens(e.LinkBitsPerSecond / 8 / e.TokenBytes * minMoveWindow.Seconds())
 	}
 	return s
 }
 
-// shortNotice is the shortest notice of an engine that leaves, less what the first move
+// minMoveWindow is the shortest notice of an engine that leaves, less what the first move
 // waits.
-const shortNotice = 1400 * time.Millisecond
+const minMoveWindow = 1400 * time.Millisecond
 
-// list tells which engines take work now.
-func (e *engines) list(now time.Time, service ServiceName, takers []Upstream) {
+// setAvailable tells which engines take work now.
+func (e *enginePlacer) setAvailable(now time.Time, service ServiceName, takers []Upstream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
 	if p == nil {
 		return
 	}
-	same := len(takers) > 0 && len(takers) == len(p.takers) && &takers[0] == &p.takers[0]
-	if p.takers = takers; !same || p.returnBorrowed() {
-		p.relist()
+	same := len(takers) > 0 && len(takers) == len(p.available) && &takers[0] == &p.available[0]
+	if p.available = takers; !same || p.dropUnusedRemote() {
+		p.updatePoolEngines()
 	}
 	p.refresh(now)
 }
 
-// relist tells the pool which engines there are.
-func (p *enginePool) relist() {
-	ids := make([]member.UpstreamID, 0, len(p.takers)+len(p.borrowed))
-	clear(p.listed)
-	for _, u := range p.takers {
+// updatePoolEngines tells the pool which engines there are.
+func (p *enginePool) updatePoolEngines() {
+	ids := make([]member.UpstreamID, 0, len(p.available)+len(p.remote))
+	clear(p.poolEngines)
+	for _, u := range p.available {
 		ids = append(ids, u.ID)
-		p.listed[u.ID] = u
+		p.poolEngines[u.ID] = u
 	}
 	var lent []member.UpstreamID
-	for id, u := range p.borrowed {
-		if p.listed[id].ID == "" {
+	for id, u := range p.remote {
+		if p.poolEngines[id].ID == "" {
 			ids, lent = append(ids, id), append(lent, id)
-			p.listed[id] = u
+			p.poolEngines[id] = u
 		}
 	}
 	p.pool.SetEngines(ids)
 	// Hosts of other cells place on these, and this one doesn't know what they have to do.
 	p.pool.Withhold(lent)
-	for _, u := range p.listed {
+	for _, u := range p.poolEngines {
 		p.pool.SetZone(u.ID, u.Zone)
 		p.pool.SetGroup(u.ID, string(u.Version))
 	}
 }
 
-// returnBorrowed drops the borrowed engines on which this host has no run any more.
-func (p *enginePool) returnBorrowed() bool {
-	if len(p.borrowed) == 0 {
+// dropUnusedRemote drops the borrowed engines on which this host has no run any more.
+func (p *enginePool) dropUnusedRemote() bool {
+	if len(p.remote) == 0 {
 		return false
 	}
-	before := len(p.borrowed)
-	used := make(map[member.UpstreamID]bool, len(p.own))
-	for _, run := range p.own {
+	before := len(p.remote)
+	used := make(map[member.UpstreamID]bool, len(p.ownRuns))
+	for _, run := range p.ownRuns {
 		used[run.engine] = true
 	}
-	maps.DeleteFunc(p.borrowed, func(id member.UpstreamID, _ Upstream) bool { return !used[id] })
-	return len(p.borrowed) < before
+	maps.DeleteFunc(p.remote, func(id member.UpstreamID, _ Upstream) bool { return !used[id] })
+	return len(p.remote) < before
 }
 
-// borrow has an engine of another cell be known, on which a host of that has given a place.
-func (e *engines) borrow(service ServiceName, u Upstream) {
+// addRemoteEngine has an engine of another cell be known, on which a host of that has given a place.
+func (e *enginePlacer) addRemoteEngine(service ServiceName, u Upstream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
-	if p == nil || p.listed[u.ID].ID != "" {
+	if p == nil || p.poolEngines[u.ID].ID != "" {
 		return
 	}
-	if p.borrowed == nil {
-		p.borrowed = map[member.UpstreamID]Upstream{}
+	if p.remote == nil {
+		p.remote = map[member.UpstreamID]Upstream{}
 	}
-	p.borrowed[u.ID] = u
-	p.relist()
-	p.pool.Report(e.now(), policy.Report{Engine: u.ID, Memory: p.spec.Memory, Step: p.step()})
+	p.remote[u.ID] = u
+	p.updatePoolEngines()
+	p.pool.Report(e.now(), policy.Report{Engine: u.ID, Memory: p.spec.Memory, Step: p.expectedStep()})
 }
 
 // refresh tells the pool how its engines stand and decides what waits.
 func (p *enginePool) refresh(now time.Time) {
 	p.revokeUnused(now)
-	for id, run := range p.own {
-		p.pool.Progress(now, id, policy.Tokens(run.made.Load()))
-		p.pool.Reading(now, id, run.first)
+	for id, run := range p.ownRuns {
+		p.pool.Progress(now, id, policy.Tokens(run.generatedTokens.Load()))
+		p.pool.Reading(now, id, run.firstTokenAt)
 	}
-	for id := range p.listed {
-		p.pool.Report(now, policy.Report{Engine: id, Memory: p.spec.Memory, Step: p.step()})
+	for id := range p.poolEngines {
+		p.pool.Report(now, policy.Report{Engine: id, Memory: p.spec.Memory, Step: p.expectedStep()})
 	}
 	p.advance(now)
 }
@@ -266,7 +268,7 @@
 
 // place finds an engine for a generation; it waits until the request's
 // deadline at most.
-func (e *engines) place(ctx context.Context, now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision) {
+func (e *enginePlacer) place(ctx context.Context, now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision) {
 	for {
 		u, run, d := e.placeOnce(ctx, now, service, r)
 		if run == nil || u.ID != "" {
@@ -280,14 +282,14 @@
 }
 
 // placeOnce is place; its upstream is zero when the engine that was granted has left.
-func (e *engines) placeOnce(ctx context.Context, now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision) {
+func (e *enginePlacer) placeOnce(ctx context.Context, now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision) {
 	e.mu.Lock()
 	p := e.pools[service]
 	if p == nil {
 		e.mu.Unlock()
-		return Upstream{}, nil, policy.Decision{Verdict: policy.Refused, Reason: policy.ReasonNoEngine, RetryAfter: retryMost}
+		return Upstream{}, nil, policy.Decision{Verdict: policy.Refused, Reason: policy.ReasonNoEngine, RetryAfter: maxRetryAfter}
 	}
-	r.Zone, r.FarCost = e.zone, farCostToStart
+	r.Zone, r.FarCost = e.zone, crossZoneStartCost
 	d := p.pool.Submit(now, r)
 	if d.Verdict == policy.Queued {
 		decided := make(chan policy.Decision, 1)
@@ -304,11 +306,11 @@
 	if d.Verdict != policy.Granted {
 		return Upstream{}, nil, d
 	}
-	return p.listed[d.Engine], p.carry(r, d.Engine), d
+	return p.poolEngines[d.Engine], p.carry(r, d.Engine), d
 }
 
 // withdraw takes back a request whose caller left while it waited.
-func (e *engines) withdraw(p *enginePool, run policy.RunID, decided chan policy.Decision) policy.Decision {
+func (e *enginePlacer) withdraw(p *enginePool, run policy.RunID, decided chan policy.Decision) policy.Decision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(p.waiting, run)
@@ -321,70 +323,70 @@
 }
 
 // finish frees a run's place; whole says that its length is known.
-func (e *engines) finish(now time.Time, service ServiceName, run *ownRun, whole bool) {
+func (e *enginePlacer) finish(now time.Time, service ServiceName, run *ownRun, whole bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
 	if p == nil {
 		return
 	}
-	made := policy.Tokens(run.made.Load())
-	delete(p.own, run.request.Run)
+	made := policy.Tokens(run.generatedTokens.Load())
+	delete(p.ownRuns, run.request.Run)
 	p.pool.Finish(now, policy.Finish{Run: run.request.Run, Made: made, Whole: whole})
 	if whole {
-		e.ended = append(e.ended, EndedRun{Run: run.request.Run, Made: made, endedAt: now})
+		e.recentlyEnded = append(e.recentlyEnded, EndedRun{Run: run.request.Run, Made: made, endedAt: now})
 	}
 	p.advance(now)
 }
 
 // relocate finds another engine for a run whose engine leaves, not one of those
 // to be avoided.
-func (e *engines) relocate(now time.Time, service ServiceName, run *ownRun, t policy.Target) (Upstream, bool) {
+func (e *enginePlacer) relocate(now time.Time, service ServiceName, run *ownRun, t policy.Target) (Upstream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
 	if p == nil {
 		return Upstream{}, false
 	}
-	p.pool.Progress(now, run.request.Run, policy.Tokens(run.made.Load()))
+	p.pool.Progress(now, run.request.Run, policy.Tokens(run.generatedTokens.Load()))
 	id, found := p.pool.Relocate(now, run.request.Run, t)
 	if !found {
 		return Upstream{}, false
 	}
-	run.engine, run.life = id, p.listed[id].Life
-	return p.listed[id], true
+	run.engine, run.incarnation = id, p.poolEngines[id].Incarnation
+	return p.poolEngines[id], true
 }
 
-// worth orders the runs that have to leave an engine: those of routes with long
+// movePriority orders the runs that have to leave an engine: those of routes with long
 // answers first, for short ones end by themselves; among them the smallest, so
 // that most are moved in the time that there is.
-func (e *engines) worth(service ServiceName, run *ownRun) int {
+func (e *enginePlacer) movePriority(service ServiceName, run *ownRun) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
 	if p == nil {
 		return 0
 	}
-	memory := int(run.request.Prompt) + int(run.made.Load())
-	if p.pool.MeanLength(&run.request) < p.short() {
+	memory := int(run.request.Prompt) + int(run.generatedTokens.Load())
+	if p.pool.MeanLength(&run.request) < p.shortAnswerLength() {
 		memory += int(p.spec.Memory)
 	}
 	return -memory
 }
 
-// begun takes in that a run has made its first token.
-func (e *engines) begun(now time.Time, service ServiceName, run *ownRun) {
+// recordFirstToken takes in that a run has made its first token.
+func (e *enginePlacer) recordFirstToken(now time.Time, service ServiceName, run *ownRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if p := e.pools[service]; p != nil {
-		run.first = now
+		run.firstTokenAt = now
 		p.pool.Begun(now, run.request.Run)
-		p.learntAt = now
+		p.lastObserved = now
 	}
 }
 
-// beside is how many runs an engine has besides one, as far as is known.
-func (e *engines) beside(service ServiceName, id member.UpstreamID, but policy.RunID) int {
+// otherRuns is how many runs an engine has besides one, as far as is known.
+func (e *enginePlacer) otherRuns(service ServiceName, id member.UpstreamID, but policy.RunID) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
@@ -398,71 +400,71 @@
 	return n
 }
 
-// works reports whether an engine was known to make tokens lately.
-func (e *engines) works(now time.Time, service ServiceName, id member.UpstreamID) bool {
+// hasRecentProgress reports whether an engine was known to make tokens lately.
+func (e *enginePlacer) hasRecentProgress(now time.Time, service ServiceName, id member.UpstreamID) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
-	return p != nil && now.Sub(p.pool.Progressed(id)) <= worksFor
+	return p != nil && now.Sub(p.pool.Progressed(id)) <= engineProgressTimeout
 }
 
 // observeStep takes in how long an engine took for each of some tokens.
-func (e *engines) observeStep(now time.Time, service ServiceName, step time.Duration) {
+func (e *enginePlacer) observeStep(now time.Time, service ServiceName, step time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
 	if p == nil {
 		return
 	}
-	if p.usualStep == 0 {
-		p.usualStep = step
+	if p.averageStep == 0 {
+		p.averageStep = step
 	}
-	p.usualStep += time.Duration(stepMemory * float64(step-p.usualStep))
+	p.averageStep += time.Duration(stepWeight * float64(step-p.averageStep))
 	p.stepSamples++
-	p.learntAt = now
+	p.lastObserved = now
 }
 
-// takes is how long an engine is expected to take for a prompt and an answer.
-func (e *engines) takes(service ServiceName, prompt, out policy.Tokens) time.Duration {
+// expectedDuration is how long an engine is expected to take for a prompt and an answer.
+func (e *enginePlacer) expectedDuration(service ServiceName, prompt, out policy.Tokens) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
 	if p == nil {
-		return time.Duration(out) * stepPrior
+		return time.Duration(out) * assumedStep
 	}
-	return p.pool.TakesToRead(prompt) + time.Duration(out)*p.step()
+	return p.pool.TakesToRead(prompt) + time.Duration(out)*p.expectedStep()
 }
 
-// stay counts a run on an engine again that it wasn't moved from.
-func (e *engines) stay(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) {
+// returnToEngine counts a run on an engine again that it wasn't moved from.
+func (e *enginePlacer) returnToEngine(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if p := e.pools[service]; p != nil && p.pool.Return(now, run.request.Run, engine) {
-		run.engine, run.life = engine, p.listed[engine].Life
+		run.engine, run.incarnation = engine, p.poolEngines[engine].Incarnation
 	}
 }
 
-// renew forgets what is believed of an engine whose life is over.
-func (e *engines) renew(id member.UpstreamID) {
+// resetEngine forgets what is believed of an engine whose life is over.
+func (e *enginePlacer) resetEngine(id member.UpstreamID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.pools {
 		for _, run := range p.pool.Renew(id) {
-			delete(p.theirs, run)
+			delete(p.peerRuns, run)
 		}
 	}
 }
 
-// busy lists the engines that carry runs, of this host or its peers.
-func (e *engines) busy() []member.UpstreamID {
+// enginesWithRuns lists the engines that carry runs, of this host or its peers.
+func (e *enginePlacer) enginesWithRuns() []member.UpstreamID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	carrying := map[member.UpstreamID]bool{}
 	for _, p := range e.pools {
-		for _, run := range p.own {
+		for _, run := range p.ownRuns {
 			carrying[run.engine] = true
 		}
-		for id := range p.theirs {
+		for id := range p.peerRuns {
 			carrying[p.pool.EngineOf(id)] = true
 		}
 	}
--- a/forward/engines_test.go
+++ b/forward/engines_test.go
@@ -37,11 +37,11 @@
 			}
 			step := max(c.step, 0)
 			if step == 0 {
-				step = stepPrior
+				step = assumedStep
 			}
-			is.Equal(f.engines.takes("llm", 0, 100), 100*step)
+			is.Equal(f.engines.expectedDuration("llm", 0, 100), 100*step)
 			p := f.engines.pools["llm"]
-			is.Equal(p.short(), c.short)
+			is.Equal(p.shortAnswerLength(), c.short)
 		})
 	}
 }
@@ -51,15 +51,15 @@
 func TestShortestPause(t *testing.T) {
 	is := is.New(t)
 	c := testConfig(1)
-	is.Equal(NewTable(c).ShortestPause("llm"), time.Duration(0))
+	is.Equal(NewTable(c).ShortestGapObjective("llm"), time.Duration(0))
 	strict, lax := c.Routes[2], c.Routes[2]
 	strict.Name, strict.PathPrefix, strict.GapObjective = "strict", "/strict/", 120*time.Millisecond
 	lax.Name, lax.PathPrefix, lax.GapObjective = "lax", "/lax/", 600*time.Millisecond
 	c.Routes = append(c.Routes, lax, strict)
 	table := NewTable(c)
-	is.Equal(table.ShortestPause("llm"), 120*time.Millisecond)
-	is.Equal(table.ShortestPause("app"), time.Duration(0))
-	is.Equal(poolSettings(*c.Services[1].Engine, 0).BetweenTokens, stepBound)
+	is.Equal(table.ShortestGapObjective("llm"), 120*time.Millisecond)
+	is.Equal(table.ShortestGapObjective("app"), time.Duration(0))
+	is.Equal(poolSettings(*c.Services[1].Engine, 0).BetweenTokens, defaultMaxStep)
 	// 120 ms for four tokens are 30 ms a step, and a tenth is kept back.
 	is.Equal(poolSettings(*c.Services[1].Engine, 120*time.Millisecond).BetweenTokens, 27*time.Millisecond)
 }
@@ -75,7 +75,7 @@
 	}, rev(2))
 	f.updatePlacementEngines(now, f.Table())
 	for _, id := range []member.HostID{"a", "b"} {
-		f.peers.receive(now, Share{From: Peer{ID: id, Zone: "z2"}})
+		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z2"}})
 	}
 	busy := policy.Request{Run: "busy", Route: "/llm/", Prompt: 6000, Objective: 1800 * time.Millisecond, Arrived: now}
 	_, first, _ := f.engines.place(t.Context(), now, "llm", busy)
@@ -91,11 +91,11 @@
 		"all told":    {[]member.HostID{"a", "b"}, now, 1},
 		"long ago":    {[]member.HostID{"a", "b"}, now.Add(maxReportAge + time.Millisecond), 0},
 	} {
-		clear(f.engines.reported)
+		clear(f.engines.lastReported)
 		for _, id := range c.tell {
 			f.engines.replacePeerRuns(now, id, nil, nil)
 		}
-		f.engines.updateKnownParts(c.at, f.peers.zones())
+		f.engines.updateKnownParts(c.at, f.peers.zoneByHost())
 		if got := pool.KnownPart("z2"); got != c.want {
 			t.Errorf("%s: %v of the zone is known, not %v", name, got, c.want)
 		}
@@ -112,8 +112,8 @@
 		f.updatePlacementEngines(now, f.Table())
 	}
 	tell := func() {
-		s := teller.share(now)
-		hearer.engines.replacePeerRuns(now, "h9", s.Runs, s.Ended)
+		s := teller.newShare(now)
+		hearer.engines.replacePeerRuns(now, "h9", s.Runs, s.EndedRuns)
 	}
 	request := policy.Request{Route: "/llm/", Account: "counter", Prompt: 100}
 	mean := func() policy.Tokens { return hearer.engines.pools["llm"].pool.MeanLength(&request) }
@@ -123,7 +123,7 @@
 		r.Run = policy.RunID(fmt.Sprint("r", i))
 		teller.updatePlacementEngines(now, teller.Table())
 		_, run, _ := teller.engines.place(t.Context(), now, "llm", r)
-		run.made.Store(1000)
+		run.generatedTokens.Store(1000)
 		tell()
 		now = now.Add(100 * time.Millisecond)
 		teller.engines.finish(now, "llm", run, i%2 == 0)
@@ -132,7 +132,7 @@
 	}
 	is.True(before < 600)
 	is.True(mean() > 800 && mean() < 1000) // a hundred answers of 1,000 tokens, and the prior
-	is.Equal(len(hearer.engines.busy()), 0)
+	is.Equal(len(hearer.engines.enginesWithRuns()), 0)
 }
 
 // TestGrantedEngineLeft has a request that waited be placed anew when the engine that
@@ -140,12 +140,12 @@
 func TestGrantedEngineLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := newEngines("h1", "z1")
+		e := newEnginePlacer("h1", "z1")
 		e.configure(NewTable(testConfig(1)))
 		first := Upstream{ID: "llm1", Service: "llm", Zone: "z1"}
 		second := Upstream{ID: "llm2", Service: "llm", Zone: "z1"}
 		now := time.Now()
-		e.list(now, "llm", []Upstream{first})
+		e.setAvailable(now, "llm", []Upstream{first})
 		_, filling, _ := e.place(t.Context(), now, "llm", policy.Request{Run: "filling", Prompt: 33000})
 		type placing struct {
 			at  Upstream
@@ -162,8 +162,8 @@
 		e.mu.Lock()
 		p.pool.Finish(later, policy.Finish{Run: filling.request.Run})
 		p.advance(later) // llm1 is granted; before the request can go on, it leaves
-		clear(p.listed)
-		p.listed[second.ID] = second
+		clear(p.poolEngines)
+		p.poolEngines[second.ID] = second
 		p.pool.SetEngines([]member.UpstreamID{second.ID})
 		p.pool.SetZone(second.ID, second.Zone)
 		p.refresh(later)
@@ -171,6 +171,6 @@
 		got := <-placed
 		is.Equal(got.at, second)
 		is.Equal(got.run.engine, second.ID)
-		is.Equal(len(p.own), 2) // the one that fills llm1, whose end wasn't told, and this
+		is.Equal(len(p.ownRuns), 2) // the one that fills llm1, whose end wasn't told, and this
 	})
 }
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -86,7 +86,7 @@
 		x.serveStream(deadlineCtx)
 		return
 	}
-	x.servePlain(deadlineCtx)
+	x.serveUnary(deadlineCtx)
 }
 
 // configVersion returns the version of the configuration in force; zero if there is none.
@@ -108,8 +108,8 @@
 	if x.route, found = t.Match(x.call.Host, x.call.Path); !found {
 		return x.refuseUnknown(now, CodeNoRoute), false
 	}
-	if t.Keyed && !x.route.Public {
-		if x.account, found = t.Account(x.call.Key); !found {
+	if t.RequiresKey && !x.route.Public {
+		if x.account, found = t.Account(x.call.APIKey); !found {
 			return x.refuseUnknown(now, CodeBadKey), false
 		}
 	}
@@ -120,10 +120,10 @@
 	// The request may have waited in a socket of this host while the machine was suspended. Its
 	// caller has waited for that time, too, and may have left.
 	late := x.settings.Clock.Late(now)
-	if x.call.Patience > 0 && x.call.Patience <= late {
+	if x.call.CallerTimeout > 0 && x.call.CallerTimeout <= late {
 		return Refusal{Code: CodeLate, RetryAfter: retryElsewhere}, false
 	}
-	x.deadline = earliestDeadline(now.Add(-late), x.call.Patience, x.route.Timeout)
+	x.deadline = earliestDeadline(now.Add(-late), x.call.CallerTimeout, x.route.Timeout)
 	x.zones = x.allowedZones()
 	x.service, found = t.Service(x.pickService(now))
 	if !found {
@@ -133,11 +133,11 @@
 	if x.held(now) {
 		return heldRefusal, false
 	}
-	if x.noneInRegion(now) {
-		return Refusal{Code: CodeRegion, RetryAfter: retryMost}, false
+	if x.noUpstreamInRegions(now) {
+		return Refusal{Code: CodeRegion, RetryAfter: maxRetryAfter}, false
 	}
 	if !x.endsBeforeStop(now) {
-		x.journal.Request(x.call.ID, "would outlast the stop", "stopping_for", now.Sub(x.stopBegan()), "limit", x.call.Prompt.MostOut, "hint", x.call.Prompt.LikelyOut)
+		x.journal.Request(x.call.ID, "would outlast the stop", "stopping_for", now.Sub(x.stopBegan()), "limit", x.call.Prompt.MaxOutputTokens, "hint", x.call.Prompt.ExpectedOutputTokens)
 		return Refusal{Code: CodeStopping, RetryAfter: x.retryStopping(now)}, false
 	}
 	return Refusal{}, true
@@ -186,11 +186,11 @@
 		}
 		draw -= s.Weight
 	}
-	if len(x.route.Services) == 1 || len(x.allowedOf(x.fleet.Takers(now, picked))) > 0 {
+	if len(x.route.Services) == 1 || len(x.filterUpstreams(x.fleet.Available(now, picked))) > 0 {
 		return picked
 	}
 	for _, s := range x.route.Services {
-		if s.Weight > 0 && len(x.allowedOf(x.fleet.Takers(now, s.Service))) > 0 {
+		if s.Weight > 0 && len(x.filterUpstreams(x.fleet.Available(now, s.Service))) > 0 {
 			return s.Service
 		}
 	}
--- a/forward/failing_test.go
+++ b/forward/failing_test.go
@@ -20,14 +20,14 @@
 // TestFailingEngine has an engine that loses requests, or that is silent, get no
 // new streams for a while, longer each time, and then be tried again.
 func TestFailingEngine(t *testing.T) {
-	for name, lose := range map[string]func(ctx context.Context) (*Answer, error){
-		"resets": func(context.Context) (*Answer, error) { return nil, io.ErrUnexpectedEOF },
-		"breaks streams off": func(context.Context) (*Answer, error) {
+	for name, lose := range map[string]func(ctx context.Context) (*Response, error){
+		"resets": func(context.Context) (*Response, error) { return nil, io.ErrUnexpectedEOF },
+		"breaks streams off": func(context.Context) (*Response, error) {
 			a := answer(200, "")
-			a.Body = io.NopCloser(io.MultiReader(&chunkedReader{source: &oneEvent{}, size: 64}, errReader{}))
+			a.Body = io.NopCloser(io.MultiReader(&chunkedReader{source: &oneEventReader{}, size: 64}, errReader{}))
 			return a, nil
 		},
-		"is silent": func(ctx context.Context) (*Answer, error) {
+		"is silent": func(ctx context.Context) (*Response, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		},
@@ -35,7 +35,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(ctx context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(ctx context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 					if u.ID == "llm1" {
 						return lose(ctx)
 					}
@@ -67,13 +67,13 @@
 				synctest.Wait()
 				is.Equal(lost(1), 1)
 				is.Equal(len(f.fleet.FailingMarks(time.Now())), 1) // its loss was noted
-				time.Sleep(suspectFor)                             // the others are back
-				f.fleet.Failed(time.Now(), "llm1")
+				time.Sleep(suspectDuration)                        // the others are back
+				f.fleet.RecordFailure(time.Now(), "llm1")
 				synctest.Wait()
 				is.Equal(lost(6), 0)
-				time.Sleep(failingMost)
+				time.Sleep(maxFailingHold)
 				synctest.Wait()
-				is.True(!f.fleet.Failing(time.Now(), "llm1")) // it is tried again
+				is.True(!f.fleet.IsFailing(time.Now(), "llm1")) // it is tried again
 				cancel()
 				synctest.Wait()
 			})
@@ -81,10 +81,10 @@
 	}
 }
 
-// oneEvent reads as one event, once.
-type oneEvent struct{ read bool }
+// oneEventReader reads as one event, once.
+type oneEventReader struct{ read bool }
 
-func (e *oneEvent) Read(p []byte) (int, error) {
+func (e *oneEventReader) Read(p []byte) (int, error) {
 	if e.read {
 		return 0, io.EOF
 	}
@@ -92,16 +92,16 @@
 	return copy(p, "id: 1\n\n"), nil
 }
 
-// TestHearFailing has a host believe what a peer of its zone found about an
+// TestReceiveFailing has a host believe what a peer of its zone found about an
 // upstream, but no host of another zone: its links are others.
-func TestHearFailing(t *testing.T) {
+func TestReceiveFailing(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
-	marks := []FailingMark{{Upstream: "llm1", For: time.Second}, {Upstream: "unknown", For: time.Second}}
-	f.receive(Share{From: Peer{ID: "h2", Zone: "z2"}, Failing: marks})
-	is.True(!f.fleet.Failing(time.Now(), "llm1"))
-	f.receive(Share{From: Peer{ID: "h3", Zone: "z1"}, Failing: marks})
-	is.True(f.fleet.Failing(time.Now(), "llm1"))
+	marks := []FailingMark{{Upstream: "llm1", Remaining: time.Second}, {Upstream: "unknown", Remaining: time.Second}}
+	f.receiveShare(Share{From: Peer{ID: "h2", Zone: "z2"}, Failing: marks})
+	is.True(!f.fleet.IsFailing(time.Now(), "llm1"))
+	f.receiveShare(Share{From: Peer{ID: "h3", Zone: "z1"}, Failing: marks})
+	is.True(f.fleet.IsFailing(time.Now(), "llm1"))
 	is.Equal(len(f.fleet.FailingMarks(time.Now())), 0) // it isn't told on: who found it does
 }
 
@@ -111,10 +111,10 @@
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	now := time.Now()
-	hold := func(id member.UpstreamID) time.Duration { return f.fleet.Failed(now, id) }
+	hold := func(id member.UpstreamID) time.Duration { return f.fleet.RecordFailure(now, id) }
 	is.Equal([]time.Duration{hold("llm1"), hold("llm1"), hold("llm1"), hold("llm1")}, []time.Duration{2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second})
-	f.fleet.Worked("llm1")
-	is.Equal(hold("llm1"), failingFor)
+	f.fleet.RecordSuccess("llm1")
+	is.Equal(hold("llm1"), initialFailingHold)
 	f.fleet.MarkLeaving(now, "llm2", 0, true)
 	is.Equal(hold("llm2"), time.Duration(0)) // it leaves anyway
 }
@@ -124,7 +124,7 @@
 func TestZoneUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		transport := &fakeTransport{send: func(_ context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+		transport := &fakeTransport{send: func(_ context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 			if u.Zone != "z1" {
 				return nil, ErrNotSent
 			}
@@ -145,8 +145,8 @@
 		is.Equal(len(f.fleet.FailingMarks(time.Now())), 3)
 		peer := newForwarder(t, transport)
 		peer.fleet.Replace(time.Now(), list, rev(2))
-		peer.receive(f.share(time.Now()))
-		is.Equal(len(peer.fleet.Takers(time.Now(), "llm")), 2) // e3 and e4
+		peer.receiveShare(f.newShare(time.Now()))
+		is.Equal(len(peer.fleet.Available(time.Now(), "llm")), 2) // e3 and e4
 		cancel()
 		synctest.Wait()
 	})
@@ -168,7 +168,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 					<-ctx.Done()
 					return nil, context.Cause(ctx)
 				}}
@@ -190,7 +190,7 @@
 					if len(f.fleet.FailingMarks(time.Now())) > 0 && failed == 0 {
 						failed = time.Since(began)
 					}
-					time.Sleep(shareEvery)
+					time.Sleep(shareInterval)
 				}
 				is.Equal(failed > 0, c.failing > 0)
 				is.True(failed <= c.failing)
--- a/forward/fake_test.go
+++ b/forward/fake_test.go
@@ -23,8 +23,8 @@
 type fakeTransport struct {
 	mu sync.Mutex
 	// send answers a request; nil refuses every one.
-	send func(ctx context.Context, u Upstream, r *Outgoing) (*Answer, error)
-	move func(ctx context.Context, from Upstream, r MoveRequest) (Moved, error)
+	send func(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error)
+	move func(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error)
 	// healthy answers health questions; nil says well.
 	healthy func(u Upstream) (bool, error)
 	// reach answers looks at an upstream; nil says that it is there.
@@ -35,7 +35,7 @@
 	discarded []string
 }
 
-func (f *fakeTransport) Send(ctx context.Context, u Upstream, r *Outgoing) (*Answer, error) {
+func (f *fakeTransport) Send(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error) {
 	f.mu.Lock()
 	f.sent = append(f.sent, u.ID)
 	f.mu.Unlock()
@@ -45,9 +45,9 @@
 	return f.send(ctx, u, r)
 }
 
-func (f *fakeTransport) Move(ctx context.Context, from Upstream, r MoveRequest) (Moved, error) {
+func (f *fakeTransport) Move(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
 	if f.move == nil {
-		return Moved{}, ErrNoRun
+		return MoveResult{}, ErrRunNotFound
 	}
 	return f.move(ctx, from, r)
 }
@@ -61,13 +61,13 @@
 
 func (f *fakeTransport) Health(_ context.Context, u Upstream, _ string) (Health, error) {
 	if f.healthy == nil {
-		return Health{Well: true}, nil
+		return Health{Healthy: true}, nil
 	}
 	well, err := f.healthy(u)
-	return Health{Well: well}, err
+	return Health{Healthy: well}, err
 }
 
-func (f *fakeTransport) Reach(_ context.Context, u Upstream) error {
+func (f *fakeTransport) CheckReachable(_ context.Context, u Upstream) error {
 	if f.reach == nil {
 		return nil
 	}
@@ -95,13 +95,13 @@
 
 var errGone = errors.New("the caller is gone")
 
-func (s *fakeSink) Whole(a *Answer, body []byte) error {
+func (s *fakeSink) SendResponse(a *Response, body []byte) error {
 	s.status = a.Status
 	s.body.Write(body)
 	return nil
 }
 
-func (s *fakeSink) Begin(a *Answer) error {
+func (s *fakeSink) BeginResponse(a *Response) error {
 	s.status = a.Status
 	return nil
 }
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (s *fakeSink) Cut() { s.cut = true }
+func (s *fakeSink) Truncate() { s.cut = true }
 
 // silentJournal and silentObserver keep nothing.
 type (
@@ -196,28 +196,28 @@
 	f.fleet.Replace(now, list, rev(1))
 	f.Configure(now, testConfig(1))
 	f.ContactProved(now)
-	f.originProvedAt.raise(now)
+	f.originProvedAt.advance(now)
 	return f
 }
 
 func call(path string) *Call {
 	return &Call{
 		ID: "r1", Method: http.MethodPost, Host: "shop.example:80", Path: path + "x", Target: path + "x",
-		Header: http.Header{}, Key: "k1", Arrived: time.Now(), Patience: 39 * time.Second,
-		Prompt: Prompt{Tokens: 3000, MostOut: 2000},
+		Header: http.Header{}, APIKey: "k1", Arrived: time.Now(), CallerTimeout: 39 * time.Second,
+		Prompt: Prompt{Tokens: 3000, MaxOutputTokens: 2000},
 	}
 }
 
 // sendLate is a send whose good answer comes after 100 ms of virtual time.
-func sendLate(context.Context, Upstream, *Outgoing) (*Answer, error) {
+func sendLate(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 	time.Sleep(100 * time.Millisecond)
 	return answer(http.StatusOK, "late"), nil
 }
 
 // answer is an upstream's good answer.
-func answer(status int, body string) *Answer {
-	return &Answer{
-		Status: status, Header: http.Header{}, Length: int64(len(body)), Framed: true, Signed: true,
+func answer(status int, body string) *Response {
+	return &Response{
+		Status: status, Header: http.Header{}, ContentLength: int64(len(body)), Framed: true, Signed: true,
 		Body: io.NopCloser(strings.NewReader(body)),
 	}
 }
--- a/forward/fakefleet_test.go
+++ b/forward/fakefleet_test.go
@@ -133,7 +133,7 @@
 }
 
 // Send plays an upstream's answer: a stream for the service of engines, else a short body.
-func (f *fakeFleet) Send(ctx context.Context, u Upstream, out *Outgoing) (*Answer, error) {
+func (f *fakeFleet) Send(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 	body := string(out.Call.Body)
 	run, ok := f.begin(u.ID, body)
 	if !ok {
@@ -143,7 +143,7 @@
 		read, write := io.Pipe()
 		go func() { _ = write.CloseWithError(f.stream(ctx, u.ID, run, body, write)) }()
 		a := answer(200, "")
-		a.Length, a.Body = -1, read
+		a.ContentLength, a.Body = -1, read
 		return a, nil
 	}
 	defer f.finish(u.ID, run)
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -25,8 +25,8 @@
 	Leaving bool
 	// Version is of its software; empty where that isn't told.
 	Version rollout.Version
-	// Life tells this start of the upstream from others under the same id.
-	Life Life
+	// Incarnation tells this start of the upstream from others under the same id.
+	Incarnation Incarnation
 	// Revision is where in the list's history this was written.
 	Revision history.Point
 }
@@ -56,31 +56,31 @@
 // goes on serving what it already runs.
 type Fleet struct {
 	mu        sync.Mutex
-	upstreams map[member.UpstreamID]*known
+	upstreams map[member.UpstreamID]*knownUpstream
 	// revision is the one up to which every change is known. A single upstream may be
 	// known as of a newer one: a list that is read in pages isn't of one moment.
 	revision history.Point
 	// restore tells what the origin wrote in the present era, which was first seen at eraSince by
 	// this host or who told it; restored counts what came of the last restore.
-	restore  history.Restore
-	eraSince time.Time
-	restored *restoreCounts
-	// forgotten is the newest revision at which something was dropped that isn't
+	restore      history.Restore
+	eraFirstSeen time.Time
+	restoreStats *restoreStats
+	// forgottenUpTo is the newest revision at which something was dropped that isn't
 	// remembered any more.
-	forgotten history.Point
+	forgottenUpTo history.Point
 	// coldUntil is when the last upstream will be warm that was ever cold.
 	coldUntil time.Time
-	// failedUntil and tellUntil are the latest of all upstreams', so that hosts which have
+	// ownFailingUntil and shareLeavingUntil are the latest of all upstreams', so that hosts which have
 	// found nothing lately needn't look through them for each share.
-	failedUntil, tellUntil time.Time
-	// renewed are upstreams that have begun a new life since TakeRenewed.
-	renewed []member.UpstreamID
+	ownFailingUntil, shareLeavingUntil time.Time
+	// restarted are upstreams that have begun a new life since TakeRenewed.
+	restarted []member.UpstreamID
 	// gaps are passed over by readings of the whole list, and maybe by who told what is new: what
 	// came and went in them was never known here.
 	gaps []gap
-	// trustGoneFrom is when a missing upstream is believed to be gone: during
+	// trustMissingFrom is when a missing upstream is believed to be gone: during
 	// and shortly after an outage the list may lack upstreams that live.
-	trustGoneFrom time.Time
+	trustMissingFrom time.Time
 	// zones holds the newest order about each zone that there ever was one about.
 	zones map[member.Zone]zoneState
 	// generation rises with each change.
@@ -91,64 +91,64 @@
 	changed chan struct{}
 }
 
-// known is an upstream and the marks that this host has put on it.
-type known struct {
+// knownUpstream is an upstream and the marks that this host has put on it.
+type knownUpstream struct {
 	Upstream
 	// gone says that the list no longer has it; missing, that the list lacks
 	// it but isn't believed yet.
 	gone, missing bool
-	// unlisted says that it is missing because the copy that the list was restored from lacks
+	// missingSinceRestore says that it is missing because the copy that the list was restored from lacks
 	// it: it takes work until relistedBy.
-	unlisted bool
-	// pending is what the copy says of an upstream that was gone, which is believed from its
+	missingSinceRestore bool
+	// pendingChange is what the copy says of an upstream that was gone, which is believed from its
 	// BelievedFrom on; nil for none.
-	pending *Change
+	pendingChange *Change
 	// droppedAt is when it was dropped last.
 	droppedAt time.Time
-	// declared says that the list told that it leaves, and didn't just drop it.
-	declared bool
-	// leftAt is when it was first known to be leaving; zero while it isn't.
-	leftAt time.Time
+	// leavingDeclared says that the list told that it leaves, and didn't just drop it.
+	leavingDeclared bool
+	// leavingSince is when it was first known to be leaving; zero while it isn't.
+	leavingSince time.Time
 	// unusable says that its entry can't be used any more.
 	unusable bool
 	// coldUntil is when it will be warm; zero for one that isn't cold.
 	coldUntil time.Time
-	// over closes when its life is over and another has begun under its id; nil while nobody has
+	// incarnationEnded closes when its life is incarnationEnded and another has begun under its id; nil while nobody has
 	// asked for it.
-	over chan struct{}
-	// past are the lives before, the latest last.
-	past []Life
-	// goneAt is when it ends; zero while that isn't known.
-	goneAt time.Time
-	// tellUntil is until when peers are told of this host's own word that it leaves, which
+	incarnationEnded chan struct{}
+	// pastIncarnations are the lives before, the latest last.
+	pastIncarnations []Incarnation
+	// expectedEnd is when it ends; zero while that isn't known.
+	expectedEnd time.Time
+	// shareLeavingUntil is until when peers are told of this host's own word that it leaves, which
 	// isn't the list's; zero where it has none.
-	tellUntil time.Time
-	// said says that the upstream itself told that it leaves; nothing but a new life takes
+	shareLeavingUntil time.Time
+	// leavingSelfReported says that the upstream itself told that it leaves; nothing but a new life takes
 	// that back.
-	said bool
-	// source is who told first that it leaves; empty while it doesn't.
-	source LeavingSource
-	// retired says that a rollout has it be left.
-	retired bool
-	// hinted says that only another sign than the list's tells that it leaves.
-	hinted bool
-	// leaving closes when it starts leaving; nil while nobody has asked for it.
-	leaving chan struct{}
+	leavingSelfReported bool
+	// leavingSource is who told first that it leaves; empty while it doesn't.
+	leavingSource LeavingSource
+	// retiredByRollout says that a rollout has it be left.
+	retiredByRollout bool
+	// leavingUnconfirmed says that only another sign than the list's tells that it leaves.
+	leavingUnconfirmed bool
+	// leavingStarted closes when it starts leavingStarted; nil while nobody has asked for it.
+	leavingStarted chan struct{}
 	// suspectUntil keeps new work away after a connection failed.
 	suspectUntil time.Time
-	// failures counts the requests that were lost there in a row.
-	failures int
-	// failedUntil is how long this host's own finding keeps new work away.
-	failedUntil time.Time
+	// consecutiveFailures counts the requests that were lost there in a row.
+	consecutiveFailures int
+	// ownFailingUntil is how long this host's own finding keeps new work away.
+	ownFailingUntil time.Time
 }
 
 const (
-	// forgetGone is how long a dropped upstream is remembered. Its address may
+	// goneRetention is how long a dropped upstream is remembered. Its address may
 	// be another's by then; the id guards against that.
-	forgetGone = 30 * time.Second
-	// suspectFor is how long an upstream that refused a connection gets no new
+	goneRetention = 30 * time.Second
+	// suspectDuration is how long an upstream that refused a connection gets no new
 	// work: about two heartbeats of the upstreams.
-	suspectFor = 2 * time.Second
+	suspectDuration = 2 * time.Second
 )
 
 // Apply takes changes of the list in, which are all that there were since the revision
@@ -164,7 +164,7 @@
 func (f *Fleet) applyWithGaps(now time.Time, changes []Change, at history.Point) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.skipped(f.revision, at)
+	f.recordGap(f.revision, at)
 	return f.applyAll(now, changes, at)
 }
 
@@ -186,14 +186,14 @@
 	for i, u := range list {
 		changes[i].Upstream = u
 	}
-	return f.ReplaceAll(now, changes, at)
+	return f.ReplaceEntries(now, changes, at)
 }
 
-// ReplaceAll is Replace for a list of which not every entry can be used.
-func (f *Fleet) ReplaceAll(now time.Time, list []Change, at history.Point) []Change {
+// ReplaceEntries is Replace for a list of which not every entry can be used.
+func (f *Fleet) ReplaceEntries(now time.Time, list []Change, at history.Point) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.touch()
+	f.invalidate()
 	before := f.revision
 	var news []Change
 	listed := make(map[member.UpstreamID]bool, len(list))
@@ -207,7 +207,7 @@
 		if listed[id] || k.Revision.After(at) {
 			continue
 		}
-		if k.confirmEnded(at) || f.unlist(now, k, at) {
+		if k.confirmEnded(at) || f.markUnlisted(now, k, at) {
 			continue
 		}
 		gone := Change{Upstream: k.Upstream, Gone: true}
@@ -216,7 +216,7 @@
 			news = append(news, gone)
 		}
 	}
-	f.skipped(before, at)
+	f.recordGap(before, at)
 	f.notify(len(news) > 0)
 	return news
 }
@@ -224,34 +224,34 @@
 // gap is a part of the list's history, without its ends.
 type gap struct{ from, to history.Point }
 
-// mostGaps bounds how many are remembered; the oldest are joined.
-const mostGaps = 32
+// maxGaps bounds how many are remembered; the oldest are joined.
+const maxGaps = 32
 
-func (g gap) has(p history.Point) bool { return g.from.Before(p) && p.Before(g.to) }
+func (g gap) contains(p history.Point) bool { return g.from.Before(p) && p.Before(g.to) }
 
-// skipped takes in that the list is known as of a revision, but not each change since
+// recordGap takes in that the list is known as of a revision, but not each change since
 // the one that was known before.
-func (f *Fleet) skipped(before, at history.Point) {
+func (f *Fleet) recordGap(before, at history.Point) {
 	f.revision = history.Latest(f.revision, at)
 	if !at.After(before) {
 		return
 	}
 	f.gaps = append(slices.DeleteFunc(f.gaps, func(g gap) bool { return !g.to.SameEra(at) }), gap{before, at})
-	if len(f.gaps) > mostGaps {
+	if len(f.gaps) > maxGaps {
 		f.gaps[1].from = f.gaps[0].from
 		f.gaps = f.gaps[1:]
 	}
 }
 
 func (f *Fleet) apply(now time.Time, c Change) bool {
-	f.touch()
+	f.invalidate()
 	if f.upstreams == nil {
-		f.upstreams = map[member.UpstreamID]*known{}
+		f.upstreams = map[member.UpstreamID]*knownUpstream{}
 	}
 	k := f.upstreams[c.ID]
 	if k == nil {
 		// Also one that isn't there any more: those who follow this host may know it.
-		k = newKnown(c.Upstream)
+		k = newKnownUpstream(c.Upstream)
 		if c.Missing {
 			k.Revision = history.Point{}
 		}
@@ -259,73 +259,73 @@
 		f.index.add(k)
 	}
 	switch {
-	case k.isOver(c.Life):
+	case k.isPastIncarnation(c.Incarnation):
 		return false
 	case !c.BelievedFrom.IsZero():
 		return f.deferRelisting(now, k, c)
-	case k.pending != nil && ofEarlierEra(c.Revision, k.pending.Revision):
+	case k.pendingChange != nil && isFromEarlierEra(c.Revision, k.pendingChange.Revision):
 		return false
 	case !f.restore.Supersedes(c.Revision, k.Revision):
 		return f.reconcile(now, k, c)
 	default:
-		return f.set(now, k, c)
+		return f.applyNewest(now, k, c)
 	}
 }
 
-// set takes in what is the newest known of an upstream.
-func (f *Fleet) set(now time.Time, k *known, c Change) bool {
+// applyNewest takes in what is the newest known of an upstream.
+func (f *Fleet) applyNewest(now time.Time, k *knownUpstream, c Change) bool {
 	if c.Missing && k.confirmEnded(c.Revision) {
 		return false
 	}
-	k.pending = nil
+	k.pendingChange = nil
 	switch {
 	case c.Gone:
-		return f.drop(now, k, c.Revision)
+		return f.markGone(now, k, c.Revision)
 	case c.Missing:
-		return f.miss(now, k, c.Revision)
+		return f.markMissing(now, k, c.Revision)
 	case c.Unusable:
 		return k.markUnusable(c.Revision)
-	case c.Life == 0:
-		c.Life = k.Life
-	case k.Life != 0 && c.Life != k.Life:
+	case c.Incarnation == 0:
+		c.Incarnation = k.Incarnation
+	case k.Incarnation != 0 && c.Incarnation != k.Incarnation:
 		// Also one that was born earlier by its clock, which may have been set back: the
 		// order of the list's entries decides, not that of births.
-		f.renew(k, c.Life)
+		f.startIncarnation(k, c.Incarnation)
 	}
 	before := k.Upstream
 	if !c.Revision.SameEra(before.Revision) {
 		before.Revision = c.Revision
 	}
 	same := !k.gone && !k.missing && !k.unusable && before == c.Upstream
-	if !c.Leaving && !k.declared && (k.hinted || k.gone && c.Revision.After(k.Revision)) {
+	if !c.Leaving && !k.leavingDeclared && (k.leavingUnconfirmed || k.gone && c.Revision.After(k.Revision)) {
 		// The list knows better than other signs; and an entry that ran out
 		// while its upstream was cut off comes back.
-		k.stay()
+		k.cancelLeaving()
 	}
 	// An id is of one incarnation: once it has said that it leaves, it never
 	// comes back.
-	k.declared = k.declared || c.Leaving
+	k.leavingDeclared = k.leavingDeclared || c.Leaving
 	c.Leaving = c.Leaving || k.Leaving
 	k.gone = k.gone && c.Revision == k.Revision
 	if k.Service != c.Service || k.Zone != c.Zone {
 		f.index.remove(k)
 		defer f.index.add(k)
 	}
-	k.Upstream, k.missing, k.unlisted, k.unusable, k.coldUntil = c.Upstream, false, false, false, c.ColdUntil
-	f.coldUntil = later(f.coldUntil, c.ColdUntil)
+	k.Upstream, k.missing, k.missingSinceRestore, k.unusable, k.coldUntil = c.Upstream, false, false, false, c.ColdUntil
+	f.coldUntil = laterOf(f.coldUntil, c.ColdUntil)
 	if c.Leaving {
-		k.leave(now, SourceList)
+		k.startLeaving(now, SourceList)
 	}
 	return !same
 }
 
-func newKnown(u Upstream) *known {
-	return &known{Upstream: u}
+func newKnownUpstream(u Upstream) *knownUpstream {
+	return &knownUpstream{Upstream: u}
 }
 
 // markUnusable takes in that the upstream's entry can't be used as of a revision. What runs
 // there goes on, and an entry that can be used gives it work again.
-func (k *known) markUnusable(at history.Point) bool {
+func (k *knownUpstream) markUnusable(at history.Point) bool {
 	k.Revision = at
 	if k.unusable || k.gone {
 		return false
@@ -334,73 +334,73 @@
 	return true
 }
 
-// miss takes in that whom this host follows doesn't find an upstream on the list,
+// markMissing takes in that whom this host follows doesn't find an upstream on the list,
 // and doesn't believe yet that it is gone.
-func (f *Fleet) miss(now time.Time, k *known, at history.Point) bool {
-	if f.unlist(now, k, at) {
+func (f *Fleet) markMissing(now time.Time, k *knownUpstream, at history.Point) bool {
+	if f.markUnlisted(now, k, at) {
 		return false
 	}
 	if k.gone || k.Leaving || at == k.Revision && !k.missing {
 		return false
 	}
 	k.Revision, k.missing = at, true
-	f.trustGoneFrom = later(f.trustGoneFrom, now.Add(listSettles))
+	f.trustMissingFrom = laterOf(f.trustMissingFrom, now.Add(listSettleTime))
 	return false
 }
 
-func (f *Fleet) drop(now time.Time, k *known, at history.Point) bool {
+func (f *Fleet) markGone(now time.Time, k *knownUpstream, at history.Point) bool {
 	// Also of one that is gone already: those who follow this host may know it as it
 	// was before this revision, and are told what is newer than theirs.
 	k.Revision = history.Latest(k.Revision, at)
 	if k.gone {
 		return false
 	}
-	if now.Before(f.trustGoneFrom) && !k.Leaving || f.mayBeRelisted(now, k) {
+	if now.Before(f.trustMissingFrom) && !k.Leaving || f.mayBeRelisted(now, k) {
 		k.missing = true
 		return false
 	}
-	k.gone, k.missing, k.unlisted, k.hinted = true, false, false, false
+	k.gone, k.missing, k.missingSinceRestore, k.leavingUnconfirmed = true, false, false, false
 	k.droppedAt = now
-	k.leave(now, SourceList)
+	k.startLeaving(now, SourceList)
 	return true
 }
 
-// change is the upstream as a peer that follows this host is told of it. Signs other than
+// changeForPeers is the upstream as a peer that follows this host is told of it. Signs other than
 // the list's travel by themselves, and are taken back; what came with the list stays.
-func (k *known) change() Change {
+func (k *knownUpstream) changeForPeers() Change {
 	c := Change{Upstream: k.Upstream, Gone: k.gone, Missing: k.missing, Unusable: k.unusable, ColdUntil: k.coldUntil}
-	c.Leaving = k.Leaving && (k.declared || !k.hinted)
-	if k.pending != nil {
-		return *k.pending
+	c.Leaving = k.Leaving && (k.leavingDeclared || !k.leavingUnconfirmed)
+	if k.pendingChange != nil {
+		return *k.pendingChange
 	}
 	return c
 }
 
-// stay takes back that the upstream leaves.
-func (k *known) stay() {
-	k.Leaving, k.hinted, k.retired, k.leftAt, k.leaving, k.source = false, false, false, time.Time{}, nil, ""
+// cancelLeaving takes back that the upstream leaves.
+func (k *knownUpstream) cancelLeaving() {
+	k.Leaving, k.leavingUnconfirmed, k.retiredByRollout, k.leavingSince, k.leavingStarted, k.leavingSource = false, false, false, time.Time{}, nil, ""
 }
 
-// leave marks the upstream as leaving, for good.
-func (k *known) leave(now time.Time, source LeavingSource) {
+// startLeaving marks the upstream as leaving, for good.
+func (k *knownUpstream) startLeaving(now time.Time, source LeavingSource) {
 	k.Leaving = true
-	if k.leftAt.IsZero() {
-		k.leftAt, k.source = now, source
-		if k.leaving != nil {
-			close(k.leaving)
+	if k.leavingSince.IsZero() {
+		k.leavingSince, k.leavingSource = now, source
+		if k.leavingStarted != nil {
+			close(k.leavingStarted)
 		}
 	}
 }
 
 // leavingChannel closes when the upstream starts leaving.
-func (k *known) leavingChannel() <-chan struct{} {
-	if k.leaving == nil {
-		k.leaving = make(chan struct{})
-		if !k.leftAt.IsZero() {
-			close(k.leaving)
+func (k *knownUpstream) leavingChannel() <-chan struct{} {
+	if k.leavingStarted == nil {
+		k.leavingStarted = make(chan struct{})
+		if !k.leavingSince.IsZero() {
+			close(k.leavingStarted)
 		}
 	}
-	return k.leaving
+	return k.leavingStarted
 }
 
 // MarkLeaving takes in another sign than the list's that an upstream leaves; in
@@ -418,10 +418,10 @@
 		source = SourceHost
 		f.tellPeers(k, now.Add(markShared))
 	}
-	k.leave(now, source)
-	k.hinted = true
+	k.startLeaving(now, source)
+	k.leavingUnconfirmed = true
 	if in > 0 {
-		k.goneAt = now.Add(in)
+		k.expectedEnd = now.Add(in)
 	}
 	f.notify(true)
 	return true
@@ -432,20 +432,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if k := f.upstreams[id]; k != nil {
-		k.suspectUntil = now.Add(suspectFor)
+		k.suspectUntil = now.Add(suspectDuration)
 		f.notify(true)
 	}
 }
 
-// touch has who takes work be worked out anew.
-func (f *Fleet) touch() {
+// invalidate has who takes work be worked out anew.
+func (f *Fleet) invalidate() {
 	f.generation++
-	f.index.takers = nil
+	f.index.availableCache = nil
 }
 
 func (f *Fleet) notify(changed bool) {
 	if changed {
-		f.touch()
+		f.invalidate()
 	}
 	if changed && f.changed != nil {
 		close(f.changed)
@@ -453,8 +453,8 @@
 	}
 }
 
-// Wake closes the channel of Changed although nothing has changed here.
-func (f *Fleet) Wake() {
+// WakeWaiters closes the channel of Changed although nothing has changed here.
+func (f *Fleet) WakeWaiters() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.notify(true)
--- a/forward/fleet_test.go
+++ b/forward/fleet_test.go
@@ -13,13 +13,13 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-func up(id member.UpstreamID, at history.Revision, leaving bool) Upstream {
+func llmUpstream(id member.UpstreamID, at history.Revision, leaving bool) Upstream {
 	return Upstream{ID: id, Service: "llm", Address: "10.0.0.9:1", Revision: rev(at), Leaving: leaving}
 }
 
-func takers(f *Fleet, now time.Time) map[member.UpstreamID]bool {
+func availableIDs(f *Fleet, now time.Time) map[member.UpstreamID]bool {
 	got := map[member.UpstreamID]bool{}
-	for _, u := range f.Takers(now, "llm") {
+	for _, u := range f.Available(now, "llm") {
 		got[u.ID] = true
 	}
 	return got
@@ -30,23 +30,23 @@
 	is := is.New(t)
 	now := time.Now()
 	var f Fleet
-	f.Replace(now, []Upstream{up("a", 1, false), up("b", 2, false)}, rev(5))
-	is.Equal(takers(&f, now), map[member.UpstreamID]bool{"a": true, "b": true})
-	f.Apply(now, []Change{{Upstream: up("a", 7, true)}}, rev(7))
-	is.Equal(takers(&f, now), map[member.UpstreamID]bool{"b": true})
-	is.Equal(len(f.Apply(now, []Change{{Upstream: up("a", 6, false)}}, rev(7))), 0) // older
-	f.Apply(now, []Change{{Upstream: up("a", 8, false)}}, rev(8))
-	is.Equal(takers(&f, now), map[member.UpstreamID]bool{"b": true}) // leaving is for good
+	f.Replace(now, []Upstream{llmUpstream("a", 1, false), llmUpstream("b", 2, false)}, rev(5))
+	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"a": true, "b": true})
+	f.Apply(now, []Change{{Upstream: llmUpstream("a", 7, true)}}, rev(7))
+	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"b": true})
+	is.Equal(len(f.Apply(now, []Change{{Upstream: llmUpstream("a", 6, false)}}, rev(7))), 0) // older
+	f.Apply(now, []Change{{Upstream: llmUpstream("a", 8, false)}}, rev(8))
+	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"b": true}) // leaving is for good
 	f.Apply(now, []Change{{Upstream: Upstream{ID: "b", Revision: rev(9)}, Gone: true}}, rev(9))
-	is.Equal(len(takers(&f, now)), 0)
+	is.Equal(len(availableIDs(&f, now)), 0)
 	select {
-	case <-f.Leaving("b"): // dropped without a notice: it leaves now
+	case <-f.LeavingStarted("b"): // dropped without a notice: it leaves now
 	default:
 		t.Fatal("b should be leaving")
 	}
-	f.Replace(now, []Upstream{up("c", 10, false)}, rev(11))
-	is.Equal(takers(&f, now), map[member.UpstreamID]bool{"c": true})
-	changes, at, _ := f.Since(rev(9))
+	f.Replace(now, []Upstream{llmUpstream("c", 10, false)}, rev(11))
+	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"c": true})
+	changes, at, _ := f.ChangesSince(rev(9))
 	is.Equal(at, rev(11))
 	is.Equal(len(changes), 2) // c, and a, which this list lacks
 }
@@ -57,33 +57,33 @@
 	is := is.New(t)
 	now := time.Now()
 	f := Fleet{}
-	f.Replace(now, []Upstream{up("a", 1, false), up("b", 1, false)}, rev(1))
+	f.Replace(now, []Upstream{llmUpstream("a", 1, false), llmUpstream("b", 1, false)}, rev(1))
 	f.ListLost(now)
 	now = now.Add(5 * time.Second)
-	f.Replace(now, []Upstream{up("a", 1, false)}, rev(9))
+	f.Replace(now, []Upstream{llmUpstream("a", 1, false)}, rev(9))
 	f.ListRegained(now, 5*time.Second)
-	is.Equal(takers(&f, now), map[member.UpstreamID]bool{"a": true}) // no new work
+	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"a": true}) // no new work
 	is.Equal(f.Missing(), []member.UpstreamID{"b"})
-	changes, at, _ := f.Since(rev(1))
+	changes, at, _ := f.ChangesSince(rev(1))
 	is.Equal(len(changes), 1)
 	is.True(changes[0].Missing && !changes[0].Gone)
 	follower := Fleet{}
-	follower.Replace(now, []Upstream{up("a", 1, false), up("b", 1, false)}, rev(1))
+	follower.Replace(now, []Upstream{llmUpstream("a", 1, false), llmUpstream("b", 1, false)}, rev(1))
 	follower.Apply(now, changes, at)
-	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"a": true})
+	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"a": true})
 	is.Equal(len(follower.Settle(now.Add(time.Second))), 0)
 	is.Equal(len(follower.Settle(now.Add(3*time.Second))), 1) // gone there, too, if it stays missing
 	is.Equal(len(f.Settle(now.Add(time.Second))), 0)
 	select {
-	case <-f.Leaving("b"):
+	case <-f.LeavingStarted("b"):
 		t.Fatal("b may come back")
 	default:
 	}
-	f.Apply(now, []Change{{Upstream: up("b", 10, false)}}, rev(0))
-	is.Equal(takers(&f, now), map[member.UpstreamID]bool{"a": true, "b": true})
+	f.Apply(now, []Change{{Upstream: llmUpstream("b", 10, false)}}, rev(0))
+	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"a": true, "b": true})
 	f.Apply(now, []Change{{Upstream: Upstream{ID: "b", Revision: rev(12)}, Gone: true}}, rev(0))
 	is.Equal(len(f.Settle(now.Add(3*time.Second))), 1) // still missing: gone
-	<-f.Leaving("b")
+	<-f.LeavingStarted("b")
 }
 
 // TestFleetShortOutage has a list that was lost for a moment believed at once.
@@ -91,12 +91,12 @@
 	is := is.New(t)
 	now := time.Now()
 	f := Fleet{}
-	f.Replace(now, []Upstream{up("a", 1, false)}, rev(1))
+	f.Replace(now, []Upstream{llmUpstream("a", 1, false)}, rev(1))
 	f.ListLost(now)
 	f.ListRegained(now, 80*time.Millisecond)
 	f.Apply(now, []Change{{Upstream: Upstream{ID: "a", Revision: rev(2)}, Gone: true}}, rev(0))
-	<-f.Leaving("a")
-	is.Equal(len(takers(&f, now)), 0)
+	<-f.LeavingStarted("a")
+	is.Equal(len(availableIDs(&f, now)), 0)
 }
 
 // TestFleetReturns has an upstream whose entry ran out, and came back, take work
@@ -105,60 +105,60 @@
 	is := is.New(t)
 	now := time.Now()
 	f, follower := Fleet{}, Fleet{}
-	list := []Upstream{up("a", 1, false), up("b", 1, true)}
+	list := []Upstream{llmUpstream("a", 1, false), llmUpstream("b", 1, true)}
 	f.Replace(now, list, rev(1))
 	follower.Replace(now, list, rev(1))
 	f.Apply(now, []Change{{Upstream: Upstream{ID: "a", Revision: rev(2)}, Gone: true}, {Upstream: Upstream{ID: "b", Revision: rev(3)}, Gone: true}}, rev(3))
-	<-f.Leaving("a")
-	changes, at, _ := f.Since(rev(1))
+	<-f.LeavingStarted("a")
+	changes, at, _ := f.ChangesSince(rev(1))
 	follower.Apply(now, changes, at)
-	is.Equal(len(takers(&follower, now)), 0)
-	f.Apply(now, []Change{{Upstream: up("a", 2, false)}}, rev(3))
-	is.Equal(len(takers(&f, now)), 0) // no newer than its end
-	f.Apply(now, []Change{{Upstream: up("a", 5, false)}, {Upstream: up("b", 6, false)}}, rev(6))
-	is.Equal(takers(&f, now), map[member.UpstreamID]bool{"a": true})
-	changes, at, _ = f.Since(rev(3))
+	is.Equal(len(availableIDs(&follower, now)), 0)
+	f.Apply(now, []Change{{Upstream: llmUpstream("a", 2, false)}}, rev(3))
+	is.Equal(len(availableIDs(&f, now)), 0) // no newer than its end
+	f.Apply(now, []Change{{Upstream: llmUpstream("a", 5, false)}, {Upstream: llmUpstream("b", 6, false)}}, rev(6))
+	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"a": true})
+	changes, at, _ = f.ChangesSince(rev(3))
 	follower.Apply(now, changes, at)
-	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"a": true})
+	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"a": true})
 	select {
-	case <-f.Leaving("a"):
+	case <-f.LeavingStarted("a"):
 		t.Fatal("it doesn't leave any more")
 	default:
 	}
-	f.Apply(now, []Change{{Upstream: up("a", 7, true)}}, rev(7))
-	<-f.Leaving("a")
+	f.Apply(now, []Change{{Upstream: llmUpstream("a", 7, true)}}, rev(7))
+	<-f.LeavingStarted("a")
 }
 
-// TestFleetHint has a sign that an upstream leaves taken back when the list
+// TestUnconfirmedLeaving has a sign that an upstream leaves taken back when the list
 // knows better.
-func TestFleetHint(t *testing.T) {
+func TestUnconfirmedLeaving(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	f := Fleet{}
-	f.Replace(now, []Upstream{up("a", 1, false)}, rev(1))
+	f.Replace(now, []Upstream{llmUpstream("a", 1, false)}, rev(1))
 	f.MarkLeaving(now, "a", 900*time.Millisecond, true)
-	is.Equal(len(takers(&f, now)), 0)
-	is.Equal(f.GoneAt("a", now, 2*time.Second), now.Add(900*time.Millisecond))
+	is.Equal(len(availableIDs(&f, now)), 0)
+	is.Equal(f.ExpectedEnd("a", now, 2*time.Second), now.Add(900*time.Millisecond))
 	is.Equal(f.Marks(now), []LeavingMark{{Engine: "a", In: 900 * time.Millisecond}})
 	is.Equal(len(f.Marks(now.Add(time.Minute))), 0)
-	f.Replace(now, []Upstream{up("a", 1, false)}, rev(4))
-	is.Equal(takers(&f, now), map[member.UpstreamID]bool{"a": true})
+	f.Replace(now, []Upstream{llmUpstream("a", 1, false)}, rev(4))
+	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"a": true})
 }
 
-// TestFleetHintIsNotTold has an upstream that leaves by another sign than the list's be
+// TestUnconfirmedLeavingIsNotForwarded has an upstream that leaves by another sign than the list's be
 // told to who follows as the list has it: a sign can be wrong and is taken back, and what
 // the list says is for good.
-func TestFleetHintIsNotTold(t *testing.T) {
+func TestUnconfirmedLeavingIsNotForwarded(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	var f, follower Fleet
-	f.Replace(now, []Upstream{up("a", 1, false), up("b", 2, false)}, rev(2))
+	f.Replace(now, []Upstream{llmUpstream("a", 1, false), llmUpstream("b", 2, false)}, rev(2))
 	f.MarkLeaving(now, "a", 0, true)
 	f.MarkLeaving(now, "b", 0, true)
-	f.Apply(now, []Change{{Upstream: up("b", 3, true)}}, rev(3))
-	changes, at, _ := f.Since(rev(0))
+	f.Apply(now, []Change{{Upstream: llmUpstream("b", 3, true)}}, rev(3))
+	changes, at, _ := f.ChangesSince(rev(0))
 	follower.Apply(now, changes, at)
-	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"a": true})
-	follower.Apply(now, []Change{{Upstream: up("a", 4, true)}}, rev(4))
-	is.Equal(len(takers(&follower, now)), 0)
+	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"a": true})
+	follower.Apply(now, []Change{{Upstream: llmUpstream("a", 4, true)}}, rev(4))
+	is.Equal(len(availableIDs(&follower, now)), 0)
 }
--- a/forward/fleetindex.go
+++ b/forward/fleetindex.go
@@ -16,34 +16,34 @@
 // zero value is empty.
 type fleetIndex struct {
 	layout cell.Layout
-	// own is this host's cell.
-	own      cell.ID
-	services map[ServiceName]map[cell.ID]map[member.UpstreamID]*known
-	// takers are the answers to what was asked since the last change, by service.
-	takers map[ServiceName][]Upstream
+	// ownCell is this host's cell.
+	ownCell  cell.ID
+	services map[ServiceName]map[cell.ID]map[member.UpstreamID]*knownUpstream
+	// availableCache are the answers to what was asked since the last change, by service.
+	availableCache map[ServiceName][]Upstream
 }
 
-func (x *fleetIndex) add(k *known) {
+func (x *fleetIndex) add(k *knownUpstream) {
 	if k.Service == "" {
 		return
 	}
 	if x.services == nil {
-		x.services = map[ServiceName]map[cell.ID]map[member.UpstreamID]*known{}
+		x.services = map[ServiceName]map[cell.ID]map[member.UpstreamID]*knownUpstream{}
 	}
 	cells := x.services[k.Service]
 	if cells == nil {
-		cells = map[cell.ID]map[member.UpstreamID]*known{}
+		cells = map[cell.ID]map[member.UpstreamID]*knownUpstream{}
 		x.services[k.Service] = cells
 	}
 	of := x.layout.OfUpstream(k.ID, k.Zone)
 	if cells[of] == nil {
-		cells[of] = map[member.UpstreamID]*known{}
+		cells[of] = map[member.UpstreamID]*knownUpstream{}
 	}
 	cells[of][k.ID] = k
 }
 
 // remove drops an upstream as it is indexed.
-func (x *fleetIndex) remove(k *known) {
+func (x *fleetIndex) remove(k *knownUpstream) {
 	cells, of := x.services[k.Service], x.layout.OfUpstream(k.ID, k.Zone)
 	delete(cells[of], k.ID)
 	if len(cells[of]) == 0 {
@@ -51,13 +51,13 @@
 	}
 }
 
-// mostMarks bounds how many upstreams a host tells its peers of in one message, of each kind: all of a
+// maxMarksPerKind bounds how many upstreams a host tells its peers of in one message, of each kind: all of a
 // zone may be cold or out of reach at once.
-const mostMarks = 256
+const maxMarksPerKind = 256
 
-// eachForPeers visits the upstreams of which peers are told, until told to stop: those of this host's
+// visitOwnCellFirst visits the upstreams of which peers are told, until told to stop: those of this host's
 // cell first. The mutex is held.
-func (f *Fleet) eachForPeers(visit func(*known) bool) {
+func (f *Fleet) visitOwnCellFirst(visit func(*knownUpstream) bool) {
 	if !f.index.layout.Divided() {
 		for _, k := range f.upstreams {
 			if !visit(k) {
@@ -69,7 +69,7 @@
 	for _, own := range []bool{true, false} {
 		for _, cells := range f.index.services {
 			for of, upstreams := range cells {
-				if (of == f.index.own) != own {
+				if (of == f.index.ownCell) != own {
 					continue
 				}
 				for _, k := range upstreams {
@@ -86,31 +86,31 @@
 func (f *Fleet) SetLayout(l cell.Layout, own cell.ID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.index.own = own
+	f.index.ownCell = own
 	if l.Equal(f.index.layout) {
 		return
 	}
-	f.index = fleetIndex{layout: l, own: own}
+	f.index = fleetIndex{layout: l, ownCell: own}
 	for _, k := range f.upstreams {
 		f.index.add(k)
 	}
 	f.notify(true)
 }
 
-// TakersIn is Takers of one cell, in no order.
-func (f *Fleet) TakersIn(now time.Time, service ServiceName, of cell.ID) []Upstream {
+// AvailableInCell is Takers of one cell, in no order.
+func (f *Fleet) AvailableInCell(now time.Time, service ServiceName, of cell.ID) []Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.takersOf(now, f.index.services[service][of])
+	return f.availableOf(now, f.index.services[service][of])
 }
 
-// ZonesWith lists the zones in which upstreams of a service may take work, in no order.
-func (f *Fleet) ZonesWith(service ServiceName) []member.Zone {
+// ZonesServing lists the zones in which upstreams of a service may take work, in no order.
+func (f *Fleet) ZonesServing(service ServiceName) []member.Zone {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var zones []member.Zone
 	for of, upstreams := range f.index.services[service] {
-		if f.zones[of.Zone].Out || slices.Contains(zones, of.Zone) {
+		if f.zones[of.Zone].OutOfService || slices.Contains(zones, of.Zone) {
 			continue
 		}
 		for _, k := range upstreams {
@@ -123,12 +123,12 @@
 	return zones
 }
 
-// takersOf are those of some upstreams that take new work.
-func (f *Fleet) takersOf(now time.Time, upstreams map[member.UpstreamID]*known) []Upstream {
+// availableOf are those of some upstreams that take new work.
+func (f *Fleet) availableOf(now time.Time, upstreams map[member.UpstreamID]*knownUpstream) []Upstream {
 	var takers, suspected []Upstream
 	for _, k := range upstreams {
-		switch f.standing(now, k) {
-		case taking:
+		switch f.availabilityOf(now, k) {
+		case available:
 			takers = append(takers, k.Upstream)
 		case suspect:
 			suspected = append(suspected, k.Upstream)
@@ -141,24 +141,24 @@
 	return suspected
 }
 
-// standing says whether an upstream takes new work.
-type standing int
+// availability says whether an upstream takes new work.
+type availability int
 
 const (
-	notTaking standing = iota
+	unavailable availability = iota
 	suspect
-	taking
+	available
 )
 
-func (f *Fleet) standing(now time.Time, k *known) standing {
+func (f *Fleet) availabilityOf(now time.Time, k *knownUpstream) availability {
 	switch {
-	case k.Leaving || k.unusable || f.zones[k.Zone].Out:
-		return notTaking
+	case k.Leaving || k.unusable || f.zones[k.Zone].OutOfService:
+		return unavailable
 	case k.missing && !f.mayBeRelisted(now, k) || now.Before(k.suspectUntil):
 		return suspect
 	default:
-		return taking
+		return available
 	}
 }
 
-func byID(a, b Upstream) int { return strings.Compare(string(a.ID), string(b.ID)) }
+func compareUpstreamIDs(a, b Upstream) int { return strings.Compare(string(a.ID), string(b.ID)) }
--- a/forward/fleetview.go
+++ b/forward/fleetview.go
@@ -30,34 +30,34 @@
 	return f.revision
 }
 
-// Takers returns a service's upstreams that take new work, in the order of their
+// Available returns a service's upstreams that take new work, in the order of their
 // ids, so that decisions don't depend on the order of a map. They aren't to be changed.
-func (f *Fleet) Takers(now time.Time, service ServiceName) []Upstream {
+func (f *Fleet) Available(now time.Time, service ServiceName) []Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if cached, found := f.index.takers[service]; found {
+	if cached, found := f.index.availableCache[service]; found {
 		return cached
 	}
-	takers, lasting := f.allTakers(now, service, nil)
+	takers, lasting := f.availableForService(now, service, nil)
 	if lasting {
-		if f.index.takers == nil {
-			f.index.takers = map[ServiceName][]Upstream{}
+		if f.index.availableCache == nil {
+			f.index.availableCache = map[ServiceName][]Upstream{}
 		}
-		f.index.takers[service] = takers
+		f.index.availableCache[service] = takers
 	}
 	return takers
 }
 
-// TakersBut is Takers without some upstreams.
-func (f *Fleet) TakersBut(now time.Time, service ServiceName, but func(member.UpstreamID) bool) []Upstream {
+// AvailableExcept is Takers without some upstreams.
+func (f *Fleet) AvailableExcept(now time.Time, service ServiceName, but func(member.UpstreamID) bool) []Upstream {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	takers, _ := f.allTakers(now, service, but)
+	takers, _ := f.availableForService(now, service, but)
 	return takers
 }
 
-// allTakers reports besides whether they stay the same until something is learnt.
-func (f *Fleet) allTakers(now time.Time, service ServiceName, but func(member.UpstreamID) bool) (takers []Upstream, lasting bool) {
+// availableForService reports besides whether they stay the same until something is learnt.
+func (f *Fleet) availableForService(now time.Time, service ServiceName, but func(member.UpstreamID) bool) (takers []Upstream, lasting bool) {
 	var suspected []Upstream
 	lasting = true
 	for _, upstreams := range f.index.services[service] {
@@ -66,8 +66,8 @@
 				continue
 			}
 			lasting = lasting && !k.missing && !now.Before(k.suspectUntil)
-			switch f.standing(now, k) {
-			case taking:
+			switch f.availabilityOf(now, k) {
+			case available:
 				takers = append(takers, k.Upstream)
 			case suspect:
 				suspected = append(suspected, k.Upstream)
@@ -78,43 +78,43 @@
 		// With nobody else, those under suspicion are better than nothing.
 		takers = suspected
 	}
-	slices.SortFunc(takers, byID)
+	slices.SortFunc(takers, compareUpstreamIDs)
 	return takers, lasting
 }
 
-// Since returns what changed after a revision, for a peer that follows this host,
+// ChangesSince returns what changed after a revision, for a peer that follows this host,
 // and this host's own revision. It is the whole list where this host doesn't remember
 // all that was dropped since, and where the peer knows another era or nothing.
-func (f *Fleet) Since(after history.Point) (changes []Change, at history.Point, whole bool) {
+func (f *Fleet) ChangesSince(after history.Point) (changes []Change, at history.Point, whole bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.since(after)
+	return f.changesSince(after)
 }
 
-func (f *Fleet) since(after history.Point) (changes []Change, at history.Point, whole bool) {
-	whole = after.IsZero() || after.Before(f.forgotten) || slices.ContainsFunc(f.gaps, func(g gap) bool { return g.has(after) }) ||
+func (f *Fleet) changesSince(after history.Point) (changes []Change, at history.Point, whole bool) {
+	whole = after.IsZero() || after.Before(f.forgottenUpTo) || slices.ContainsFunc(f.gaps, func(g gap) bool { return g.contains(after) }) ||
 		!after.SameEra(f.revision)
 	for _, k := range f.upstreams {
-		if c := k.change(); whole || c.Revision.After(after) {
+		if c := k.changeForPeers(); whole || c.Revision.After(after) {
 			changes = append(changes, c)
 		}
 	}
 	return changes, f.revision, whole
 }
 
-// GoneAt is when an upstream that leaves will be gone: by its own word, or drain
+// ExpectedEnd is when an upstream that leaves will be gone: by its own word, or drain
 // after the first sign.
-func (f *Fleet) GoneAt(id member.UpstreamID, now time.Time, drain time.Duration) time.Time {
+func (f *Fleet) ExpectedEnd(id member.UpstreamID, now time.Time, drain time.Duration) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.upstreams[id]
 	switch {
-	case k == nil || k.leftAt.IsZero():
+	case k == nil || k.leavingSince.IsZero():
 		return now.Add(drain)
-	case !k.goneAt.IsZero():
-		return k.goneAt
+	case !k.expectedEnd.IsZero():
+		return k.expectedEnd
 	default:
-		return k.leftAt.Add(drain)
+		return k.leavingSince.Add(drain)
 	}
 }
 
@@ -122,15 +122,15 @@
 func (f *Fleet) LeavingFor(now time.Time, id member.UpstreamID) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if k := f.upstreams[id]; k != nil && !k.leftAt.IsZero() {
-		return now.Sub(k.leftAt)
+	if k := f.upstreams[id]; k != nil && !k.leavingSince.IsZero() {
+		return now.Sub(k.leavingSince)
 	}
 	return 0
 }
 
-// Leaving returns a channel that closes when the upstream starts leaving, and
+// LeavingStarted returns a channel that closes when the upstream starts leaving, and
 // nil for one that isn't known.
-func (f *Fleet) Leaving(id member.UpstreamID) <-chan struct{} {
+func (f *Fleet) LeavingStarted(id member.UpstreamID) <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if k := f.upstreams[id]; k != nil {
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -48,7 +48,7 @@
 			is := is.New(t)
 			p := newPeerSet(Peer{ID: "h5", Zone: "z1"}, nil)
 			for _, s := range c.peers {
-				p.receive(now, s)
+				p.recordShare(now, s)
 			}
 			leader, found := p.leader(now.Add(time.Second), c.needed)
 			is.Equal(leader.ID, c.want)
@@ -61,24 +61,24 @@
 
 // failingOrigin has a list that can be read until it is lost.
 type failingOrigin struct {
-	lost  atomic.Bool
-	reads atomic.Int32
+	failing atomic.Bool
+	reads   atomic.Int32
 }
 
-func (o *failingOrigin) Read(context.Context, history.Era) (News, error) {
+func (o *failingOrigin) Read(context.Context, history.Era) (OriginUpdate, error) {
 	o.reads.Add(1)
-	if o.lost.Load() {
-		return News{}, errGone
+	if o.failing.Load() {
+		return OriginUpdate{}, errGone
 	}
-	return News{Changes: []Change{{Upstream: up("llm1", 1, false)}}, At: rev(1)}, nil
+	return OriginUpdate{Changes: []Change{{Upstream: llmUpstream("llm1", 1, false)}}, Revision: rev(1)}, nil
 }
 
-func (o *failingOrigin) Watch(ctx context.Context, after history.Point, _ time.Duration) (News, error) {
+func (o *failingOrigin) Watch(ctx context.Context, after history.Point, _ time.Duration) (OriginUpdate, error) {
 	PauseFor(ctx, 100*time.Millisecond)
-	if o.lost.Load() {
-		return News{}, errGone
+	if o.failing.Load() {
+		return OriginUpdate{}, errGone
 	}
-	return News{At: after}, nil
+	return OriginUpdate{Revision: after}, nil
 }
 
 // TestOfEarlierZone has the host that leads its zone follow the first live host of
@@ -106,10 +106,10 @@
 			is := is.New(t)
 			p := newPeerSet(Peer{ID: "h5", Zone: "z3"}, nil)
 			for _, s := range c.peers {
-				p.receive(now, s)
+				p.recordShare(now, s)
 			}
 			p.distrust(c.distrusted)
-			got, found := p.ofEarlierZone(func(z member.Zone) bool { return z == c.avoided }, now.Add(time.Second))
+			got, found := p.firstInEarlierZone(func(z member.Zone) bool { return z == c.avoided }, now.Add(time.Second))
 			is.Equal(got.ID, c.want)
 			is.Equal(found, c.want != "")
 		})
@@ -119,78 +119,80 @@
 // countingOrigin can always be read, and counts its watches.
 type countingOrigin struct{ watches atomic.Int32 }
 
-func (o *countingOrigin) Read(context.Context, history.Era) (News, error) {
-	return News{At: rev(1)}, nil
+func (o *countingOrigin) Read(context.Context, history.Era) (OriginUpdate, error) {
+	return OriginUpdate{Revision: rev(1)}, nil
 }
 
-func (o *countingOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (News, error) {
+func (o *countingOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
 	o.watches.Add(1)
 	PauseFor(ctx, wait)
-	return News{At: after}, nil
+	return OriginUpdate{Revision: after}, nil
 }
 
-// followedPeers plays the peer that is followed.
-type followedPeers struct {
+// fakeFollowedPeer plays the peer that is followed.
+type fakeFollowedPeer struct {
 	silent    atomic.Bool
 	originAge atomic.Int64
 	calls     atomic.Int32
 	changes   []Change
 }
 
-func (p *followedPeers) Share(context.Context, Peer, Share) (Share, error) { return Share{}, errGone }
-func (p *followedPeers) Turn(context.Context, Peer, TurnRequest) error     { return nil }
-func (p *followedPeers) Rollout(context.Context, Peer, rollout.Report) (rollout.Status, error) {
+func (p *fakeFollowedPeer) Share(context.Context, Peer, Share) (Share, error) {
+	return Share{}, errGone
+}
+func (p *fakeFollowedPeer) Turn(context.Context, Peer, TurnRequest) error { return nil }
+func (p *fakeFollowedPeer) Rollout(context.Context, Peer, rollout.Report) (rollout.Status, error) {
 	return rollout.Status{}, errGone
 }
 
-func (p *followedPeers) Permit(context.Context, Peer, permit.Ask) (permit.Reply, error) {
+func (p *fakeFollowedPeer) Permit(context.Context, Peer, permit.Ask) (permit.Reply, error) {
 	return permit.Reply{}, errGone
 }
-func (p *followedPeers) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
-func (p *followedPeers) Ask(context.Context, Peer, PlaceAsk) (PlaceGrant, error) {
-	return PlaceGrant{}, errGone
+func (p *fakeFollowedPeer) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
+func (p *fakeFollowedPeer) Ask(context.Context, Peer, PlacementRequest) (PlacementGrant, error) {
+	return PlacementGrant{}, errGone
 }
 
-func (p *followedPeers) Config(context.Context, Peer, Version) (ConfigReply, error) {
+func (p *fakeFollowedPeer) Config(context.Context, Peer, Version) (ConfigReply, error) {
 	return ConfigReply{}, errGone
 }
 
-func (p *followedPeers) Follow(ctx context.Context, _ Peer, r FollowRequest) (FollowReply, error) {
+func (p *fakeFollowedPeer) Follow(ctx context.Context, _ Peer, r FollowRequest) (FollowReply, error) {
 	p.calls.Add(1)
 	if p.silent.Load() {
 		<-ctx.Done()
 		return FollowReply{}, ctx.Err()
 	}
 	PauseFor(ctx, r.Wait)
-	return FollowReply{OriginAge: time.Duration(p.originAge.Load()), Hosts: []roster.Announcement{{Entry: Peer{ID: "h7", Zone: "z1"}, Count: 1}}, List: rev(7), Changes: p.changes}, nil
+	return FollowReply{OriginAge: time.Duration(p.originAge.Load()), Announcements: []roster.Announcement{{Entry: Peer{ID: "h7", Zone: "z1"}, Count: 1}}, ListRevision: rev(7), Changes: p.changes}, nil
 }
 
 // TestFollowZone has one host watch the origin for several zones, and a zone turn
 // to the origin itself within a fraction of a second when the host that it follows
 // is silent or has lost the origin.
 func TestFollowZone(t *testing.T) {
-	for name, fail := range map[string]func(p *followedPeers){
-		"silent":          func(p *followedPeers) { p.silent.Store(true) },
-		"lost the origin": func(p *followedPeers) { p.originAge.Store(int64(time.Minute)) },
+	for name, fail := range map[string]func(p *fakeFollowedPeer){
+		"silent":          func(p *fakeFollowedPeer) { p.silent.Store(true) },
+		"lost the origin": func(p *fakeFollowedPeer) { p.originAge.Store(int64(time.Minute)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newForwarder(t, &fakeTransport{})
-				peers, origin := &followedPeers{}, &countingOrigin{}
+				peers, origin := &fakeFollowedPeer{}, &countingOrigin{}
 				f.peerTransport = peers
-				f.peers.receive(time.Now(), Share{From: Peer{ID: "h9", Zone: "z0"}, Epoch: 9, Announcement: 1})
+				f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z0"}, Epoch: 9, AnnouncementCount: 1})
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Follow(ctx, origin)
 				time.Sleep(2 * time.Second)
 				is.Equal(origin.watches.Load(), int32(0)) // another host watches
 				is.True(f.peers.isKnown("h7"))            // and tells of hosts that it has found
 				// What it has heard of hosts is passed on, once.
-				told := f.OnFollow(ctx, FollowRequest{List: rev(6)})
-				is.Equal(len(told.Hosts), 2)
-				is.Equal(told.Hosts[0].Entry, Peer{ID: "h9", Zone: "z0"})
-				is.Equal(told.Hosts[1].Entry, Peer{ID: "h7", Zone: "z1"})
-				is.Equal(len(f.OnFollow(ctx, FollowRequest{List: rev(6), Hosts: told.HostsAt}).Hosts), 0)
+				told := f.OnFollow(ctx, FollowRequest{ListRevision: rev(6)})
+				is.Equal(len(told.Announcements), 2)
+				is.Equal(told.Announcements[0].Entry, Peer{ID: "h9", Zone: "z0"})
+				is.Equal(told.Announcements[1].Entry, Peer{ID: "h7", Zone: "z1"})
+				is.Equal(len(f.OnFollow(ctx, FollowRequest{ListRevision: rev(6), HostCursor: told.HostCursor}).Announcements), 0)
 				is.True(f.OriginAge(time.Now()) < time.Second)
 				fail(peers)
 				calls := peers.calls.Load()
@@ -198,7 +200,7 @@
 				is.True(origin.watches.Load() > 0)
 				time.Sleep(2 * time.Second)
 				is.True(peers.calls.Load() <= calls+1) // it is left alone for a while
-				is.True(f.OriginAge(time.Now()) < watchWait+time.Second)
+				is.True(f.OriginAge(time.Now()) < watchTimeout+time.Second)
 				cancel()
 				synctest.Wait()
 			})
@@ -211,15 +213,15 @@
 func TestFollowAfterCut(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
-	f.peerTransport = &followedPeers{changes: []Change{{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}}}
+	f.peerTransport = &fakeFollowedPeer{changes: []Change{{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}}}
 	f.fleet.ListRegained(time.Now(), 10*time.Second)
 	is.True(f.followPeer(t.Context(), Peer{ID: "h0"}, zoneBounds))
 	select {
-	case <-f.fleet.Leaving("llm1"):
+	case <-f.fleet.LeavingStarted("llm1"):
 	default:
 		t.Error("llm1 is gone")
 	}
-	changes, _, _ := f.fleet.Since(rev(4))
+	changes, _, _ := f.fleet.ChangesSince(rev(4))
 	is.Equal(len(changes), 1) // and those that follow this host are told
 }
 
@@ -229,16 +231,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &fakeTransport{})
-		f.peerTransport = &followedPeers{}
+		f.peerTransport = &fakeFollowedPeer{}
 		ctx, cancel := context.WithCancel(t.Context())
 		origin := &failingOrigin{}
 		go f.Follow(ctx, origin)
 		synctest.Wait()
-		origin.lost.Store(true)
-		f.peers.receive(time.Now(), Share{From: Peer{ID: "h9", Zone: "z1"}})
+		origin.failing.Store(true)
+		f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z1"}})
 		time.Sleep(2 * time.Second)
 		is.True(f.listKnown(time.Now()))
-		is.True(f.OriginAge(time.Now()) > originFresh)
+		is.True(f.OriginAge(time.Now()) > maxOriginProofAge)
 		cancel()
 		synctest.Wait()
 	})
@@ -250,15 +252,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &fakeTransport{})
-		peers := &followedPeers{}
+		peers := &fakeFollowedPeer{}
 		peers.originAge.Store(int64(time.Minute))
 		f.peerTransport = peers
 		ctx, cancel := context.WithCancel(t.Context())
 		origin := &failingOrigin{}
-		origin.lost.Store(true)
+		origin.failing.Store(true)
 		hear := func(originAge time.Duration) {
 			for n := range 20 {
-				f.peers.receive(time.Now(), Share{From: Peer{ID: member.HostID(fmt.Sprint("h", 10+n)), Zone: "z1"}, OriginAge: originAge})
+				f.peers.recordShare(time.Now(), Share{From: Peer{ID: member.HostID(fmt.Sprint("h", 10+n)), Zone: "z1"}, OriginAge: originAge})
 			}
 		}
 		hear(time.Minute)
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -94,8 +94,8 @@
 
 	fleet        *Fleet
 	table        atomic.Pointer[Table]
-	engines      *engines
-	plainChooser *plainChooser
+	engines      *enginePlacer
+	plainChooser *latencyBalancer
 	// backoffs holds the upstreams that asked this host for backoff. backoffNoticeLimiter
 	// bounds how often peers are notified of that at once.
 	backoffs             backoff.Table
@@ -110,18 +110,18 @@
 	signalLogLimiter eventLimiter
 	retries          retryBudget
 	// contactProvedAt is when this host last had proof that its configuration is the newest.
-	contactProvedAt latest
+	contactProvedAt latestTime
 	// originProvedAt is when the origin last proved that the list of upstreams is up to date,
 	// to this host or to the one that it follows; never if neither has such a proof.
-	originProvedAt latest
+	originProvedAt latestTime
 	// originProofRenewed wakes its waiters when originProvedAt advances.
 	originProofRenewed broadcast
 	// originProofInherited is set if the proof came from a peer.
 	originProofInherited atomic.Bool
 	// followedPeerAnsweredAt is when the peer that this host follows last answered.
-	followedPeerAnsweredAt latest
+	followedPeerAnsweredAt latestTime
 	// listSuspectedAt is when an engine that was on the list last disappeared without notice.
-	listSuspectedAt latest
+	listSuspectedAt latestTime
 	// newestConfig is the configuration in force in the form in which it was received, for
 	// peers.
 	newestConfig atomic.Pointer[Config]
@@ -170,10 +170,10 @@
 func New(s Settings, t Transport, j Journal, o Observer) *Forwarder {
 	f := &Forwarder{
 		settings: s, transport: t, journal: j, observer: o,
-		fleet: &Fleet{}, engines: newEngines(s.Self.ID, s.Self.Zone), plainChooser: newPlainChooser(s.Self.Zone),
+		fleet: &Fleet{}, engines: newEnginePlacer(s.Self.ID, s.Self.Zone), plainChooser: newLatencyBalancer(s.Self.Zone),
 		peers: newPeerSet(s.Self, s.Seeds), configOffers: newConfigOffers(),
 		inFlight: map[*exchange]context.CancelCauseFunc{}, idle: make(chan struct{}), relistRequested: make(chan struct{}, 1),
-		fingerprintsToStore: make(chan quarantine.Fingerprint, keepRing),
+		fingerprintsToStore: make(chan quarantine.Fingerprint, saveQueueSize),
 	}
 	f.limiter = permit.New(s.Self, permitSite{f}, f.now)
 	f.retries.setLimit(s.RetryLimit)
@@ -211,7 +211,7 @@
 	f.table.Store(t)
 	f.journal.HostEvent("configuration in force", "version", c.Version, "routes", len(c.Routes), "accounts", len(c.Accounts))
 	f.updatePlacementEngines(now, t)
-	f.fleet.Wake()
+	f.fleet.WakeWaiters()
 	return true
 }
 
@@ -219,8 +219,8 @@
 // The proof is ignored if a newer configuration was already known then: a restored origin
 // serves an older configuration than the newest that it acknowledged.
 func (f *Forwarder) ContactProved(at time.Time) {
-	if since, newer := f.configOffers.newerSince(f.versionInForce()); !newer || at.Before(since) {
-		f.contactProvedAt.raise(at)
+	if since, newer := f.configOffers.newerOfferedAt(f.versionInForce()); !newer || at.Before(since) {
+		f.contactProvedAt.advance(at)
 	}
 }
 
@@ -233,14 +233,14 @@
 
 // Run keeps the placement up to date, and drops state that has expired, until the context ends.
 func (f *Forwarder) Run(ctx context.Context) {
-	tick := time.NewTicker(refreshEvery)
+	tick := time.NewTicker(poolRefreshInterval)
 	defer tick.Stop()
 	suspended := f.settings.Clock.Slept()
 	for {
 		suspended = f.reportSuspension(suspended)
 		changed := f.fleet.Changed()
 		f.retireVersions(f.now())
-		if f.peers.divided() {
+		if f.peers.zonesDivided() {
 			PauseFor(ctx, relistDelay)
 		}
 		if t := f.table.Load(); t != nil {
@@ -262,7 +262,7 @@
 				}
 				f.journal.HostEvent("upstream dropped", "upstream", c.ID, "why", "still missing after the list settled")
 			}
-			f.noteZones(f.fleet.SettleZones(f.now()))
+			f.logZoneChanges(f.fleet.SettleZoneOrders(f.now()))
 		}
 	}
 }
@@ -291,7 +291,7 @@
 	f.fleet.SetLayout(layout, own)
 	for name, s := range t.Services() {
 		if s.Engine != nil {
-			f.engines.list(now, name, f.placementEngines(now, name, layout, own))
+			f.engines.setAvailable(now, name, f.placementEngines(now, name, layout, own))
 		}
 	}
 }
@@ -307,7 +307,7 @@
 	if !layout.Divided() {
 		return f.candidates(now, service)
 	}
-	takers := f.fleet.TakersIn(now, service, own)
+	takers := f.fleet.AvailableInCell(now, service, own)
 	if f.backoffs.Any() {
 		takers = slices.DeleteFunc(takers, func(u Upstream) bool { return f.backoffs.Remaining(now, u.ID) > 0 })
 	}
@@ -320,6 +320,6 @@
 		rand.Shuffle(len(fallback), func(i, j int) { fallback[i], fallback[j] = fallback[j], fallback[i] })
 		takers = fallback[:min(len(fallback), maxFallbackEngines)]
 	}
-	slices.SortFunc(takers, byID)
+	slices.SortFunc(takers, compareUpstreamIDs)
 	return takers
 }
--- a/forward/granting.go
+++ b/forward/granting.go
@@ -15,7 +15,7 @@
 
 // zonesOf tells whether the own zone has engines of a service that take work, and which
 // others do, in an order that differs from call to call.
-func (e *engines) zonesOf(service ServiceName) (near bool, far []member.Zone) {
+func (e *enginePlacer) zonesOf(service ServiceName) (near bool, far []member.Zone) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
@@ -23,7 +23,7 @@
 		return false, nil
 	}
 	// The order of a map will do for that.
-	for _, u := range p.listed {
+	for _, u := range p.poolEngines {
 		switch {
 		case u.Zone == e.zone:
 			near = true
@@ -35,7 +35,7 @@
 }
 
 // tryNear places a request on an engine of the own zone if that can be done at once.
-func (e *engines) tryNear(now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision, bool) {
+func (e *enginePlacer) tryNear(now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
@@ -47,72 +47,72 @@
 	if !ok {
 		return Upstream{}, nil, d, false
 	}
-	return p.listed[d.Engine], p.carry(r, d.Engine), d, true
+	return p.poolEngines[d.Engine], p.carry(r, d.Engine), d, true
 }
 
 // placeAt counts a run on an engine that another host gave a place on.
-func (e *engines) placeAt(now time.Time, service ServiceName, r policy.Request, g PlaceGrant) (Upstream, *ownRun, policy.Decision, bool) {
+func (e *enginePlacer) placeAt(now time.Time, service ServiceName, r policy.Request, g PlacementGrant) (Upstream, *ownRun, policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
-	if p == nil || p.listed[g.Engine].ID == "" {
+	if p == nil || p.poolEngines[g.Engine].ID == "" {
 		return Upstream{}, nil, policy.Decision{}, false
 	}
 	r.Zone = e.zone
-	d, ok := p.pool.PlaceAt(now, r, g.Engine, g.FirstAfter)
+	d, ok := p.pool.PlaceAt(now, r, g.Engine, g.TimeToFirstToken)
 	if !ok {
 		return Upstream{}, nil, d, false
 	}
-	return p.listed[g.Engine], p.carry(r, g.Engine), d, true
+	return p.poolEngines[g.Engine], p.carry(r, g.Engine), d, true
 }
 
 // carry notes that this host has a run on an engine.
 func (p *enginePool) carry(r policy.Request, engine member.UpstreamID) *ownRun {
-	run := &ownRun{request: r, engine: engine, life: p.listed[engine].Life}
-	p.own[r.Run] = run
+	run := &ownRun{request: r, engine: engine, incarnation: p.poolEngines[engine].Incarnation}
+	p.ownRuns[r.Run] = run
 	return run
 }
 
 // grant gives a peer's run a place on an engine of the own zone, if one has room.
-func (e *engines) grant(now time.Time, a PlaceAsk) (policy.Decision, bool) {
+func (e *enginePlacer) grant(now time.Time, a PlacementRequest) (policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[a.Service]
-	if p == nil || p.own[a.Run] != nil {
+	if p == nil || p.ownRuns[a.Run] != nil {
 		return policy.Decision{}, false
 	}
 	d, ok := p.placePeers(now, a, e.zone)
 	if ok {
-		p.theirs[a.Run], p.granted[a.Run] = a.From, now
+		p.peerRuns[a.Run], p.unconfirmedGrants[a.Run] = a.From, now
 	}
 	return d, ok
 }
 
 // placePeers places a peer's run on an engine of a zone. One that is known here already
 // is to move, and stays counted where it is if there is no room.
-func (p *enginePool) placePeers(now time.Time, a PlaceAsk, zone member.Zone) (policy.Decision, bool) {
-	if _, known := p.theirs[a.Run]; known {
-		id, ok := p.pool.Relocate(now, a.Run, policy.Target{Avoid: a.Avoid, OnlyZone: true, Zone: zone, OnlyGroup: a.OnlyGroup, ButGroup: a.ButGroup})
+func (p *enginePool) placePeers(now time.Time, a PlacementRequest, zone member.Zone) (policy.Decision, bool) {
+	if _, known := p.peerRuns[a.Run]; known {
+		id, ok := p.pool.Relocate(now, a.Run, policy.Target{Avoid: a.ExcludedEngines, OnlyZone: true, Zone: zone, OnlyGroup: a.OnlyGroup, ButGroup: a.ExcludedGroup})
 		return policy.Decision{Run: a.Run, Verdict: policy.Granted, Engine: id}, ok
 	}
-	r := a.request(now)
+	r := a.policyRequest(now)
 	r.Zone, r.OnlyZone = zone, true
 	return p.pool.TryPlace(now, r)
 }
 
 // revokeUnused frees the places that were given to peers' runs that nothing was heard of.
 func (p *enginePool) revokeUnused(now time.Time) {
-	for id, at := range p.granted {
-		if now.Sub(at) > grantedFor {
-			delete(p.granted, id)
-			delete(p.theirs, id)
+	for id, at := range p.unconfirmedGrants {
+		if now.Sub(at) > placementGrantTTL {
+			delete(p.unconfirmedGrants, id)
+			delete(p.peerRuns, id)
 			p.pool.Finish(now, policy.Finish{Run: id})
 		}
 	}
 }
 
 // grown is a run as it would be placed anew with what it has made so far.
-func (e *engines) grown(service ServiceName, run *ownRun, avoid []member.UpstreamID) (policy.Request, bool) {
+func (e *enginePlacer) grown(service ServiceName, run *ownRun, avoid []member.UpstreamID) (policy.Request, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
@@ -125,13 +125,13 @@
 }
 
 // moveTo counts a run on an engine that another host gave a place on.
-func (e *engines) moveTo(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) (Upstream, bool) {
+func (e *enginePlacer) moveTo(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) (Upstream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
-	if p == nil || p.listed[engine].ID == "" || !p.pool.Return(now, run.request.Run, engine) {
+	if p == nil || p.poolEngines[engine].ID == "" || !p.pool.Return(now, run.request.Run, engine) {
 		return Upstream{}, false
 	}
-	run.engine, run.life = engine, p.listed[engine].Life
-	return p.listed[engine], true
+	run.engine, run.incarnation = engine, p.poolEngines[engine].Incarnation
+	return p.poolEngines[engine], true
 }
--- a/forward/interrupted_test.go
+++ b/forward/interrupted_test.go
@@ -26,11 +26,11 @@
 // without an answer.
 func TestStopAnswersInterruptedRequests(t *testing.T) {
 	const grace = 3 * time.Second
-	silent := func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+	silent := func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 		<-ctx.Done()
 		return nil, context.Cause(ctx)
 	}
-	midway := func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+	midway := func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 		a := answer(http.StatusOK, "")
 		read, write := io.Pipe()
 		a.Body = read
@@ -43,7 +43,7 @@
 	}
 	for name, c := range map[string]struct {
 		path string
-		send func(ctx context.Context, u Upstream, r *Outgoing) (*Answer, error)
+		send func(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error)
 		// cut is set if the answer had begun, so that the host can only show that it is
 		// incomplete.
 		cut bool
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -27,9 +27,9 @@
 		time.Sleep(2 * time.Second)
 		for _, f := range s.hosts {
 			is.Equal(f.versionInForce(), Version(1))
-			is.Equal(f.peers.liveInZone(time.Now()), perZone)
-			is.True(f.ContactAge(time.Now()) <= originFresh)
-			is.Equal(len(f.fleet.Takers(time.Now(), "llm")), 2)
+			is.Equal(f.peers.liveHostsInZone(time.Now()), perZone)
+			is.True(f.ContactAge(time.Now()) <= maxOriginProofAge)
+			is.Equal(len(f.fleet.Available(time.Now(), "llm")), 2)
 		}
 		is.True(s.origin.reads.Load() <= 6) // the three that others join, and who found these too late
 		time.Sleep(10 * time.Second)
@@ -39,7 +39,7 @@
 				listed++
 			}
 		}
-		is.Equal(listed, zones*listedPerZone)
+		is.Equal(listed, zones*directoryHostsPerZone)
 		is.True(s.origin.watches.Load() < zones*perZone) // one host watches, a second at a time, once all know each other
 		cancel()
 		synctest.Wait()
@@ -64,30 +64,30 @@
 		s.start(ctx, late)
 		time.Sleep(50 * time.Millisecond)
 		is.True(late.Ready())
-		is.Equal(len(late.fleet.Takers(time.Now(), "llm")), 2)
+		is.Equal(len(late.fleet.Available(time.Now(), "llm")), 2)
 		time.Sleep(time.Second)
-		is.Equal(late.peers.liveInZone(time.Now()), 3)
+		is.Equal(late.peers.liveHostsInZone(time.Now()), 3)
 		is.Equal(s.origin.reads.Load(), reads)
 		watches := s.origin.watches.Load()
 		s.lose(s.others("10.2.0.3:1")...)
 		time.Sleep(5 * time.Second)
 		is.Equal(s.origin.reads.Load(), reads) // it had all up to a revision
 		is.True(s.origin.watches.Load() > watches)
-		is.True(late.OriginAge(time.Now()) <= originFresh)
+		is.True(late.OriginAge(time.Now()) <= maxOriginProofAge)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestJoinNobody has a host that finds no peer read the origin after a short time.
-func TestJoinNobody(t *testing.T) {
+// TestJoinWithoutPeers has a host that finds no peer read the origin after a short time.
+func TestJoinWithoutPeers(t *testing.T) {
 	for name, c := range map[string]struct {
 		first bool
 		host  string
 		after time.Duration
 	}{
-		"restarted":                   {false, "10.2.0.3:1", joinWait},
-		"first start":                 {true, "10.2.0.3:1", firstJoinWait},
+		"restarted":                   {false, "10.2.0.3:1", defaultJoinTimeout},
+		"first start":                 {true, "10.2.0.3:1", firstStartJoinTimeout},
 		"first start, others join it": {true, "10.2.0.1:1", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -102,7 +102,7 @@
 					time.Sleep(c.after - time.Millisecond)
 					is.True(!f.Ready())
 				}
-				time.Sleep(joinCheck + time.Millisecond)
+				time.Sleep(joinCheckInterval + time.Millisecond)
 				is.True(f.Ready())
 				cancel()
 				synctest.Wait()
@@ -134,29 +134,29 @@
 				t.Log(f.peers.self, f.OriginAge(time.Now()), f.followedPeerAnsweredAt.age(time.Now()), f.ContactAge(time.Now()))
 			}
 			is.True(f.listKnown(time.Now()))
-			is.True(f.ContactAge(time.Now()) <= originFresh+time.Second)
+			is.True(f.ContactAge(time.Now()) <= maxOriginProofAge+time.Second)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestDirectoryMerges has hosts of a zone that don't know of each other each stand in
+// TestDirectoryConnectsSeparateHosts has hosts of a zone that don't know of each other each stand in
 // the directory, by which they come to know.
-func TestDirectoryMerges(t *testing.T) {
+func TestDirectoryConnectsSeparateHosts(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	f := New(Settings{Self: Peer{ID: "h5", Zone: "z1"}}, &fakeTransport{}, silentJournal{}, silentObserver{})
-	is.True(f.peers.firstOfZone(now, listedPerZone)) // as far as it knows
+	is.True(f.peers.isAmongFirstOfZone(now, directoryHostsPerZone)) // as far as it knows
 	for _, id := range []member.HostID{"h1", "h2", "h3"} {
-		f.peers.receive(now, Share{From: Peer{ID: id, Zone: "z1"}})
+		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z1"}})
 	}
-	f.peers.receive(now, Share{From: Peer{ID: "a", Zone: "z2"}})
-	is.True(!f.peers.firstOfZone(now, listedPerZone))
-	f.peers.receive(now, Share{From: Peer{ID: "h1", Zone: "z1"}, Stopping: true})
-	f.peers.receive(now, Share{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true})
-	is.True(f.peers.firstOfZone(now, listedPerZone))
-	is.True(f.peers.firstOfZone(now.Add(peerSilent+time.Second), listedPerZone)) // they went silent
+	f.peers.recordShare(now, Share{From: Peer{ID: "a", Zone: "z2"}})
+	is.True(!f.peers.isAmongFirstOfZone(now, directoryHostsPerZone))
+	f.peers.recordShare(now, Share{From: Peer{ID: "h1", Zone: "z1"}, Stopping: true})
+	f.peers.recordShare(now, Share{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true})
+	is.True(f.peers.isAmongFirstOfZone(now, directoryHostsPerZone))
+	is.True(f.peers.isAmongFirstOfZone(now.Add(sameCellSilenceTimeout+time.Second), directoryHostsPerZone)) // they went silent
 }
 
 // TestGoneHostsAreForgotten has a host that died be forgotten by all: those who knew it
@@ -179,7 +179,7 @@
 		}
 		kill()
 		s.lose("10.1.0.2:1")
-		time.Sleep(2*peerForgotten + 2*time.Second)
+		time.Sleep(2*peerForgetTimeout + 2*time.Second)
 		for _, f := range s.hosts {
 			is.True(!f.peers.isKnown("z1-h02"))
 		}
@@ -194,37 +194,37 @@
 	is := is.New(t)
 	now := time.Now()
 	var leader, late Fleet
-	list := []Upstream{up("a", 1, false), up("b", 2, false), up("c", 3, false)}
+	list := []Upstream{llmUpstream("a", 1, false), llmUpstream("b", 2, false), llmUpstream("c", 3, false)}
 	leader.Replace(now, list, rev(3))
 	late.Replace(now, list, rev(3))
-	leader.Apply(now, []Change{{Upstream: Upstream{ID: "b", Revision: rev(4)}, Gone: true}, {Upstream: up("c", 5, true)}}, rev(5))
-	_, _, whole := leader.Since(rev(3))
+	leader.Apply(now, []Change{{Upstream: Upstream{ID: "b", Revision: rev(4)}, Gone: true}, {Upstream: llmUpstream("c", 5, true)}}, rev(5))
+	_, _, whole := leader.ChangesSince(rev(3))
 	is.True(!whole) // all is remembered
-	leader.Settle(now.Add(forgetGone + time.Second))
-	_, _, whole = leader.Since(rev(4))
+	leader.Settle(now.Add(goneRetention + time.Second))
+	_, _, whole = leader.ChangesSince(rev(4))
 	is.True(!whole)
-	changes, at, whole := leader.Since(rev(3))
+	changes, at, whole := leader.ChangesSince(rev(3))
 	is.True(whole)
-	late.TakeOver(now, changes, at)
-	is.Equal(takers(&late, now), map[member.UpstreamID]bool{"a": true})
+	late.ReplaceFromPeer(now, changes, at)
+	is.Equal(availableIDs(&late, now), map[member.UpstreamID]bool{"a": true})
 	is.Equal(late.Missing(), []member.UpstreamID{"b"}) // its entry may just have run out
-	late.Settle(now.Add(listSettles + time.Second))
-	<-late.Leaving("b")
+	late.Settle(now.Add(listSettleTime + time.Second))
+	<-late.LeavingStarted("b")
 	is.Equal(late.Revision(), rev(5))
 
 	// A host that read the list anew never knew what came and went in between.
 	leader.Replace(now, list[:1], rev(9))
-	_, _, whole = leader.Since(rev(7))
+	_, _, whole = leader.ChangesSince(rev(7))
 	is.True(whole)
-	_, _, whole = leader.Since(rev(5))
+	_, _, whole = leader.ChangesSince(rev(5))
 	is.True(!whole)
-	_, _, whole = leader.Since(rev(9))
+	_, _, whole = leader.ChangesSince(rev(9))
 	is.True(!whole)
 }
 
-// TestPlacedIsToldAtOnce has the hosts of a zone hear of a new run before any time has
+// TestPlacementIsSharedAtOnce has the hosts of a zone hear of a new run before any time has
 // passed.
-func TestPlacedIsToldAtOnce(t *testing.T) {
+func TestPlacementIsSharedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(1, 3, true)
@@ -236,22 +236,22 @@
 		hearer.updatePlacementEngines(time.Now(), hearer.Table())
 		now := time.Now()
 		u, run, _ := teller.engines.place(ctx, now, "llm", policy.Request{Run: "r", Prompt: 100})
-		teller.tellRuns(u)
+		teller.shareRunChange(u)
 		synctest.Wait()
 		is.Equal(time.Now(), now)
-		is.Equal(hearer.engines.busy(), []member.UpstreamID{run.engine})
+		is.Equal(hearer.engines.enginesWithRuns(), []member.UpstreamID{run.engine})
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestRunsAreToldToTheirZone has the hosts of an engine's zone hear at once of a run that
+// TestRunsAreSharedWithEngineZone has the hosts of an engine's zone hear at once of a run that
 // a host of another zone placed there, and that it has ended.
-func TestRunsAreToldToTheirZone(t *testing.T) {
+func TestRunsAreSharedWithEngineZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(2, 2, true)
-		s.origin.list = []Upstream{upIn("llm1", "z1"), upIn("llm2", "z2")}
+		s.origin.list = []Upstream{upstreamInZone("llm1", "z1"), upstreamInZone("llm2", "z2")}
 		ctx, cancel := context.WithCancel(t.Context())
 		s.startAll(ctx)
 		time.Sleep(3100 * time.Millisecond)
@@ -260,30 +260,30 @@
 			f.updatePlacementEngines(time.Now(), f.Table())
 		}
 		far, _ := teller.fleet.Upstream("llm2")
-		_, run, _, ok := teller.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlaceGrant{Engine: far.ID})
+		_, run, _, ok := teller.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlacementGrant{Engine: far.ID})
 		is.True(ok)
 		busy := func() bool {
-			return len(s.hosts["10.2.0.1:1"].engines.busy())+len(s.hosts["10.2.0.2:1"].engines.busy()) == 2
+			return len(s.hosts["10.2.0.1:1"].engines.enginesWithRuns())+len(s.hosts["10.2.0.2:1"].engines.enginesWithRuns()) == 2
 		}
-		teller.tellRuns(far)
+		teller.shareRunChange(far)
 		synctest.Wait()
 		is.True(busy())
 		teller.engines.finish(time.Now(), "llm", run, true)
-		teller.tellRuns(far)
-		time.Sleep(2 * shareSoon)
+		teller.shareRunChange(far)
+		time.Sleep(2 * minShareInterval)
 		is.True(!busy())
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// TestStartsWithOriginAway has a host that starts while the origin is away serve by what its
+// TestStartDuringOriginOutage has a host that starts while the origin is away serve by what its
 // peers know, bound by what they have acknowledged, and claim no proof by that.
-func TestStartsWithOriginAway(t *testing.T) {
+func TestStartDuringOriginOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(2, 3, false)
-		s.origin.list = []Upstream{upIn("llm1", "z1"), upIn("llm2", "z2"), upIn("llm3", "z2")}
+		s.origin.list = []Upstream{upstreamInZone("llm1", "z1"), upstreamInZone("llm2", "z2"), upstreamInZone("llm3", "z2")}
 		late := s.hosts["10.2.0.3:1"]
 		ctx, cancel := context.WithCancel(t.Context())
 		for _, f := range s.hosts {
@@ -292,26 +292,26 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		leaving := Change{Upstream: upIn("llm3", "z2")}
+		leaving := Change{Upstream: upstreamInZone("llm3", "z2")}
 		leaving.Leaving, leaving.Revision = true, rev(20)
 		s.origin.publish(leaving)
-		s.origin.order(out("z1", 21))
+		s.origin.order(outOfService("z1", 21))
 		time.Sleep(time.Second)
 		s.origin.lost.Store(true)
 		time.Sleep(10 * time.Second)
 		is.True(!late.Ready()) // it knows nothing
 		s.start(ctx, late)
-		time.Sleep(joinWait + 100*time.Millisecond)
+		time.Sleep(defaultJoinTimeout + 100*time.Millisecond)
 		is.True(late.Ready())
 		is.Equal(late.versionInForce(), Version(1))
-		is.Equal(takers(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
-		is.True(late.OriginAge(time.Now()) > originFresh)
+		is.Equal(availableIDs(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
+		is.True(late.OriginAge(time.Now()) > maxOriginProofAge)
 		is.True(!late.listKnown(time.Now()))
 		s.origin.lost.Store(false)
-		s.origin.order(back("z1", 22))
+		s.origin.order(backInService("z1", 22))
 		time.Sleep(6 * time.Second)
-		is.Equal(takers(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
-		is.True(late.OriginAge(time.Now()) <= originFresh)
+		is.Equal(availableIDs(late.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
+		is.True(late.OriginAge(time.Now()) <= maxOriginProofAge)
 		cancel()
 		synctest.Wait()
 	})
@@ -324,6 +324,6 @@
 	f := New(Settings{}, &fakeTransport{}, silentJournal{}, silentObserver{})
 	f.Configure(time.Now(), testConfig(1))
 	is.True(!f.Ready())
-	f.fleet.Replace(time.Now(), []Upstream{up("llm1", 1, false)}, rev(1))
+	f.fleet.Replace(time.Now(), []Upstream{llmUpstream("llm1", 1, false)}, rev(1))
 	is.True(f.Ready())
 }
--- a/forward/latest.go
+++ b/forward/latest.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// latest is the newest moment at which something was seen to hold. The zero value
+// latestTime is the newest moment at which something was seen to hold. The zero value
 // is "never". It is safe for use by several goroutines.
 //
 // Moments keep the reading of the steady clock that they came with: the time of day
 // jumps on some hosts, by seconds or an hour, and a proof that lay in the future after
 // such a jump would hold for as long as the jump was. A host that is cut off would go
 // on admitting requests by a configuration that is out of date.
-type latest struct{ at atomic.Pointer[time.Time] }
+type latestTime struct{ at atomic.Pointer[time.Time] }
 
-// raise moves the moment forward, never back.
-func (l *latest) raise(at time.Time) {
+// advance moves the moment forward, never back.
+func (l *latestTime) advance(at time.Time) {
 	for {
 		old := l.at.Load()
 		if old != nil && !at.After(*old) || l.at.CompareAndSwap(old, &at) {
@@ -28,17 +28,17 @@
 }
 
 // clear makes it never.
-func (l *latest) clear() { l.at.Store(nil) }
+func (l *latestTime) clear() { l.at.Store(nil) }
 
 // age is how long ago the moment was, from zero to neverProved.
-func (l *latest) age(now time.Time) time.Duration {
+func (l *latestTime) age(now time.Time) time.Duration {
 	at := l.at.Load()
 	if at == nil {
-		return neverProved
+		return noProofAge
 	}
-	return min(max(now.Sub(*at), 0), neverProved)
+	return min(max(now.Sub(*at), 0), noProofAge)
 }
 
-// neverProved is the age of a proof that there is none of, and the highest age that
+// noProofAge is the age of a proof that there is none of, and the highest age that
 // is told; every bound is far below it.
-const neverProved = time.Hour
+const noProofAge = time.Hour
--- a/forward/learnt.go
+++ b/forward/learnt.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// Learnt is what a host has learnt of a service's engines, in place of the figures
+// EngineEstimate is what a host has learnt of a service's engines, in place of the figures
 // that it assumes at its start.
-type Learnt struct {
+type EngineEstimate struct {
 	Service ServiceName
-	// ReadRate is the prompt tokens that an engine reads in a second, learnt from
+	// PrefillRate is the prompt tokens that an engine reads in a second, learnt from
 	// ReadSamples first tokens.
-	ReadRate    float64
-	ReadSamples uint64
-	// Step is the usual time of a step, learnt from StepSamples pauses.
-	Step        time.Duration
+	PrefillRate    float64
+	PrefillSamples uint64
+	// StepTime is the usual time of a step, learnt from StepSamples pauses.
+	StepTime    time.Duration
 	StepSamples uint64
 	// Age is how long ago anything was learnt; neverProved when nothing was.
 	Age time.Duration
 }
 
-// Learnt returns what is known of each service's engines, in the order of their
+// EngineEstimates returns what is known of each service's engines, in the order of their
 // names.
-func (f *Forwarder) Learnt() []Learnt { return f.engines.learnt(f.now()) }
+func (f *Forwarder) EngineEstimates() []EngineEstimate { return f.engines.learnt(f.now()) }
 
-func (e *engines) learnt(now time.Time) []Learnt {
+func (e *enginePlacer) learnt(now time.Time) []EngineEstimate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var all []Learnt
+	var all []EngineEstimate
 	for name, p := range e.pools {
-		l := Learnt{Service: name, Step: p.step(), StepSamples: p.stepSamples, Age: neverProved}
-		l.ReadRate, l.ReadSamples = p.pool.ReadRate()
-		if !p.learntAt.IsZero() {
-			l.Age = min(now.Sub(p.learntAt), neverProved)
+		l := EngineEstimate{Service: name, StepTime: p.expectedStep(), StepSamples: p.stepSamples, Age: noProofAge}
+		l.PrefillRate, l.PrefillSamples = p.pool.ReadRate()
+		if !p.lastObserved.IsZero() {
+			l.Age = min(now.Sub(p.lastObserved), noProofAge)
 		}
 		all = append(all, l)
 	}
-	slices.SortFunc(all, func(a, b Learnt) int { return strings.Compare(string(a.Service), string(b.Service)) })
+	slices.SortFunc(all, func(a, b EngineEstimate) int { return strings.Compare(string(a.Service), string(b.Service)) })
 	return all
 }
--- a/forward/leaving.go
+++ b/forward/leaving.go
@@ -27,7 +27,7 @@
 // LeavingMark is a host's word that an upstream leaves, for its peers.
 type LeavingMark struct {
 	Engine member.UpstreamID
-	Life   Life
+	Life   Incarnation
 	// In is how long it will still serve; zero when that isn't known.
 	In time.Duration
 	// Said says that the upstream told so itself.
@@ -46,43 +46,43 @@
 
 // SaidLeaving takes in an upstream's own word, to this host or with own unset to a peer,
 // that it leaves. The list doesn't take that back. It reports whether it is new.
-func (f *Fleet) SaidLeaving(now time.Time, id member.UpstreamID, life Life, own bool) bool {
+func (f *Fleet) SaidLeaving(now time.Time, id member.UpstreamID, life Incarnation, own bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.upstreams[id]
-	if k == nil || k.said || life != 0 && k.Life != life {
+	if k == nil || k.leavingSelfReported || life != 0 && k.Incarnation != life {
 		return false
 	}
-	k.said, k.declared, k.hinted = true, true, false
+	k.leavingSelfReported, k.leavingDeclared, k.leavingUnconfirmed = true, true, false
 	if own && !k.gone {
 		f.tellPeers(k, now.Add(saidShared))
 	}
-	k.leave(now, SourceUpstream)
+	k.startLeaving(now, SourceUpstream)
 	f.notify(true)
 	return true
 }
 
 // tellPeers has peers be told for a while that an upstream leaves. The mutex is held.
-func (f *Fleet) tellPeers(k *known, until time.Time) {
-	k.tellUntil = until
-	f.tellUntil = later(f.tellUntil, until)
+func (f *Fleet) tellPeers(k *knownUpstream, until time.Time) {
+	k.shareLeavingUntil = until
+	f.shareLeavingUntil = laterOf(f.shareLeavingUntil, until)
 }
 
 // Marks returns this host's own words that upstreams leave.
 func (f *Fleet) Marks(now time.Time) []LeavingMark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !now.Before(f.tellUntil) {
+	if !now.Before(f.shareLeavingUntil) {
 		return nil
 	}
 	var marks []LeavingMark
 	for id, k := range f.upstreams {
-		if !now.Before(k.tellUntil) || k.gone {
+		if !now.Before(k.shareLeavingUntil) || k.gone {
 			continue
 		}
-		mark := LeavingMark{Engine: id, Life: k.Life, Said: k.said || k.declared}
-		if !k.goneAt.IsZero() {
-			mark.In = max(k.goneAt.Sub(now), time.Millisecond)
+		mark := LeavingMark{Engine: id, Life: k.Incarnation, Said: k.leavingSelfReported || k.leavingDeclared}
+		if !k.expectedEnd.IsZero() {
+			mark.In = max(k.expectedEnd.Sub(now), time.Millisecond)
 		}
 		marks = append(marks, mark)
 	}
@@ -91,7 +91,7 @@
 
 // receiveLeaving takes in a peer's word that an upstream leaves.
 func (f *Forwarder) receiveLeaving(now time.Time, from member.HostID, mark LeavingMark) {
-	if !f.fleet.ReceiveLife(mark.Engine, mark.Life) {
+	if !f.fleet.ReceiveIncarnation(mark.Engine, mark.Life) {
 		return
 	}
 	isNew := false
@@ -100,10 +100,10 @@
 	} else {
 		isNew = f.fleet.MarkLeaving(now, mark.Engine, mark.In, false)
 	}
-	if isNew && f.peers.isFar(from) {
+	if isNew && f.peers.inOtherCell(from) {
 		// The others of this cell hear it from this host.
 		f.fleet.retell(now, mark.Engine)
-		f.peers.notify()
+		f.peers.notifyOwnCell()
 	}
 	if isNew {
 		f.journal.HostEvent("peer says that an upstream leaves", "upstream", mark.Engine, "peer", from, "in", mark.In, "upstream_said_so", mark.Said)
@@ -115,7 +115,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if k := f.upstreams[id]; k != nil {
-		f.tellPeers(k, later(k.tellUntil, now.Add(markShared)))
+		f.tellPeers(k, laterOf(k.shareLeavingUntil, now.Add(markShared)))
 	}
 }
 
@@ -126,7 +126,7 @@
 	n := map[LeavingSource]int{SourceList: 0, SourceUpstream: 0, SourceHost: 0, SourcePeer: 0, SourceRollout: 0}
 	for _, k := range f.upstreams {
 		if k.Leaving && !k.gone {
-			n[k.source]++
+			n[k.leavingSource]++
 		}
 	}
 	return n
--- a/forward/leaving_test.go
+++ b/forward/leaving_test.go
@@ -47,11 +47,11 @@
 				for n := range 60 {
 					s.origin.configure(Version(2+n), rev(20+n))
 					if n == 30 {
-						s.origin.publish(Change{Upstream: up("llm1", 20+30, true)})
+						s.origin.publish(Change{Upstream: llmUpstream("llm1", 20+30, true)})
 					}
 					if n == 30+int(drain/2/(100*time.Millisecond)) {
 						for _, f := range s.hosts {
-							is.Equal(takers(f.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true}) // it may be sent nothing any more
+							is.Equal(availableIDs(f.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true}) // it may be sent nothing any more
 						}
 					}
 					time.Sleep(100 * time.Millisecond)
@@ -87,11 +87,11 @@
 				time.Sleep(4 * time.Second)
 				s.freeze(still...)
 				time.Sleep(time.Millisecond)
-				s.origin.publish(Change{Upstream: up("llm1", 20, true)})
+				s.origin.publish(Change{Upstream: llmUpstream("llm1", 20, true)})
 				time.Sleep(drain * 3 / 4)
 				for address, f := range s.hosts {
 					if !s.frozen[address] {
-						is.Equal(takers(f.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
+						is.Equal(availableIDs(f.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
 					}
 				}
 				cancel()
@@ -111,7 +111,7 @@
 // reading the code for this incident; no run has shown it.
 func TestListReadInPages(t *testing.T) {
 	now := time.Now()
-	list := []Upstream{up("a", 1, false), up("b", 2, false), up("c", 3, false)}
+	list := []Upstream{llmUpstream("a", 1, false), llmUpstream("b", 2, false), llmUpstream("c", 3, false)}
 	gone := func(id member.UpstreamID, at history.Revision) Change {
 		return Change{Upstream: Upstream{ID: id, Revision: rev(at)}, Gone: true}
 	}
@@ -125,19 +125,19 @@
 		want       map[member.UpstreamID]bool
 	}{
 		"left after its page was read": {
-			[]Upstream{up("a", 1, false), up("b", 14, false), up("c", 3, false)},
-			[]Change{{Upstream: up("a", 12, true)}, {Upstream: up("b", 14, false)}},
+			[]Upstream{llmUpstream("a", 1, false), llmUpstream("b", 14, false), llmUpstream("c", 3, false)},
+			[]Change{{Upstream: llmUpstream("a", 12, true)}, {Upstream: llmUpstream("b", 14, false)}},
 			rev(3),
 			map[member.UpstreamID]bool{"b": true, "c": true},
 		},
 		"dropped after its page was read": {
-			[]Upstream{up("a", 1, false), up("b", 14, false), up("c", 3, false)},
-			[]Change{gone("a", 12), {Upstream: up("b", 14, false)}},
+			[]Upstream{llmUpstream("a", 1, false), llmUpstream("b", 14, false), llmUpstream("c", 3, false)},
+			[]Change{gone("a", 12), {Upstream: llmUpstream("b", 14, false)}},
 			rev(3),
 			map[member.UpstreamID]bool{"b": true, "c": true},
 		},
 		"dropped before its page was read": {
-			[]Upstream{up("a", 1, false), up("b", 2, false)},
+			[]Upstream{llmUpstream("a", 1, false), llmUpstream("b", 2, false)},
 			[]Change{gone("c", 11)},
 			rev(10),
 			map[member.UpstreamID]bool{"a": true, "b": true},
@@ -149,9 +149,9 @@
 			reader.Replace(now, list, rev(3))
 			follower.Replace(now, list, c.followedTo)
 			catchUp := func() {
-				changes, at, whole := reader.Since(follower.Revision())
+				changes, at, whole := reader.ChangesSince(follower.Revision())
 				if whole {
-					follower.TakeOver(now, changes, at)
+					follower.ReplaceFromPeer(now, changes, at)
 					return
 				}
 				follower.Apply(now, changes, at)
@@ -160,7 +160,7 @@
 			catchUp()
 			reader.Apply(now, c.watched, c.watched[len(c.watched)-1].Revision)
 			catchUp()
-			is.Equal(takers(&follower, now), c.want)
+			is.Equal(availableIDs(&follower, now), c.want)
 			is.Equal(follower.Revision(), reader.Revision())
 		})
 	}
--- a/forward/limitfaults_test.go
+++ b/forward/limitfaults_test.go
@@ -133,7 +133,7 @@
 			for n := range 5 {
 				time.Sleep(5 * time.Second)
 				u, _ := s.first().fleet.Upstream(id)
-				u.Life, u.Revision = Life(n+1), rev(50+n)
+				u.Incarnation, u.Revision = Incarnation(n+1), rev(50+n)
 				s.origin.publish(Change{Upstream: u})
 			}
 		}, 0.8, nil},
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -33,12 +33,12 @@
 		return
 	}
 	word := ratelimit.Word{Named: l.Named, Rate: l.Rate, Since: sent, At: now}
-	f.noteLimit(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Life), f.peers.self.ID, word))
+	f.noteLimit(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
 }
 
 // receiveLimitMark takes in a peer's word of an upstream's limit.
 func (f *Forwarder) receiveLimitMark(now time.Time, from member.HostID, m ratelimit.Mark) {
-	if !f.fleet.ReceiveLife(m.Upstream, Life(m.Life)) {
+	if !f.fleet.ReceiveIncarnation(m.Upstream, Incarnation(m.Life)) {
 		return
 	}
 	f.noteLimit(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceiveMark(now, from, m))
@@ -66,12 +66,12 @@
 	for _, id := range f.limiter.Words.Forget(now, isKnown) {
 		f.journal.HostEvent(ratelimit.Ended.String(), "upstream", id, "why", "no answer confirmed it")
 	}
-	f.limitLogLimiter.forget(now)
-	f.signalLogLimiter.forget(now)
-	f.backoffNoticeLimiter.forget(now)
+	f.limitLogLimiter.prune(now)
+	f.signalLogLimiter.prune(now)
+	f.backoffNoticeLimiter.prune(now)
 	f.limiter.Forget(now, func(id member.UpstreamID) bool {
 		_, named := f.limiter.Words.Bound(now, id)
-		return named || f.fleet.Cold(now, id)
+		return named || f.fleet.IsCold(now, id)
 	})
 }
 
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -85,7 +85,7 @@
 
 // refusedAtOnce is how long it may take to refuse a request: a question to another host and
 // back, and one that isn't answered.
-const refusedAtOnce = 2 * askTimeout
+const refusedAtOnce = 2 * peerRequestTimeout
 
 // refusedWithin is how long it may take to refuse a request: a stream may wait for an engine
 // that isn't bounded before that.
@@ -93,7 +93,7 @@
 	if d.path != "/llm/" && d.path != "/resumable/" {
 		return refusedAtOnce
 	}
-	return refusedAtOnce + time.Duration(policy.DefaultWaitPart*float64(1800*time.Millisecond)) + refreshEvery
+	return refusedAtOnce + time.Duration(policy.DefaultWaitPart*float64(1800*time.Millisecond)) + poolRefreshInterval
 }
 
 // leastUsed is how much of a limit is to be used while more is wanted.
@@ -129,7 +129,7 @@
 			}
 			under.Go(func() {
 				c, sink := call(d.path), &fakeSink{}
-				c.ID, c.Prompt = RequestID(fmt.Sprint("r", n)), Prompt{Tokens: 500, MostOut: 300}
+				c.ID, c.Prompt = RequestID(fmt.Sprint("r", n)), Prompt{Tokens: 500, MaxOutputTokens: 300}
 				host.Serve(ctx, c, sink)
 				tally.note(sink, time.Since(c.Arrived), d.refusedWithin())
 			})
--- a/forward/listtrust.go
+++ b/forward/listtrust.go
@@ -14,12 +14,12 @@
 // that live. What follows says when a missing one is believed to be gone.
 
 const (
-	// listSettles is how long after an outage of the platform the list may
+	// listSettleTime is how long after an outage of the platform the list may
 	// still lack upstreams that live: the platform says about two seconds.
-	listSettles = 2500 * time.Millisecond
-	// lapseAfter is the shortest outage in which entries run out: upstreams
+	listSettleTime = 2500 * time.Millisecond
+	// minLapseOutage is the shortest outage in which entries run out: upstreams
 	// write to theirs about every 1.2 s, and three misses drop it.
-	lapseAfter = 1500 * time.Millisecond
+	minLapseOutage = 1500 * time.Millisecond
 )
 
 // Missing lists the upstreams that the list lacks without being believed.
@@ -40,9 +40,9 @@
 func (f *Fleet) ListRegained(now time.Time, lostFor time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.trustGoneFrom = time.Time{}
-	if lostFor >= lapseAfter {
-		f.trustGoneFrom = now.Add(listSettles)
+	f.trustMissingFrom = time.Time{}
+	if lostFor >= minLapseOutage {
+		f.trustMissingFrom = now.Add(listSettleTime)
 	}
 }
 
@@ -57,24 +57,24 @@
 			return
 		}
 	}
-	f.trustGoneFrom = time.Time{}
+	f.trustMissingFrom = time.Time{}
 }
 
 // ListLost tells that the list can't be read.
 func (f *Fleet) ListLost(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.trustGoneFrom = now.Add(forgetGone)
+	f.trustMissingFrom = now.Add(goneRetention)
 }
 
-// TakeOver takes the whole list of a peer in as of a revision, with what that
+// ReplaceFromPeer takes the whole list of a peer in as of a revision, with what that
 // remembers of upstreams that were dropped. One that it lacks may have run out of its
 // entry while the platform was away, before the peer had read anything: it counts as
 // missing first.
-func (f *Fleet) TakeOver(now time.Time, list []Change, at history.Point) []Change {
+func (f *Fleet) ReplaceFromPeer(now time.Time, list []Change, at history.Point) []Change {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.touch()
+	f.invalidate()
 	before := f.revision
 	var news []Change
 	listed := make(map[member.UpstreamID]bool, len(list))
@@ -88,14 +88,14 @@
 		switch {
 		case listed[id] || k.Revision.After(at):
 		case k.confirmEnded(at):
-		case f.unlist(now, k, at):
+		case f.markUnlisted(now, k, at):
 		case !k.Leaving:
-			f.miss(now, k, at)
-		case f.drop(now, k, at):
+			f.markMissing(now, k, at)
+		case f.markGone(now, k, at):
 			news = append(news, Change{Upstream: k.Upstream, Gone: true})
 		}
 	}
-	f.skipped(before, at)
+	f.recordGap(before, at)
 	f.notify(len(news) > 0)
 	return news
 }
@@ -108,20 +108,20 @@
 	defer f.mu.Unlock()
 	var news []Change
 	for id, k := range f.upstreams {
-		if k.pending != nil && !now.Before(k.pending.BelievedFrom) {
-			c := *k.pending
+		if k.pendingChange != nil && !now.Before(k.pendingChange.BelievedFrom) {
+			c := *k.pendingChange
 			c.BelievedFrom = time.Time{}
-			if f.set(now, k, c) {
+			if f.applyNewest(now, k, c) {
 				news = append(news, c)
 			}
 		}
-		if k.missing && !now.Before(f.trustGoneFrom) && !f.mayBeRelisted(now, k) {
-			k.gone, k.missing, k.unlisted, k.droppedAt = true, false, false, now
-			k.leave(now, SourceList)
+		if k.missing && !now.Before(f.trustMissingFrom) && !f.mayBeRelisted(now, k) {
+			k.gone, k.missing, k.missingSinceRestore, k.droppedAt = true, false, false, now
+			k.startLeaving(now, SourceList)
 			news = append(news, Change{Upstream: k.Upstream, Gone: true})
 		}
-		if k.gone && now.Sub(k.droppedAt) > forgetGone && (!k.said || now.Sub(k.droppedAt) > forgetSaid) {
-			f.forgotten = history.Latest(f.forgotten, k.Revision)
+		if k.gone && now.Sub(k.droppedAt) > goneRetention && (!k.leavingSelfReported || now.Sub(k.droppedAt) > forgetSaid) {
+			f.forgottenUpTo = history.Latest(f.forgottenUpTo, k.Revision)
 			delete(f.upstreams, id)
 			f.index.remove(k)
 		}
