--- a/forward/lives_test.go
+++ b/forward/lives_test.go
@@ -18,82 +18,82 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// born is an entry of an upstream in one of its lives.
-func born(id member.UpstreamID, life Life, at history.Revision, leaving bool) Change {
-	c := Change{Upstream: up(id, at, leaving)}
-	c.Life = life
+// incarnationEntry is an entry of an upstream in one of its lives.
+func incarnationEntry(id member.UpstreamID, life Incarnation, at history.Revision, leaving bool) Change {
+	c := Change{Upstream: llmUpstream(id, at, leaving)}
+	c.Incarnation = life
 	return c
 }
 
-// TestSameIDNewLife has what was believed of an upstream's earlier life not hold for the
+// TestNewIncarnation has what was believed of an upstream's earlier life not hold for the
 // one after, whoever tells of it first, and late news of the earlier one change nothing.
-func TestSameIDNewLife(t *testing.T) {
+func TestNewIncarnation(t *testing.T) {
 	type step = func(f *Forwarder, now time.Time)
 	apply := func(changes ...Change) step {
 		return func(f *Forwarder, now time.Time) {
-			f.noteList(f.fleet.Apply(now, changes, changes[len(changes)-1].Revision))
+			f.handleListChanges(f.fleet.Apply(now, changes, changes[len(changes)-1].Revision))
 		}
 	}
 	hear := func(s Share) step {
 		return func(f *Forwarder, _ time.Time) {
 			s.From = Peer{ID: "h2", Zone: "z1"}
-			f.receive(s)
+			f.receiveShare(s)
 		}
 	}
-	leaving := func(life Life) step {
+	leaving := func(life Incarnation) step {
 		return hear(Share{Leaving: []LeavingMark{{Engine: "llm1", Life: life}}})
 	}
-	failing := func(life Life) step {
-		return hear(Share{Failing: []FailingMark{{Upstream: "llm1", Life: life, For: 5 * time.Second}}})
+	failing := func(life Incarnation) step {
+		return hear(Share{Failing: []FailingMark{{Upstream: "llm1", Incarnation: life, Remaining: 5 * time.Second}}})
 	}
 	for name, c := range map[string]struct {
 		steps []step
 		// taken is whether it takes new work at the end.
 		taken bool
-		life  Life
+		life  Incarnation
 	}{
-		"it had said that it leaves":           {[]step{apply(born("llm1", 100, 5, true)), apply(born("llm1", 200, 6, false))}, true, 200},
-		"its entry had gone":                   {[]step{apply(Change{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}), apply(born("llm1", 200, 6, false))}, true, 200},
-		"it was seen to fail":                  {[]step{failing(100), apply(born("llm1", 200, 6, false))}, true, 200},
-		"late word that it fails":              {[]step{apply(born("llm1", 200, 6, false)), failing(100)}, true, 200},
-		"late word that it leaves":             {[]step{apply(born("llm1", 200, 6, false)), leaving(100)}, true, 200},
-		"late entry":                           {[]step{apply(born("llm1", 200, 6, false)), apply(born("llm1", 100, 7, true))}, true, 200},
+		"it had said that it leaves":           {[]step{apply(incarnationEntry("llm1", 100, 5, true)), apply(incarnationEntry("llm1", 200, 6, false))}, true, 200},
+		"its entry had gone":                   {[]step{apply(Change{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}), apply(incarnationEntry("llm1", 200, 6, false))}, true, 200},
+		"it was seen to fail":                  {[]step{failing(100), apply(incarnationEntry("llm1", 200, 6, false))}, true, 200},
+		"late word that it fails":              {[]step{apply(incarnationEntry("llm1", 200, 6, false)), failing(100)}, true, 200},
+		"late word that it leaves":             {[]step{apply(incarnationEntry("llm1", 200, 6, false)), leaving(100)}, true, 200},
+		"late entry":                           {[]step{apply(incarnationEntry("llm1", 200, 6, false)), apply(incarnationEntry("llm1", 100, 7, true))}, true, 200},
 		"a peer knows first, and it leaves":    {[]step{leaving(200)}, false, 200},
-		"then the list tells the earlier life": {[]step{leaving(200), apply(born("llm1", 100, 6, false))}, false, 200},
-		"then the list tells the same life":    {[]step{leaving(200), apply(born("llm1", 200, 6, false))}, true, 200},
-		"its clock was set back":               {[]step{apply(born("llm1", 50, 6, false))}, true, 50},
-		"set back, and it had left":            {[]step{apply(born("llm1", 100, 5, true)), apply(born("llm1", 50, 6, false))}, true, 50},
-		"set back, and late word of before":    {[]step{apply(born("llm1", 50, 6, false)), leaving(100), failing(100)}, true, 50},
-		"set back, and a late entry":           {[]step{apply(born("llm1", 50, 6, false)), apply(born("llm1", 100, 7, true))}, true, 50},
-		"set back twice":                       {[]step{apply(born("llm1", 50, 6, false)), apply(born("llm1", 40, 7, false)), leaving(50)}, true, 40},
+		"then the list tells the earlier life": {[]step{leaving(200), apply(incarnationEntry("llm1", 100, 6, false))}, false, 200},
+		"then the list tells the same life":    {[]step{leaving(200), apply(incarnationEntry("llm1", 200, 6, false))}, true, 200},
+		"its clock was set back":               {[]step{apply(incarnationEntry("llm1", 50, 6, false))}, true, 50},
+		"set back, and it had left":            {[]step{apply(incarnationEntry("llm1", 100, 5, true)), apply(incarnationEntry("llm1", 50, 6, false))}, true, 50},
+		"set back, and late word of before":    {[]step{apply(incarnationEntry("llm1", 50, 6, false)), leaving(100), failing(100)}, true, 50},
+		"set back, and a late entry":           {[]step{apply(incarnationEntry("llm1", 50, 6, false)), apply(incarnationEntry("llm1", 100, 7, true))}, true, 50},
+		"set back twice":                       {[]step{apply(incarnationEntry("llm1", 50, 6, false)), apply(incarnationEntry("llm1", 40, 7, false)), leaving(50)}, true, 40},
 		"word of a start before the list's":    {[]step{leaving(50)}, true, 100},
-		"an entry without a life":              {[]step{apply(born("llm1", 0, 6, false))}, true, 100},
+		"an entry without a life":              {[]step{apply(incarnationEntry("llm1", 0, 6, false))}, true, 100},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f := newForwarder(t, &fakeTransport{})
 			now := time.Now()
-			apply(born("llm1", 100, 2, false))(f, now)
+			apply(incarnationEntry("llm1", 100, 2, false))(f, now)
 			for _, s := range c.steps {
 				s(f, now)
 			}
-			is.Equal(takers(f.fleet, now)["llm1"], c.taken)
+			is.Equal(availableIDs(f.fleet, now)["llm1"], c.taken)
 			u, _ := f.fleet.Upstream("llm1")
-			is.Equal(u.Life, c.life)
+			is.Equal(u.Incarnation, c.life)
 		})
 	}
 }
 
-// TestNewLifeIsEmpty has an engine that started again hold none of the runs that were
+// TestNewIncarnationHasNoRuns has an engine that started again hold none of the runs that were
 // counted on it, of this host or its peers, also when a peer still tells of them.
-func TestNewLifeIsEmpty(t *testing.T) {
+func TestNewIncarnationHasNoRuns(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	now := time.Now()
 	for _, id := range []member.UpstreamID{"llm2", "llm3"} {
 		f.fleet.MarkLeaving(now, id, 0, true)
 	}
-	f.noteList(f.fleet.Apply(now, []Change{born("llm1", 100, 2, false)}, rev(2)))
+	f.handleListChanges(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 100, 2, false)}, rev(2)))
 	f.updatePlacementEngines(now, f.Table())
 	place := func(run policy.RunID) (Upstream, *ownRun, policy.Decision) {
 		r := policy.Request{Run: run, Prompt: 15000, Arrived: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
@@ -107,45 +107,45 @@
 	f.engines.replacePeerRuns(now, "h2", theirs, nil)
 	_, _, d = place("full")
 	is.Equal(d.Verdict, policy.Refused) // no room beside the two
-	f.noteList(f.fleet.Apply(now, []Change{born("llm1", 200, 3, false)}, rev(3)))
+	f.handleListChanges(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 200, 3, false)}, rev(3)))
 	f.updatePlacementEngines(now, f.Table())
 	f.engines.replacePeerRuns(now, "h2", theirs, nil) // it doesn't know yet
 	for _, id := range []policy.RunID{"new1", "new2"} {
 		u, _, d := place(id)
 		is.Equal(d.Verdict, policy.Granted)
-		is.Equal(u.Life, Life(200))
+		is.Equal(u.Incarnation, Incarnation(200))
 	}
 	f.engines.finish(now, "llm", run, false)
 	is.Equal(f.engines.pools["llm"].pool.Running(), 2)
 }
 
-// TestStreamEndsWithItsEnginesLife has a stream on an engine that started again end at
+// TestStreamEndsWithEngineIncarnation has a stream on an engine that started again end at
 // once, although its connection is silent, and no copy be looked for in the new life.
-func TestStreamEndsWithItsEnginesLife(t *testing.T) {
+func TestStreamEndsWithEngineIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		moves := 0
 		transport := &fakeTransport{
-			send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+			send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 				a := answer(http.StatusOK, "")
 				read, write := io.Pipe()
 				a.Body = read
 				go func() { _, _ = write.Write([]byte("id: 1\ndata: x\n\n")) }()
 				return a, nil
 			},
-			move: func(context.Context, Upstream, MoveRequest) (Moved, error) {
+			move: func(context.Context, Upstream, MoveRequest) (MoveResult, error) {
 				moves++
-				return Moved{}, ErrNoRun
+				return MoveResult{}, ErrRunNotFound
 			},
 		}
 		f := newForwarder(t, transport)
 		now := time.Now()
 		var old, reborn []Change
 		for _, id := range []member.UpstreamID{"llm1", "llm2", "llm3"} {
-			old = append(old, born(id, 100, 2, false))
-			reborn = append(reborn, born(id, 200, 3, false))
+			old = append(old, incarnationEntry(id, 100, 2, false))
+			reborn = append(reborn, incarnationEntry(id, 200, 3, false))
 		}
-		f.noteList(f.fleet.Apply(now, old, rev(2)))
+		f.handleListChanges(f.fleet.Apply(now, old, rev(2)))
 		f.updatePlacementEngines(now, f.Table())
 		sink := &fakeSink{}
 		served := make(chan struct{})
@@ -154,7 +154,7 @@
 			f.Serve(t.Context(), call("/llm/"), sink)
 		}()
 		time.Sleep(time.Second)
-		f.noteList(f.fleet.Apply(time.Now(), reborn, rev(3)))
+		f.handleListChanges(f.fleet.Apply(time.Now(), reborn, rev(3)))
 		began := time.Now()
 		<-served
 		is.Equal(time.Since(began), time.Duration(0))
--- a/forward/move.go
+++ b/forward/move.go
@@ -77,14 +77,14 @@
 
 // startMover starts a mover for the engine that the stream comes from. It also closes the
 // answer when that instance of the engine is over.
-func (s *streamExchange) startMover(ctx context.Context, u Upstream, a *Answer) *mover {
+func (s *streamExchange) startMover(ctx context.Context, u Upstream, a *Response) *mover {
 	ctx, stop := context.WithCancel(ctx)
 	m := &mover{source: u, stop: stop, done: make(chan struct{})}
 	if s.service.Engine == nil || !s.service.Engine.Moves || s.run == nil {
 		close(m.done)
 		return m
 	}
-	run, leaving, over := s.run, s.fleet.Leaving(u.ID), s.fleet.Over(u.ID)
+	run, leaving, over := s.run, s.fleet.LeavingStarted(u.ID), s.fleet.IncarnationEnded(u.ID)
 	go func() {
 		select {
 		case <-ctx.Done():
@@ -130,7 +130,7 @@
 // both are unused. Otherwise most streams on an engine that starts to fail are lost with it.
 func (m *mover) leaveFailing(ctx context.Context, x *exchange, run *ownRun) *handover {
 	// A copy needs another call to the engine, which may have asked for backoff.
-	if !x.fleet.Failing(x.now(), m.source.ID) || x.backoffs.Remaining(x.now(), m.source.ID) > 0 || !x.leaveFailingMu.TryLock() {
+	if !x.fleet.IsFailing(x.now(), m.source.ID) || x.backoffs.Remaining(x.now(), m.source.ID) > 0 || !x.leaveFailingMu.TryLock() {
 		return nil
 	}
 	defer x.leaveFailingMu.Unlock()
@@ -142,15 +142,15 @@
 	defer endTurns()
 	var next *handover
 	if err == nil {
-		x.tellRuns(to)
+		x.shareRunChange(to)
 		next, err = m.moveTo(ctx, x, to, m.expectedCopyTime(x, run, to), x.now().Add(moveTimeout))
 	}
 	if next != nil {
 		return next
 	}
 	x.journal.Request(x.call.ID, "not moved off a failing engine", "from", m.source.ID, "to", to.ID, "err", err)
-	x.engines.stay(x.now(), x.service.Name, run, m.source.ID)
-	x.tellRuns(to)
+	x.engines.returnToEngine(x.now(), x.service.Name, run, m.source.ID)
+	x.shareRunChange(to)
 	m.discardCopy(x)
 	return nil
 }
@@ -221,7 +221,7 @@
 // copy. A nil result means that there is nothing left to move.
 func (m *mover) evacuate(ctx context.Context, x *exchange, run *ownRun) *handover {
 	now := x.now()
-	goneAt := x.fleet.GoneAt(m.source.ID, now, x.settings.DrainTime)
+	goneAt := x.fleet.ExpectedEnd(m.source.ID, now, x.settings.DrainTime)
 	x.journal.Request(x.call.ID, "engine leaves", "upstream", m.source.ID, "foreseen_left", goneAt.Sub(now), "list_revision", x.fleet.Revision())
 	// Engines often leave together; the notices of the others arrive a moment later.
 	PauseFor(ctx, noticeGatherDelay)
@@ -245,7 +245,7 @@
 // tryMove waits for the turn of the source's link and moves the run to the engine that is best
 // at that time.
 func (m *mover) tryMove(ctx context.Context, x *exchange, run *ownRun, goneAt time.Time) (*handover, error) {
-	r := TurnRequest{Engine: m.source.ID, Run: run.request.Run, Worth: x.engines.worth(x.service.Name, run)}
+	r := TurnRequest{Engine: m.source.ID, Run: run.request.Run, Worth: x.engines.movePriority(x.service.Name, run)}
 	turnCtx, cancel := context.WithTimeout(ctx, goneAt.Add(-finalCopyMargin).Sub(x.now()))
 	endTurn, err := x.takeTurn(turnCtx, m.source, r)
 	cancel()
@@ -261,16 +261,16 @@
 		return nil, errNoTarget
 	}
 	defer endTarget()
-	x.tellRuns(to)
-	x.tellRuns(m.source)
+	x.shareRunChange(to)
+	x.shareRunChange(m.source)
 	next, err := m.moveTo(ctx, x, to, m.expectedCopyTime(x, run, to), goneAt)
-	if errors.Is(err, ErrNoRoom) {
+	if errors.Is(err, ErrTargetUnavailable) {
 		x.fleet.Suspect(x.now(), to.ID)
 	}
 	if err != nil {
 		m.discardCopy(x)
-		x.engines.stay(x.now(), x.service.Name, run, m.source.ID)
-		x.tellRuns(to)
+		x.engines.returnToEngine(x.now(), x.service.Name, run, m.source.ID)
+		x.shareRunChange(to)
 	}
 	return next, err
 }
@@ -313,7 +313,7 @@
 	if e.LinkBitsPerSecond <= 0 {
 		return 0
 	}
-	bits := 8 * e.TokenBytes * (float64(run.request.Prompt) + float64(run.made.Load()))
+	bits := 8 * e.TokenBytes * (float64(run.request.Prompt) + float64(run.generatedTokens.Load()))
 	copyTime := time.Duration(bits / e.LinkBitsPerSecond * float64(time.Second))
 	if to.Zone != m.source.Zone {
 		copyTime *= 2
@@ -338,9 +338,9 @@
 		// target holds most of the run by then.
 		idleCopyLimit = idleLinkCopyTime
 	}
-	if v := x.judge(x.now(), to, eligibility.Request); !v.OK() {
+	if v := x.checkEligibility(x.now(), to, eligibility.Request); !v.OK() {
 		// The run isn't stopped yet and can still move elsewhere.
-		return nil, &keptBackError{v}
+		return nil, &notSentError{v}
 	}
 	m.mu.Lock()
 	m.runStopping = true
@@ -350,14 +350,14 @@
 	switch {
 	case err == nil:
 		return &handover{target: to, source: m.source, handle: moved.Handle, stoppedAt: stoppedAt, permittedAt: permittedAt}, nil
-	case errors.Is(err, ErrNoRun), errors.Is(err, ErrMoveBusy), errors.Is(err, ErrNoRoom) && moved.Handle == "":
+	case errors.Is(err, ErrRunNotFound), errors.Is(err, ErrMoveBusy), errors.Is(err, ErrTargetUnavailable) && moved.Handle == "":
 		// The run was not stopped: it has ended, another copy is in progress, or the target is
 		// gone. An engine that has stopped a run returns the handle of its copy.
 		m.mu.Lock()
 		m.runStopping = false
 		m.mu.Unlock()
 		return nil, err
-	case errors.Is(err, ErrNoRoom):
+	case errors.Is(err, ErrTargetUnavailable):
 		return &handover{target: m.source, source: m.source, handle: moved.Handle, stoppedAt: stoppedAt}, nil
 	case m.handle != "":
 		// It is unknown whether the run was stopped; its stream will show that.
@@ -368,23 +368,23 @@
 
 // copyMemory asks the source to copy the run's memory to an engine, and waits until that is
 // done. stop stops the run first.
-func (m *mover) copyMemory(ctx context.Context, x *exchange, to Upstream, stop bool) (Moved, error) {
+func (m *mover) copyMemory(ctx context.Context, x *exchange, to Upstream, stop bool) (MoveResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, moveTimeout)
 	defer cancel()
 	began := x.now()
-	moved, err := x.askMove(ctx, m.source, MoveRequest{ID: x.call.ID, To: to.Address, Stop: stop})
+	moved, err := x.requestMove(ctx, m.source, MoveRequest{ID: x.call.ID, TargetAddress: to.Address, StopSource: stop})
 	if moved.Handle != "" {
 		m.mu.Lock()
 		m.handle = moved.Handle
 		m.mu.Unlock()
 	}
-	x.journal.Request(x.call.ID, "copied", "from", m.source.ID, "to", to.ID, "stop", stop, "took", x.now().Sub(began), "events", moved.Events, "err", err)
+	x.journal.Request(x.call.ID, "copied", "from", m.source.ID, "to", to.ID, "stop", stop, "took", x.now().Sub(began), "events", moved.EventsProduced, "err", err)
 	return moved, err
 }
 
 // continueRun sends the request to the engine that holds the copy. If that engine refuses, it
 // sends the request to the engine where the run was stopped.
-func (s *streamExchange) continueRun(ctx context.Context, h *handover) (Upstream, *Answer, error) {
+func (s *streamExchange) continueRun(ctx context.Context, h *handover) (Upstream, *Response, error) {
 	targets := []Upstream{h.target}
 	if h.target.ID != h.source.ID {
 		targets = append(targets, h.source)
@@ -396,20 +396,20 @@
 	})
 	for _, u := range targets {
 		if u.ID != h.target.ID || s.now().Sub(h.permittedAt) > permitValidity {
-			s.countSend(ctx, u)
+			s.countForcedSend(ctx, u)
 		}
-		a, err := s.send(ctx, u, &Continuation{Source: h.source.Address, Handle: h.handle, LastEvent: s.lastEventID})
+		a, err := s.send(ctx, u, &Continuation{Source: h.source.Address, Handle: h.handle, LastEventID: s.lastEventID})
 		if err == nil && a.Status == 200 && a.Signed {
 			s.moveCount++
 			s.observer.Moved("ok", s.now().Sub(h.stoppedAt))
 			s.journal.Request(s.call.ID, "moved", "from", h.source.ID, "to", u.ID, "after", s.lastEventID, "pause", s.now().Sub(h.stoppedAt))
 			return u, a, nil
 		}
-		s.journal.Request(s.call.ID, "not taken up", "upstream", u.ID, "status", status(a), "err", err)
+		s.journal.Request(s.call.ID, "not taken up", "upstream", u.ID, "status", statusOf(a), "err", err)
 		lastErr = err
 		if a != nil {
 			closeBody(a)
-			lastErr = ErrNoRoom
+			lastErr = ErrTargetUnavailable
 		}
 		if err != nil && !errors.Is(err, ErrNotSent) {
 			// The engine may have continued the run; events of two runs must not be mixed.
--- a/forward/needyfleet_test.go
+++ b/forward/needyfleet_test.go
@@ -63,8 +63,8 @@
 }
 
 // sendFrom plays an upstream's answer to one host.
-func (f *needyFleet) sendFrom(host member.HostID) func(context.Context, Upstream, *Outgoing) (*Answer, error) {
-	return func(ctx context.Context, u Upstream, out *Outgoing) (*Answer, error) {
+func (f *needyFleet) sendFrom(host member.HostID) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
+	return func(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 		f.mu.Lock()
 		f.got[u.ID] = append(f.got[u.ID], request{time.Since(f.start), host})
 		f.mu.Unlock()
--- a/forward/origin.go
+++ b/forward/origin.go
@@ -14,26 +14,26 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// News is what an Origin has that is new, as of a revision.
-type News struct {
+// OriginUpdate is what an Origin has that is new, as of a revision.
+type OriginUpdate struct {
 	// Config is nil when the configuration isn't new, or isn't there yet.
 	Config *Config
 	// Changes are those of the list of upstreams.
 	Changes []Change
-	// Zones are orders about zones: with Read, every one that holds.
-	Zones []ZoneOrder
-	// Crashes are requests that are held, as they were kept.
-	Crashes []quarantine.Mark
+	// ZoneOrders are orders about zones: with Read, every one that holds.
+	ZoneOrders []ZoneOrder
+	// HeldRequests are requests that are held, as they were kept.
+	HeldRequests []quarantine.Mark
 	// Rollouts are orders to move services to other versions, or that such an order was taken
 	// back; with Read, every one that holds. RolloutRecords are how far they are.
 	Rollouts, RolloutRecords []rollout.Status
 	// Hosts are hosts of the site that were put on its directory.
 	Hosts []Peer
-	// At is where in the origin's history it answered.
-	At history.Point
-	// Unread says of some entries why they couldn't be read or used; nil when all
+	// Revision is where in the origin's history it answered.
+	Revision history.Point
+	// UnreadErr says of some entries why they couldn't be read or used; nil when all
 	// could. UnreadCount is how many there were.
-	Unread      error
+	UnreadErr   error
 	UnreadCount int
 }
 
@@ -41,10 +41,10 @@
 type Origin interface {
 	// Read returns everything: the configuration, and each upstream as a
 	// change. An answer that doesn't tell its era is taken to be of the known one.
-	Read(ctx context.Context, known history.Era) (News, error)
+	Read(ctx context.Context, known history.Era) (OriginUpdate, error)
 	// Watch returns the next news after a point, or none when the wait is
 	// over. They may be of a later era than that point, and are then not all.
-	Watch(ctx context.Context, after history.Point, wait time.Duration) (News, error)
+	Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error)
 }
 
 // HostsReader is an Origin that can tell the hosts on the directory alone, which takes one call where
@@ -57,20 +57,20 @@
 // revision: all has to be read again.
 var ErrHistoryGone = errors.New("the history is gone")
 
-// EraFellError says that the origin told an era before one that is known. Such an answer was
+// EraRegressedError says that the origin told an era before one that is known. Such an answer was
 // under way since before a restore, or comes from another store.
-type EraFellError struct{ Known, Told history.Point }
+type EraRegressedError struct{ Known, Received history.Point }
 
-func (e *EraFellError) Error() string {
-	return fmt.Sprintf("the origin is at %v, which is before the era of %v", e.Told, e.Known)
+func (e *EraRegressedError) Error() string {
+	return fmt.Sprintf("the origin is at %v, which is before the era of %v", e.Received, e.Known)
 }
 
-// TakeNews takes the origin's list in, the whole of it or what is new. It returns what made a
+// ApplyUpdate takes the origin's list in, the whole of it or what is new. It returns what made a
 // difference.
-func (f *Fleet) TakeNews(now time.Time, news News, whole bool) ([]ZoneOrder, []Change) {
-	f.enterEra(now, news.At, news.At, 0)
+func (f *Fleet) ApplyUpdate(now time.Time, news OriginUpdate, whole bool) ([]ZoneOrder, []Change) {
+	f.enterEra(now, news.Revision, news.Revision, 0)
 	if whole {
-		return f.ReplaceZones(now, news.Zones, news.At), f.ReplaceAll(now, news.Changes, news.At)
+		return f.ReplaceZoneOrders(now, news.ZoneOrders, news.Revision), f.ReplaceEntries(now, news.Changes, news.Revision)
 	}
-	return f.ApplyZones(now, news.Zones), f.Apply(now, news.Changes, news.At)
+	return f.ApplyZoneOrders(now, news.ZoneOrders), f.Apply(now, news.Changes, news.Revision)
 }
--- a/forward/outerbound_test.go
+++ b/forward/outerbound_test.go
@@ -18,62 +18,62 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// inForceWithin is how soon a configuration, or an order about a zone, is kept to at every
+// inForceTimeout is how soon a configuration, or an order about a zone, is kept to at every
 // host: 2 s, which a store that turns some hosts away may lengthen by 5 s.
-const inForceWithin = 7 * time.Second
+const inForceTimeout = 7 * time.Second
 
-var errTurnedAway = errors.New("turned away")
+var errHostRejected = errors.New("turned away")
 
-// choosyOrigin is an origin that turns a host away while that is among those named.
-type choosyOrigin struct {
+// rejectingOrigin is an origin that turns a host away while that is among those named.
+type rejectingOrigin struct {
 	*siteOrigin
-	turnsAway func() bool
-	// silent has it not answer rather than refuse.
-	silent bool
+	rejects func() bool
+	// hangs has it not answer rather than refuse.
+	hangs bool
 }
 
 // For how long calls wait for an answer: those of an adapter's store.
 const (
-	readWait  = 3 * time.Second
-	watchOver = 600 * time.Millisecond
-	keepWait  = time.Second
+	readHangTimeout = 3 * time.Second
+	watchHangMargin = 600 * time.Millisecond
+	keepHangTimeout = time.Second
 )
 
-func (o choosyOrigin) refuse(ctx context.Context, wait time.Duration) error {
-	if o.silent {
+func (o rejectingOrigin) reject(ctx context.Context, wait time.Duration) error {
+	if o.hangs {
 		PauseFor(ctx, wait)
 	}
-	return errTurnedAway
+	return errHostRejected
 }
 
-func (o choosyOrigin) Read(ctx context.Context, known history.Era) (News, error) {
-	if o.turnsAway() {
-		return News{}, o.refuse(ctx, readWait)
+func (o rejectingOrigin) Read(ctx context.Context, known history.Era) (OriginUpdate, error) {
+	if o.rejects() {
+		return OriginUpdate{}, o.reject(ctx, readHangTimeout)
 	}
 	return o.siteOrigin.Read(ctx, known)
 }
 
-func (o choosyOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (News, error) {
-	if o.turnsAway() {
-		return News{}, o.refuse(ctx, wait+watchOver)
+func (o rejectingOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
+	if o.rejects() {
+		return OriginUpdate{}, o.reject(ctx, wait+watchHangMargin)
 	}
 	news, err := o.siteOrigin.Watch(ctx, after, wait)
-	if o.turnsAway() {
+	if o.rejects() {
 		// The answer was under way.
-		return News{}, o.refuse(ctx, watchOver)
+		return OriginUpdate{}, o.reject(ctx, watchHangMargin)
 	}
 	return news, err
 }
 
-func (o choosyOrigin) Keep(ctx context.Context, m quarantine.Mark) error {
-	if o.turnsAway() {
-		return o.refuse(ctx, keepWait)
+func (o rejectingOrigin) Keep(ctx context.Context, m quarantine.Mark) error {
+	if o.rejects() {
+		return o.reject(ctx, keepHangTimeout)
 	}
 	return o.siteOrigin.Keep(ctx, m)
 }
 
-// shifted are as many hosts, others of all.
-func shifted(all, some []string, by int) []string {
+// shiftedHosts are as many hosts, others of all.
+func shiftedHosts(all, some []string, by int) []string {
 	others := make([]string, len(some))
 	for i := range some {
 		others[i] = all[(slices.Index(all, some[i])+by)%len(all)]
@@ -81,10 +81,10 @@
 	return others
 }
 
-// TestInForceWhereStoreTurnsHostsAway has every configuration and every order about a zone be
+// TestChangesInForceWhenStoreRejectsHosts has every configuration and every order about a zone be
 // kept to at each host in time, whichever hosts the store turns away: those hear of them
 // from others.
-func TestInForceWhereStoreTurnsHostsAway(t *testing.T) {
+func TestChangesInForceWhenStoreRejectsHosts(t *testing.T) {
 	const zones, hostsPerZone = 3, 3
 	address := func(zone, host int) string { return fmt.Sprintf("10.%d.0.%d:1", zone, host) }
 	var all, leaders, firstZone []string
@@ -104,11 +104,11 @@
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
 					s := newSite(zones, hostsPerZone, true)
-					s.origin.list = []Upstream{upIn("llm1", "z1"), upIn("llm2", "z2")}
+					s.origin.list = []Upstream{upstreamInZone("llm1", "z1"), upstreamInZone("llm2", "z2")}
 					ctx, cancel := context.WithCancel(t.Context())
 					turnedAway := map[string]bool{}
 					for at, f := range s.hosts {
-						s.startBy(ctx, f, choosyOrigin{s.origin, func() bool {
+						s.startBy(ctx, f, rejectingOrigin{s.origin, func() bool {
 							s.mu.Lock()
 							defer s.mu.Unlock()
 							return turnedAway[at]
@@ -127,32 +127,32 @@
 					var latest time.Duration
 					for n := range 5 {
 						version, revision := Version(n+2), rev(20+2*n)
-						order := out("z1", revision.Revision()+1)
+						order := outOfService("z1", revision.Revision()+1)
 						if n%2 == 1 {
-							order = back("z1", revision.Revision()+1)
+							order = backInService("z1", revision.Revision()+1)
 						}
 						s.origin.configure(version, revision)
 						s.origin.order(order)
 						sent := time.Now()
-						for late := true; late && time.Since(sent) <= inForceWithin; {
+						for late := true; late && time.Since(sent) <= inForceTimeout; {
 							time.Sleep(20 * time.Millisecond)
 							late = false
 							for _, f := range s.hosts {
-								late = late || f.versionInForce() < version || f.fleet.InService("z1") == order.Out
+								late = late || f.versionInForce() < version || f.fleet.InService("z1") == order.OutOfService
 							}
 						}
 						for at, f := range s.hosts {
-							if f.versionInForce() < version || f.fleet.InService("z1") == order.Out {
-								t.Errorf("%s doesn't keep to change %d after %v", at, n, inForceWithin)
+							if f.versionInForce() < version || f.fleet.InService("z1") == order.OutOfService {
+								t.Errorf("%s doesn't keep to change %d after %v", at, n, inForceTimeout)
 							}
 						}
 						latest = max(latest, time.Since(sent))
 						if n%2 == 1 {
-							turn(shifted(all, away, n))
+							turn(shiftedHosts(all, away, n))
 						}
 					}
 					t.Logf("in force within %v", latest)
-					is.True(latest <= inForceWithin)
+					is.True(latest <= inForceTimeout)
 					cancel()
 					synctest.Wait()
 				})
--- a/forward/panic.go
+++ b/forward/panic.go
@@ -27,7 +27,7 @@
 // answerPanic gives the caller its final answer after a panic.
 func (x *exchange) answerPanic() {
 	if x.delivered.Load() {
-		x.sink.Cut()
+		x.sink.Truncate()
 		x.recordOutcome(string(CodeInternal))
 		return
 	}
--- a/forward/panic_test.go
+++ b/forward/panic_test.go
@@ -24,16 +24,16 @@
 // TestRequestPanics checks that a request whose handling panics gets a final answer that says
 // that it may have run, and the host goes on serving all others.
 func TestRequestPanics(t *testing.T) {
-	sends := func(context.Context, Upstream, *Outgoing) (*Answer, error) { panic("a mistake") }
-	midway := func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+	sends := func(context.Context, Upstream, *UpstreamRequest) (*Response, error) { panic("a mistake") }
+	midway := func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		a := answer(200, "")
-		a.Length = -1
+		a.ContentLength = -1
 		a.Body = io.NopCloser(panicReader{&twoEventReader{}})
 		return a, nil
 	}
 	for name, c := range map[string]struct {
 		path string
-		send func(context.Context, Upstream, *Outgoing) (*Answer, error)
+		send func(context.Context, Upstream, *UpstreamRequest) (*Response, error)
 		cut  bool
 		code Code
 	}{
@@ -46,10 +46,10 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			f, sink := newForwarder(t, &fakeTransport{send: c.send}), &fakeSink{}
-			journal := &linesJournal{}
+			journal := &recordingJournal{}
 			f.journal = journal
 			f.Serve(t.Context(), call(c.path), sink)
-			is.True(len(journal.with("panicked")) > 0)
+			is.True(len(journal.linesWithPrefix("panicked")) > 0)
 			is.Equal(sink.cut, c.cut)
 			if !c.cut {
 				is.Equal(*sink.refused, Refusal{Code: c.code, MayHaveRun: true})
--- a/forward/peerchoice.go
+++ b/forward/peerchoice.go
@@ -23,16 +23,16 @@
 	}
 	var best *peerState
 	for _, s := range p.known {
-		if !s.live(now) || s.stopping || s.near && s.originAge+now.Sub(s.heard) > originFresh+shareEvery {
+		if !s.live(now) || s.stopping || s.sameCell && s.originAge+now.Sub(s.lastSeen) > maxOriginProofAge+shareInterval {
 			continue
 		}
-		if s.originAge > originFresh {
+		if s.originAge > maxOriginProofAge {
 			continue
 		}
 		if !needed && (s.Zone != p.self.Zone || s.ID > p.self.ID) {
 			continue
 		}
-		if best == nil || p.better(s, best) {
+		if best == nil || p.preferred(s, best) {
 			best = s
 		}
 	}
@@ -42,9 +42,9 @@
 	return best.Peer, true
 }
 
-// hasEarlier reports whether a live host comes before this one by zone and name.
-func (p *peerSet) hasEarlier(now time.Time) bool {
-	if at, divided := p.place(now); divided {
+// hasPredecessor reports whether a live host comes before this one by zone and name.
+func (p *peerSet) hasPredecessor(now time.Time) bool {
+	if at, divided := p.treePosition(now); divided {
 		return at > 0
 	}
 	p.mu.Lock()
@@ -58,17 +58,17 @@
 	return false
 }
 
-// staleTries is how many peers a host that knows nothing asks at once for what they have.
-const staleTries = 3
+// maxStaleSources is how many peers a host that knows nothing asks at once for what they have.
+const maxStaleSources = 3
 
-// anyLive draws some live peers, those of the own zone first.
-func (p *peerSet) anyLive(now time.Time) []Peer {
+// randomLivePeers draws some live peers, those of the own zone first.
+func (p *peerSet) randomLivePeers(now time.Time) []Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near, far []Peer
 	for _, s := range p.known {
 		switch {
-		case s.stopping || s.foundAt == 0 || !s.live(now):
+		case s.stopping || s.foundNumber == 0 || !s.live(now):
 		case s.Zone == p.self.Zone:
 			near = append(near, s.Peer)
 		default:
@@ -77,18 +77,18 @@
 	}
 	// The order of a map will do for drawing.
 	peers := append(near, far...)
-	return peers[:min(len(peers), staleTries)]
+	return peers[:min(len(peers), maxStaleSources)]
 }
 
-// joinable returns a peer that a host which starts can take everything over from, one
+// bootstrapPeer returns a peer that a host which starts can take everything over from, one
 // of its own zone if there is any. It is drawn, for many may start together.
-func (p *peerSet) joinable(now time.Time) (Peer, bool) {
+func (p *peerSet) bootstrapPeer(now time.Time) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near, far []Peer
 	for _, s := range p.known {
 		switch {
-		case s.foundAt == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.heard) > originFresh:
+		case s.foundNumber == 0 || s.stopping || s.distrusted || now.Before(s.busyUntil) || s.originAge+now.Sub(s.lastSeen) > maxOriginProofAge:
 		case s.Zone == p.self.Zone:
 			near = append(near, s.Peer)
 		default:
@@ -97,7 +97,7 @@
 	}
 	if p.layout.Divided() {
 		// Each host tells a few others only, and those before it in the tree know first.
-		for _, h := range p.ancestors(p.silent(now)) {
+		for _, h := range p.ancestors(p.unavailable(now)) {
 			if i := slices.IndexFunc(near, func(o Peer) bool { return o.ID == h.ID }); i >= 0 {
 				return near[i], true
 			}
@@ -112,9 +112,9 @@
 	return near[rand.IntN(len(near))], true
 }
 
-// ofEarlierZone returns the first live host, by zone and name, of a zone that
+// firstInEarlierZone returns the first live host, by zone and name, of a zone that
 // comes before this host's and isn't avoided.
-func (p *peerSet) ofEarlierZone(avoided func(member.Zone) bool, now time.Time) (Peer, bool) {
+func (p *peerSet) firstInEarlierZone(avoided func(member.Zone) bool, now time.Time) (Peer, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var first *peerState
@@ -122,7 +122,7 @@
 		if s.Zone >= p.self.Zone || s.distrusted || s.stopping || !s.live(now) || avoided(s.Zone) {
 			continue
 		}
-		if first == nil || s.Zone < first.Zone || s.Zone == first.Zone && p.earlier(s.Peer, first.Peer) {
+		if first == nil || s.Zone < first.Zone || s.Zone == first.Zone && p.precedes(s.Peer, first.Peer) {
 			first = s
 		}
 	}
@@ -132,17 +132,17 @@
 	return first.Peer, true
 }
 
-// earlier reports whether a host of a zone comes before another of it: those that start follow the
+// precedes reports whether a host of a zone comes before another of it: those that start follow the
 // first. The mutex is held.
-func (p *peerSet) earlier(a, b Peer) bool {
+func (p *peerSet) precedes(a, b Peer) bool {
 	if p.layout.Divided() {
-		return inTreeOrder(a, b) < 0
+		return compareTreeOrder(a, b) < 0
 	}
 	return a.ID < b.ID
 }
 
-// better orders the peers to follow: the own zone's first, then by name.
-func (p *peerSet) better(a, b *peerState) bool {
+// preferred orders the peers to follow: the own zone's first, then by name.
+func (p *peerSet) preferred(a, b *peerState) bool {
 	if near := a.Zone == p.self.Zone; near != (b.Zone == p.self.Zone) {
 		return near
 	}
@@ -154,20 +154,20 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
-		s.originAge, s.distrusted = peerForgotten, true
+		s.originAge, s.distrusted = peerForgetTimeout, true
 	}
 }
 
-// ranked returns the host that ranks first for a duty about something in a cell: of the cell's
+// responsibleHost returns the host that ranks first for a duty about something in a cell: of the cell's
 // hosts that live and don't stop; of those of it that were heard lately, though they can't be
 // reached, for they may have the duty still; or else of all hosts.
-func (p *peerSet) ranked(now time.Time, duty string, of cell.ID) Peer {
+func (p *peerSet) responsibleHost(now time.Time, duty string, of cell.ID) Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near, heard, all []Peer
 	if !p.stopping {
 		all = append(all, p.self)
-		if p.own == of {
+		if p.ownCell == of {
 			near = append(near, p.self)
 		}
 	}
@@ -180,10 +180,10 @@
 			all = append(all, s.Peer)
 		}
 		switch {
-		case s.of != of:
+		case s.cell != of:
 		case live:
 			near = append(near, s.Peer)
-		case now.Sub(s.heard) <= farSilent:
+		case now.Sub(s.lastSeen) <= otherCellSilenceTimeout:
 			heard = append(heard, s.Peer)
 		}
 	}
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -24,10 +24,10 @@
 // Share is what a host tells its peers of itself.
 type Share struct {
 	From Peer
-	// Announcement counts the host's announcements, and AnnouncedAgo is how long ago it made the
+	// AnnouncementCount counts the host's announcements, and AnnouncedAgo is how long ago it made the
 	// last; zero before the first.
-	Announcement uint64
-	AnnouncedAgo time.Duration
+	AnnouncementCount uint64
+	AnnouncementAge   time.Duration
 	// Version is the configuration in force, and ConfigAge how long ago it was
 	// proved to be the newest.
 	Version   Version
@@ -38,8 +38,8 @@
 	Stopping  bool
 	// Runs are all generations of the host.
 	Runs []RunState
-	// Ended are those of its runs that ended by themselves lately.
-	Ended []EndedRun
+	// EndedRuns are those of its runs that ended by themselves lately.
+	EndedRuns []EndedRun
 	// Leaving are the host's own observations of engines that leave.
 	Leaving []LeavingMark
 	// Failing are its findings of upstreams that lose requests.
@@ -58,8 +58,8 @@
 	Limits []ratelimit.Mark
 	// Backoffs are the upstreams that want nothing from the host for a while.
 	Backoffs []backoff.Mark
-	// Announced are hosts, in reply to one that has just started.
-	Announced []roster.Announcement
+	// Announcements are hosts, in reply to one that has just started.
+	Announcements []roster.Announcement
 }
 
 // Peers is the interface to the other hosts.
@@ -71,7 +71,7 @@
 	// Config asks a peer for its configuration, if that is newer than a version.
 	Config(ctx context.Context, to Peer, have Version) (ConfigReply, error)
 	// Ask asks a peer for a place on one of its zone's engines.
-	Ask(ctx context.Context, to Peer, a PlaceAsk) (PlaceGrant, error)
+	Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error)
 	// Permit asks a peer for leave to send to an upstream.
 	Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error)
 	// Rollout tells the peer that decides about a rollout what was seen of it, and returns how far
@@ -85,36 +85,36 @@
 
 // Timing of what hosts tell each other.
 const (
-	// shareEvery is the period of shares to each peer; a new run is told at
+	// shareInterval is the period of shares to each peer; a new run is told at
 	// once, to the peers of the own zone.
-	shareEvery = 500 * time.Millisecond
-	// startLasts is how long after its start a host looks for its peers more
+	shareInterval = 500 * time.Millisecond
+	// startupDuration is how long after its start a host looks for its peers more
 	// often.
-	startLasts = time.Second
+	startupDuration = time.Second
 	// shareTimeout bounds one share.
 	shareTimeout = 700 * time.Millisecond
-	// shareSoon is the least time between two shares: the changes of a moment go into
+	// minShareInterval is the least time between two shares: the changes of a moment go into
 	// one, but the first is told at once, for until then other hosts may place runs on
 	// the same engine.
-	shareSoon = 3 * time.Millisecond
-	// farShares is how many peers of other zones are told in each period, one
+	minShareInterval = 3 * time.Millisecond
+	// otherCellSharesPerInterval is how many peers of other zones are told in each period, one
 	// after another: bytes between zones have a price.
-	farShares = 3
-	// peerSilent is how long after its last word a peer of the own zone counts
+	otherCellSharesPerInterval = 3
+	// sameCellSilenceTimeout is how long after its last word a peer of the own zone counts
 	// as gone, and farSilent the same for one of another zone.
-	peerSilent = 1600 * time.Millisecond
-	farSilent  = 15 * time.Second
-	// peerForgotten is how long a silent peer is still tried, and its runs are
+	sameCellSilenceTimeout  = 1600 * time.Millisecond
+	otherCellSilenceTimeout = 15 * time.Second
+	// peerForgetTimeout is how long a silent peer is still tried, and its runs are
 	// still counted on their engines.
-	peerForgotten = 20 * time.Second
+	peerForgetTimeout = 20 * time.Second
 )
 
-// tellRuns tells the peers of the own zone and of the engine's at once that a run was
+// shareRunChange tells the peers of the own zone and of the engine's at once that a run was
 // placed there, has ended or was taken off: the hosts of an engine's zone decide about it,
 // for all, and a run that has ended and still counts keeps another away. While such runs
 // were told of within 7 s, hosts took each engine to have 1.4 runs more than its 5.5, and
 // on a quiet day 129 requests of 2,479 were refused for want of room.
-func (f *Forwarder) tellRuns(u Upstream) { f.peers.notifyCell(f.peers.upstreamCell(u)) }
+func (f *Forwarder) shareRunChange(u Upstream) { f.peers.notifyCell(f.peers.upstreamCell(u)) }
 
 // RunPeers tells the peers about this host until the context ends.
 func (f *Forwarder) RunPeers(ctx context.Context, peers Peers) {
@@ -135,54 +135,54 @@
 			return
 		case <-tick.C:
 			period = true
-			tick.Reset(sharePause(f.now().Sub(began)))
+			tick.Reset(nextShareInterval(f.now().Sub(began)))
 		case <-f.peers.wakeAll:
 			every = true
-			PauseFor(ctx, shareSoon-f.now().Sub(shared))
+			PauseFor(ctx, minShareInterval-f.now().Sub(shared))
 		case <-f.peers.wake:
-			PauseFor(ctx, shareSoon-f.now().Sub(shared))
+			PauseFor(ctx, minShareInterval-f.now().Sub(shared))
 		}
 		now := f.now()
 		shared = now
 		if period {
-			f.peers.announce(now)
+			f.peers.refreshRoster(now)
 		}
-		f.shareRetries(now, now.Sub(began))
+		f.updateRetryBudgetHosts(now, now.Sub(began))
 		f.engines.forgetUnknownPeers(now, f.peers.isKnown)
-		f.engines.updateKnownParts(now, f.peers.zones())
-		share := f.share(now)
-		for _, to := range f.peers.targets(now, period, every, f.crashes.Behind) {
+		f.engines.updateKnownParts(now, f.peers.zoneByHost())
+		share := f.newShare(now)
+		for _, to := range f.peers.shareTargets(now, period, every, f.crashes.Behind) {
 			sending.Go(func() { f.shareWith(ctx, peers, to, share) })
 		}
 		if period {
-			f.callSeeds(ctx, &sending, peers, share)
+			f.shareWithSeeds(ctx, &sending, peers, share)
 		}
 	}
 }
 
-// shareRetries has the hosts share the slack of the retry budget that were known lately,
+// updateRetryBudgetHosts has the hosts share the slack of the retry budget that were known lately,
 // heard or not: one that hears nobody is behind a cut more often than alone, and has an even
 // part still. A host that has just started and knows nobody has none until it has looked for
 // others.
-func (f *Forwarder) shareRetries(now time.Time, sinceStart time.Duration) {
-	hosts := f.peers.mostKnown(now)
-	if hosts == 1 && sinceStart < startLasts {
+func (f *Forwarder) updateRetryBudgetHosts(now time.Time, sinceStart time.Duration) {
+	hosts := f.peers.recentMaxHosts(now)
+	if hosts == 1 && sinceStart < startupDuration {
 		return
 	}
 	f.retries.setHosts(hosts)
 }
 
-// sharePause is the time to the next share: short at first, for a host that
+// nextShareInterval is the time to the next share: short at first, for a host that
 // knows no peer watches the origin itself.
-func sharePause(sinceStart time.Duration) time.Duration {
-	if sinceStart < startLasts {
-		return shareEvery / 4
+func nextShareInterval(sinceStart time.Duration) time.Duration {
+	if sinceStart < startupDuration {
+		return shareInterval / 4
 	}
-	return shareEvery
+	return shareInterval
 }
 
-// callSeeds tries the addresses that the settings name while no peer is known.
-func (f *Forwarder) callSeeds(ctx context.Context, sending *sync.WaitGroup, peers Peers, share Share) {
+// shareWithSeeds tries the addresses that the settings name while no peer is known.
+func (f *Forwarder) shareWithSeeds(ctx context.Context, sending *sync.WaitGroup, peers Peers, share Share) {
 	f.peers.mu.Lock()
 	known := len(f.peers.known)
 	f.peers.mu.Unlock()
@@ -196,19 +196,19 @@
 	}
 }
 
-func (f *Forwarder) share(now time.Time) Share {
-	s := f.shareWithoutRuns(now)
-	s.Runs, s.Ended = f.engines.runStates(now), f.engines.endedRuns(now)
+func (f *Forwarder) newShare(now time.Time) Share {
+	s := f.newShareWithoutRuns(now)
+	s.Runs, s.EndedRuns = f.engines.runStates(now), f.engines.endedRuns(now)
 	return s
 }
 
-// shareWithoutRuns is what a peer that shares with this host is told in return.
-func (f *Forwarder) shareWithoutRuns(now time.Time) Share {
-	count, age := f.peers.announced(now)
+// newShareWithoutRuns is what a peer that shares with this host is told in return.
+func (f *Forwarder) newShareWithoutRuns(now time.Time) Share {
+	count, age := f.peers.ownAnnouncement(now)
 	return Share{
-		From: f.peers.self, Announcement: count, AnnouncedAgo: age, Version: f.versionInForce(), ConfigAge: f.ContactAge(now), OriginAge: f.OriginAge(now), Stopping: f.Stopping(),
+		From: f.peers.self, AnnouncementCount: count, AnnouncementAge: age, Version: f.versionInForce(), ConfigAge: f.ContactAge(now), OriginAge: f.OriginAge(now), Stopping: f.Stopping(),
 		Leaving: f.fleet.Marks(now),
-		Failing: f.fleet.FailingMarks(now), Cold: f.fleet.ColdMarks(now), List: f.fleet.Revision(), Zones: f.fleet.ZonesSince(history.Point{}, true), Epoch: f.peers.epoch,
+		Failing: f.fleet.FailingMarks(now), Cold: f.fleet.ColdMarks(now), List: f.fleet.Revision(), Zones: f.fleet.ZoneOrdersSince(history.Point{}, true), Epoch: f.peers.epoch,
 		Limits: f.limiter.Words.Marks(now), Backoffs: f.backoffs.Marks(now),
 	}
 }
@@ -220,62 +220,62 @@
 	share.Crashes, upTo = f.crashes.Tell(f.now(), to.ID)
 	slept := f.settings.Clock.Slept()
 	reply, err := peers.Share(ctx, to, share)
-	f.peers.sent(to.ID, err)
+	f.peers.recordShareResult(to.ID, err)
 	if err == nil {
 		late := f.settings.Clock.Slept() - slept
-		reply.ConfigAge, reply.OriginAge = older(reply.ConfigAge, late), older(reply.OriginAge, late)
-		if f.peers.isNear(reply.From.ID) {
-			f.engines.replacePeerRuns(f.now(), reply.From.ID, reply.Runs, reply.Ended)
-			f.peers.exchangedWith(f.now(), reply.From.ID)
+		reply.ConfigAge, reply.OriginAge = ageWithDelay(reply.ConfigAge, late), ageWithDelay(reply.OriginAge, late)
+		if f.peers.inSameCell(reply.From.ID) {
+			f.engines.replacePeerRuns(f.now(), reply.From.ID, reply.Runs, reply.EndedRuns)
+			f.peers.recordExchange(f.now(), reply.From.ID)
 		}
-		f.receive(reply)
+		f.receiveShare(reply)
 		f.crashes.Told(reply.From.ID, reply.Epoch, upTo)
 	}
 }
 
-// receive takes in what a peer says of itself.
-func (f *Forwarder) receive(s Share) {
+// receiveShare takes in what a peer says of itself.
+func (f *Forwarder) receiveShare(s Share) {
 	now := f.now()
 	if s.ConfigAge < 0 || s.OriginAge < 0 {
 		f.journal.HostEvent("peer told an age below zero", "peer", s.From.ID, "config_age", s.ConfigAge, "origin_age", s.OriginAge)
-		s.ConfigAge, s.OriginAge = neverProved, neverProved
+		s.ConfigAge, s.OriginAge = noProofAge, noProofAge
 	}
-	f.noteZones(f.fleet.ReceiveZones(now, s.Zones))
+	f.logZoneChanges(f.fleet.ReceiveZoneOrders(now, s.Zones))
 	for _, mark := range s.Leaving {
 		f.receiveLeaving(now, s.From.ID, mark)
 	}
 	if s.From.Zone == f.peers.self.Zone {
-		f.fleet.ReceiveFailing(now, s.Failing)
+		f.fleet.ReceiveFailingMarks(now, s.Failing)
 	}
 	for _, mark := range s.Cold {
-		if f.fleet.ReceiveLife(mark.Upstream, mark.Life) {
-			f.fleet.MarkCold(mark.Upstream, now.Add(mark.For))
+		if f.fleet.ReceiveIncarnation(mark.Upstream, mark.Incarnation) {
+			f.fleet.MarkCold(mark.Upstream, now.Add(mark.Remaining))
 		}
 	}
 	for _, mark := range s.Limits {
 		f.receiveLimitMark(now, s.From.ID, mark)
 	}
 	for _, mark := range s.Backoffs {
-		f.receiveBackoff(now, s.From.ID, mark)
+		f.receivePeerBackoff(now, s.From.ID, mark)
 	}
-	f.dropOldLives()
+	f.resetRestartedUpstreams()
 	f.crashes.Met(s.From.ID, s.Epoch)
 	f.receiveCrashes(now, s.Crashes)
-	if len(s.Announced) > 0 {
-		f.peers.takeAnnouncements(now, s.From.ID, s.Announced)
+	if len(s.Announcements) > 0 {
+		f.peers.receiveAnnouncements(now, s.From.ID, s.Announcements)
 	}
-	if f.peers.receive(now, s) {
+	if f.peers.recordShare(now, s) {
 		f.journal.HostEvent("peer found", "peer", s.From.ID, "zone", s.From.Zone)
 	}
 	if version := f.versionInForce(); s.Version == version && version > 0 {
 		f.ContactProved(now.Add(-s.ConfigAge))
 	}
-	f.offerConfig(s.From, s.Version)
+	f.handleConfigOffer(s.From, s.Version)
 }
 
-// older is an age that was told, when the word of it may have been late by a while. One
+// ageWithDelay is an age that was told, when the word of it may have been late by a while. One
 // below zero stays: it is an error of the peer's.
-func older(age, late time.Duration) time.Duration {
+func ageWithDelay(age, late time.Duration) time.Duration {
 	if age < 0 {
 		return age
 	}
@@ -286,18 +286,18 @@
 func (f *Forwarder) OnShare(s Share) Share {
 	// It may have waited here while this machine was suspended.
 	late := f.settings.Clock.Late(f.now())
-	s.ConfigAge, s.OriginAge = older(s.ConfigAge, late), older(s.OriginAge, late)
-	f.engines.replacePeerRuns(f.now(), s.From.ID, s.Runs, s.Ended)
-	f.receive(s)
+	s.ConfigAge, s.OriginAge = ageWithDelay(s.ConfigAge, late), ageWithDelay(s.OriginAge, late)
+	f.engines.replacePeerRuns(f.now(), s.From.ID, s.Runs, s.EndedRuns)
+	f.receiveShare(s)
 	now := f.now()
-	reply := f.shareWithoutRuns(now)
-	if f.peers.isNear(s.From.ID) {
-		reply.Runs, reply.Ended = f.engines.runStates(now), f.engines.endedRuns(now)
-		f.peers.exchangedWith(now, s.From.ID)
+	reply := f.newShareWithoutRuns(now)
+	if f.peers.inSameCell(s.From.ID) {
+		reply.Runs, reply.EndedRuns = f.engines.runStates(now), f.engines.endedRuns(now)
+		f.peers.recordExchange(now, s.From.ID)
 	}
 	reply.Crashes, _ = f.crashes.Tell(now, s.From.ID)
 	if s.List.IsZero() {
-		reply.Announced = f.peers.announcementsForNew(now, s.From.ID)
+		reply.Announcements = f.peers.announcementsForJoiner(now, s.From.ID)
 	}
 	return reply
 }
--- a/forward/peerset.go
+++ b/forward/peerset.go
@@ -23,76 +23,76 @@
 	known map[member.HostID]*peerState
 	// stopping says that this host does: others take over what it does for all.
 	stopping bool
-	// epoch tells this process's counts from those of an earlier one, and found
+	// epoch tells this process's counts from those of an earlier one, and foundCount
 	// counts the peers that were heard for the first time, or again after a silence.
-	epoch, found uint64
-	// most is how many hosts were known at once, lately, and mostAt when.
-	most   int
-	mostAt time.Time
+	epoch, foundCount uint64
+	// maxKnown is how many hosts were known at once, lately, and mostAt when.
+	maxKnown   int
+	maxKnownAt time.Time
 	// seeds are addresses of peers whose names aren't known yet.
 	seeds []string
 	// wake asks for a share to the own zone at once.
 	wake chan struct{}
 	// wakeAll asks for a share to all peers at once.
 	wakeAll chan struct{}
-	// woken are other cells whose peers are to be told at once.
-	woken map[cell.ID]bool
+	// wokenCells are other cells whose peers are to be told at once.
+	wokenCells map[cell.ID]bool
 	// roster is which hosts there are, and layout how their zones are divided, as of layoutAt.
-	roster   *roster.Roster
-	layout   cell.Layout
-	layoutAt uint64
-	// own is this host's cell.
-	own cell.ID
+	roster              *roster.Roster
+	layout              cell.Layout
+	layoutRosterVersion uint64
+	// ownCell is this host's cell.
+	ownCell cell.ID
 	// neighbours are the hosts that this one keeps in touch with; zoneOrder the hosts of its zone
 	// in the order in which they follow each other, where the zone is divided.
 	neighbours map[member.HostID]Peer
-	zoneOrder  []Peer
-	// cells are the hosts of the other cells, and firstZone those of the first zone in the order of
+	zoneTree   []Peer
+	// otherCells are the hosts of the other otherCells, and firstZone those of the first zone in the order of
 	// its tree; unreached are hosts that a call didn't reach, until when they aren't called.
-	cells     map[cell.ID][]Peer
-	firstZone []Peer
-	unreached map[member.HostID]time.Time
-	// dropped are when silent neighbours were forgotten.
-	dropped map[member.HostID]time.Time
+	otherCells       map[cell.ID][]Peer
+	firstZoneTree    []Peer
+	unreachableUntil map[member.HostID]time.Time
+	// forgottenAt are when silent neighbours were forgotten.
+	forgottenAt map[member.HostID]time.Time
 }
 
 // peerState is what a host knows of one peer.
 type peerState struct {
 	Peer
-	// heard is when it last said something.
-	heard     time.Time
-	tried     time.Time
+	// lastSeen is when it last said something.
+	lastSeen  time.Time
+	lastTried time.Time
 	originAge time.Duration
-	// list is up to where it knows the list of upstreams.
-	list     history.Point
-	stopping bool
-	// sending says that a share to it is under way.
-	sending bool
-	// foundAt is the count of found when it was heard first; zero for one that others
+	// listRevision is up to where it knows the listRevision of upstreams.
+	listRevision history.Point
+	stopping     bool
+	// sharePending says that a share to it is under way.
+	sharePending bool
+	// foundNumber is the count of found when it was heard first; zero for one that others
 	// only told of.
-	foundAt uint64
-	// cursor is up to where this host has its peers.
-	cursor HostCursor
-	// failed says that the last share didn't arrive.
-	failed bool
-	// exchanged is when both last told each other all, their runs included.
-	exchanged time.Time
-	// near says that it is of this host's cell, and of is its cell.
-	near bool
-	of   cell.ID
-	// toldUp is up to where it was told of this host's roster when it was followed.
-	toldUp uint64
-	// toldNew is the same for what it was told when it started, and busyUntil is until when it is
+	foundNumber uint64
+	// rosterCursor is up to where this host has its peers.
+	rosterCursor HostCursor
+	// lastShareFailed says that the last share didn't arrive.
+	lastShareFailed bool
+	// lastExchange is when both last told each other all, their runs included.
+	lastExchange time.Time
+	// sameCell says that it is of this host's cell, and of is its cell.
+	sameCell bool
+	cell     cell.ID
+	// announcedUpTo is up to where it was told of this host's roster when it was followed.
+	announcedUpTo uint64
+	// joinAnnouncedUpTo is the same for what it was told when it started, and busyUntil is until when it is
 	// not asked for its list.
-	toldNew   uint64
-	busyUntil time.Time
+	joinAnnouncedUpTo uint64
+	busyUntil         time.Time
 	// distrusted says that it couldn't be followed; it may have spoken since
 	// only to others.
 	distrusted bool
 }
 
-// zoneHasOther reports whether another host of this one's zone takes requests.
-func (p *peerSet) zoneHasOther(now time.Time) bool {
+// hasPeerInZone reports whether another host of this one's zone takes requests.
+func (p *peerSet) hasPeerInZone(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, s := range p.known {
@@ -105,10 +105,10 @@
 
 // live reports whether the peer is believed to be there.
 func (s *peerState) live(now time.Time) bool {
-	if s.near {
-		return now.Sub(s.heard) <= peerSilent
+	if s.sameCell {
+		return now.Sub(s.lastSeen) <= sameCellSilenceTimeout
 	}
-	return !s.failed && now.Sub(s.heard) <= farSilent
+	return !s.lastShareFailed && now.Sub(s.lastSeen) <= otherCellSilenceTimeout
 }
 
 func newPeerSet(self Peer, seeds []string) *peerSet {
@@ -116,69 +116,69 @@
 	return &peerSet{
 		self: self, known: map[member.HostID]*peerState{}, epoch: epoch, seeds: seeds,
 		wake: make(chan struct{}, 1), wakeAll: make(chan struct{}, 1),
-		roster: roster.New(self, epoch), own: cell.ID{Zone: self.Zone}, dropped: map[member.HostID]time.Time{},
+		roster: roster.New(self, epoch), ownCell: cell.ID{Zone: self.Zone}, forgottenAt: map[member.HostID]time.Time{},
 	}
 }
 
-// receive takes in what a peer said.
-func (p *peerSet) receive(now time.Time, s Share) (isNew bool) {
+// recordShare takes in what a peer said.
+func (p *peerSet) recordShare(now time.Time, s Share) (isNew bool) {
 	if s.From.ID == p.self.ID || s.From.ID == "" {
 		return false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if s.Announcement > 0 {
-		p.roster.Receive(now, s.From.ID, roster.Announcement{Entry: s.From, Epoch: s.Epoch, Count: s.Announcement, Age: s.AnnouncedAgo})
+	if s.AnnouncementCount > 0 {
+		p.roster.Receive(now, s.From.ID, roster.Announcement{Entry: s.From, Epoch: s.Epoch, Count: s.AnnouncementCount, Age: s.AnnouncementAge})
 	}
 	state := p.known[s.From.ID]
 	if state == nil {
 		state = p.add(s.From)
 		isNew = true
 	}
-	if state.foundAt == 0 || now.Sub(state.heard) > farSilent {
-		p.found++
-		state.foundAt = p.found
+	if state.foundNumber == 0 || now.Sub(state.lastSeen) > otherCellSilenceTimeout {
+		p.foundCount++
+		state.foundNumber = p.foundCount
 	}
-	state.Peer, state.heard, state.stopping, state.failed = s.From, now, s.Stopping, false
-	state.originAge, state.distrusted, state.list = s.OriginAge, false, s.List
+	state.Peer, state.lastSeen, state.stopping, state.lastShareFailed = s.From, now, s.Stopping, false
+	state.originAge, state.distrusted, state.listRevision = s.OriginAge, false, s.List
 	return isNew
 }
 
-// targets returns the peers to share with now, and marks them as being sent to:
+// shareTargets returns the peers to share with now, and marks them as being sent to:
 // those of the own zone, and when the period is over some of the other zones, or
 // every peer when each must know; those of the zones that were woken; and those that
 // are behind with what they hear from nobody else.
-func (p *peerSet) targets(now time.Time, period, every bool, behind func(member.HostID) bool) []Peer {
+func (p *peerSet) shareTargets(now time.Time, period, every bool, behind func(member.HostID) bool) []Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	woken := p.woken
-	p.woken = nil
+	woken := p.wokenCells
+	p.wokenCells = nil
 	var to []Peer
 	var far []*peerState
 	send := func(s *peerState) {
-		s.sending, s.tried = true, now
+		s.sharePending, s.lastTried = true, now
 		to = append(to, s.Peer)
 	}
 	for id, s := range p.known {
 		switch {
-		case now.Sub(s.heard) > peerForgotten:
+		case now.Sub(s.lastSeen) > peerForgetTimeout:
 			p.forget(now, id)
-		case s.sending:
-		case every || woken[s.of] || period && behind(id) || s.near && !period && s.live(now):
+		case s.sharePending:
+		case every || woken[s.cell] || period && behind(id) || s.sameCell && !period && s.live(now):
 			send(s)
-		case s.near && period && (!p.layout.Divided() || now.Sub(s.exchanged) >= shareEvery-exchangeSlack):
+		case s.sameCell && period && (!p.layout.Divided() || now.Sub(s.lastExchange) >= shareInterval-exchangeSlack):
 			// Of two hosts the one calls whose period is over first, and the other answers.
 			send(s)
-		case period && !s.near && (!p.layout.Divided() || p.neighbours[id].ID != ""):
+		case period && !s.sameCell && (!p.layout.Divided() || p.neighbours[id].ID != ""):
 			// Others that chose this host call it by themselves.
 			far = append(far, s)
 		}
 	}
-	slices.SortFunc(far, func(a, b *peerState) int { return a.tried.Compare(b.tried) })
+	slices.SortFunc(far, func(a, b *peerState) int { return a.lastTried.Compare(b.lastTried) })
 	// As many that each is told well before it would count as silent.
-	count := max(farShares, (2*len(far)*int(shareEvery)+int(farSilent)-1)/int(farSilent))
+	count := max(otherCellSharesPerInterval, (2*len(far)*int(shareInterval)+int(otherCellSilenceTimeout)-1)/int(otherCellSilenceTimeout))
 	if !p.layout.Divided() {
-		count = farShares
+		count = otherCellSharesPerInterval
 	}
 	for _, s := range far[:min(len(far), count)] {
 		send(s)
@@ -189,17 +189,17 @@
 // exchangeSlack keeps two hosts of about the same period from waiting for each other.
 const exchangeSlack = 50 * time.Millisecond
 
-// exchangedWith takes in that a peer and this host have told each other all.
-func (p *peerSet) exchangedWith(now time.Time, id member.HostID) {
+// recordExchange takes in that a peer and this host have told each other all.
+func (p *peerSet) recordExchange(now time.Time, id member.HostID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
-		s.exchanged = now
+		s.lastExchange = now
 	}
 }
 
-// stop has this host do nothing more for all.
-func (p *peerSet) stop() {
+// markStopping has this host do nothing more for all.
+func (p *peerSet) markStopping() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopping = true
@@ -209,20 +209,20 @@
 // theirs again: it may be there still, behind a link that was cut.
 func (p *peerSet) forget(now time.Time, id member.HostID) {
 	delete(p.known, id)
-	p.dropped[id] = now
+	p.forgottenAt[id] = now
 	if p.layout.Divided() {
 		return
 	}
 	for _, s := range p.known {
-		s.cursor = HostCursor{}
+		s.rosterCursor = HostCursor{}
 	}
 }
 
-func (p *peerSet) sent(id member.HostID, err error) {
+func (p *peerSet) recordShareResult(id member.HostID, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.known[id]; s != nil {
-		s.sending, s.failed = false, err != nil
+		s.sharePending, s.lastShareFailed = false, err != nil
 	}
 }
 
@@ -239,16 +239,16 @@
 	return n
 }
 
-// live counts this host and the peers that were heard lately.
-func (p *peerSet) live(now time.Time) int {
+// liveHosts counts this host and the peers that were heard lately.
+func (p *peerSet) liveHosts(now time.Time) int {
 	return 1 + p.count(func(s *peerState) bool { return s.live(now) })
 }
 
 // LivePeers counts the other hosts that were heard lately.
-func (f *Forwarder) LivePeers() int { return f.peers.live(f.now()) - 1 }
+func (f *Forwarder) LivePeers() int { return f.peers.liveHosts(f.now()) - 1 }
 
-// zones tells the zone of each known peer.
-func (p *peerSet) zones() map[member.HostID]member.Zone {
+// zoneByHost tells the zone of each known peer.
+func (p *peerSet) zoneByHost() map[member.HostID]member.Zone {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	zones := make(map[member.HostID]member.Zone, len(p.known))
@@ -258,17 +258,17 @@
 	return zones
 }
 
-// liveInZone counts this host and the peers of its zone that were heard lately.
-func (p *peerSet) liveInZone(now time.Time) int {
+// liveHostsInZone counts this host and the peers of its zone that were heard lately.
+func (p *peerSet) liveHostsInZone(now time.Time) int {
 	n := 1 + p.count(func(s *peerState) bool { return s.Zone == p.self.Zone && s.live(now) })
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(n, len(p.zoneOrder))
+	return max(n, len(p.zoneTree))
 }
 
-// first names the live host that has a duty of which there is one for the whole site.
-func (p *peerSet) first(now time.Time, duty string) member.HostID {
-	if p.divided() {
+// siteDutyHost names the live host that has a duty of which there is one for the whole site.
+func (p *peerSet) siteDutyHost(now time.Time, duty string) member.HostID {
+	if p.zonesDivided() {
 		// No host knows all others that live.
 		return p.firstHost(now).ID
 	}
@@ -291,8 +291,8 @@
 	return p.known[id] != nil
 }
 
-// notify asks for a share to the own zone at once.
-func (p *peerSet) notify() {
+// notifyOwnCell asks for a share to the own zone at once.
+func (p *peerSet) notifyOwnCell() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
@@ -302,14 +302,14 @@
 // notifyCell asks for a share to the own cell and another at once.
 func (p *peerSet) notifyCell(id cell.ID) {
 	p.mu.Lock()
-	if id != p.own {
-		if p.woken == nil {
-			p.woken = map[cell.ID]bool{}
+	if id != p.ownCell {
+		if p.wokenCells == nil {
+			p.wokenCells = map[cell.ID]bool{}
 		}
-		p.woken[id] = true
+		p.wokenCells[id] = true
 	}
 	p.mu.Unlock()
-	p.notify()
+	p.notifyOwnCell()
 }
 
 // notifyAll asks for a share to all peers at once.
@@ -320,16 +320,16 @@
 	}
 }
 
-// mostKnownFor is how long hosts that were once known are counted: hosts behind a cut
+// hostCountWindow is how long hosts that were once known are counted: hosts behind a cut
 // still send.
-const mostKnownFor = 5 * time.Minute
+const hostCountWindow = 5 * time.Minute
 
-// mostKnown is how many hosts, with this one, were known at once in the last minutes.
-func (p *peerSet) mostKnown(now time.Time) int {
+// recentMaxHosts is how many hosts, with this one, were known at once in the last minutes.
+func (p *peerSet) recentMaxHosts(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n := max(len(p.known)+1, p.roster.Len()); n >= p.most || now.Sub(p.mostAt) > mostKnownFor {
-		p.most, p.mostAt = n, now
+	if n := max(len(p.known)+1, p.roster.Len()); n >= p.maxKnown || now.Sub(p.maxKnownAt) > hostCountWindow {
+		p.maxKnown, p.maxKnownAt = n, now
 	}
-	return p.most
+	return p.maxKnown
 }
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -19,7 +19,7 @@
 // bounds it.
 func (f *Forwarder) bound(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
 	named, isNamed := f.limiter.Words.Bound(now, u.ID)
-	cold, isCold := f.coldBound(now, s, u)
+	cold, isCold := f.coldRateLimit(now, s, u)
 	switch {
 	case !isNamed:
 		return cold, isCold
@@ -84,18 +84,18 @@
 func (p permitSite) Granter(now time.Time, id member.UpstreamID) Peer {
 	// One that isn't known is of no zone, and any host may give it out.
 	u, _ := p.fleet.Upstream(id)
-	return p.peers.ranked(now, string(id), p.peers.upstreamCell(u))
+	return p.peers.responsibleHost(now, string(id), p.peers.upstreamCell(u))
 }
 
 func (p permitSite) Hosts(now time.Time) (heard, known int) {
-	return p.peers.live(now), p.peers.mostKnown(now)
+	return p.peers.liveHosts(now), p.peers.recentMaxHosts(now)
 }
 
 // Heard counts the hosts of all zones where these aren't divided: an upstream's limit is given out by
 // a host of its cell, and the others of that are there or not.
 func (p permitSite) Heard(now time.Time) (heard, known int) {
-	if p.peers.divided() {
-		return p.peers.cellHosts(now)
+	if p.peers.zonesDivided() {
+		return p.peers.cellHostCounts(now)
 	}
 	return p.Hosts(now)
 }
@@ -113,11 +113,11 @@
 var errNoPeers = errors.New("no way to other hosts yet")
 
 func (p permitSite) AskPeer(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
-	peers := p.port()
+	peers := p.loadPeerPort()
 	if peers == nil {
 		return permit.Reply{}, errNoPeers
 	}
-	bounded, cancel := context.WithTimeout(ctx, askTimeout)
+	bounded, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
 	reply, err := peers.Permit(bounded, to, a)
 	if err != nil && ctx.Err() == nil {
--- a/forward/plain_test.go
+++ b/forward/plain_test.go
@@ -25,15 +25,15 @@
 		"no configuration yet": {func(f *Forwarder, _ *Call) { f.table.Store(nil) }, CodeNotReady},
 		"unknown path":         {func(_ *Forwarder, c *Call) { c.Path = "/none/" }, CodeNoRoute},
 		"unknown host":         {func(_ *Forwarder, c *Call) { c.Host = "other.example" }, CodeNoRoute},
-		"unknown key":          {func(_ *Forwarder, c *Call) { c.Key = "k2" }, CodeBadKey},
-		"no key":               {func(_ *Forwarder, c *Call) { c.Key = "" }, CodeBadKey},
+		"unknown key":          {func(_ *Forwarder, c *Call) { c.APIKey = "k2" }, CodeBadKey},
+		"no key":               {func(_ *Forwarder, c *Call) { c.APIKey = "" }, CodeBadKey},
 		"unknown path, contact lost": {func(f *Forwarder, c *Call) {
 			f.contactProvedAt.clear()
 			c.Path = "/none/"
 		}, CodeNotReady},
 		"unknown key, contact lost": {func(f *Forwarder, c *Call) {
 			f.contactProvedAt.clear()
-			c.Key = "k2"
+			c.APIKey = "k2"
 		}, CodeNotReady},
 		"key taken away": {func(f *Forwarder, _ *Call) {
 			next := testConfig(2)
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestNeverOlder has a configuration that is older than the one in force change
+// TestOlderConfigurationIgnored has a configuration that is older than the one in force change
 // nothing.
-func TestNeverOlder(t *testing.T) {
+func TestOlderConfigurationIgnored(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	is.True(f.Configure(time.Now(), testConfig(7)))
@@ -94,23 +94,23 @@
 	}
 }
 
-// TestPlain has one request answered, repeated or refused by what its upstreams
+// TestUnaryOutcomes has one request answered, repeated or refused by what its upstreams
 // do.
-func TestPlain(t *testing.T) {
-	notRun := func() *Answer { a := answer(503, ""); a.NotRun = true; return a }
-	unsigned := func() *Answer { a := answer(200, "x"); a.Signed = false; return a }
-	encoded := func() *Answer { a := answer(200, "x"); a.Encoded = true; return a }
-	other := func() *Answer { a := answer(421, ""); a.OtherInstance = true; return a }
-	short := func() *Answer {
+func TestUnaryOutcomes(t *testing.T) {
+	notRun := func() *Response { a := answer(503, ""); a.NotRun = true; return a }
+	unsigned := func() *Response { a := answer(200, "x"); a.Signed = false; return a }
+	encoded := func() *Response { a := answer(200, "x"); a.UnexpectedEncoding = true; return a }
+	other := func() *Response { a := answer(421, ""); a.WrongInstance = true; return a }
+	short := func() *Response {
 		a := answer(200, "")
 		a.Body = io.NopCloser(io.MultiReader(errReader{}))
 		return a
 	}
-	type step func() (*Answer, error)
-	ok := func() (*Answer, error) { return answer(200, "fine"), nil }
-	say := func(a func() *Answer) step { return func() (*Answer, error) { return a(), nil } }
-	failing := func(err error) step { return func() (*Answer, error) { return nil, err } }
-	broken := say(func() *Answer { return answer(500, "broken") })
+	type step func() (*Response, error)
+	ok := func() (*Response, error) { return answer(200, "fine"), nil }
+	say := func(a func() *Response) step { return func() (*Response, error) { return a(), nil } }
+	failing := func(err error) step { return func() (*Response, error) { return nil, err } }
+	broken := say(func() *Response { return answer(500, "broken") })
 	for name, c := range map[string]struct {
 		path   string
 		steps  []step
@@ -138,15 +138,15 @@
 		"unsafe, not run, then failed":        {"/order/", []step{say(notRun), broken, ok}, 500, "", false, 2},
 		"safe, not run anywhere":              {"/status/", []step{say(notRun), say(notRun), say(notRun)}, 0, CodeOverloaded, false, 3},
 		"safe, not run once":                  {"/status/", []step{say(notRun), ok}, 200, "", false, 2},
-		"unsafe, a 503 that promises nothing": {"/order/", []step{say(func() *Answer { return answer(503, "") }), ok}, 0, CodeBadAnswer, true, 1},
-		"unsafe, a 429 that promises nothing": {"/order/", []step{say(func() *Answer { return answer(429, "") }), ok}, 0, CodeBadAnswer, true, 1},
+		"unsafe, a 503 that promises nothing": {"/order/", []step{say(func() *Response { return answer(503, "") }), ok}, 0, CodeBadAnswer, true, 1},
+		"unsafe, a 429 that promises nothing": {"/order/", []step{say(func() *Response { return answer(429, "") }), ok}, 0, CodeBadAnswer, true, 1},
 		"never sent":                          {"/order/", []step{failing(ErrNotSent), failing(ErrNotSent), failing(ErrNotSent)}, 0, CodeNoUpstream, false, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			n := 0
 			transport := &fakeTransport{}
-			transport.send = func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+			transport.send = func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 				n++
 				return c.steps[n-1]()
 			}
@@ -175,7 +175,7 @@
 	notRun := answer(503, "")
 	notRun.NotRun = true
 	for name, c := range map[string]struct {
-		first *Answer
+		first *Response
 		err   error
 		sent  int
 	}{
@@ -186,7 +186,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			transport := &fakeTransport{}
-			transport.send = func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+			transport.send = func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 				if len(transport.sentTo()) == 1 {
 					return c.first, c.err
 				}
@@ -208,7 +208,7 @@
 	is := is.New(t)
 	refuse := true
 	transport := &fakeTransport{}
-	transport.send = func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+	transport.send = func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		if refuse {
 			return nil, ErrNotSent
 		}
@@ -230,7 +230,7 @@
 		is := is.New(t)
 		ended := make(chan struct{})
 		transport := &fakeTransport{}
-		transport.send = func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+		transport.send = func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 			if len(transport.sentTo()) > 1 {
 				return answer(200, "second"), nil
 			}
@@ -252,8 +252,8 @@
 func TestTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
-			is.True(r.Left <= 800*time.Millisecond)
+		transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
+			is.True(r.TimeLeft <= 800*time.Millisecond)
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}}
@@ -271,7 +271,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		stopped := false
-		transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+		transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 			<-ctx.Done()
 			stopped = true
 			return nil, ctx.Err()
@@ -286,22 +286,22 @@
 	})
 }
 
-// TestPlainChooser has an upstream that fails more than the others get less, and
+// TestLatencyBalancer has an upstream that fails more than the others get less, and
 // be tried again later.
-func TestPlainChooser(t *testing.T) {
+func TestLatencyBalancer(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	c := newPlainChooser("z1")
+	c := newLatencyBalancer("z1")
 	from := []Upstream{{ID: "a", Zone: "z1"}, {ID: "b", Zone: "z1"}}
 	for range 30 {
 		for _, u := range from {
-			c.of(now, u.ID).inFlight++
+			c.statsFor(now, u.ID).inFlight++
 			c.done(now, u.ID, 20*time.Millisecond, u.ID == "a")
 		}
 	}
 	counts := map[string]int{}
 	for range 50 {
-		u, found := c.choose(now, from, nil)
+		u, found := c.pick(now, from, nil)
 		is.True(found)
 		counts[string(u.ID)]++
 		c.done(now, u.ID, 0, false)
@@ -309,25 +309,25 @@
 	is.Equal(counts["b"], 50)
 	later := now.Add(time.Minute)
 	for range 50 {
-		u, _ := c.choose(later, from, nil)
+		u, _ := c.pick(later, from, nil)
 		counts[string(u.ID)]++
 		c.done(later, u.ID, 0, false)
 	}
 	is.True(counts["a"] > 5)
-	_, found := c.choose(now, from, []member.UpstreamID{"a", "b"})
+	_, found := c.pick(now, from, []member.UpstreamID{"a", "b"})
 	is.True(!found)
 }
 
-// TestUnseenUpstreamLooksFast has an upstream without an answer yet be taken for a usual one.
-func TestUnseenUpstreamLooksFast(t *testing.T) {
+// TestUnseenUpstreamCostsDefault has an upstream without an answer yet be taken for a usual one.
+func TestUnseenUpstreamCostsDefault(t *testing.T) {
 	now := time.Now()
 	for _, idle := range []time.Duration{0, 2 * time.Second, 8 * time.Second, time.Minute} {
 		t.Run(idle.String(), func(t *testing.T) {
 			is := is.New(t)
-			c := newPlainChooser("z1")
-			u, _ := c.choose(now, []Upstream{{ID: "a", Zone: "z1"}}, nil)
+			c := newLatencyBalancer("z1")
+			u, _ := c.pick(now, []Upstream{{ID: "a", Zone: "z1"}}, nil)
 			c.done(now, u.ID, 0, false)
-			lowest := 0.9 * float64(tookUnknown)
+			lowest := 0.9 * float64(defaultLatency)
 			is.True(c.cost(now.Add(idle), u, 0) >= lowest)
 		})
 	}
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -22,7 +22,7 @@
 	// probeTimeout bounds one answer.
 	probeTimeout = 400 * time.Millisecond
 	// listLate is how old the proof of the list may be before engines are asked.
-	listLate = watchWait + 600*time.Millisecond
+	listLate = watchTimeout + 600*time.Millisecond
 	// suspectListFor is how long engines are asked after one went without notice: its own
 	// entry on the list came late, and others' may, too.
 	suspectListFor = 10 * time.Second
@@ -39,11 +39,11 @@
 		case <-tick.C:
 			now := f.now()
 			if !f.listKnown(now) || f.listSuspected(now) {
-				f.probe(ctx, now, f.engines.busy())
+				f.probe(ctx, now, f.engines.enginesWithRuns())
 				continue
 			}
 			if missing := f.fleet.Missing(); len(missing) > 0 {
-				f.probe(ctx, now, intersect(f.engines.busy(), missing))
+				f.probe(ctx, now, intersect(f.engines.enginesWithRuns(), missing))
 			}
 		}
 	}
@@ -52,7 +52,7 @@
 // listKnown reports whether the list is up to date, by this host or by a peer
 // that it follows.
 func (f *Forwarder) listKnown(now time.Time) bool {
-	return f.following(now) || f.OriginAge(now) <= listLate
+	return f.isFollowing(now) || f.OriginAge(now) <= listLate
 }
 
 // suspectList takes in that an engine which the list has as well went without
@@ -61,7 +61,7 @@
 	if !f.listSuspected(now) {
 		f.journal.HostEvent("list suspect", "for", suspectListFor, "list_revision", f.fleet.Revision())
 	}
-	f.listSuspectedAt.raise(now)
+	f.listSuspectedAt.advance(now)
 }
 
 func (f *Forwarder) listSuspected(now time.Time) bool {
@@ -110,14 +110,14 @@
 	defer cancel()
 	health, err := f.checkHealth(ctx, s, u)
 	now := f.now()
-	if err != nil || !f.fleet.ReceiveLife(u.ID, health.Life) {
+	if err != nil || !f.fleet.ReceiveIncarnation(u.ID, health.Life) {
 		return
 	}
-	f.dropOldLives()
-	if health.ColdFor > 0 {
-		f.fleet.MarkCold(u.ID, now.Add(health.ColdFor))
+	f.resetRestartedUpstreams()
+	if health.ColdRemaining > 0 {
+		f.fleet.MarkCold(u.ID, now.Add(health.ColdRemaining))
 	}
-	if health.Well || health.Rejected {
+	if health.Healthy || health.Rejected {
 		return
 	}
 	f.journal.HostEvent("engine says that it leaves", "upstream", u.ID, "origin_age", f.OriginAge(now))
--- a/forward/probe_test.go
+++ b/forward/probe_test.go
@@ -37,15 +37,15 @@
 		is.Equal(run.engine, member.UpstreamID("llm1"))
 		time.Sleep(4 * time.Second)
 		is.Equal(asked.Load(), int32(0)) // answers have a price
-		origin.lost.Store(true)
+		origin.failing.Store(true)
 		time.Sleep(time.Second) // well before the proof has aged
 		is.True(asked.Load() > 0)
 		select {
-		case <-f.fleet.Leaving("llm1"):
+		case <-f.fleet.LeavingStarted("llm1"):
 		default:
 			t.Error("llm1 should be leaving")
 		}
-		is.Equal(f.OnFollow(ctx, FollowRequest{}).OriginAge > originFresh, true)
+		is.Equal(f.OnFollow(ctx, FollowRequest{}).OriginAge > maxOriginProofAge, true)
 		cancel()
 		synctest.Wait()
 	})
@@ -67,7 +67,7 @@
 				is := is.New(t)
 				transport := &fakeTransport{healthy: func(u Upstream) (bool, error) { return u.ID != "llm2", nil }}
 				var f *Forwarder
-				transport.send = func(_ context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+				transport.send = func(_ context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 					if c.listed {
 						f.fleet.MarkLeaving(time.Now(), u.ID, 0, false)
 					}
@@ -79,7 +79,7 @@
 				synctest.Wait()
 				f.updatePlacementEngines(time.Now(), f.Table())
 				f.Serve(ctx, call("/llm/"), &fakeSink{}) // placed on llm1
-				f.engines.list(time.Now(), "llm", []Upstream{{ID: "llm2", Service: "llm", Zone: "z1"}})
+				f.engines.setAvailable(time.Now(), "llm", []Upstream{{ID: "llm2", Service: "llm", Zone: "z1"}})
 				_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", Prompt: 100})
 				is.Equal(run.engine, member.UpstreamID("llm2"))
 				time.Sleep(2 * probeEvery)
@@ -113,7 +113,7 @@
 					asked.Add(1)
 					return c.well, nil
 				}}
-				transport.send = func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+				transport.send = func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 					a := answer(200, "id: 1\n\n")
 					a.Signals.Closing = c.hint
 					return a, nil
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -31,7 +31,7 @@
 	if f := x.cachedFingerprint.Load(); f != nil {
 		return *f
 	}
-	asked := x.asked()
+	asked := x.requestIdentity()
 	f := asked.Fingerprint()
 	x.cachedFingerprint.Store(&f)
 	return f
@@ -39,7 +39,7 @@
 
 // evidence is what is known against the request.
 func (x *exchange) evidence(now time.Time) quarantine.Evidence {
-	e, f := x.crashes.Judge(now, x.asked(), x.cachedFingerprint.Load())
+	e, f := x.crashes.Judge(now, x.requestIdentity(), x.cachedFingerprint.Load())
 	x.cachedFingerprint.Store(f)
 	return e
 }
@@ -61,7 +61,7 @@
 func (x *exchange) tries(now time.Time) bool {
 	x.quarantineTrialMu.Lock()
 	defer x.quarantineTrialMu.Unlock()
-	if !x.isQuarantineTrial && x.peers.first(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
+	if !x.isQuarantineTrial && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
 		x.isQuarantineTrial = true
 		x.journal.Request(x.call.ID, "tried again", "asks", x.fingerprint())
 	}
@@ -76,11 +76,11 @@
 // peer is told at once: the request may come to any of them next.
 func (x *exchange) crashedUnder(now time.Time, u Upstream) {
 	f := x.fingerprint()
-	e := x.crashes.Crashed(now, f, quarantine.Origin{Caller: string(x.account.Name), Route: x.route.Name}, quarantine.Upstream{ID: u.ID, Life: int64(u.Life)})
-	x.journal.Request(x.call.ID, "upstream ended under it", "upstream", u.ID, "life", u.Life, "asks", f, "upstreams_ended", e.Ended, "held", e.Standing == quarantine.Held)
+	e := x.crashes.Crashed(now, f, quarantine.Origin{Caller: string(x.account.Name), Route: x.route.Name}, quarantine.Upstream{ID: u.ID, Life: int64(u.Incarnation)})
+	x.journal.Request(x.call.ID, "upstream ended under it", "upstream", u.ID, "life", u.Incarnation, "asks", f, "upstreams_ended", e.Ended, "held", e.Standing == quarantine.Held)
 	if e.Standing == quarantine.Held {
 		x.endHeld([]quarantine.Fingerprint{f})
-		x.keep(f)
+		x.queueSave(f)
 	}
 	x.peers.notifyAll()
 }
@@ -93,7 +93,7 @@
 	}
 	x.journal.Request(x.call.ID, "ran well", "asks", x.fingerprint())
 	if e.Standing >= quarantine.Tried {
-		x.keep(x.fingerprint())
+		x.queueSave(x.fingerprint())
 	}
 }
 
@@ -104,8 +104,8 @@
 		f.endHeld(held)
 		for _, print := range held {
 			// Two hosts may each have seen a part of what it is held for.
-			if f.peers.first(now, print.String()) == f.peers.self.ID {
-				f.keep(print)
+			if f.peers.siteDutyHost(now, print.String()) == f.peers.self.ID {
+				f.queueSave(print)
 			}
 		}
 	}
@@ -143,12 +143,12 @@
 func (x *exchange) upstreamEnded(ctx context.Context, u Upstream) (ended bool, looked error) {
 	reach, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
-	err := x.transport.Reach(reach, u)
+	err := x.transport.CheckReachable(reach, u)
 	if errors.Is(err, ErrPortClosed) {
 		return true, err
 	}
 	known, found := x.fleet.Upstream(u.ID)
-	return found && u.Life != 0 && known.Life != u.Life, err
+	return found && u.Incarnation != 0 && known.Incarnation != u.Incarnation, err
 }
 
 // Quarantined lists the requests under which upstreams ended.
@@ -162,7 +162,7 @@
 		if released = f.crashes.RanWell(now, *release); released {
 			f.journal.HostEvent("let through again", "asks", *release, "by", "operator")
 			f.peers.notifyAll()
-			f.keep(*release)
+			f.queueSave(*release)
 		}
 	}
 	return f.Quarantined(), released
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -169,17 +169,17 @@
 // TestOnlyARunProves has a request that crashes upstreams not be cleared by an answer of one
 // that didn't run it.
 func TestOnlyARunProves(t *testing.T) {
-	notRun := func() *Answer { a := answer(503, ""); a.NotRun = true; return a }
-	other := func() *Answer { a := answer(421, ""); a.OtherInstance = true; return a }
-	failed := func() *Answer { return answer(500, "no") }
-	fine := func() *Answer { return answer(200, "fine") }
+	notRun := func() *Response { a := answer(503, ""); a.NotRun = true; return a }
+	other := func() *Response { a := answer(421, ""); a.WrongInstance = true; return a }
+	failed := func() *Response { return answer(500, "no") }
+	fine := func() *Response { return answer(200, "fine") }
 	for name, c := range map[string]struct {
-		answer  func() *Answer
+		answer  func() *Response
 		cleared bool
 	}{"full": {notRun, false}, "another instance": {other, false}, "failed": {failed, true}, "answered": {fine, true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) { return c.answer(), nil }})
+			f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) { return c.answer(), nil }})
 			asked := call("/order/")
 			x := &exchange{Forwarder: f, call: asked, account: Account{Name: "counter"}}
 			f.crashes.Crashed(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: "app9"})
@@ -355,7 +355,7 @@
 		for id, k := range f.fleet.upstreams {
 			if k.Service == "llm" {
 				k.unusable = !keep[id]
-				k.suspectUntil, k.failedUntil, k.failures = time.Time{}, time.Time{}, 0
+				k.suspectUntil, k.ownFailingUntil, k.consecutiveFailures = time.Time{}, time.Time{}, 0
 			}
 		}
 		f.fleet.notify(true)
--- a/forward/regions.go
+++ b/forward/regions.go
@@ -32,35 +32,35 @@
 	return zones
 }
 
-// mayServeIn reports whether the request may be served in a zone.
-func (x *exchange) mayServeIn(zone member.Zone) bool {
+// zoneAllowed reports whether the request may be served in a zone.
+func (x *exchange) zoneAllowed(zone member.Zone) bool {
 	return x.zones == nil || slices.Contains(x.zones, zone)
 }
 
-// allowed are those of some zones in which the request may be served.
-func (x *exchange) allowed(zones []member.Zone) []member.Zone {
+// filterZones are those of some zones in which the request may be served.
+func (x *exchange) filterZones(zones []member.Zone) []member.Zone {
 	if x.zones == nil {
 		return zones
 	}
-	return slices.DeleteFunc(zones, func(z member.Zone) bool { return !x.mayServeIn(z) })
+	return slices.DeleteFunc(zones, func(z member.Zone) bool { return !x.zoneAllowed(z) })
 }
 
-// allowedOf are those of some upstreams that may serve the request, by their zones and versions.
-func (x *exchange) allowedOf(upstreams []Upstream) []Upstream {
+// filterUpstreams are those of some upstreams that may serve the request, by their zones and versions.
+func (x *exchange) filterUpstreams(upstreams []Upstream) []Upstream {
 	if x.zones == nil && x.versions.get() == (rollout.Bound{}) {
 		return upstreams
 	}
 	return slices.DeleteFunc(slices.Clone(upstreams), func(u Upstream) bool {
-		return !x.mayServeIn(u.Zone) || !x.versions.get().Allows(u.Version)
+		return !x.zoneAllowed(u.Zone) || !x.versions.get().Allows(u.Version)
 	})
 }
 
-// takers are the service's upstreams that take new work and may serve the request.
-func (x *exchange) takers(now time.Time) []Upstream {
-	return x.allowedOf(x.fleet.Takers(now, x.service.Name))
+// acceptingUpstreams are the service's upstreams that take new work and may serve the request.
+func (x *exchange) acceptingUpstreams(now time.Time) []Upstream {
+	return x.filterUpstreams(x.fleet.Available(now, x.service.Name))
 }
 
-// noneInRegion reports whether the request is bound to regions in which no upstream takes work.
-func (x *exchange) noneInRegion(now time.Time) bool {
-	return x.zones != nil && len(x.takers(now)) == 0
+// noUpstreamInRegions reports whether the request is bound to regions in which no upstream takes work.
+func (x *exchange) noUpstreamInRegions(now time.Time) bool {
+	return x.zones != nil && len(x.acceptingUpstreams(now)) == 0
 }
--- a/forward/regions_test.go
+++ b/forward/regions_test.go
@@ -26,21 +26,21 @@
 	// route and account are what the request is bound by.
 	route, account []member.Region
 	// send answers each send by its number, from one on; nil answers well.
-	send func(n int, u Upstream) (*Answer, error)
-	// while happens while a stream runs.
-	while func(f *Forwarder, at Upstream)
+	send func(n int, u Upstream) (*Response, error)
+	// duringStream happens duringStream a stream runs.
+	duringStream func(f *Forwarder, at Upstream)
 }
 
 // TestRequestOutsideItsRegions has no way of sending reach an upstream of another region than
 // those that the request's route and account allow.
 func TestRequestOutsideItsRegions(t *testing.T) {
-	lost := func(n int, _ Upstream) (*Answer, error) {
+	lost := func(n int, _ Upstream) (*Response, error) {
 		if n == 1 {
 			return nil, io.ErrUnexpectedEOF
 		}
 		return answer(http.StatusOK, "id: 1\ndata: x\n\n"), nil
 	}
-	turnedAway := func(n int, _ Upstream) (*Answer, error) {
+	turnedAway := func(n int, _ Upstream) (*Response, error) {
 		if n < 3 {
 			a := answer(http.StatusServiceUnavailable, "")
 			a.NotRun = true
@@ -48,13 +48,13 @@
 		}
 		return answer(http.StatusOK, "fine"), nil
 	}
-	unreachable := func(n int, _ Upstream) (*Answer, error) {
+	unreachable := func(n int, _ Upstream) (*Response, error) {
 		if n < 3 {
 			return nil, ErrNotSent
 		}
 		return answer(http.StatusOK, "fine"), nil
 	}
-	slow := func(n int, _ Upstream) (*Answer, error) {
+	slow := func(n int, _ Upstream) (*Response, error) {
 		if n == 1 {
 			time.Sleep(400 * time.Millisecond)
 		}
@@ -73,24 +73,24 @@
 		"stream that was turned away":     {path: "/llm/", route: west, send: turnedAway},
 		"stream of an unreachable engine": {path: "/llm/", route: west, send: unreachable},
 		"stream that is resumed":          {path: "/resumable/", route: west, send: lost},
-		"stream whose engine leaves": {path: "/llm/", route: west, while: func(f *Forwarder, at Upstream) {
+		"stream whose engine leaves": {path: "/llm/", route: west, duringStream: func(f *Forwarder, at Upstream) {
 			f.fleet.MarkLeaving(time.Now(), at.ID, 0, true)
 		}},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { synctest.Test(t, c.play) })
+		t.Run(name, func(t *testing.T) { synctest.Test(t, c.run) })
 	}
 }
 
-// play has the request come again and again at a host of another region.
-func (c regionCase) play(t *testing.T) {
+// run has the request come again and again at a host of another region.
+func (c regionCase) run(t *testing.T) {
 	var f *Forwarder
 	var sends atomic.Int64
 	var moved []string // one stream at a time moves
 	transport := &fakeTransport{}
-	transport.send = func(ctx context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+	transport.send = func(ctx context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 		n := int(sends.Add(1))
-		if c.while == nil {
+		if c.duringStream == nil {
 			if c.send == nil {
 				return answer(http.StatusOK, "id: 1\ndata: x\n\n"), nil
 			}
@@ -103,19 +103,19 @@
 					return
 				}
 				if n == 5 {
-					c.while(f, u)
+					c.duringStream(f, u)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
 			_ = write.Close()
 		}()
 		a := answer(http.StatusOK, "")
-		a.Length, a.Body = -1, read
+		a.ContentLength, a.Body = -1, read
 		return a, nil
 	}
-	transport.move = func(_ context.Context, _ Upstream, r MoveRequest) (Moved, error) {
-		moved = append(moved, r.To)
-		return Moved{}, ErrNoRoom
+	transport.move = func(_ context.Context, _ Upstream, r MoveRequest) (MoveResult, error) {
+		moved = append(moved, r.TargetAddress)
+		return MoveResult{}, ErrTargetUnavailable
 	}
 	f = newForwarder(t, transport)
 	f.settings.Regions = map[member.Zone]member.Region{"z1": "east", "z2": "west", "z3": "west"}
@@ -156,7 +156,7 @@
 			t.Errorf("moved to %s, which is in z1", to)
 		}
 	}
-	if c.while != nil && len(moved) == 0 {
+	if c.duringStream != nil && len(moved) == 0 {
 		t.Error("no move was tried")
 	}
 }
@@ -192,7 +192,7 @@
 // TestEmptyRegionsSetNoBound has a request without allowed regions be served anywhere.
 func TestEmptyRegionsSetNoBound(t *testing.T) {
 	x := &exchange{Forwarder: newForwarder(t, &fakeTransport{})}
-	if !slices.Equal(x.allowedZones(), nil) || !x.mayServeIn("z9") {
+	if !slices.Equal(x.allowedZones(), nil) || !x.zoneAllowed("z9") {
 		t.Error("bound to", x.allowedZones())
 	}
 }
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -37,7 +37,7 @@
 
 // closeBody closes the body of an answer that isn't read any further. Its error is ignored,
 // because the connection is given up either way.
-func closeBody(a *Answer) {
+func closeBody(a *Response) {
 	if a.Body != nil {
 		_ = a.Body.Close()
 	}
@@ -45,15 +45,15 @@
 
 // relayAnswer relays an engine's answer to the caller, and resumes the stream when it breaks
 // off.
-func (s *streamExchange) relayAnswer(ctx context.Context, u Upstream, a *Answer) {
-	if a.Status != http.StatusOK || !a.Signed || a.Encoded {
+func (s *streamExchange) relayAnswer(ctx context.Context, u Upstream, a *Response) {
+	if a.Status != http.StatusOK || !a.Signed || a.UnexpectedEncoding {
 		s.noteAnswer(s.now(), u, rollout.First, true, 0)
 	}
 	if a.Status != http.StatusOK {
 		s.relayFailure(ctx, u, a)
 		return
 	}
-	if !a.Signed || a.Encoded {
+	if !a.Signed || a.UnexpectedEncoding {
 		closeBody(a)
 		s.releasePlace(false)
 		s.refuse(Refusal{Code: CodeBadAnswer, MayHaveRun: true}, "upstream", u.ID)
@@ -75,34 +75,34 @@
 
 // relayRun relays one run's events to its end and frees its place. It returns the last engine
 // of the run.
-func (s *streamExchange) relayRun(ctx context.Context, u Upstream, a *Answer) (Upstream, error) {
+func (s *streamExchange) relayRun(ctx context.Context, u Upstream, a *Response) (Upstream, error) {
 	lastEngine, err := s.relayAcrossMoves(ctx, u, a)
 	switch {
 	case err == nil:
 		if s.moveCount == 0 && s.eventCount > 2 && lastEngine.ID == s.initialEngine.ID {
 			s.noteAnswer(s.now(), lastEngine, rollout.Pace, false, s.lastEventAt.Sub(s.engineFirstEventAt)/time.Duration(s.eventCount-1))
 		}
-		s.fleet.Worked(lastEngine.ID)
+		s.fleet.RecordSuccess(lastEngine.ID)
 		s.survived(s.now())
 	case s.callerErr == nil && ctx.Err() == nil:
 		now := s.now()
 		s.noteAnswer(now, lastEngine, rollout.First, true, 0)
-		s.brokeOff(now, lastEngine.ID)
-		s.noteBroken(ctx, now, lastEngine, s.engineFirstEventAt, err)
+		s.recordBrokenStream(now, lastEngine.ID)
+		s.recordBrokenConnection(ctx, now, lastEngine, s.engineFirstEventAt, err)
 	}
 	s.releasePlace(err == nil)
 	return lastEngine, err
 }
 
 // relayFailure relays an engine's own failure to the caller.
-func (s *streamExchange) relayFailure(ctx context.Context, u Upstream, a *Answer) {
-	t := plainTry{upstream: u, answer: a}
-	p := &plainExchange{exchange: s.exchange}
-	p.memory.budget = &s.answerBudget
-	defer p.memory.release()
-	t.body, t.long, t.err = p.memory.readBody(a)
+func (s *streamExchange) relayFailure(ctx context.Context, u Upstream, a *Response) {
+	t := upstreamAttempt{upstream: u, response: a}
+	p := &unaryExchange{exchange: s.exchange}
+	p.responseMemory.budget = &s.answerBudget
+	defer p.responseMemory.release()
+	t.body, t.hasMore, t.err = p.responseMemory.readBody(a)
 	s.releasePlace(false)
-	if t.err != nil || !a.Signed || promising(a.Status) {
+	if t.err != nil || !a.Signed || claimsNotRun(a.Status) {
 		s.refuse(Refusal{Code: CodeBadAnswer, MayHaveRun: true}, "upstream", u.ID, "status", a.Status, "err", t.err)
 		return
 	}
@@ -121,12 +121,12 @@
 	}
 	switch {
 	case errors.Is(s.callerErr, spool.ErrStalled):
-		s.sink.Cut()
+		s.sink.Truncate()
 		s.recordOutcome("reader_stalled", keyvals...)
 	case err == nil:
 		s.recordOutcome("ok", keyvals...)
 	case s.answerStarted:
-		s.sink.Cut()
+		s.sink.Truncate()
 		s.recordOutcome(cause.outcome(), keyvals...)
 	case cause != endNone:
 		s.refuse(Refusal{Code: cause.code(), MayHaveRun: true}, keyvals...)
@@ -137,7 +137,7 @@
 
 // relayAcrossMoves relays the events of a run, from one engine after another when it is moved,
 // until the stream ends. It returns the last engine.
-func (s *streamExchange) relayAcrossMoves(ctx context.Context, u Upstream, a *Answer) (Upstream, error) {
+func (s *streamExchange) relayAcrossMoves(ctx context.Context, u Upstream, a *Response) (Upstream, error) {
 	first := a
 	for {
 		m := s.startMover(ctx, u, a)
@@ -177,17 +177,17 @@
 }
 
 // ensureAnswerStarted starts the answer of a stream that had no event.
-func (s *streamExchange) ensureAnswerStarted(first *Answer) error {
+func (s *streamExchange) ensureAnswerStarted(first *Response) error {
 	if s.answerStarted {
 		return nil
 	}
 	s.answerStarted = true
-	return s.sink.Begin(first)
+	return s.sink.BeginResponse(first)
 }
 
 // relayEvents passes on the events that one engine sends. It returns nil if the stream ends
 // between two events.
-func (s *streamExchange) relayEvents(ctx context.Context, first, a *Answer) error {
+func (s *streamExchange) relayEvents(ctx context.Context, first, a *Response) error {
 	// Closing the body ends the read when the caller leaves while the engine is silent.
 	stop := context.AfterFunc(ctx, func() { closeBody(a) })
 	defer stop()
@@ -207,11 +207,11 @@
 }
 
 // relayEvent passes one event to the caller.
-func (s *streamExchange) relayEvent(ctx context.Context, now time.Time, first *Answer, event []byte, id string) error {
+func (s *streamExchange) relayEvent(ctx context.Context, now time.Time, first *Response, event []byte, id string) error {
 	if !s.answerStarted {
 		s.answerStarted = true
 		s.observer.FirstEvent(now.Sub(s.call.Arrived))
-		if s.callerErr = s.sink.Begin(first); s.callerErr != nil {
+		if s.callerErr = s.sink.BeginResponse(first); s.callerErr != nil {
 			return s.callerErr
 		}
 		s.spool = spool.New(spool.Settings{Budget: &s.answerBudget, Most: maxStreamSpoolBytes, Patience: readerStallTimeout, Failed: s.cancel}, s.sink.Write, s.sink.Abort)
@@ -231,7 +231,7 @@
 		s.timeToFirstEvent = now.Sub(s.call.Arrived)
 		s.noteAnswer(now, s.initialEngine, rollout.First, false, now.Sub(s.initialSentAt))
 		if s.run != nil {
-			s.engines.begun(now, s.service.Name, s.run)
+			s.engines.recordFirstToken(now, s.service.Name, s.run)
 		}
 	}
 	s.eventCount++
@@ -239,7 +239,7 @@
 		s.lastEventID = id
 	}
 	if s.run != nil {
-		s.run.made.Add(int64(s.tokensPerEvent()))
+		s.run.generatedTokens.Add(int64(s.tokensPerEvent()))
 	}
 	return nil
 }
--- a/forward/restore_test.go
+++ b/forward/restore_test.go
@@ -17,16 +17,16 @@
 	is := is.New(t)
 	var f Fleet
 	now := time.Now()
-	f.Replace(now, []Upstream{up("app4", 3, false)}, rev(3))
+	f.Replace(now, []Upstream{llmUpstream("app4", 3, false)}, rev(3))
 	f.MarkLeaving(now, "app4", 0, true)
-	now = now.Add(forgetGone + time.Second)
-	f.Apply(now, []Change{{Upstream: up("app4", 5, false), Gone: true}}, rev(5))
+	now = now.Add(goneRetention + time.Second)
+	f.Apply(now, []Change{{Upstream: llmUpstream("app4", 5, false), Gone: true}}, rev(5))
 	f.Settle(now.Add(time.Second))
 	restored := history.At(1, 4)
-	copied := up("app4", 0, false)
+	copied := llmUpstream("app4", 0, false)
 	copied.Revision = history.At(1, 3)
-	f.TakeNews(now.Add(2*time.Second), News{Changes: []Change{{Upstream: copied}}, At: restored}, true)
-	is.Equal(len(f.Takers(now.Add(2*time.Second), copied.Service)), 0)
+	f.ApplyUpdate(now.Add(2*time.Second), OriginUpdate{Changes: []Change{{Upstream: copied}}, Revision: restored}, true)
+	is.Equal(len(f.Available(now.Add(2*time.Second), copied.Service)), 0)
 }
 
 // TestProofBeforeANewerConfigurationIsLost: a configuration was the newest until a newer one was offered.
@@ -34,8 +34,8 @@
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	now := f.now().Add(time.Minute)
-	f.configOffers.raise(now, 2)
-	f.configOffers.raise(now.Add(time.Second), 3)
+	f.configOffers.record(now, 2)
+	f.configOffers.record(now.Add(time.Second), 3)
 	f.ContactProved(now.Add(-time.Second))
 	is.Equal(f.ContactAge(now), time.Second)
 	f.ContactProved(now)
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -39,7 +39,7 @@
 // takeRetryBudget takes a retry from the shared budget, records it, and reports whether one was
 // left.
 func (s *streamExchange) takeRetryBudget(reason string) bool {
-	if !s.retries.take(s.now(), s.service.Name) {
+	if !s.retries.takeRetry(s.now(), s.service.Name) {
 		s.journal.Request(s.call.ID, "not repeated", "why", "retry budget used up", "after", reason)
 		return false
 	}
@@ -50,13 +50,13 @@
 // sendFirst sends the request to its engine. A resumable stream with attempts left is withdrawn
 // from an engine that stays silent for too long: it would be late there, and another engine may
 // still answer in time.
-func (s *streamExchange) sendFirst(ctx context.Context, u Upstream) (*Answer, error) {
+func (s *streamExchange) sendFirst(ctx context.Context, u Upstream) (*Response, error) {
 	begin := s.initialContinuation()
 	if !s.route.Resumable || s.attempts+1 >= s.route.Attempts || s.route.Objective <= 0 {
 		return s.send(ctx, u, begin)
 	}
 	bounded, cancel := context.WithCancelCause(ctx)
-	silent := time.AfterFunc(lateFirstEvent(s.route.Objective), func() { cancel(errFirstEventLate) })
+	silent := time.AfterFunc(firstEventTimeout(s.route.Objective), func() { cancel(errFirstEventLate) })
 	answer, err := s.send(bounded, u, begin)
 	if err != nil || !silent.Stop() {
 		if answer != nil {
@@ -79,13 +79,13 @@
 	if !s.route.Resumable || s.lastEventID == "" {
 		return nil
 	}
-	return &Continuation{LastEvent: s.lastEventID}
+	return &Continuation{LastEventID: s.lastEventID}
 }
 
 // resume lets another engine run a stream that broke off and continue it after the last event
 // that the caller has. It returns false if the route, the retry budget or the engines don't
 // allow that, or if the other engine brings no stream.
-func (s *streamExchange) resume(ctx context.Context, broken Upstream) (Upstream, *Answer, bool) {
+func (s *streamExchange) resume(ctx context.Context, broken Upstream) (Upstream, *Response, bool) {
 	s.mayHaveRun = true
 	if s.eventCount > 0 && s.lastEventID == "" {
 		// Without an event id it is unknown where to continue.
@@ -101,7 +101,7 @@
 		return Upstream{}, nil, false
 	}
 	answer, err := s.send(ctx, u, s.initialContinuation())
-	if err == nil && answer.Status == http.StatusOK && answer.Signed && !answer.Encoded {
+	if err == nil && answer.Status == http.StatusOK && answer.Signed && !answer.UnexpectedEncoding {
 		s.journal.Request(s.call.ID, "resumed", "from", broken.ID, "upstream", u.ID, "after", s.lastEventID)
 		return u, answer, true
 	}
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -26,9 +26,9 @@
 }
 
 // brokenAnswer returns an answer that breaks off after some events.
-func brokenAnswer(events string) *Answer {
+func brokenAnswer(events string) *Response {
 	a := answer(200, "")
-	a.Length, a.Body = -1, io.NopCloser(io.MultiReader(strings.NewReader(events), errReader{}))
+	a.ContentLength, a.Body = -1, io.NopCloser(io.MultiReader(strings.NewReader(events), errReader{}))
 	return a
 }
 
@@ -41,7 +41,7 @@
 		attempts  int
 		slack     float64
 		// firstAnswer is nil if the first engine loses the request.
-		firstAnswer *Answer
+		firstAnswer *Response
 		// callerHas is the id of the last event that the caller reports.
 		callerHas string
 		sent      int
@@ -65,11 +65,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var after []string
-			transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
+			transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
 				last := ""
 				if r.Continue != nil {
 					is.Equal(r.Continue.Handle, "") // the run left no copy
-					last = r.Continue.LastEvent
+					last = r.Continue.LastEventID
 				}
 				after = append(after, last)
 				switch {
@@ -88,7 +88,7 @@
 				f.Configure(time.Now(), config)
 			}
 			request := call("/llm/")
-			request.LastEvent = c.callerHas
+			request.LastEventID = c.callerHas
 			f.Serve(t.Context(), request, sink)
 			sent := transport.sentTo()
 			is.Equal(len(sent), c.sent)
@@ -109,7 +109,7 @@
 func TestResumeNoRoom(t *testing.T) {
 	is := is.New(t)
 	tries := 0
-	transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+	transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		if tries++; tries == 1 {
 			return nil, io.ErrUnexpectedEOF
 		}
@@ -129,7 +129,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tries, left := 0, error(nil)
-		transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+		transport := &fakeTransport{send: func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 			if tries++; tries == 1 {
 				<-ctx.Done()
 				left = context.Cause(ctx)
@@ -142,7 +142,7 @@
 		f.Serve(t.Context(), call("/llm/"), sink)
 		is.Equal(tries, 2)
 		is.True(errors.Is(left, errFirstEventLate))
-		is.Equal(time.Since(began), lateFirstEvent(1800*time.Millisecond))
+		is.Equal(time.Since(began), firstEventTimeout(1800*time.Millisecond))
 		is.Equal(sink.refused, nil)
 		is.Equal(sink.body.String(), "id: 1\n\n")
 	})
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -79,12 +79,12 @@
 // takeRollouts takes in what the origin or a peer says of rollouts.
 func (f *Forwarder) takeRollouts(now time.Time, told []rollout.Status) {
 	for _, s := range told {
-		if !f.rollouts.Receive(now, s, f.settings.RolloutLimits, f.peers.mostKnown(now)) {
+		if !f.rollouts.Receive(now, s, f.settings.RolloutLimits, f.peers.recentMaxHosts(now)) {
 			continue
 		}
 		f.rolloutObservations.Begin(s)
 		f.journal.HostEvent("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.Given, "age", s.Age)
-		f.fleet.Wake()
+		f.fleet.WakeWaiters()
 	}
 }
 
@@ -93,7 +93,7 @@
 	for _, r := range records {
 		if f.rollouts.Record(r) {
 			f.journal.HostEvent("rollout", "service", r.Service, "target", r.Target, "phase", r.Phase, "recorded", r.Recorded)
-			f.fleet.Wake()
+			f.fleet.WakeWaiters()
 		}
 	}
 }
@@ -123,7 +123,7 @@
 
 // hasVersion reports whether upstreams of a version, and of others, take new work.
 func (f *Forwarder) hasVersion(now time.Time, service ServiceName, v rollout.Version) (has, others bool) {
-	for _, u := range f.fleet.Takers(now, service) {
+	for _, u := range f.fleet.Available(now, service) {
 		has, others = has || u.Version == v, others || u.Version != v
 	}
 	return has, others
@@ -146,10 +146,10 @@
 	for _, k := range f.upstreams {
 		switch retire := wanted(k.Upstream); {
 		case retire && !k.Leaving && !k.gone:
-			k.leave(now, SourceRollout)
-			k.hinted, k.retired, changed = true, true, true
-		case !retire && k.retired && !k.declared && !k.gone:
-			k.stay()
+			k.startLeaving(now, SourceRollout)
+			k.leavingUnconfirmed, k.retiredByRollout, changed = true, true, true
+		case !retire && k.retiredByRollout && !k.leavingDeclared && !k.gone:
+			k.cancelLeaving()
 			changed = true
 		}
 	}
@@ -159,7 +159,7 @@
 // noteAnswer takes in an answer of an upstream whose service has a rollout. Cold upstreams are
 // slow whatever their version.
 func (x *exchange) noteAnswer(now time.Time, u Upstream, m rollout.Measure, failed bool, took time.Duration) {
-	if !x.rollouts.Any() || x.fleet.Cold(now, u.ID) {
+	if !x.rollouts.Any() || x.fleet.IsCold(now, u.ID) {
 		return
 	}
 	for _, s := range x.rollouts.Statuses(now) {
@@ -170,12 +170,12 @@
 }
 
 // noteVersion is noteAnswer for a plain try. What didn't run there says nothing of its version.
-func (p *plainExchange) noteVersion(ctx context.Context, now time.Time, u Upstream, t *plainTry) {
-	switch _, kept := keptBackBy(t.err); {
+func (p *unaryExchange) noteVersion(ctx context.Context, now time.Time, u Upstream, t *upstreamAttempt) {
+	switch _, kept := notSentVerdict(t.err); {
 	case kept, errors.Is(t.err, ErrNotSent), ctx.Err() != nil:
-	case t.err == nil && (t.answer.OtherInstance || t.answer.NotRun || t.answer.Signals.RetryAfter > 0):
+	case t.err == nil && (t.response.WrongInstance || t.response.NotRun || t.response.Signals.RetryAfter > 0):
 	default:
-		p.noteAnswer(now, u, rollout.Whole, !t.good(), t.took)
+		p.noteAnswer(now, u, rollout.Whole, !t.succeeded(), t.elapsed)
 	}
 }
 
@@ -236,9 +236,9 @@
 
 // reportRollout tells the host that decides what this one has seen, where that is new.
 func (f *Forwarder) reportRollout(ctx context.Context, now time.Time, to Peer, s rollout.Status, told map[ServiceName]rolloutTold) {
-	peers := f.port()
+	peers := f.loadPeerPort()
 	before := told[s.Service]
-	pause := min(time.Duration(f.peers.mostKnown(now))*time.Second/reportsPerSecond, mostReportPause)
+	pause := min(time.Duration(f.peers.recentMaxHosts(now))*time.Second/reportsPerSecond, mostReportPause)
 	if peers == nil || now.Sub(before.at) < pause {
 		return
 	}
@@ -254,7 +254,7 @@
 	reply, err := peers.Rollout(call, to, r)
 	if err != nil {
 		next.count, next.to = before.count, ""
-		f.peers.notReached(now, to.ID)
+		f.peers.markUnreachable(now, to.ID)
 		f.journal.HostEvent("rollout not reported", "service", s.Service, "peer", to.ID, "err", err)
 	}
 	told[s.Service] = next
@@ -281,7 +281,7 @@
 	r, _ := f.rolloutReport(s)
 	f.rolloutDecider.take(now, r)
 	fleet := rollout.Fleet{}
-	if !f.peers.divided() {
+	if !f.peers.zonesDivided() {
 		fleet.Hosts = f.peers.liveIDs(now)
 	}
 	fleet.HasTarget, _ = f.hasVersion(now, s.Service, s.Target)
@@ -334,11 +334,11 @@
 }
 
 // countOwn tells how many of this host's runs each engine has.
-func (e *engines) countOwn(count func(member.UpstreamID, int)) {
+func (e *enginePlacer) countOwn(count func(member.UpstreamID, int)) {
 	e.mu.Lock()
 	var on []member.UpstreamID
 	for _, p := range e.pools {
-		for _, run := range p.own {
+		for _, run := range p.ownRuns {
 			on = append(on, run.engine)
 		}
 	}
@@ -349,10 +349,10 @@
 }
 
 // countInFlight tells how many of this host's requests each plain upstream has.
-func (c *plainChooser) countInFlight(count func(member.UpstreamID, int)) {
+func (c *latencyBalancer) countInFlight(count func(member.UpstreamID, int)) {
 	c.mu.Lock()
 	on := map[member.UpstreamID]int{}
-	for id, s := range c.seen {
+	for id, s := range c.stats {
 		if s.inFlight > 0 {
 			on[id] = s.inFlight
 		}
@@ -368,14 +368,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.layout.Divided() {
-		return p.firstOfAll(now)
+		return p.firstAvailable(now)
 	}
 	first := p.self
 	for _, s := range p.known {
 		if s.stopping || !s.live(now) {
 			continue
 		}
-		if s.Zone < first.Zone || s.Zone == first.Zone && (p.earlier(s.Peer, first) || p.stopping && first.ID == p.self.ID) {
+		if s.Zone < first.Zone || s.Zone == first.Zone && (p.precedes(s.Peer, first) || p.stopping && first.ID == p.self.ID) {
 			first = s.Peer
 		}
 	}
--- a/forward/rollouts_test.go
+++ b/forward/rollouts_test.go
@@ -172,7 +172,7 @@
 	for i := range s.origin.list {
 		s.origin.list[i].Version = "v1"
 	}
-	send := func(ctx context.Context, u Upstream, out *Outgoing) (*Answer, error) {
+	send := func(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 		now := time.Now()
 		tally.mu.Lock()
 		counts := !given.IsZero() && now.Sub(given) < rolloutLasts && u.Service == d.service
@@ -242,7 +242,7 @@
 		host := s.nth(random.IntN(d.zones * d.hostsPerZone))
 		under.Go(func() {
 			c, sink := call(path), &fakeSink{}
-			c.ID, c.Prompt = RequestID(fmt.Sprint("r", n)), Prompt{Tokens: 500, MostOut: 300}
+			c.ID, c.Prompt = RequestID(fmt.Sprint("r", n)), Prompt{Tokens: 500, MaxOutputTokens: 300}
 			host.Serve(ctx, c, sink)
 		})
 		time.Sleep(time.Duration(float64(time.Second) / d.perSecond))
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -18,7 +18,7 @@
 	Service ServiceName
 	Engine  member.UpstreamID
 	// Life is the engine's life to which the run belongs.
-	Life Life
+	Life Incarnation
 	// Route and Account are what the length of the answer is predicted from.
 	Route   resource.Name
 	Account resource.Account
@@ -43,14 +43,14 @@
 
 // endedRunTTL is how long an ended run is reported. Within that time each peer of the zone gets
 // a report from this host at least once, and it learns from a run when that is no longer listed.
-const endedRunTTL = 2 * shareEvery
+const endedRunTTL = 2 * shareInterval
 
 // endedRuns returns the runs that were completed within endedRunTTL.
-func (e *engines) endedRuns(now time.Time) []EndedRun {
+func (e *enginePlacer) endedRuns(now time.Time) []EndedRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ended = slices.DeleteFunc(e.ended, func(r EndedRun) bool { return now.Sub(r.endedAt) > endedRunTTL })
-	return slices.Clone(e.ended)
+	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(r EndedRun) bool { return now.Sub(r.endedAt) > endedRunTTL })
+	return slices.Clone(e.recentlyEnded)
 }
 
 // firstTokenAt is when the run's first token came; zero before.
@@ -62,18 +62,18 @@
 }
 
 // runStates returns this host's runs.
-func (e *engines) runStates(now time.Time) []RunState {
+func (e *enginePlacer) runStates(now time.Time) []RunState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var states []RunState
 	for service, p := range e.pools {
-		for id, run := range p.own {
+		for id, run := range p.ownRuns {
 			state := RunState{
-				Run: id, Service: service, Engine: run.engine, Life: run.life, Route: run.request.Route, Account: run.request.Account,
-				Prompt: run.request.Prompt, Made: policy.Tokens(run.made.Load()), Limit: run.request.Limit,
+				Run: id, Service: service, Engine: run.engine, Life: run.incarnation, Route: run.request.Route, Account: run.request.Account,
+				Prompt: run.request.Prompt, Made: policy.Tokens(run.generatedTokens.Load()), Limit: run.request.Limit,
 			}
-			if !run.first.IsZero() {
-				state.FirstTokenAge = max(now.Sub(run.first), 1)
+			if !run.firstTokenAt.IsZero() {
+				state.FirstTokenAge = max(now.Sub(run.firstTokenAt), 1)
 			}
 			states = append(states, state)
 		}
@@ -82,20 +82,20 @@
 }
 
 // forgetUnknownPeers drops the runs and report times of peers that are no longer known.
-func (e *engines) forgetUnknownPeers(now time.Time, isKnown func(member.HostID) bool) {
+func (e *enginePlacer) forgetUnknownPeers(now time.Time, isKnown func(member.HostID) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.pools {
-		for id, host := range p.theirs {
+		for id, host := range p.peerRuns {
 			if !isKnown(host) {
-				delete(p.theirs, id)
+				delete(p.peerRuns, id)
 				p.pool.Finish(now, policy.Finish{Run: id})
 			}
 		}
 	}
-	for host := range e.reported {
+	for host := range e.lastReported {
 		if !isKnown(host) {
-			delete(e.reported, host)
+			delete(e.lastReported, host)
 		}
 	}
 }
@@ -106,13 +106,13 @@
 
 // updateKnownParts tells the placement, for each zone, which part of the zone's hosts have
 // reported their runs recently.
-func (e *engines) updateKnownParts(now time.Time, zoneOf map[member.HostID]member.Zone) {
+func (e *enginePlacer) updateKnownParts(now time.Time, zoneOf map[member.HostID]member.Zone) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	hosts, reported := map[member.Zone]int{}, map[member.Zone]int{}
 	for host, zone := range zoneOf {
 		hosts[zone]++
-		if at, ever := e.reported[host]; ever && now.Sub(at) <= maxReportAge {
+		if at, ever := e.lastReported[host]; ever && now.Sub(at) <= maxReportAge {
 			reported[zone]++
 		}
 	}
@@ -125,10 +125,10 @@
 
 // replacePeerRuns replaces what is known of a peer's runs by its report, and learns from those
 // that ended.
-func (e *engines) replacePeerRuns(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
+func (e *enginePlacer) replacePeerRuns(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.reported[host] = now
+	e.lastReported[host] = now
 	listed := make(map[policy.RunID]RunState, len(states))
 	for _, s := range states {
 		listed[s.Run] = s
@@ -138,36 +138,36 @@
 		lengths[r.Run] = r.Made
 	}
 	for _, p := range e.pools {
-		for id, owner := range p.theirs {
+		for id, owner := range p.peerRuns {
 			if owner != host {
 				continue
 			}
 			s, stillListed := listed[id]
 			if stillListed && p.pool.EngineOf(id) == s.Engine {
-				delete(p.granted, id)
+				delete(p.unconfirmedGrants, id)
 				continue
 			}
-			if _, isGranted := p.granted[id]; isGranted {
+			if _, isGranted := p.unconfirmedGrants[id]; isGranted {
 				// The peer sent this report before it learned of the place.
 				continue
 			}
-			delete(p.theirs, id)
+			delete(p.peerRuns, id)
 			made, whole := lengths[id]
 			p.pool.Finish(now, policy.Finish{Run: id, Made: made, Whole: whole})
 		}
 	}
 	for id, s := range listed {
 		p := e.pools[s.Service]
-		if p == nil || p.own[id] != nil || p.listed[s.Engine].Life.newerThan(s.Life) {
+		if p == nil || p.ownRuns[id] != nil || p.poolEngines[s.Engine].Incarnation.newerThan(s.Life) {
 			// The run is this host's by now, or its engine has restarted since.
 			continue
 		}
-		if _, known := p.theirs[id]; known {
+		if _, known := p.peerRuns[id]; known {
 			p.pool.Progress(now, id, s.Made)
 			p.pool.Reading(now, id, s.firstTokenAt(now))
 			continue
 		}
-		p.theirs[id] = host
+		p.peerRuns[id] = host
 		p.pool.Adopt(now, policy.Request{Run: id, Route: s.Route, Account: s.Account, Prompt: s.Prompt, Limit: s.Limit}, s.Engine, s.Made)
 	}
 }
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -67,7 +67,7 @@
 func (p scalePort) Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error) {
 	p.counts.note(p.self, to.ID, true)
 	reply, err := p.sitePort.Follow(ctx, to, r)
-	if reply.Whole {
+	if reply.Complete {
 		p.counts.mu.Lock()
 		p.counts.wholes[to.ID]++
 		p.counts.mu.Unlock()
@@ -207,7 +207,7 @@
 				if up < hosts {
 					t.Errorf("%d of %d hosts are up to date", up, hosts)
 				}
-				if s.first().peers.divided() && followers > 5*followersMost {
+				if s.first().peers.zonesDivided() && followers > 5*maxFollowers {
 					t.Errorf("%d follow one host", followers)
 				}
 				if reached > time.Second {
@@ -380,17 +380,17 @@
 	f.fleet.Apply(now, changes, rev(2))
 	own := layout.OfHost(f.settings.Self)
 	f.fleet.SetLayout(layout, own)
-	f.fleet.ZoneUnreachable(now, "llm", "z2")
+	f.fleet.MarkZoneUnreachable(now, "llm", "z2")
 	cold, ownCold := f.fleet.ColdMarks(now), 0
 	for _, m := range cold {
 		if layout.OfUpstream(m.Upstream, "z1") == own {
 			ownCold++
 		}
 	}
-	if len(cold) > mostMarks || len(f.fleet.FailingMarks(now)) > mostMarks {
+	if len(cold) > maxMarksPerKind || len(f.fleet.FailingMarks(now)) > maxMarksPerKind {
 		t.Errorf("%d cold, %d failing", len(cold), len(f.fleet.FailingMarks(now)))
 	}
-	inCell := slices.DeleteFunc(f.fleet.TakersIn(now, "llm", own), func(u Upstream) bool { return !f.fleet.Cold(now, u.ID) })
+	inCell := slices.DeleteFunc(f.fleet.AvailableInCell(now, "llm", own), func(u Upstream) bool { return !f.fleet.IsCold(now, u.ID) })
 	if ownCold < len(inCell) {
 		t.Errorf("%d of its own cell's, which has %d", ownCold, len(inCell))
 	}
--- a/forward/send_test.go
+++ b/forward/send_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestSendThatNobodyJudged has nothing be sent to an upstream but from the file that judges it.
-func TestSendThatNobodyJudged(t *testing.T) {
+// TestSendsOnlyFromSendFile has nothing be sent to an upstream but from the file that judges it.
+func TestSendsOnlyFromSendFile(t *testing.T) {
 	sends := regexp.MustCompile(`transport\.(Send|Move|Health|Discard)\(`)
 	files, err := filepath.Glob("*.go")
 	if err != nil {
--- a/forward/share_bench_test.go
+++ b/forward/share_bench_test.go
@@ -21,7 +21,7 @@
 	now := time.Now()
 	var list []Upstream
 	for n := range 120 {
-		list = append(list, up(member.UpstreamID(fmt.Sprint("llm", n)), 1, false))
+		list = append(list, llmUpstream(member.UpstreamID(fmt.Sprint("llm", n)), 1, false))
 	}
 	f.fleet.Replace(now, list, rev(1))
 	f.Configure(now, testConfig(1))
--- a/forward/signalday_test.go
+++ b/forward/signalday_test.go
@@ -163,7 +163,7 @@
 						host = s.otherOf(host, tries)
 					}
 					c := call(d.path)
-					c.ID, c.Prompt = RequestID(fmt.Sprint("r", n, "-", tries)), Prompt{Tokens: 500, MostOut: 300}
+					c.ID, c.Prompt = RequestID(fmt.Sprint("r", n, "-", tries)), Prompt{Tokens: 500, MaxOutputTokens: 300}
 					sink = &fakeSink{}
 					host.Serve(ctx, c, sink)
 				}
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -44,18 +44,18 @@
 			s.origin.publish(Change{Upstream: u})
 		}
 	}
-	again := func(before, after Life, address string) func(context.Context, *site, *signalFleet) {
+	again := func(before, after Incarnation, address string) func(context.Context, *site, *signalFleet) {
 		return func(_ context.Context, s *site, fleet *signalFleet) {
 			time.Sleep(3 * time.Second)
 			u, _ := s.first().fleet.Upstream(id)
-			u.Life, u.Revision = before, rev(40)
+			u.Incarnation, u.Revision = before, rev(40)
 			s.origin.publish(Change{Upstream: u})
 			time.Sleep(5 * time.Second)
 			fleet.mu.Lock()
 			fleet.spells = nil
 			fleet.told = map[member.UpstreamID]map[member.HostID][]toldSignal{}
 			fleet.mu.Unlock()
-			u.Life, u.Revision, u.Address = after, rev(50), address
+			u.Incarnation, u.Revision, u.Address = after, rev(50), address
 			s.origin.publish(Change{Upstream: u})
 		}
 	}
@@ -176,9 +176,9 @@
 				transport := &fakeTransport{send: e.send}
 				f, sink := newForwarder(t, transport), &fakeSink{}
 				resting := member.UpstreamID("")
-				transport.move = func(ctx context.Context, from Upstream, r MoveRequest) (Moved, error) {
-					if resting == "" && r.Stop == duringStop {
-						resting = member.UpstreamID(r.To[len("10.1.0.1:"):])
+				transport.move = func(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
+					if resting == "" && r.StopSource == duringStop {
+						resting = member.UpstreamID(r.TargetAddress[len("10.1.0.1:"):])
 						f.backoffs.Ask(f.now(), resting, 0, 10*time.Second, 0)
 					}
 					return e.move(ctx, from, r)
@@ -209,7 +209,7 @@
 				is := is.New(t)
 				e := &engineScript{eventCount: 60, handle: "h", copyTime: 100 * time.Millisecond, stopped: make(chan struct{})}
 				moves := 0
-				transport := &fakeTransport{send: e.send, move: func(ctx context.Context, from Upstream, r MoveRequest) (Moved, error) {
+				transport := &fakeTransport{send: e.send, move: func(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
 					moves++
 					return e.move(ctx, from, r)
 				}}
@@ -217,7 +217,7 @@
 				f.updatePlacementEngines(time.Now(), f.Table())
 				time.AfterFunc(100*time.Millisecond, func() {
 					at := transport.sentTo()[0]
-					f.fleet.Failed(f.now(), at)
+					f.fleet.RecordFailure(f.now(), at)
 					if backoff > 0 {
 						f.backoffs.Ask(f.now(), at, 0, backoff, 0)
 					}
--- a/forward/signalfleet_test.go
+++ b/forward/signalfleet_test.go
@@ -130,7 +130,7 @@
 	host member.HostID
 }
 
-func (t signalTransport) Send(ctx context.Context, u Upstream, out *Outgoing) (*Answer, error) {
+func (t signalTransport) Send(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 	t.arrive(u.ID, signalArrival{host: t.host, asked: out.Call.Arrived.Sub(t.start), continued: out.Continue != nil, request: out.Call.ID})
 	s, fails := t.tells(u.ID, t.host)
 	if s.RetryAfter > 0 {
@@ -140,7 +140,7 @@
 		t.mu.Lock()
 		t.rejected[u.ID]++
 		t.mu.Unlock()
-		return &Answer{Status: http.StatusServiceUnavailable, Header: http.Header{}, Framed: true, NotRun: true, Body: http.NoBody, Signals: s}, nil
+		return &Response{Status: http.StatusServiceUnavailable, Header: http.Header{}, Framed: true, NotRun: true, Body: http.NoBody, Signals: s}, nil
 	}
 	if fails {
 		time.Sleep(fakeCallTakes)
@@ -159,7 +159,7 @@
 }
 
 // answer is a good answer: a short body, or a stream that goes on from a copy.
-func (t signalTransport) answer(ctx context.Context, u Upstream, out *Outgoing) (*Answer, error) {
+func (t signalTransport) answer(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 	if u.Service != "llm" {
 		return t.fakeFleet.Send(ctx, u, out)
 	}
@@ -169,7 +169,7 @@
 	}
 	from := 0
 	if out.Continue != nil {
-		from, _ = strconv.Atoi(out.Continue.LastEvent)
+		from, _ = strconv.Atoi(out.Continue.LastEventID)
 	}
 	stopped := make(chan struct{})
 	t.mu.Lock()
@@ -181,7 +181,7 @@
 		_ = write.CloseWithError(t.writeEvents(ctx, run, from, stopped, write))
 	}()
 	a := answer(http.StatusOK, "")
-	a.Length, a.Body = -1, read
+	a.ContentLength, a.Body = -1, read
 	return a, nil
 }
 
@@ -208,25 +208,27 @@
 	return io.EOF
 }
 
-func (t signalTransport) Move(ctx context.Context, from Upstream, r MoveRequest) (Moved, error) {
+func (t signalTransport) Move(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
 	t.arrive(from.ID, signalArrival{host: t.host, own: true})
 	time.Sleep(20 * time.Millisecond)
 	s, _ := t.tells(from.ID, t.host)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if stopped := t.copied[r.ID]; r.Stop && stopped != nil {
+	if stopped := t.copied[r.ID]; r.StopSource && stopped != nil {
 		close(stopped)
 		delete(t.copied, r.ID)
 	}
-	return Moved{Handle: "h" + string(r.ID), Signals: Signals{Leaving: s.Leaving}}, ctx.Err()
+	return MoveResult{Handle: "h" + string(r.ID), Signals: Signals{Leaving: s.Leaving}}, ctx.Err()
 }
 
 func (t signalTransport) Health(_ context.Context, u Upstream, _ string) (Health, error) {
 	t.arrive(u.ID, signalArrival{host: t.host, own: true})
-	return Health{Well: true}, nil
+	return Health{Healthy: true}, nil
 }
 
-func (t signalTransport) Reach(_ context.Context, u Upstream) error { return t.fakeFleet.Reach(u) }
+func (t signalTransport) CheckReachable(_ context.Context, u Upstream) error {
+	return t.fakeFleet.Reach(u)
+}
 
 func (t signalTransport) Discard(_ context.Context, u Upstream, _ string) (Signals, error) {
 	t.arrive(u.ID, signalArrival{host: t.host, own: true})
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -47,7 +47,7 @@
 // answer. sent is when its request was.
 func (f *Forwarder) takeSignals(sent time.Time, u Upstream, to answerKind, s Signals) {
 	now := f.now()
-	if known, found := f.fleet.Upstream(u.ID); found && u.Life != 0 && known.Life != u.Life {
+	if known, found := f.fleet.Upstream(u.ID); found && u.Incarnation != 0 && known.Incarnation != u.Incarnation {
 		// Of the life before.
 		return
 	}
@@ -57,14 +57,14 @@
 	}
 	if s.Leaving {
 		f.observer.Signal(SignalLeaving)
-		if f.fleet.SaidLeaving(now, u.ID, u.Life, true) {
-			f.journal.HostEvent("upstream says that it leaves", "upstream", u.ID, "life", u.Life, "answer_to", to, "asked_ago", now.Sub(sent))
+		if f.fleet.SaidLeaving(now, u.ID, u.Incarnation, true) {
+			f.journal.HostEvent("upstream says that it leaves", "upstream", u.ID, "life", u.Incarnation, "answer_to", to, "asked_ago", now.Sub(sent))
 			f.peers.notifyAll()
 		}
 	}
 	if s.RetryAfter > 0 {
 		f.observer.Signal(SignalBackoff)
-		if f.takeBackoff(now, u, s.RetryAfter) {
+		if f.recordBackoff(now, u, s.RetryAfter) {
 			f.noteSignal(now, u, "upstream asks for backoff", "answer_to", to, "for", s.RetryAfter, "asked_ago", now.Sub(sent))
 		}
 	}
@@ -80,6 +80,6 @@
 // noteSignal writes a line about an upstream's signal, unless there was one just now.
 func (f *Forwarder) noteSignal(now time.Time, u Upstream, event string, keyvals ...any) {
 	if f.signalLogLimiter.allow(now, u.ID) {
-		f.journal.HostEvent(event, append([]any{"upstream", u.ID, "life", u.Life}, keyvals...)...)
+		f.journal.HostEvent(event, append([]any{"upstream", u.ID, "life", u.Incarnation}, keyvals...)...)
 	}
 }
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -22,10 +22,10 @@
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	old, _ := f.fleet.Upstream("app1")
-	old.Life, old.Revision = 1, rev(2)
+	old.Incarnation, old.Revision = 1, rev(2)
 	f.fleet.Apply(time.Now(), []Change{{Upstream: old}}, rev(2))
 	next := old
-	next.Life, next.Revision = 2, rev(3)
+	next.Incarnation, next.Revision = 2, rev(3)
 	f.fleet.Apply(time.Now(), []Change{{Upstream: next}}, rev(3))
 	f.takeSignals(time.Now(), old, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, Own: true})
 	u, _ := f.fleet.Upstream("app1")
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -97,26 +97,26 @@
 
 // since returns what was published after a revision, and a channel that closes when
 // there is more.
-func (o *siteOrigin) since(after history.Point) (News, <-chan struct{}) {
+func (o *siteOrigin) since(after history.Point) (OriginUpdate, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	news := News{At: history.Latest(originAt, o.configAt)}
+	news := OriginUpdate{Revision: history.Latest(originAt, o.configAt)}
 	if c := o.config; o.configAt.After(after) {
 		news.Config = &c
 	}
 	for _, c := range o.news {
-		news.At = history.Latest(news.At, c.Revision)
+		news.Revision = history.Latest(news.Revision, c.Revision)
 		if c.Revision.After(after) {
 			news.Changes = append(news.Changes, c)
 		}
 	}
 	for _, order := range o.orders {
-		news.At = history.Latest(news.At, order.Revision)
+		news.Revision = history.Latest(news.Revision, order.Revision)
 		if order.Revision.After(after) {
-			news.Zones = append(news.Zones, order)
+			news.ZoneOrders = append(news.ZoneOrders, order)
 		}
 	}
-	news.At = history.Latest(news.At, o.rolloutsAt)
+	news.Revision = history.Latest(news.Revision, o.rolloutsAt)
 	for _, s := range o.rollouts {
 		if s.Given.After(after) {
 			news.Rollouts = append(news.Rollouts, s)
@@ -133,16 +133,16 @@
 	return news, o.published
 }
 
-func (o *siteOrigin) Read(context.Context, history.Era) (News, error) {
+func (o *siteOrigin) Read(context.Context, history.Era) (OriginUpdate, error) {
 	o.reads.Add(1)
 	if o.lost.Load() {
-		return News{}, errGone
+		return OriginUpdate{}, errGone
 	}
 	news, _ := o.since(history.Point{})
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	config := o.config
-	whole := News{Config: &config, At: news.At, Rollouts: news.Rollouts, RolloutRecords: news.RolloutRecords, Crashes: slices.Collect(maps.Values(o.kept))}
+	whole := OriginUpdate{Config: &config, Revision: news.Revision, Rollouts: news.Rollouts, RolloutRecords: news.RolloutRecords, HeldRequests: slices.Collect(maps.Values(o.kept))}
 	for _, zone := range []member.Zone{"z1", "z2", "z3"} {
 		var newest ZoneOrder
 		for _, order := range o.orders {
@@ -150,8 +150,8 @@
 				newest = order
 			}
 		}
-		if newest.Out {
-			whole.Zones = append(whole.Zones, newest)
+		if newest.OutOfService {
+			whole.ZoneOrders = append(whole.ZoneOrders, newest)
 		}
 	}
 	listed := map[member.UpstreamID]int{}
@@ -170,10 +170,10 @@
 	return whole, nil
 }
 
-func (o *siteOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (News, error) {
+func (o *siteOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
 	o.watches.Add(1)
 	news, more := o.since(after)
-	if len(news.Changes) == 0 && len(news.Zones) == 0 && news.Config == nil && len(news.Rollouts)+len(news.RolloutRecords) == 0 {
+	if len(news.Changes) == 0 && len(news.ZoneOrders) == 0 && news.Config == nil && len(news.Rollouts)+len(news.RolloutRecords) == 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -184,9 +184,9 @@
 		}
 	}
 	if o.lost.Load() {
-		return News{}, errGone
+		return OriginUpdate{}, errGone
 	}
-	news.At = history.Latest(news.At, after)
+	news.Revision = history.Latest(news.Revision, after)
 	return news, nil
 }
 
@@ -349,11 +349,11 @@
 	return reply, s.transfer(ctx, s.self)
 }
 
-func (s sitePort) Ask(ctx context.Context, to Peer, a PlaceAsk) (PlaceGrant, error) {
+func (s sitePort) Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error) {
 	if f := s.reached(ctx, s.address, to); f != nil {
 		return f.OnAsk(a), nil
 	}
-	return PlaceGrant{}, errGone
+	return PlacementGrant{}, errGone
 }
 
 func (s sitePort) Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
@@ -386,7 +386,7 @@
 // newSite returns zones of some hosts each, none of them started.
 func newSite(zones, hostsPerZone int, first bool) *site {
 	s := &site{
-		origin: &siteOrigin{config: testConfig(1), list: []Upstream{up("llm1", 3, false), up("llm2", 10, false)}},
+		origin: &siteOrigin{config: testConfig(1), list: []Upstream{llmUpstream("llm1", 3, false), llmUpstream("llm2", 10, false)}},
 		hosts:  map[string]*Forwarder{}, gone: map[string]bool{}, frozen: map[string]bool{}, cut: map[string]bool{}, links: map[member.HostID]time.Time{}, entries: map[member.HostID]*atomic.Int32{},
 	}
 	address := func(zone, host int) string { return fmt.Sprintf("10.%d.0.%d:1", zone, host) }
@@ -419,7 +419,7 @@
 // hostOrigin is the origin as one host reaches it.
 type hostOrigin interface {
 	Origin
-	Keeper
+	QuarantineStore
 }
 
 // startBy runs a host's duties, by the origin as it reaches that.
@@ -427,5 +427,5 @@
 	go f.RunPeers(ctx, sitePort{s, f.settings.Self.ID, f.settings.Self.PeerAddress})
 	go f.Follow(ctx, o)
 	go f.RunDirectory(ctx, siteDirectory{s.entries[f.settings.Self.ID]})
-	go f.RunKeeper(ctx, o)
+	go f.RunQuarantineSaver(ctx, o)
 }
--- a/forward/slowreaders_test.go
+++ b/forward/slowreaders_test.go
@@ -52,7 +52,7 @@
 
 const unreadTimeout = 3 * time.Second
 
-func (e *unreadTimeoutEngines) send(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+func (e *unreadTimeoutEngines) send(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 	read, write := io.Pipe()
 	go func() {
 		for n := range e.eventCount {
@@ -70,7 +70,7 @@
 		_ = write.Close()
 	}()
 	a := answer(http.StatusOK, "")
-	a.Length, a.Body = -1, read
+	a.ContentLength, a.Body = -1, read
 	context.AfterFunc(ctx, func() { _ = read.Close() })
 	return a, nil
 }
@@ -102,7 +102,7 @@
 				serve := func(n int, sink Sink) {
 					requests.Go(func() {
 						call := call("/llm/")
-						call.ID, call.Patience = RequestID(fmt.Sprint("r", n)), time.Hour
+						call.ID, call.CallerTimeout = RequestID(fmt.Sprint("r", n)), time.Hour
 						f.Serve(t.Context(), call, sink)
 					})
 				}
@@ -166,7 +166,7 @@
 		is.True(sink.cut)
 		is.True(time.Since(start) < 10*time.Second)
 		time.Sleep(time.Second)
-		is.Equal(f.engines.beside("llm", "llm1", "")+f.engines.beside("llm", "llm2", "")+f.engines.beside("llm", "llm3", ""), 0)
+		is.Equal(f.engines.otherRuns("llm", "llm1", "")+f.engines.otherRuns("llm", "llm2", "")+f.engines.otherRuns("llm", "llm3", ""), 0)
 	})
 }
 
@@ -176,7 +176,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		body := strings.Repeat("x", 600<<10)
-		f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+		f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 			return answer(http.StatusOK, body), nil
 		}})
 		f.answerBudget.Most = 2 << 20
@@ -206,7 +206,7 @@
 // slowWholeSink takes whole answers as slowly as parts.
 type slowWholeSink struct{ *slowSink }
 
-func (s slowWholeSink) Whole(a *Answer, body []byte) error {
+func (s slowWholeSink) SendResponse(a *Response, body []byte) error {
 	time.Sleep(s.pause)
-	return s.fakeSink.Whole(a, body)
+	return s.fakeSink.SendResponse(a, body)
 }
--- a/forward/stopping.go
+++ b/forward/stopping.go
@@ -37,7 +37,7 @@
 		f.journal.HostEvent("stopping", "running", running)
 	}
 	f.stopping = true
-	f.peers.stop()
+	f.peers.markStopping()
 	// Without a deadline stopBy is zero, and no stream surely ends before it.
 	f.stopDeadline = time.Time{}
 	if by, set := ctx.Deadline(); set {
@@ -159,14 +159,14 @@
 // will.
 func (x *exchange) streamEnds(now, since, by time.Time) bool {
 	p := x.call.Prompt
-	out := p.MostOut
-	if p.LikelyOut > 0 && now.Sub(since) <= guessFor && (out <= 0 || p.LikelyOut < out) {
-		out = p.LikelyOut
+	out := p.MaxOutputTokens
+	if p.ExpectedOutputTokens > 0 && now.Sub(since) <= guessFor && (out <= 0 || p.ExpectedOutputTokens < out) {
+		out = p.ExpectedOutputTokens
 	}
 	if out <= 0 {
 		return false
 	}
-	takes := x.engines.takes(x.service.Name, p.Tokens, out)
+	takes := x.engines.expectedDuration(x.service.Name, p.Tokens, out)
 	return now.Add(stopTimes*takes + stopMargin).Before(by)
 }
 
@@ -192,7 +192,7 @@
 // once if its zone has another host, else when it won't meet this one again.
 // Callers that come back at once to a zone's only host use up their returns there.
 func (x *exchange) retryStopping(now time.Time) time.Duration {
-	if x.peers.zoneHasOther(now) {
+	if x.peers.hasPeerInZone(now) {
 		return retryElsewhere
 	}
 	return max(x.stopBegan().Add(stopNoticed).Sub(now), retryElsewhere) + rand.N(stopSpread)
--- a/forward/stopping_test.go
+++ b/forward/stopping_test.go
@@ -56,7 +56,7 @@
 		} {
 			time.Sleep(time.Until(began.Add(100*time.Millisecond + c.since)))
 			call, sink := call("/llm/"), &fakeSink{}
-			call.Prompt.LikelyOut, call.Prompt.MostOut, call.Prompt.Tokens = c.likely, c.most, 1000
+			call.Prompt.ExpectedOutputTokens, call.Prompt.MaxOutputTokens, call.Prompt.Tokens = c.likely, c.most, 1000
 			f.Serve(t.Context(), call, sink)
 			is.Equal(sink.refused != nil && sink.refused.Code == CodeStopping, c.refuses)
 		}
@@ -89,7 +89,7 @@
 				f.Stop(ctx)
 				time.Sleep(c.after)
 				for _, s := range c.peers {
-					f.peers.receive(time.Now(), s)
+					f.peers.recordShare(time.Now(), s)
 				}
 				told := map[time.Duration]bool{}
 				for range 20 {
@@ -123,7 +123,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+				f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 					return answer(200, "ok"), nil
 				}})
 				ctx, cancel := context.WithTimeout(t.Context(), 7*time.Second)
@@ -132,7 +132,7 @@
 				time.Sleep(c.after)
 				for _, path := range []string{"/order/", "/status/"} {
 					request, sink := call(path), &fakeSink{}
-					request.Patience = c.patience
+					request.CallerTimeout = c.patience
 					f.Serve(t.Context(), request, sink)
 					is.Equal(sink.refused != nil, c.refused)
 					is.True(!c.refused || *sink.refused == Refusal{Code: CodeStopping, RetryAfter: sink.refused.RetryAfter})
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -76,21 +76,21 @@
 func (x *exchange) serveStream(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s := &streamExchange{exchange: x, lastEventID: x.call.LastEvent, cancel: cancel}
+	s := &streamExchange{exchange: x, lastEventID: x.call.LastEventID, cancel: cancel}
 	defer s.closeSpool(ctx)
-	x.retries.first(x.now(), x.service.Name)
+	x.retries.countRequest(x.now(), x.service.Name)
 	var last Refusal
-	for dials := 0; dials < maxStreamDials && (dials < mostDials || s.mayDial(x.now())); dials++ {
+	for dials := 0; dials < maxStreamDials && (dials < maxConnectAttempts || s.mayDial(x.now())); dials++ {
 		u, refusal, ok := s.place(ctx)
 		if !ok {
-			s.refuse(s.markMayHaveRun(refusal), "service", x.service.Name, "avoided", len(s.excluded), "kept_back", x.keptCount(x.now()))
+			s.refuse(s.markMayHaveRun(refusal), "service", x.service.Name, "avoided", len(s.excluded), "kept_back", x.throttledCount(x.now()))
 			return
 		}
 		s.initialEngine, s.initialSentAt = u, s.now()
 		stopWatch := s.watchFirstEvent(u.ID)
 		answer, err := s.sendFirst(ctx, u)
 		stopWatch()
-		if err == nil && !answer.NotRun && !answer.OtherInstance {
+		if err == nil && !answer.NotRun && !answer.WrongInstance {
 			s.relayAnswer(ctx, u, answer)
 			return
 		}
@@ -139,13 +139,13 @@
 	if u.Zone == s.engines.zone {
 		return
 	}
-	for _, other := range s.takers(now) {
+	for _, other := range s.acceptingUpstreams(now) {
 		if other.Zone == u.Zone && other.ID != u.ID {
 			s.excluded = append(s.excluded, other.ID)
 		}
 	}
-	s.fleet.ZoneUnreachable(now, s.service.Name, u.Zone)
-	s.peers.notify()
+	s.fleet.MarkZoneUnreachable(now, s.service.Name, u.Zone)
+	s.peers.notifyOwnCell()
 }
 
 // hasUntriedEngine reports whether an engine is left to try. Once all are excluded, it reduces
@@ -155,7 +155,7 @@
 	if len(s.excluded) == 0 {
 		return true
 	}
-	takers := s.takers(now)
+	takers := s.acceptingUpstreams(now)
 	anyBesides := func(tried []member.UpstreamID) bool {
 		return slices.ContainsFunc(takers, func(u Upstream) bool { return !slices.Contains(tried, u.ID) })
 	}
@@ -173,24 +173,24 @@
 		s.versions.set(s.rollouts.Repeat(s.service.Name))
 	}
 	if !s.hasUntriedEngine(now) {
-		takers := s.takers(now)
-		return Upstream{}, s.noUpstream(now, takers, s.soonest(now, takers, nil)), false
+		takers := s.acceptingUpstreams(now)
+		return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 	}
 	if s.backoffs.Any() {
 		candidates := s.Forwarder.candidates(now, s.service.Name)
-		if takers := s.takers(now); len(takers) > 0 && len(candidates) == 0 {
-			return Upstream{}, s.noUpstream(now, takers, s.soonest(now, takers, nil)), false
+		if takers := s.acceptingUpstreams(now); len(takers) > 0 && len(candidates) == 0 {
+			return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 		}
 		// An engine whose backoff has just ended is missing from the list until the next refresh.
 		layout, own := s.peers.cellLayout()
-		s.engines.list(now, s.service.Name, s.placementEngines(now, s.service.Name, layout, own))
+		s.engines.setAvailable(now, s.service.Name, s.placementEngines(now, s.service.Name, layout, own))
 	}
 	p := s.call.Prompt
 	r := policy.Request{
 		Run: s.runID(), Route: policyRoute(s.route), Account: s.account.Name,
 		// A more urgent request has a lower urgency, but a higher priority in the policy.
-		Priority: int(MostPatient - s.urgency),
-		Prompt:   max(p.Tokens, 1), Limit: p.MostOut, Prefix: p.Prefix, PrefixTokens: p.PrefixTokens,
+		Priority: int(LeastUrgent - s.urgency),
+		Prompt:   max(p.Tokens, 1), Limit: p.MaxOutputTokens, Prefix: p.PrefixHash, PrefixTokens: p.PrefixTokens,
 		Bytes: len(s.call.Body), Objective: s.route.Objective, AvoidAlso: s.excluded, Zones: s.zones,
 		OnlyGroup: string(s.versions.get().Only), ButGroup: string(s.versions.get().But),
 		Arrived: s.call.Arrived, Deadline: s.call.Arrived.Add(s.route.Objective),
@@ -198,20 +198,20 @@
 	if s.service.Engine == nil {
 		return s.placePlain(ctx)
 	}
-	u, run, refusal, ok := s.placeBounded(ctx, now, r)
+	u, run, refusal, ok := s.placeWithPermit(ctx, now, r)
 	if !ok {
 		return u, refusal, false
 	}
 	s.run = run.ownRun
 	d := run.decision
-	s.tellRuns(u)
-	s.journal.Request(s.call.ID, "placed", "upstream", u.ID, "waited", d.Waited, "first_foreseen", d.FirstAfter, "memory_foreseen", d.Memory, "runs", d.Batch, "zone", u.Zone, "skipped", s.skippedUpstreams, "prompt", p.Tokens, "limit", p.MostOut, "hint", p.LikelyOut, "list_revision", s.fleet.Revision(), "contact_age", s.ContactAge(now))
+	s.shareRunChange(u)
+	s.journal.Request(s.call.ID, "placed", "upstream", u.ID, "waited", d.Waited, "first_foreseen", d.FirstAfter, "memory_foreseen", d.Memory, "runs", d.Batch, "zone", u.Zone, "skipped", s.skippedUpstreams, "prompt", p.Tokens, "limit", p.MaxOutputTokens, "hint", p.ExpectedOutputTokens, "list_revision", s.fleet.Revision(), "contact_age", s.ContactAge(now))
 	return u, Refusal{}, true
 }
 
 // placePlain picks an upstream for a stream whose service isn't run by engines.
 func (s *streamExchange) placePlain(ctx context.Context) (Upstream, Refusal, bool) {
-	u, none, found := s.choosePlain(ctx, s.excluded, s.attempts > 0)
+	u, none, found := s.selectUpstream(ctx, s.excluded, s.attempts > 0)
 	if !found {
 		return u, none, false
 	}
@@ -229,7 +229,7 @@
 	case endQuarantined:
 		return heldRefusal
 	}
-	wait := min(max(d.RetryAfter, retryLeast), retryMost)
+	wait := min(max(d.RetryAfter, minRetryAfter), maxRetryAfter)
 	if d.Reason == policy.ReasonNoEngine {
 		return Refusal{Code: CodeNoUpstream, RetryAfter: wait}
 	}
@@ -246,7 +246,7 @@
 	}
 	s.engines.finish(s.now(), s.service.Name, s.run, whole)
 	if u, known := s.fleet.Upstream(s.run.engine); known {
-		s.tellRuns(u)
+		s.shareRunChange(u)
 	}
 	s.run = nil
 }
@@ -258,25 +258,25 @@
 const runUrgency = DefaultUrgency
 
 // send sends the request to an engine. c says where to continue; nil starts a new run.
-func (s *streamExchange) send(ctx context.Context, u Upstream, c *Continuation) (*Answer, error) {
-	out := &Outgoing{Call: s.call, Account: s.account.Name, Left: s.timeLeft(s.now()), Urgency: runUrgency, Continue: c}
+func (s *streamExchange) send(ctx context.Context, u Upstream, c *Continuation) (*Response, error) {
+	out := &UpstreamRequest{Call: s.call, Account: s.account.Name, TimeLeft: s.timeLeft(s.now()), Urgency: runUrgency, Continue: c}
 	return s.sendTo(ctx, u, out)
 }
 
 // classifyFailure returns the refusal for a send that brought no stream, closes its answer and
 // records the failure of the upstream.
-func (s *streamExchange) classifyFailure(ctx context.Context, u Upstream, a *Answer, err error) Refusal {
+func (s *streamExchange) classifyFailure(ctx context.Context, u Upstream, a *Response, err error) Refusal {
 	now := s.now()
-	s.journal.Request(s.call.ID, "try failed", "upstream", u.ID, "status", status(a), "err", err)
+	s.journal.Request(s.call.ID, "try failed", "upstream", u.ID, "status", statusOf(a), "err", err)
 	if a != nil {
 		closeBody(a)
 	}
-	kept, isKept := keptBackBy(err)
+	kept, isKept := notSentVerdict(err)
 	switch {
 	case isKept && kept.Reason == eligibility.Quarantined:
 		return heldRefusal
 	case isKept && ctx.Err() == nil:
-		return s.noUpstream(now, s.takers(now), kept.Wait)
+		return s.noUpstream(now, s.acceptingUpstreams(now), kept.Wait)
 	case errors.Is(err, ErrNotSent) && ctx.Err() == nil:
 		s.fleet.Suspect(now, u.ID)
 		s.excludeUnreachable(now, u)
@@ -290,10 +290,10 @@
 		// runs make progress.
 		return Refusal{Code: CodeLost, MayHaveRun: true}
 	case err != nil:
-		s.failed(now, u.ID, "it lost a request")
-		s.noteBroken(ctx, now, u, time.Time{}, err)
+		s.recordEngineFailure(now, u.ID, "it lost a request")
+		s.recordBrokenConnection(ctx, now, u, time.Time{}, err)
 		return Refusal{Code: CodeLost, MayHaveRun: true}
-	case a.OtherInstance:
+	case a.WrongInstance:
 		s.fleet.MarkLeaving(now, u.ID, 0, true)
 		s.failedDials = append(s.failedDials, u.ID)
 		s.excluded = append(s.excluded, u.ID)
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -39,9 +39,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+			transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 				a := answer(200, "")
-				a.Length, a.Body = -1, io.NopCloser(c.body)
+				a.ContentLength, a.Body = -1, io.NopCloser(c.body)
 				return a, nil
 			}}
 			f, sink := newForwarder(t, transport), &fakeSink{}
@@ -63,7 +63,7 @@
 	notRun := answer(503, "")
 	notRun.NotRun = true
 	for name, c := range map[string]struct {
-		first *Answer
+		first *Response
 		err   error
 		sent  int
 		want  *Refusal
@@ -76,7 +76,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			n := 0
-			transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+			transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 				n++
 				if n == 1 {
 					return c.first, c.err
@@ -95,7 +95,7 @@
 // run.
 func TestStreamRejectedEverywhere(t *testing.T) {
 	is := is.New(t)
-	transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+	transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		a := answer(503, "")
 		a.NotRun = true
 		return a, nil
@@ -123,7 +123,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			transport := &fakeTransport{send: func(_ context.Context, u Upstream, _ *Outgoing) (*Answer, error) {
+			transport := &fakeTransport{send: func(_ context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 				if u.ID != c.alive {
 					return nil, ErrNotSent
 				}
@@ -159,7 +159,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		read, write := io.Pipe()
-		transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+		transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 			a := answer(200, "")
 			a.Body = read
 			return a, nil
@@ -197,16 +197,16 @@
 
 func sseEvent(n int) string { return fmt.Sprintf("id: %d\ndata: t\n\n", n) }
 
-func (e *engineScript) send(ctx context.Context, u Upstream, r *Outgoing) (*Answer, error) {
+func (e *engineScript) send(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error) {
 	if c := r.Continue; c != nil {
 		if e.refusesContinuation[u.ID] {
 			a := answer(503, "")
 			a.NotRun = true
 			return a, nil
 		}
-		e.lastEventID, e.continuedFrom = c.LastEvent, c.Source+"/"+c.Handle
+		e.lastEventID, e.continuedFrom = c.LastEventID, c.Source+"/"+c.Handle
 		var lastMade int
-		_, _ = fmt.Sscan(c.LastEvent, &lastMade)
+		_, _ = fmt.Sscan(c.LastEventID, &lastMade)
 		var rest strings.Builder
 		for i := lastMade + 1; i <= e.eventCount; i++ {
 			rest.WriteString(sseEvent(i))
@@ -231,21 +231,21 @@
 	return a, nil
 }
 
-func (e *engineScript) move(_ context.Context, _ Upstream, r MoveRequest) (Moved, error) {
-	if !r.Stop {
+func (e *engineScript) move(_ context.Context, _ Upstream, r MoveRequest) (MoveResult, error) {
+	if !r.StopSource {
 		time.Sleep(e.copyTime)
-		return Moved{Handle: "h"}, nil
+		return MoveResult{Handle: "h"}, nil
 	}
-	if errors.Is(e.moveErr, ErrNoRun) {
-		return Moved{}, e.moveErr
+	if errors.Is(e.moveErr, ErrRunNotFound) {
+		return MoveResult{}, e.moveErr
 	}
 	if e.refusedStops > 0 {
 		e.refusedStops--
-		return Moved{}, ErrNoRoom
+		return MoveResult{}, ErrTargetUnavailable
 	}
 	close(e.stopped)
 	time.Sleep(2 * time.Millisecond)
-	return Moved{Handle: e.handle}, e.moveErr
+	return MoveResult{Handle: e.handle}, e.moveErr
 }
 
 // TestMove checks that when its engine leaves, a stream continues at another engine with each
@@ -266,20 +266,20 @@
 		upstreams int
 	}{
 		"moved":                      {engineScript{eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond}, false, true, 2},
-		"ends during the first copy": {engineScript{eventCount: 8, handle: "h", copyTime: 200 * time.Millisecond, moveErr: ErrNoRun}, false, false, 1},
+		"ends during the first copy": {engineScript{eventCount: 8, handle: "h", copyTime: 200 * time.Millisecond, moveErr: ErrRunNotFound}, false, false, 1},
 		"target refuses, source goes on": {engineScript{
 			eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond,
 			refusesContinuation: map[member.UpstreamID]bool{"llm2": true, "llm3": true},
 		}, false, true, 3},
 		"no room for the last part, source goes on": {engineScript{
-			eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond, moveErr: ErrNoRoom,
+			eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond, moveErr: ErrTargetUnavailable,
 			refusesContinuation: map[member.UpstreamID]bool{"llm2": true, "llm3": true},
 		}, false, true, 2},
 		"target gone before the last part": {engineScript{
 			eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond, refusedStops: 1,
 		}, false, true, 2},
 		"stop unanswered, run stopped": {engineScript{
-			eventCount: 60, copyTime: 200 * time.Millisecond, moveErr: ErrMoveLost,
+			eventCount: 60, copyTime: 200 * time.Millisecond, moveErr: ErrNoMoveReply,
 		}, false, true, 2},
 		"everybody refuses": {engineScript{
 			eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond,
@@ -322,10 +322,10 @@
 		is := is.New(t)
 		e := engineScript{eventCount: 14, stopped: make(chan struct{})}
 		transport := &fakeTransport{send: e.send}
-		transport.move = func(_ context.Context, _ Upstream, r MoveRequest) (Moved, error) {
+		transport.move = func(_ context.Context, _ Upstream, r MoveRequest) (MoveResult, error) {
 			time.Sleep(100 * time.Millisecond)
 			// The run ends by itself just before it is stopped.
-			return Moved{Handle: "h"}, nil
+			return MoveResult{Handle: "h"}, nil
 		}
 		f, sink := newForwarder(t, transport), &fakeSink{}
 		f.fleet.Suspect(time.Now(), "llm2")
@@ -345,7 +345,7 @@
 
 // upstreamsWithLeaving lists a forwarder's upstreams, some of them marked as leaving.
 func upstreamsWithLeaving(f *Forwarder, ids ...member.UpstreamID) []Upstream {
-	changes, _, _ := f.fleet.Since(rev(0))
+	changes, _, _ := f.fleet.ChangesSince(rev(0))
 	var list []Upstream
 	for _, c := range changes {
 		for _, id := range ids {
@@ -396,7 +396,7 @@
 func TestRunsSentWithDefaultUrgency(t *testing.T) {
 	is := is.New(t)
 	var urgencies []Urgency
-	transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
+	transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
 		urgencies = append(urgencies, r.Urgency)
 		return answer(http.StatusOK, "id: 1\ndata: a\n\n"), nil
 	}}
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -26,8 +26,8 @@
 // for long, sends to engines that have left, and holds requests that its callers have
 // given up.
 
-// onSuspendable plays a test on a host whose machine can be suspended.
-func onSuspendable(t *testing.T, transport Transport, play func(is *is.I, f *Forwarder, s *clocktest.Machine)) {
+// withSuspendableHost plays a test on a host whose machine can be suspended.
+func withSuspendableHost(t *testing.T, transport Transport, play func(is *is.I, f *Forwarder, s *clocktest.Machine)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := clocktest.NewMachine(t)
@@ -46,14 +46,14 @@
 			"list":               func(f *Forwarder) time.Duration { return f.OriginAge(f.now()) },
 			"followed":           func(f *Forwarder) time.Duration { return f.followedPeerAnsweredAt.age(f.now()) },
 			"list suspect":       func(f *Forwarder) time.Duration { return f.listSuspectedAt.age(f.now()) },
-			"told to peers":      func(f *Forwarder) time.Duration { return f.share(f.now()).ConfigAge },
+			"told to peers":      func(f *Forwarder) time.Duration { return f.newShare(f.now()).ConfigAge },
 			"told to followers":  func(f *Forwarder) time.Duration { return f.OnFollow(context.Background(), FollowRequest{}).OriginAge },
 			"told with a config": func(f *Forwarder) time.Duration { return f.OnConfig(0).Age },
 		} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
-				onSuspendable(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
-					f.followedPeerAnsweredAt.raise(f.now())
-					f.listSuspectedAt.raise(f.now())
+				withSuspendableHost(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
+					f.followedPeerAnsweredAt.advance(f.now())
+					f.listSuspectedAt.advance(f.now())
 					s.Suspend(slept)
 					is.Equal(age(f), slept)
 				})
@@ -71,10 +71,10 @@
 			code      Code
 		}{"route": {"/nowhere/", "k1", CodeNoRoute}, "key": {"/llm/", "k9", CodeBadKey}} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
-				onSuspendable(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
+				withSuspendableHost(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
 					s.Suspend(slept)
 					asked, sink := call(c.path), &fakeSink{}
-					asked.Key, asked.Arrived = c.key, f.now()
+					asked.APIKey, asked.Arrived = c.key, f.now()
 					f.Serve(context.Background(), asked, sink)
 					want := c.code
 					if slept > f.settings.MaxContactAge {
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestBeliefsAcrossSuspension has what a host believes for a time be over when that time
+// TestTimedStateAcrossSuspension has what a host believes for a time be over when that time
 // has really passed, and not before.
-func TestBeliefsAcrossSuspension(t *testing.T) {
+func TestTimedStateAcrossSuspension(t *testing.T) {
 	const engine = member.UpstreamID("llm1")
 	for _, slept := range clocktest.Durations {
 		for name, c := range map[string]struct {
@@ -98,31 +98,31 @@
 			lasts   time.Duration
 		}{
 			"an upstream fails": {
-				func(f *Forwarder) { f.fleet.Failed(f.now(), engine) },
-				func(f *Forwarder) bool { return f.fleet.Failing(f.now(), engine) }, failingFor,
+				func(f *Forwarder) { f.fleet.RecordFailure(f.now(), engine) },
+				func(f *Forwarder) bool { return f.fleet.IsFailing(f.now(), engine) }, initialFailingHold,
 			},
 			"an upstream is cold": {
 				func(f *Forwarder) { f.fleet.MarkCold(engine, f.now().Add(10*time.Second)) },
 				func(f *Forwarder) bool { return f.fleet.AnyCold(f.now()) }, 10 * time.Second,
 			},
 			"a peer of the zone is there": {
-				func(f *Forwarder) { f.receive(Share{From: Peer{ID: "h2", Zone: "z1"}}) },
-				func(f *Forwarder) bool { return f.peers.live(f.now()) == 2 }, peerSilent,
+				func(f *Forwarder) { f.receiveShare(Share{From: Peer{ID: "h2", Zone: "z1"}}) },
+				func(f *Forwarder) bool { return f.peers.liveHosts(f.now()) == 2 }, sameCellSilenceTimeout,
 			},
 			"a peer of another zone is there": {
-				func(f *Forwarder) { f.receive(Share{From: Peer{ID: "h2", Zone: "z2"}}) },
-				func(f *Forwarder) bool { return f.peers.live(f.now()) == 2 }, farSilent,
+				func(f *Forwarder) { f.receiveShare(Share{From: Peer{ID: "h2", Zone: "z2"}}) },
+				func(f *Forwarder) bool { return f.peers.liveHosts(f.now()) == 2 }, otherCellSilenceTimeout,
 			},
 			"the list is up to date": {
-				func(f *Forwarder) { f.originProvedAt.raise(f.now()) },
+				func(f *Forwarder) { f.originProvedAt.advance(f.now()) },
 				func(f *Forwarder) bool { return f.listKnown(f.now()) }, listLate,
 			},
 			"the budget is spent": {
 				func(f *Forwarder) {
-					for f.retries.take(f.now(), "app") {
+					for f.retries.takeRetry(f.now(), "app") {
 					}
 				},
-				func(f *Forwarder) bool { return !f.retries.take(f.now(), "app") }, 10 * time.Second,
+				func(f *Forwarder) bool { return !f.retries.takeRetry(f.now(), "app") }, 10 * time.Second,
 			},
 			"another host has the turn": {
 				func(f *Forwarder) { f.turns.try(f.now(), TurnRequest{Engine: engine, Run: "r9"}) },
@@ -157,7 +157,7 @@
 			},
 		} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
-				onSuspendable(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
+				withSuspendableHost(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
 					c.believe(f)
 					is.True(c.holds(f))
 					s.Suspend(slept)
@@ -168,10 +168,10 @@
 	}
 }
 
-// TestWordFromBeforeSuspension has a host that was suspended not take for new what a peer
+// TestMessagesFromBeforeSuspension has a host that was suspended not take for new what a peer
 // or the origin told before: an answer that came meanwhile, or a message that waited in
 // its sockets.
-func TestWordFromBeforeSuspension(t *testing.T) {
+func TestMessagesFromBeforeSuspension(t *testing.T) {
 	for _, slept := range clocktest.Durations {
 		for name, hear := range map[string]func(f *Forwarder, s *clocktest.Machine){
 			"a message that waited": func(f *Forwarder, s *clocktest.Machine) {
@@ -179,19 +179,19 @@
 				f.OnShare(Share{From: Peer{ID: "h2", Zone: "z1"}, Version: 1})
 			},
 			"an answer to a share": func(f *Forwarder, s *clocktest.Machine) {
-				f.shareWith(context.Background(), sleepyPeers{s: s, d: slept}, Peer{ID: "h2", Zone: "z1"}, Share{})
+				f.shareWith(context.Background(), suspendingPeers{machine: s, duration: slept}, Peer{ID: "h2", Zone: "z1"}, Share{})
 			},
 			"an answer of a leader": func(f *Forwarder, s *clocktest.Machine) {
-				f.peerTransport = sleepyPeers{s: s, d: slept}
-				f.followPeer(context.Background(), Peer{ID: "h2", Zone: "z1"}, followBounds{timeout: time.Second, fresh: time.Hour, inherit: true})
+				f.peerTransport = suspendingPeers{machine: s, duration: slept}
+				f.followPeer(context.Background(), Peer{ID: "h2", Zone: "z1"}, followBounds{timeout: time.Second, maxOriginAge: time.Hour, inheritProof: true})
 			},
 			"a watch of the origin": func(f *Forwarder, s *clocktest.Machine) {
-				w := &follower{Forwarder: f, from: sleepyOrigin{s: s, d: slept}, dep: dependency{name: "store", journal: f.journal, now: f.now}, began: f.now()}
+				w := &follower{Forwarder: f, origin: suspendingOrigin{machine: s, duration: slept}, originStatus: dependencyStatus{name: "store", journal: f.journal, now: f.now}, startedAt: f.now()}
 				w.followOrigin(context.Background())
 			},
 		} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
-				onSuspendable(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
+				withSuspendableHost(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
 					f.contactProvedAt.clear()
 					f.originProvedAt.clear()
 					hear(f, s)
@@ -203,61 +203,61 @@
 	}
 }
 
-// sleepyPeers answer at once, but the host that asked is suspended before it has read that.
-type sleepyPeers struct {
+// suspendingPeers answer at once, but the host that asked is suspended before it has read that.
+type suspendingPeers struct {
 	Peers
-	s *clocktest.Machine
-	d time.Duration
+	machine  *clocktest.Machine
+	duration time.Duration
 }
 
-func (p sleepyPeers) Share(context.Context, Peer, Share) (Share, error) {
-	p.s.Suspend(p.d)
+func (p suspendingPeers) Share(context.Context, Peer, Share) (Share, error) {
+	p.machine.Suspend(p.duration)
 	return Share{From: Peer{ID: "h2", Zone: "z1"}, Version: 1}, nil
 }
 
-func (p sleepyPeers) Follow(context.Context, Peer, FollowRequest) (FollowReply, error) {
-	p.s.Suspend(p.d)
-	return FollowReply{Version: 1, List: rev(1)}, nil
+func (p suspendingPeers) Follow(context.Context, Peer, FollowRequest) (FollowReply, error) {
+	p.machine.Suspend(p.duration)
+	return FollowReply{Version: 1, ListRevision: rev(1)}, nil
 }
 
-// sleepyOrigin answers a watch while the host is suspended.
-type sleepyOrigin struct {
+// suspendingOrigin answers a watch while the host is suspended.
+type suspendingOrigin struct {
 	Origin
-	s *clocktest.Machine
-	d time.Duration
+	machine  *clocktest.Machine
+	duration time.Duration
 }
 
-func (o sleepyOrigin) Watch(context.Context, history.Point, time.Duration) (News, error) {
-	o.s.Suspend(o.d)
-	return News{At: rev(1)}, nil
+func (o suspendingOrigin) Watch(context.Context, history.Point, time.Duration) (OriginUpdate, error) {
+	o.machine.Suspend(o.duration)
+	return OriginUpdate{Revision: rev(1)}, nil
 }
 
-// TestRequestThatWaitedMeanwhile has a request that is read just after the machine went on
+// TestRequestQueuedDuringSuspension has a request that is read just after the machine went on
 // be refused if its caller may have given it up while it waited, and else have only the
 // time that is left; one that comes later isn't minded.
-func TestRequestThatWaitedMeanwhile(t *testing.T) {
+func TestRequestQueuedDuringSuspension(t *testing.T) {
 	for _, slept := range clocktest.Durations {
 		for _, patience := range []time.Duration{600 * time.Millisecond, 3 * time.Second, 39 * time.Second} {
 			t.Run(fmt.Sprint(patience, " ", slept), func(t *testing.T) {
 				var left time.Duration
-				takes := func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
-					left = r.Left
+				takes := func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
+					left = r.TimeLeft
 					return answer(200, ""), nil
 				}
-				onSuspendable(t, &fakeTransport{send: takes}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
+				withSuspendableHost(t, &fakeTransport{send: takes}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
 					ctx, stop := context.WithCancel(context.Background())
 					defer stop()
 					go f.Run(ctx)
 					synctest.Wait()
 					s.Suspend(slept)
 					asked, sink := call("/llm/"), &fakeSink{}
-					asked.Arrived, asked.Patience = f.now(), patience
+					asked.Arrived, asked.CallerTimeout = f.now(), patience
 					f.Serve(context.Background(), asked, sink)
 					if patience <= slept {
 						is.Equal(*sink.refused, Refusal{Code: CodeLate, RetryAfter: retryElsewhere})
 					} else {
 						// Until the engines' state is brought up to date it may wait.
-						is.True(patience-slept-left <= refreshEvery && left <= patience-slept)
+						is.True(patience-slept-left <= poolRefreshInterval && left <= patience-slept)
 					}
 					time.Sleep(time.Second)
 					asked.Arrived = f.now()
@@ -275,11 +275,11 @@
 func TestRequestAcrossSuspension(t *testing.T) {
 	for _, slept := range clocktest.Durations {
 		t.Run(fmt.Sprint("ends in time ", slept), func(t *testing.T) {
-			silent := func(ctx context.Context, _ Upstream, _ *Outgoing) (*Answer, error) {
+			silent := func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 				<-ctx.Done()
 				return nil, context.Cause(ctx)
 			}
-			onSuspendable(t, &fakeTransport{send: silent}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
+			withSuspendableHost(t, &fakeTransport{send: silent}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
 				ctx, stop := context.WithCancel(context.Background())
 				go f.settings.Clock.Run(ctx)
 				asked, sink := call("/llm/"), &fakeSink{}
@@ -299,15 +299,15 @@
 		t.Run(fmt.Sprint("time left ", slept), func(t *testing.T) {
 			var left []time.Duration
 			var s *clocktest.Machine
-			lossy := func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
-				left = append(left, r.Left)
+			lossy := func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
+				left = append(left, r.TimeLeft)
 				if len(left) == 1 {
 					s.Suspend(slept)
 					return nil, ErrNotSent
 				}
 				return answer(200, ""), nil
 			}
-			onSuspendable(t, &fakeTransport{send: lossy}, func(is *is.I, f *Forwarder, susp *clocktest.Machine) {
+			withSuspendableHost(t, &fakeTransport{send: lossy}, func(is *is.I, f *Forwarder, susp *clocktest.Machine) {
 				s = susp
 				sink := &fakeSink{}
 				f.Serve(context.Background(), call("/llm/"), sink)
--- a/forward/turns.go
+++ b/forward/turns.go
@@ -189,11 +189,11 @@
 	defer p.mu.Unlock()
 	var near []Peer
 	of := p.layout.OfUpstream(u.ID, u.Zone)
-	if p.own == of {
+	if p.ownCell == of {
 		near = append(near, p.self)
 	}
 	for _, s := range p.known {
-		if s.of == of && s.live(now) {
+		if s.cell == of && s.live(now) {
 			near = append(near, s.Peer)
 		}
 	}
@@ -218,7 +218,7 @@
 		}
 		return func() { f.turns.end(f.now(), r.Engine, r.Run) }, nil
 	}
-	peers := f.port()
+	peers := f.loadPeerPort()
 	if peers == nil {
 		return nothing, errNoTurn
 	}
--- a/forward/turns_test.go
+++ b/forward/turns_test.go
@@ -49,7 +49,7 @@
 // turnPeers asks another host's line, which doesn't learn that a caller has left,
 // as over the network.
 type turnPeers struct {
-	followedPeers
+	fakeFollowedPeer
 	arbiter *Forwarder
 }
 
@@ -80,7 +80,7 @@
 		is := is.New(t)
 		f, arbiter := newForwarder(t, &fakeTransport{}), newForwarder(t, &fakeTransport{})
 		f.peerTransport = &turnPeers{arbiter: arbiter}
-		f.peers.receive(time.Now(), Share{From: Peer{ID: "h2", Zone: "z2", PeerAddress: "10.0.0.2:1"}})
+		f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h2", Zone: "z2", PeerAddress: "10.0.0.2:1"}})
 		at := Upstream{ID: "e", Zone: "z2"}
 		endFirst, err := f.takeTurn(t.Context(), at, TurnRequest{Engine: "e", Run: "first", Worth: 3})
 		is.NoErr(err)
--- a/forward/unserved.go
+++ b/forward/unserved.go
@@ -25,12 +25,12 @@
 		return Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter}
 	}
 	wait = max(wait, x.pickReturnTime(now, takers))
-	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, retryLeast), retryKeptMost) + rand.N(min(wait, retryKeptSpread)+1)}
+	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), retryKeptMost) + rand.N(min(wait, retryKeptSpread)+1)}
 	// Near its end every host may be alone with some upstream's.
 	alone := func(u Upstream) bool {
 		return x.backoffs.Alone(now, u.ID) && x.backoffs.Remaining(now, u.ID) > retryKeptSpread
 	}
-	if slices.ContainsFunc(takers, alone) && x.peers.zoneHasOther(now) {
+	if slices.ContainsFunc(takers, alone) && x.peers.hasPeerInZone(now) {
 		r.RetryAfter = retryElsewhere
 	}
 	return r
@@ -56,12 +56,12 @@
 
 // rejectedEverywhere refuses a request that upstreams rejected and that isn't sent on.
 func (x *exchange) rejectedEverywhere(now time.Time) Refusal {
-	takers := x.takers(now)
-	kept := len(x.keptFrom(now, takers))
+	takers := x.acceptingUpstreams(now)
+	kept := len(x.throttledAmong(now, takers))
 	r := Refusal{Code: CodeOverloaded, RetryAfter: defaultRetryAfter}
 	switch {
 	case kept > 0 && kept == len(takers):
-		r = x.noUpstream(now, takers, x.soonest(now, takers, nil))
+		r = x.noUpstream(now, takers, x.shortestWait(now, takers, nil))
 	case kept > 0:
 		// Others take requests, and a caller that comes back draws on no budget of ours.
 		r.RetryAfter = retryElsewhere
--- a/forward/zones.go
+++ b/forward/zones.go
@@ -16,10 +16,10 @@
 // are in service.
 type ZoneOrder struct {
 	Zone member.Zone
-	// Out says that they get nothing new until the order is taken back.
-	Out bool
-	// Unread says that there is an order that can't be read: nothing changes by it.
-	Unread bool
+	// OutOfService says that they get nothing new until the order is taken back.
+	OutOfService bool
+	// Unreadable says that there is an order that can't be read: nothing changes by it.
+	Unreadable bool
 	// Revision is where in the list's history the order was given, or was found to be taken
 	// back.
 	Revision history.Point
@@ -31,22 +31,22 @@
 // zoneState is the newest order about a zone that this host knows.
 type zoneState struct {
 	ZoneOrder
-	// heard is when this host heard of it.
-	heard time.Time
+	// learnedAt is when this host learnedAt of it.
+	learnedAt time.Time
 	// pending is what the copy says that the list was restored from, which is believed from its
 	// BelievedFrom on; nil for nothing else.
 	pending *ZoneOrder
 }
 
-// ApplyZones takes in orders that the list told, which are all that there were since
+// ApplyZoneOrders takes in orders that the list told, which are all that there were since
 // the revision that was known. It is to be called before Apply raises that. It returns
 // those that made a difference.
-func (f *Fleet) ApplyZones(now time.Time, orders []ZoneOrder) []ZoneOrder {
+func (f *Fleet) ApplyZoneOrders(now time.Time, orders []ZoneOrder) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var news []ZoneOrder
 	for _, o := range orders {
-		if f.order(now, o) {
+		if f.applyZoneOrder(now, o) {
 			news = append(news, o)
 		}
 	}
@@ -54,16 +54,16 @@
 	return news
 }
 
-// ReplaceZones takes in every order that the whole list has as of a revision: a zone
+// ReplaceZoneOrders takes in every order that the whole list has as of a revision: a zone
 // without one is back in service. It is to be called before Replace or TakeOver.
-func (f *Fleet) ReplaceZones(now time.Time, orders []ZoneOrder, at history.Point) []ZoneOrder {
+func (f *Fleet) ReplaceZoneOrders(now time.Time, orders []ZoneOrder, at history.Point) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var news []ZoneOrder
 	listed := make(map[member.Zone]bool, len(orders))
 	for _, o := range orders {
-		listed[o.Zone] = o.Out
-		if f.order(now, o) {
+		listed[o.Zone] = o.OutOfService
+		if f.applyZoneOrder(now, o) {
 			news = append(news, o)
 		}
 	}
@@ -71,13 +71,13 @@
 		back := ZoneOrder{Zone: zone, Revision: at}
 		switch {
 		case listed[zone]:
-		case !known.Out:
+		case !known.OutOfService:
 			if at.After(known.Revision) {
-				f.setZone(zoneState{ZoneOrder: back, heard: known.heard})
+				f.setZoneState(zoneState{ZoneOrder: back, learnedAt: known.learnedAt})
 			}
-		case ofEarlierEra(known.Revision, at):
-			f.deferOrder(back)
-		case f.order(now, back):
+		case isFromEarlierEra(known.Revision, at):
+			f.deferZoneOrder(back)
+		case f.applyZoneOrder(now, back):
 			news = append(news, back)
 		}
 	}
@@ -85,30 +85,30 @@
 	return news
 }
 
-// impliedOrders are a reply's orders, and that there is none for zones of which this host has heard
+// impliedZoneOrders are a reply's orders, and that there is none for zones of which this host has heard
 // in advance: an order that still held would be among them.
-func (f *Fleet) impliedOrders(r FollowReply) []ZoneOrder {
+func (f *Fleet) impliedZoneOrders(r FollowReply) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	orders := r.Zones
 	for zone, known := range f.zones {
 		told := slices.ContainsFunc(r.Zones, func(o ZoneOrder) bool { return o.Zone == zone })
-		if known.Out && !told && known.Revision.After(f.revision) && known.Revision.Before(r.List) {
-			orders = append(orders, ZoneOrder{Zone: zone, Revision: r.List})
+		if known.OutOfService && !told && known.Revision.After(f.revision) && known.Revision.Before(r.ListRevision) {
+			orders = append(orders, ZoneOrder{Zone: zone, Revision: r.ListRevision})
 		}
 	}
 	return orders
 }
 
-// ReceiveZones takes in what a peer says of its own accord, which may be older than what
+// ReceiveZoneOrders takes in what a peer says of its own accord, which may be older than what
 // this host has: orders up to the revision that is known here are known as they are.
-func (f *Fleet) ReceiveZones(now time.Time, orders []ZoneOrder) []ZoneOrder {
+func (f *Fleet) ReceiveZoneOrders(now time.Time, orders []ZoneOrder) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var news []ZoneOrder
 	for _, o := range orders {
 		onTrial := f.zones[o.Zone].pending != nil
-		if (o.Revision.After(f.revision) || onTrial) && f.order(now, o) {
+		if (o.Revision.After(f.revision) || onTrial) && f.applyZoneOrder(now, o) {
 			news = append(news, o)
 		}
 	}
@@ -116,50 +116,50 @@
 	return news
 }
 
-// order takes in one order, unless it is no newer than what is known of its zone.
-func (f *Fleet) order(now time.Time, o ZoneOrder) bool {
+// applyZoneOrder takes in one applyZoneOrder, unless it is no newer than what is known of its zone.
+func (f *Fleet) applyZoneOrder(now time.Time, o ZoneOrder) bool {
 	known, any := f.zones[o.Zone]
 	switch {
-	case o.Unread || o.Zone == "" || any && o.Revision == known.Revision:
+	case o.Unreadable || o.Zone == "" || any && o.Revision == known.Revision:
 		return false
 	case known.pending != nil && !o.Revision.After(known.pending.Revision):
 		return false
-	case !o.BelievedFrom.IsZero() && (!any || ofEarlierEra(known.Revision, o.Revision) && known.Out != o.Out):
-		was := known.Out
-		known.Zone, known.Out, known.pending = o.Zone, !o.Out, &o
-		f.setZone(known)
-		return was != known.Out
+	case !o.BelievedFrom.IsZero() && (!any || isFromEarlierEra(known.Revision, o.Revision) && known.OutOfService != o.OutOfService):
+		was := known.OutOfService
+		known.Zone, known.OutOfService, known.pending = o.Zone, !o.OutOfService, &o
+		f.setZoneState(known)
+		return was != known.OutOfService
 	case any && !f.restore.Supersedes(o.Revision, known.Revision):
 		switch {
-		case !ofEarlierEra(known.Revision, o.Revision):
-		case o.Out != known.Out:
-			f.deferOrder(o)
+		case !isFromEarlierEra(known.Revision, o.Revision):
+		case o.OutOfService != known.OutOfService:
+			f.deferZoneOrder(o)
 		default:
-			f.setZone(zoneState{ZoneOrder: o, heard: known.heard})
+			f.setZoneState(zoneState{ZoneOrder: o, learnedAt: known.learnedAt})
 		}
 		return false
 	}
 	o.BelievedFrom = time.Time{}
-	f.setZone(zoneState{ZoneOrder: o, heard: now})
-	return known.Out != o.Out
+	f.setZoneState(zoneState{ZoneOrder: o, learnedAt: now})
+	return known.OutOfService != o.OutOfService
 }
 
-func (f *Fleet) setZone(z zoneState) {
-	f.touch()
+func (f *Fleet) setZoneState(z zoneState) {
+	f.invalidate()
 	if f.zones == nil {
 		f.zones = map[member.Zone]zoneState{}
 	}
 	f.zones[z.Zone] = z
 }
 
-// ZonesSince returns the orders after a revision, or all of them, in the zones' order.
-func (f *Fleet) ZonesSince(after history.Point, whole bool) []ZoneOrder {
+// ZoneOrdersSince returns the orders after a revision, or all of them, in the zones' order.
+func (f *Fleet) ZoneOrdersSince(after history.Point, whole bool) []ZoneOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.zonesSince(after, whole)
+	return f.zoneOrdersSince(after, whole)
 }
 
-func (f *Fleet) zonesSince(after history.Point, whole bool) []ZoneOrder {
+func (f *Fleet) zoneOrdersSince(after history.Point, whole bool) []ZoneOrder {
 	var orders []ZoneOrder
 	for _, z := range f.zones {
 		o := z.ZoneOrder
@@ -184,14 +184,14 @@
 func (f *Fleet) InService(zone member.Zone) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.zones[zone].Out
+	return !f.zones[zone].OutOfService
 }
 
-// noteZones logs orders that made a difference.
-func (f *Forwarder) noteZones(news []ZoneOrder) {
+// logZoneChanges logs orders that made a difference.
+func (f *Forwarder) logZoneChanges(news []ZoneOrder) {
 	for _, o := range news {
 		event := "zone back in service"
-		if o.Out {
+		if o.OutOfService {
 			event = "zone out of service"
 		}
 		f.journal.HostEvent(event, "zone", o.Zone, "revision", o.Revision)
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -18,109 +18,109 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// upIn is an upstream of a zone.
-func upIn(id member.UpstreamID, zone member.Zone) Upstream {
-	u := up(id, 1, false)
+// upstreamInZone is an upstream of a zone.
+func upstreamInZone(id member.UpstreamID, zone member.Zone) Upstream {
+	u := llmUpstream(id, 1, false)
 	u.Zone = zone
 	return u
 }
 
-func out(zone member.Zone, at history.Revision) ZoneOrder {
-	return ZoneOrder{Zone: zone, Out: true, Revision: rev(at)}
+func outOfService(zone member.Zone, at history.Revision) ZoneOrder {
+	return ZoneOrder{Zone: zone, OutOfService: true, Revision: rev(at)}
 }
 
-func back(zone member.Zone, at history.Revision) ZoneOrder {
+func backInService(zone member.Zone, at history.Revision) ZoneOrder {
 	return ZoneOrder{Zone: zone, Revision: rev(at)}
 }
 
 // TestZoneOrders has orders taken in by their revision, from the list and from peers, in
 // whatever order they come.
 func TestZoneOrders(t *testing.T) {
-	unread := ZoneOrder{Zone: "a", Out: true, Unread: true, Revision: rev(30)}
+	unread := ZoneOrder{Zone: "a", OutOfService: true, Unreadable: true, Revision: rev(30)}
 	type step = func(f *Fleet, now time.Time)
 	apply := func(at history.Revision, orders ...ZoneOrder) step {
 		return func(f *Fleet, now time.Time) {
-			f.ApplyZones(now, orders)
+			f.ApplyZoneOrders(now, orders)
 			f.Apply(now, nil, rev(at))
 		}
 	}
 	read := func(at history.Revision, orders ...ZoneOrder) step {
 		return func(f *Fleet, now time.Time) {
-			f.ReplaceZones(now, orders, rev(at))
-			f.Replace(now, []Upstream{upIn("ua", "a"), upIn("ub", "b")}, rev(at))
+			f.ReplaceZoneOrders(now, orders, rev(at))
+			f.Replace(now, []Upstream{upstreamInZone("ua", "a"), upstreamInZone("ub", "b")}, rev(at))
 		}
 	}
 	hear := func(orders ...ZoneOrder) step {
-		return func(f *Fleet, now time.Time) { f.ReceiveZones(now, orders) }
+		return func(f *Fleet, now time.Time) { f.ReceiveZoneOrders(now, orders) }
 	}
 	for name, c := range map[string]struct {
 		steps []step
 		want  map[member.UpstreamID]bool
 	}{
-		"told":                                {[]step{apply(12, out("a", 12))}, map[member.UpstreamID]bool{"ub": true}},
-		"two zones":                           {[]step{apply(13, out("a", 12), out("b", 13))}, map[member.UpstreamID]bool{}},
-		"taken back":                          {[]step{apply(12, out("a", 12)), apply(13, back("a", 13))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
-		"given again":                         {[]step{apply(14, out("a", 12), back("a", 13), out("a", 14))}, map[member.UpstreamID]bool{"ub": true}},
-		"an older word after a newer":         {[]step{apply(14, back("a", 14)), apply(14, out("a", 12))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
-		"read":                                {[]step{read(20, out("a", 5))}, map[member.UpstreamID]bool{"ub": true}},
-		"gone from a reading":                 {[]step{apply(12, out("a", 12)), read(20)}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
-		"given while a reading went on":       {[]step{apply(12, out("a", 25)), read(20)}, map[member.UpstreamID]bool{"ub": true}},
-		"unreadable in a reading, was out":    {[]step{apply(12, out("a", 12)), read(20, unread)}, map[member.UpstreamID]bool{"ub": true}},
+		"told":                                {[]step{apply(12, outOfService("a", 12))}, map[member.UpstreamID]bool{"ub": true}},
+		"two zones":                           {[]step{apply(13, outOfService("a", 12), outOfService("b", 13))}, map[member.UpstreamID]bool{}},
+		"taken back":                          {[]step{apply(12, outOfService("a", 12)), apply(13, backInService("a", 13))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
+		"given again":                         {[]step{apply(14, outOfService("a", 12), backInService("a", 13), outOfService("a", 14))}, map[member.UpstreamID]bool{"ub": true}},
+		"an older word after a newer":         {[]step{apply(14, backInService("a", 14)), apply(14, outOfService("a", 12))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
+		"read":                                {[]step{read(20, outOfService("a", 5))}, map[member.UpstreamID]bool{"ub": true}},
+		"gone from a reading":                 {[]step{apply(12, outOfService("a", 12)), read(20)}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
+		"given while a reading went on":       {[]step{apply(12, outOfService("a", 25)), read(20)}, map[member.UpstreamID]bool{"ub": true}},
+		"unreadable in a reading, was out":    {[]step{apply(12, outOfService("a", 12)), read(20, unread)}, map[member.UpstreamID]bool{"ub": true}},
 		"unreadable in a reading, was in":     {[]step{read(20, unread)}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
 		"unreadable by a watch":               {[]step{apply(30, unread)}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
-		"heard before the list tells":         {[]step{hear(out("a", 12))}, map[member.UpstreamID]bool{"ub": true}},
-		"heard, then the list's reading":      {[]step{hear(out("a", 12)), read(11)}, map[member.UpstreamID]bool{"ub": true}},
-		"heard from one who is behind":        {[]step{read(20), hear(out("a", 12))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
-		"heard back from one who is behind":   {[]step{apply(20, out("a", 20)), hear(back("a", 15))}, map[member.UpstreamID]bool{"ub": true}},
-		"heard back from one who knows newer": {[]step{apply(20, out("a", 20)), hear(back("a", 25))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
-		"a zone without a name":               {[]step{apply(12, out("", 12))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
+		"heard before the list tells":         {[]step{hear(outOfService("a", 12))}, map[member.UpstreamID]bool{"ub": true}},
+		"heard, then the list's reading":      {[]step{hear(outOfService("a", 12)), read(11)}, map[member.UpstreamID]bool{"ub": true}},
+		"heard from one who is behind":        {[]step{read(20), hear(outOfService("a", 12))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
+		"heard back from one who is behind":   {[]step{apply(20, outOfService("a", 20)), hear(backInService("a", 15))}, map[member.UpstreamID]bool{"ub": true}},
+		"heard back from one who knows newer": {[]step{apply(20, outOfService("a", 20)), hear(backInService("a", 25))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
+		"a zone without a name":               {[]step{apply(12, outOfService("", 12))}, map[member.UpstreamID]bool{"ua": true, "ub": true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now := time.Now()
 			var f Fleet
-			f.Replace(now, []Upstream{upIn("ua", "a"), upIn("ub", "b")}, rev(10))
+			f.Replace(now, []Upstream{upstreamInZone("ua", "a"), upstreamInZone("ub", "b")}, rev(10))
 			for _, s := range c.steps {
 				s(&f, now)
 			}
-			is.Equal(takers(&f, now), c.want)
+			is.Equal(availableIDs(&f, now), c.want)
 		})
 	}
 }
 
-// TestZoneOrdersAreFollowed has a host that follows another know its orders, whole or by
+// TestFollowerReceivesZoneOrders has a host that follows another know its orders, whole or by
 // what is new, also those that were taken back before it asked.
-func TestZoneOrdersAreFollowed(t *testing.T) {
+func TestFollowerReceivesZoneOrders(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	var leader, follower Fleet
-	list := []Upstream{upIn("ua", "a"), upIn("ub", "b")}
+	list := []Upstream{upstreamInZone("ua", "a"), upstreamInZone("ub", "b")}
 	catchUp := func() {
-		changes, at, whole := leader.Since(follower.Revision())
-		orders := leader.ZonesSince(follower.Revision(), whole)
+		changes, at, whole := leader.ChangesSince(follower.Revision())
+		orders := leader.ZoneOrdersSince(follower.Revision(), whole)
 		if whole {
-			follower.ReplaceZones(now, orders, at)
-			follower.TakeOver(now, changes, at)
+			follower.ReplaceZoneOrders(now, orders, at)
+			follower.ReplaceFromPeer(now, changes, at)
 			return
 		}
-		follower.ApplyZones(now, orders)
+		follower.ApplyZoneOrders(now, orders)
 		follower.Apply(now, changes, at)
 	}
 	leader.Replace(now, list, rev(10))
 	catchUp()
-	leader.ApplyZones(now, []ZoneOrder{out("a", 12)})
+	leader.ApplyZoneOrders(now, []ZoneOrder{outOfService("a", 12)})
 	leader.Apply(now, nil, rev(12))
 	catchUp()
-	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"ub": true})
+	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"ub": true})
 	// A new leader has read the list after the order was taken back, and never knew it.
 	leader = Fleet{}
 	leader.Replace(now, list, rev(20))
 	catchUp()
-	is.Equal(takers(&follower, now), map[member.UpstreamID]bool{"ua": true, "ub": true})
+	is.Equal(availableIDs(&follower, now), map[member.UpstreamID]bool{"ua": true, "ub": true})
 }
 
-// zoneForwarder is a forwarder whose upstreams llm1, app1 are in z1 and the others in z2.
-func zoneForwarder(t *testing.T, transport Transport) *Forwarder {
+// newTwoZoneForwarder is a forwarder whose upstreams llm1, app1 are in z1 and the others in z2.
+func newTwoZoneForwarder(t *testing.T, transport Transport) *Forwarder {
 	f := newForwarder(t, transport)
 	now := time.Now()
 	var changes []Change
@@ -133,10 +133,10 @@
 	return f
 }
 
-// order takes an order in as a watch tells it.
-func (f *Forwarder) order(orders ...ZoneOrder) {
+// applyZoneOrders takes an applyZoneOrders in as a watch tells it.
+func (f *Forwarder) applyZoneOrders(orders ...ZoneOrder) {
 	now := time.Now()
-	f.fleet.ApplyZones(now, orders)
+	f.fleet.ApplyZoneOrders(now, orders)
 	f.fleet.Apply(now, nil, orders[len(orders)-1].Revision)
 	f.updatePlacementEngines(now, f.Table())
 }
@@ -148,14 +148,14 @@
 		t.Run(path, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
 					if r.Call.Path == "/status/x" {
-						return &Answer{Status: http.StatusServiceUnavailable, NotRun: true, Header: http.Header{}, Body: http.NoBody}, nil
+						return &Response{Status: http.StatusServiceUnavailable, NotRun: true, Header: http.Header{}, Body: http.NoBody}, nil
 					}
 					return answer(http.StatusOK, "id: 1\ndata: a\n\n"), nil
 				}}
-				f := zoneForwarder(t, transport)
-				f.order(out("z1", 5))
+				f := newTwoZoneForwarder(t, transport)
+				f.applyZoneOrders(outOfService("z1", 5))
 				for range 20 {
 					f.Serve(t.Context(), call(path), &fakeSink{})
 				}
@@ -165,7 +165,7 @@
 				}
 				sent := len(transport.sentTo())
 				is.True(sent >= 20)
-				f.order(out("z2", 6))
+				f.applyZoneOrders(outOfService("z2", 6))
 				began := time.Now()
 				sink := &fakeSink{}
 				f.Serve(t.Context(), call(path), sink)
@@ -173,7 +173,7 @@
 				is.True(!sink.refused.MayHaveRun)
 				is.Equal(time.Since(began), time.Duration(0)) // not held
 				is.Equal(len(transport.sentTo()), sent)
-				f.order(back("z1", 7))
+				f.applyZoneOrders(backInService("z1", 7))
 				f.Serve(t.Context(), call(path), sink)
 				is.True(len(transport.sentTo()) > sent)
 			})
@@ -186,9 +186,9 @@
 func TestQueuedForZoneOutOfService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := zoneForwarder(t, &fakeTransport{})
+		f := newTwoZoneForwarder(t, &fakeTransport{})
 		now := time.Now()
-		f.order(out("z2", 3))
+		f.applyZoneOrders(outOfService("z2", 3))
 		// A run that leaves no room for another holds the engine of z1.
 		big := policy.Request{Run: "big", Prompt: 33000, Deadline: now.Add(time.Second), Arrived: now}
 		u, run, _ := f.engines.place(t.Context(), now, "llm", big)
@@ -200,7 +200,7 @@
 			granted <- u
 		}()
 		synctest.Wait()
-		f.order(out("z1", 4), back("z2", 5))
+		f.applyZoneOrders(outOfService("z1", 4), backInService("z2", 5))
 		f.engines.finish(time.Now(), "llm", run, true)
 		time.Sleep(queueStagger)
 		f.updatePlacementEngines(time.Now(), f.Table())
@@ -209,9 +209,9 @@
 	})
 }
 
-// TestTakeUpOutOfService has a run that is being moved taken up in a zone that has just
+// TestHandoverToZoneOutOfService has a run that is being moved taken up in a zone that has just
 // been taken out, but not later.
-func TestTakeUpOutOfService(t *testing.T) {
+func TestHandoverToZoneOutOfService(t *testing.T) {
 	for name, c := range map[string]struct {
 		heard time.Duration
 		want  eligibility.Reason
@@ -222,17 +222,17 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{send: func(context.Context, Upstream, *Outgoing) (*Answer, error) {
+				transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 					return answer(http.StatusOK, ""), nil
 				}}
-				f := zoneForwarder(t, transport)
-				f.order(out("z2", 3))
+				f := newTwoZoneForwarder(t, transport)
+				f.applyZoneOrders(outOfService("z2", 3))
 				time.Sleep(c.heard)
 				to, _ := f.fleet.Upstream("llm2")
 				source, _ := f.fleet.Upstream("llm3")
 				s := &streamExchange{exchange: &exchange{Forwarder: f, call: call("/llm/")}}
 				_, _, err := s.continueRun(t.Context(), &handover{target: to, source: source, handle: "h"})
-				kept, _ := keptBackBy(err)
+				kept, _ := notSentVerdict(err)
 				is.Equal(kept.Reason, c.want)
 				is.Equal(err != nil, c.want != "")
 			})
@@ -257,7 +257,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				s := newSite(3, 3, true)
-				s.origin.list = []Upstream{upIn("llm1", "z1"), upIn("llm2", "z2")}
+				s.origin.list = []Upstream{upstreamInZone("llm1", "z1"), upstreamInZone("llm2", "z2")}
 				ctx, cancel := context.WithCancel(t.Context())
 				s.startAll(ctx)
 				time.Sleep(4 * time.Second)
@@ -270,17 +270,17 @@
 					}
 					for address, f := range s.hosts {
 						if !s.gone[address] {
-							is.Equal(takers(f.fleet, time.Now()), expected)
+							is.Equal(availableIDs(f.fleet, time.Now()), expected)
 						}
 					}
 				}
-				s.origin.order(out("z1", 20))
+				s.origin.order(outOfService("z1", 20))
 				time.Sleep(bound)
 				want("llm2")
-				s.origin.order(back("z1", 21))
+				s.origin.order(backInService("z1", 21))
 				time.Sleep(bound)
 				want("llm1", "llm2")
-				s.origin.order(out("z1", 22), out("z2", 23), back("z1", 24))
+				s.origin.order(outOfService("z1", 22), outOfService("z2", 23), backInService("z1", 24))
 				time.Sleep(bound)
 				want("llm1")
 				s.origin.lost.Store(true)
@@ -293,13 +293,13 @@
 	}
 }
 
-// TestZoneGoesOutByAnOrderThatWasTakenBack: a list that is older than what was received in advance doesn't take that back.
-func TestZoneGoesOutByAnOrderThatWasTakenBack(t *testing.T) {
+// TestRevokedZoneOrderStaysRevoked: a list that is older than what was received in advance doesn't take that back.
+func TestRevokedZoneOrderStaysRevoked(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	var f Fleet
-	f.ReceiveZones(now, []ZoneOrder{back("z2", 9)})
-	f.TakeNews(now, News{At: rev(7)}, true)
-	f.ReceiveZones(now, []ZoneOrder{out("z2", 8)})
+	f.ReceiveZoneOrders(now, []ZoneOrder{backInService("z2", 9)})
+	f.ApplyUpdate(now, OriginUpdate{Revision: rev(7)}, true)
+	f.ReceiveZoneOrders(now, []ZoneOrder{outOfService("z2", 8)})
 	is.True(f.InService("z2"))
 }
--- a/internal/peer/follow.go
+++ b/internal/peer/follow.go
@@ -87,12 +87,12 @@
 func toWireFollowed(now time.Time, r forward.FollowReply, packer *listPacker) (wireFollowed, error) {
 	w := wireFollowed{
 		Busy:    r.Busy,
-		Version: uint64(r.Version), Whole: r.Whole, Gaps: r.Gaps, EraFrom: uint64(r.EraFrom.Revision()), EraAge: r.EraAge.Milliseconds(), Epoch: r.HostsAt.Epoch, Found: r.HostsAt.Found,
+		Version: uint64(r.Version), Whole: r.Complete, Gaps: r.HasGaps, EraFrom: uint64(r.EraFirstSeen.Revision()), EraAge: r.EraAge.Milliseconds(), Epoch: r.HostCursor.Epoch, Found: r.HostCursor.Position,
 		ConfigAge: r.ConfigAge.Milliseconds(), OriginAge: r.OriginAge.Milliseconds(),
 		Zones: toWireZones(now, r.Zones), Rollouts: toWireRollouts(r.Rollouts),
 	}
-	w.ListEra, w.List = numbers(r.List)
-	w.Hosts = toWireAnnouncements(r.Hosts)
+	w.ListEra, w.List = numbers(r.ListRevision)
+	w.Hosts = toWireAnnouncements(r.Announcements)
 	var err error
 	if w.Packed, err = packer.pack(now, r); err != nil || len(w.Packed) > 0 {
 		return w, err
@@ -107,7 +107,7 @@
 	change := wireChange{
 		ID: string(c.ID), Service: string(c.Service), Address: c.Address, Zone: string(c.Zone),
 		Slots: c.Slots, Leaving: c.Leaving, Gone: c.Gone, Missing: c.Missing,
-		Version: string(c.Version), Unusable: c.Unusable, Life: int64(c.Life), Cold: max(c.ColdUntil.Sub(now).Milliseconds(), 0),
+		Version: string(c.Version), Unusable: c.Unusable, Life: int64(c.Incarnation), Cold: max(c.ColdUntil.Sub(now).Milliseconds(), 0),
 	}
 	change.Era, change.Revision = numbers(c.Revision)
 	change.Believed = believedIn(now, c.BelievedFrom)
@@ -117,14 +117,14 @@
 func (w wireFollowed) reply(now time.Time) (forward.FollowReply, error) {
 	r := forward.FollowReply{
 		Busy:    w.Busy,
-		Version: forward.Version(w.Version), Whole: w.Whole, Gaps: w.Gaps, List: point(w.ListEra, w.List), EraFrom: point(w.ListEra, w.EraFrom), EraAge: time.Duration(w.EraAge) * time.Millisecond, HostsAt: forward.HostCursor{Epoch: w.Epoch, Found: w.Found},
+		Version: forward.Version(w.Version), Complete: w.Whole, HasGaps: w.Gaps, ListRevision: point(w.ListEra, w.List), EraFirstSeen: point(w.ListEra, w.EraFrom), EraAge: time.Duration(w.EraAge) * time.Millisecond, HostCursor: forward.HostCursor{Epoch: w.Epoch, Position: w.Found},
 		ConfigAge: time.Duration(w.ConfigAge) * time.Millisecond, OriginAge: time.Duration(w.OriginAge) * time.Millisecond,
 		Zones: zoneOrders(now, w.Zones), Rollouts: rollouts(w.Rollouts),
 	}
 	for _, c := range w.Changes {
 		r.Changes = append(r.Changes, c.change(now))
 	}
-	r.Hosts = announcements(w.Hosts)
+	r.Announcements = announcements(w.Hosts)
 	if len(w.Packed) == 0 {
 		return r, nil
 	}
@@ -137,7 +137,7 @@
 	c := forward.Change{
 		Upstream: forward.Upstream{
 			ID: member.UpstreamID(w.ID), Service: forward.ServiceName(w.Service), Address: w.Address,
-			Zone: member.Zone(w.Zone), Slots: w.Slots, Version: rollout.Version(w.Version), Leaving: w.Leaving, Life: forward.Life(w.Life), Revision: point(w.Era, w.Revision),
+			Zone: member.Zone(w.Zone), Slots: w.Slots, Version: rollout.Version(w.Version), Leaving: w.Leaving, Incarnation: forward.Incarnation(w.Life), Revision: point(w.Era, w.Revision),
 		},
 		Gone: w.Gone, Missing: w.Missing, Unusable: w.Unusable,
 	}
@@ -152,10 +152,10 @@
 func (m *Mesh) Follow(ctx context.Context, to forward.Peer, r forward.FollowRequest) (forward.FollowReply, error) {
 	var answer wireFollowed
 	request := wireFollow{
-		Version: uint64(r.Version), Epoch: r.Hosts.Epoch, Found: r.Hosts.Found, Wait: r.Wait.Milliseconds(),
-		From: string(r.From), Announced: toWireAnnouncements(r.Announced),
+		Version: uint64(r.Version), Epoch: r.HostCursor.Epoch, Found: r.HostCursor.Position, Wait: r.Wait.Milliseconds(),
+		From: string(r.From), Announced: toWireAnnouncements(r.Announcements),
 	}
-	request.ListEra, request.List = numbers(r.List)
+	request.ListEra, request.List = numbers(r.ListRevision)
 	if err := m.call(ctx, to.PeerAddress, kindFollow, request, &answer); err != nil {
 		return forward.FollowReply{}, err
 	}
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -23,7 +23,7 @@
 	OnShare(s forward.Share) forward.Share
 	OnFollow(ctx context.Context, r forward.FollowRequest) forward.FollowReply
 	OnConfig(have forward.Version) forward.ConfigReply
-	OnAsk(a forward.PlaceAsk) forward.PlaceGrant
+	OnAsk(a forward.PlacementRequest) forward.PlacementGrant
 	OnPermit(a permit.Ask) permit.Reply
 	OnRollout(r rollout.Report) rollout.Status
 	Rollouts() []forward.RolloutEntry
@@ -54,9 +54,9 @@
 			return nil, trace.Wrap(err)
 		}
 		r := forward.FollowRequest{
-			From: member.HostID(w.From), Announced: announcements(w.Announced),
-			Version: forward.Version(w.Version), List: point(w.ListEra, w.List),
-			Hosts: forward.HostCursor{Epoch: w.Epoch, Found: w.Found}, Wait: time.Duration(w.Wait) * time.Millisecond,
+			From: member.HostID(w.From), Announcements: announcements(w.Announced),
+			Version: forward.Version(w.Version), ListRevision: point(w.ListEra, w.List),
+			HostCursor: forward.HostCursor{Epoch: w.Epoch, Position: w.Found}, Wait: time.Duration(w.Wait) * time.Millisecond,
 		}
 		reply := f.OnFollow(ctx, r)
 		return toWireFollowed(m.clock.Now(), reply, &m.lists)
@@ -72,7 +72,7 @@
 			return nil, trace.Wrap(err)
 		}
 		grant := f.OnAsk(w.ask())
-		return wireGrant{Engine: string(grant.Engine), First: grant.FirstAfter.Milliseconds()}, nil
+		return wireGrant{Engine: string(grant.Engine), First: grant.TimeToFirstToken.Milliseconds()}, nil
 	case kindPermit:
 		return onPermit(f, body)
 	case kindRollout:
--- a/internal/peer/list.go
+++ b/internal/peer/list.go
@@ -43,11 +43,11 @@
 	if len(r.Changes) < packedFrom {
 		return nil, nil
 	}
-	if r.Whole && p.generation == r.Generation && p.count == len(r.Changes) && now.Sub(p.at) < packedFor {
+	if r.Complete && p.generation == r.Generation && p.count == len(r.Changes) && now.Sub(p.at) < packedFor {
 		return p.packed, nil
 	}
 	packed, err := packChanges(now, r.Changes)
-	if err == nil && r.Whole {
+	if err == nil && r.Complete {
 		p.generation, p.count, p.at, p.packed = r.Generation, len(r.Changes), now, packed
 	}
 	return packed, err
