--- a/internal/peer/places.go
+++ b/internal/peer/places.go
@@ -61,37 +61,37 @@
 	First  int64
 }
 
-func toWireAsk(a forward.PlaceAsk) wireAsk {
+func toWireAsk(a forward.PlacementRequest) wireAsk {
 	w := wireAsk{
 		From: string(a.From), Service: string(a.Service), Run: string(a.Run), Route: string(a.Route), Account: string(a.Account),
-		Urgency: a.Urgency, Prompt: int(a.Prompt), Limit: int(a.Limit),
-		Objective: a.Objective.Milliseconds(), Waited: a.Waited.Milliseconds(), OnlyGroup: a.OnlyGroup, ButGroup: a.ButGroup,
+		Urgency: a.Priority, Prompt: int(a.PromptTokens), Limit: int(a.MaxOutputTokens),
+		Objective: a.Objective.Milliseconds(), Waited: a.Elapsed.Milliseconds(), OnlyGroup: a.OnlyGroup, ButGroup: a.ExcludedGroup,
 	}
-	for _, id := range a.Avoid {
+	for _, id := range a.ExcludedEngines {
 		w.Avoid = append(w.Avoid, string(id))
 	}
 	return w
 }
 
-func (w wireAsk) ask() forward.PlaceAsk {
-	a := forward.PlaceAsk{
+func (w wireAsk) ask() forward.PlacementRequest {
+	a := forward.PlacementRequest{
 		From: member.HostID(w.From), Service: forward.ServiceName(w.Service), Run: policy.RunID(w.Run),
 		Route: resource.Name(w.Route), Account: resource.Account(w.Account),
-		Urgency: w.Urgency, Prompt: policy.Tokens(w.Prompt), Limit: policy.Tokens(w.Limit),
-		Objective: time.Duration(w.Objective) * time.Millisecond, Waited: time.Duration(w.Waited) * time.Millisecond,
-		OnlyGroup: w.OnlyGroup, ButGroup: w.ButGroup,
+		Priority: w.Urgency, PromptTokens: policy.Tokens(w.Prompt), MaxOutputTokens: policy.Tokens(w.Limit),
+		Objective: time.Duration(w.Objective) * time.Millisecond, Elapsed: time.Duration(w.Waited) * time.Millisecond,
+		OnlyGroup: w.OnlyGroup, ExcludedGroup: w.ButGroup,
 	}
 	for _, id := range w.Avoid {
-		a.Avoid = append(a.Avoid, member.UpstreamID(id))
+		a.ExcludedEngines = append(a.ExcludedEngines, member.UpstreamID(id))
 	}
 	return a
 }
 
 // Ask asks a peer for a place on one of its zone's engines.
-func (m *Mesh) Ask(ctx context.Context, to forward.Peer, a forward.PlaceAsk) (forward.PlaceGrant, error) {
+func (m *Mesh) Ask(ctx context.Context, to forward.Peer, a forward.PlacementRequest) (forward.PlacementGrant, error) {
 	var answer wireGrant
 	if err := m.call(ctx, to.PeerAddress, kindAsk, toWireAsk(a), &answer); err != nil {
-		return forward.PlaceGrant{}, err
+		return forward.PlacementGrant{}, err
 	}
-	return forward.PlaceGrant{Engine: member.UpstreamID(answer.Engine), FirstAfter: time.Duration(answer.First) * time.Millisecond}, nil
+	return forward.PlacementGrant{Engine: member.UpstreamID(answer.Engine), TimeToFirstToken: time.Duration(answer.First) * time.Millisecond}, nil
 }
--- a/internal/peer/points_test.go
+++ b/internal/peer/points_test.go
@@ -19,10 +19,10 @@
 	is := is.New(t)
 	now := time.Now()
 	orders := []forward.ZoneOrder{
-		{Zone: "z1", Out: true, Revision: history.At(3, 5)}, {Zone: "z2", Revision: history.At(4, 6), BelievedFrom: now.Add(30 * time.Second)},
+		{Zone: "z1", OutOfService: true, Revision: history.At(3, 5)}, {Zone: "z2", Revision: history.At(4, 6), BelievedFrom: now.Add(30 * time.Second)},
 	}
 	sent := forward.FollowReply{
-		Whole: true, List: history.At(4, 9), EraFrom: history.At(4, 7), Zones: orders,
+		Complete: true, ListRevision: history.At(4, 9), EraFirstSeen: history.At(4, 7), Zones: orders,
 		Changes: []forward.Change{{Upstream: forward.Upstream{ID: "u", Revision: history.At(3, 8)}, BelievedFrom: now.Add(5 * time.Second)}},
 	}
 	wire, err := toWireFollowed(now, sent, &listPacker{})
@@ -33,7 +33,7 @@
 	is.NoErr(msgpack.Unmarshal(text, &got))
 	reply, err := got.reply(now)
 	is.NoErr(err)
-	is.Equal([]history.Point{reply.List, reply.EraFrom, reply.Changes[0].Revision}, []history.Point{sent.List, sent.EraFrom, sent.Changes[0].Revision})
+	is.Equal([]history.Point{reply.ListRevision, reply.EraFirstSeen, reply.Changes[0].Revision}, []history.Point{sent.ListRevision, sent.EraFirstSeen, sent.Changes[0].Revision})
 	is.Equal(reply.Changes[0].BelievedFrom, sent.Changes[0].BelievedFrom)
 	is.Equal(reply.Zones, orders)
 	share := toWireShare(now, forward.Share{List: history.At(4, 9), Zones: orders}).share(now)
--- a/internal/peer/share.go
+++ b/internal/peer/share.go
@@ -88,7 +88,7 @@
 func toWireZones(now time.Time, orders []forward.ZoneOrder) []wireZoneOrder {
 	var w []wireZoneOrder
 	for _, o := range orders {
-		order := wireZoneOrder{Zone: string(o.Zone), Out: o.Out, Believed: believedIn(now, o.BelievedFrom)}
+		order := wireZoneOrder{Zone: string(o.Zone), Out: o.OutOfService, Believed: believedIn(now, o.BelievedFrom)}
 		order.Era, order.Revision = numbers(o.Revision)
 		w = append(w, order)
 	}
@@ -99,7 +99,7 @@
 	var orders []forward.ZoneOrder
 	for _, o := range w {
 		orders = append(orders, forward.ZoneOrder{
-			Zone: member.Zone(o.Zone), Out: o.Out, Revision: point(o.Era, o.Revision), BelievedFrom: believedFrom(now, o.Believed),
+			Zone: member.Zone(o.Zone), OutOfService: o.Out, Revision: point(o.Era, o.Revision), BelievedFrom: believedFrom(now, o.Believed),
 		})
 	}
 	return orders
@@ -134,10 +134,10 @@
 
 func toWireShare(now time.Time, s forward.Share) wireShare {
 	w := wireShare{
-		ID: string(s.From.ID), Zone: string(s.From.Zone), Address: s.From.PeerAddress, Capacity: s.From.Capacity, Announcement: s.Announcement, AnnouncedAgo: s.AnnouncedAgo.Milliseconds(), Version: uint64(s.Version),
+		ID: string(s.From.ID), Zone: string(s.From.Zone), Address: s.From.PeerAddress, Capacity: s.From.Capacity, Announcement: s.AnnouncementCount, AnnouncedAgo: s.AnnouncementAge.Milliseconds(), Version: uint64(s.Version),
 		ConfigAge: s.ConfigAge.Milliseconds(), OriginAge: s.OriginAge.Milliseconds(), Stopping: s.Stopping,
 		Zones: toWireZones(now, s.Zones), Epoch: s.Epoch, Crashes: toWireCrashes(s.Crashes),
-		Limits: toWireLimits(s.Limits), Announced: toWireAnnouncements(s.Announced),
+		Limits: toWireLimits(s.Limits), Announced: toWireAnnouncements(s.Announcements),
 	}
 	w.ListEra, w.List = numbers(s.List)
 	for _, r := range s.Runs {
@@ -146,7 +146,7 @@
 			Prompt: int(r.Prompt), Made: int(r.Made), Limit: int(r.Limit), Begun: r.FirstTokenAge.Microseconds(),
 		})
 	}
-	for _, r := range s.Ended {
+	for _, r := range s.EndedRuns {
 		w.Ended = append(w.Ended, wireEndedRun{Run: string(r.Run), Made: int(r.Made)})
 	}
 	for _, mark := range s.Leaving {
@@ -156,37 +156,37 @@
 		w.Backoffs = append(w.Backoffs, wireBackoff{Upstream: string(mark.Upstream), Life: mark.Life, For: mark.For.Milliseconds()})
 	}
 	for _, mark := range s.Cold {
-		w.Cold = append(w.Cold, wireCold{Upstream: string(mark.Upstream), Life: int64(mark.Life), For: mark.For.Milliseconds()})
+		w.Cold = append(w.Cold, wireCold{Upstream: string(mark.Upstream), Life: int64(mark.Incarnation), For: mark.Remaining.Milliseconds()})
 	}
 	for _, mark := range s.Failing {
-		w.Failing = append(w.Failing, wireFailing{Upstream: string(mark.Upstream), Life: int64(mark.Life), For: mark.For.Milliseconds()})
+		w.Failing = append(w.Failing, wireFailing{Upstream: string(mark.Upstream), Life: int64(mark.Incarnation), For: mark.Remaining.Milliseconds()})
 	}
 	return w
 }
 
 func (w wireShare) share(now time.Time) forward.Share {
 	s := forward.Share{
-		From:         forward.Peer{ID: member.HostID(w.ID), Zone: member.Zone(w.Zone), PeerAddress: w.Address, Capacity: w.Capacity},
-		Announcement: w.Announcement, AnnouncedAgo: time.Duration(max(w.AnnouncedAgo, 0)) * time.Millisecond,
+		From:              forward.Peer{ID: member.HostID(w.ID), Zone: member.Zone(w.Zone), PeerAddress: w.Address, Capacity: w.Capacity},
+		AnnouncementCount: w.Announcement, AnnouncementAge: time.Duration(max(w.AnnouncedAgo, 0)) * time.Millisecond,
 		Version: forward.Version(w.Version), ConfigAge: time.Duration(w.ConfigAge) * time.Millisecond,
 		OriginAge: time.Duration(w.OriginAge) * time.Millisecond, Stopping: w.Stopping,
 		List: point(w.ListEra, w.List), Zones: zoneOrders(now, w.Zones), Epoch: w.Epoch, Crashes: crashMarks(w.Crashes),
-		Limits: limitMarks(w.Limits), Announced: announcements(w.Announced),
+		Limits: limitMarks(w.Limits), Announcements: announcements(w.Announced),
 	}
 	for _, r := range w.Runs {
 		s.Runs = append(s.Runs, forward.RunState{
-			Run: policy.RunID(r.Run), Service: forward.ServiceName(r.Service), Engine: member.UpstreamID(r.Engine), Life: forward.Life(r.Life),
+			Run: policy.RunID(r.Run), Service: forward.ServiceName(r.Service), Engine: member.UpstreamID(r.Engine), Life: forward.Incarnation(r.Life),
 			Route: resource.Name(r.Route), Account: resource.Account(r.Account),
 			Prompt: policy.Tokens(r.Prompt), Made: policy.Tokens(r.Made), Limit: policy.Tokens(r.Limit),
 			FirstTokenAge: time.Duration(r.Begun) * time.Microsecond,
 		})
 	}
 	for _, r := range w.Ended {
-		s.Ended = append(s.Ended, forward.EndedRun{Run: policy.RunID(r.Run), Made: policy.Tokens(r.Made)})
+		s.EndedRuns = append(s.EndedRuns, forward.EndedRun{Run: policy.RunID(r.Run), Made: policy.Tokens(r.Made)})
 	}
 	for _, mark := range w.Leaving {
 		s.Leaving = append(s.Leaving, forward.LeavingMark{
-			Engine: member.UpstreamID(mark.Engine), Life: forward.Life(mark.Life), In: time.Duration(mark.In) * time.Millisecond, Said: mark.Said,
+			Engine: member.UpstreamID(mark.Engine), Life: forward.Incarnation(mark.Life), In: time.Duration(mark.In) * time.Millisecond, Said: mark.Said,
 		})
 	}
 	for _, mark := range w.Backoffs {
@@ -196,12 +196,12 @@
 	}
 	for _, mark := range w.Cold {
 		s.Cold = append(s.Cold, forward.ColdMark{
-			Upstream: member.UpstreamID(mark.Upstream), Life: forward.Life(mark.Life), For: time.Duration(mark.For) * time.Millisecond,
+			Upstream: member.UpstreamID(mark.Upstream), Incarnation: forward.Incarnation(mark.Life), Remaining: time.Duration(mark.For) * time.Millisecond,
 		})
 	}
 	for _, mark := range w.Failing {
 		s.Failing = append(s.Failing, forward.FailingMark{
-			Upstream: member.UpstreamID(mark.Upstream), Life: forward.Life(mark.Life), For: time.Duration(mark.For) * time.Millisecond,
+			Upstream: member.UpstreamID(mark.Upstream), Incarnation: forward.Incarnation(mark.Life), Remaining: time.Duration(mark.For) * time.Millisecond,
 		})
 	}
 	return s
--- a/internal/telemetry/forward_test.go
+++ b/internal/telemetry/forward_test.go
@@ -41,8 +41,8 @@
 	is := is.New(t)
 	f := NewForward(io.Discard)
 	defer f.Close()
-	f.WatchLearnt(func() []forward.Learnt {
-		return []forward.Learnt{{Service: "llm", ReadRate: 7300, ReadSamples: 12, Step: 9 * time.Millisecond, StepSamples: 40, Age: 2 * time.Second}}
+	f.WatchLearnt(func() []forward.EngineEstimate {
+		return []forward.EngineEstimate{{Service: "llm", PrefillRate: 7300, PrefillSamples: 12, StepTime: 9 * time.Millisecond, StepSamples: 40, Age: 2 * time.Second}}
 	})
 	page := httptest.NewRecorder()
 	f.Handler().ServeHTTP(page, httptest.NewRequest("GET", "/metrics", nil))
--- a/internal/telemetry/learnt.go
+++ b/internal/telemetry/learnt.go
@@ -11,14 +11,14 @@
 
 // learntCollector serves what a forwarder has learnt of its engines.
 type learntCollector struct {
-	read func() []forward.Learnt
+	read func() []forward.EngineEstimate
 
 	readRate, readSamples, step, stepSamples, age *prometheus.Desc
 }
 
 // WatchLearnt has the metrics tell what a forwarder has learnt, read when they are
 // asked for.
-func (f *Forward) WatchLearnt(read func() []forward.Learnt) {
+func (f *Forward) WatchLearnt(read func() []forward.EngineEstimate) {
 	desc := func(name, help string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "learnt", name), help, []string{"service"}, nil)
 	}
@@ -45,9 +45,9 @@
 		send := func(d *prometheus.Desc, value float64) {
 			to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, string(l.Service))
 		}
-		send(c.readRate, l.ReadRate)
-		send(c.readSamples, float64(l.ReadSamples))
-		send(c.step, l.Step.Seconds())
+		send(c.readRate, l.PrefillRate)
+		send(c.readSamples, float64(l.PrefillSamples))
+		send(c.step, l.StepTime.Seconds())
 		send(c.stepSamples, float64(l.StepSamples))
 		send(c.age, l.Age.Seconds())
 	}
