--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -15,48 +15,49 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// When refused callers are told to come back.
+// Retry times in refusals.
 const (
-	// retryNotReady: a host that starts has its configuration in well under a
-	// second.
-	retryNotReady = 300 * time.Millisecond
-	// retryUnknown is told where nothing is known.
-	retryUnknown = 200 * time.Millisecond
+	// notReadyRetryAfter is used while this host has no configuration that is known to be the
+	// newest. A host that starts gets one in well under a second.
+	notReadyRetryAfter = 300 * time.Millisecond
+	// defaultRetryAfter is used where no better estimate is known.
+	defaultRetryAfter = 200 * time.Millisecond
 )
 
-// exchange is one request on its way through this host.
+// exchange is one request while this host serves it.
 type exchange struct {
 	*Forwarder
 	call    *Call
-	to      Sink
+	sink    Sink
 	route   Route
 	service Service
 	account Account
-	// deadline is the earlier of the caller's and the route's.
+	// deadline is the earlier of the caller's and the route's; zero if neither sets one.
 	deadline time.Time
-	// urgency is the account's, or else the route's.
+	// urgency is the account's if it has one, else the route's.
 	urgency Urgency
-	// zones are those in which the request may be served; nil for all.
+	// zones are the zones in which the request may be served; nil allows all.
 	zones []member.Zone
-	// versions are those that may get the request.
+	// versions restricts the upstream versions that may get the request.
 	versions versionBound
-	// print is what the request asks, once that has been worked out.
-	print atomic.Pointer[quarantine.Fingerprint]
-	// trying guards isTry, for sends beside each other are judged at the same time.
-	trying sync.Mutex
-	// isTry says that upstreams ended under the same request, and this one finds out
-	// whether they bear it by now.
-	isTry bool
-	// skipped is how many upstreams got no request when one was chosen last, for a
-	// backoff or a limit.
-	skipped int
-	// delivered says that something of an upstream's answer has come.
+	// cachedFingerprint identifies what the request asks; nil until it is computed.
+	cachedFingerprint atomic.Pointer[quarantine.Fingerprint]
+	// quarantineTrialMu guards isQuarantineTrial, because parallel sends of the request are
+	// decided at the same time.
+	quarantineTrialMu sync.Mutex
+	// isQuarantineTrial is set if upstreams ended under the same request and this one is sent
+	// to find out whether they can run it by now.
+	isQuarantineTrial bool
+	// skippedUpstreams is how many upstreams the last choice passed over because of a backoff
+	// or a limit.
+	skippedUpstreams int
+	// delivered is set once an event of a stream has been passed on to the caller.
 	delivered atomic.Bool
 }
 
 // Serve answers one request. The context ends when the caller leaves.
 func (f *Forwarder) Serve(ctx context.Context, c *Call, to Sink) {
-	x := &exchange{Forwarder: f, call: c, to: to}
+	x := &exchange{Forwarder: f, call: c, sink: to}
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
 	if !f.enter(x, end) {
@@ -64,67 +65,69 @@
 		return
 	}
 	defer f.leave(x)
-	defer x.contain(x.panicked)
+	defer x.recoverPanic(x.answerPanic)
 	refusal, ok := x.admit(c.Arrived)
 	if !ok {
-		x.refuse(refusal, "version", x.version())
+		x.refuse(refusal, "version", x.configVersion())
 		return
 	}
-	if why := endingOf(ctx); why != notEnded {
-		// Its caller left before it was read: upstreams would be at work for nobody.
-		x.refuse(Refusal{Code: why.code()})
+	if cause := endCauseOf(ctx); cause != endNone {
+		// The caller left before its request was read; upstreams would work for nobody.
+		x.refuse(Refusal{Code: cause.code()})
 		return
 	}
-	cut := ctx
+	deadlineCtx := ctx
 	if !x.deadline.IsZero() {
 		var cancel context.CancelFunc
-		cut, cancel = x.settings.Clock.WithTimeoutCause(ctx, x.deadline.Sub(x.now()), errDeadline)
+		deadlineCtx, cancel = x.settings.Clock.WithTimeoutCause(ctx, x.deadline.Sub(x.now()), errDeadline)
 		defer cancel()
 	}
 	if x.route.Kind == KindStream {
-		x.serveStream(cut)
+		x.serveStream(deadlineCtx)
 		return
 	}
-	x.serveUnary(cut)
+	x.serveUnary(deadlineCtx)
 }
 
-func (x *exchange) version() Version {
+// configVersion returns the version of the configuration in force; zero if there is none.
+func (x *exchange) configVersion() Version {
 	if t := x.table.Load(); t != nil {
 		return t.Version
 	}
 	return 0
 }
 
-// admit finds the route, the account and the service, or says why not.
+// admit determines the route, the account and the service of the request. If it can't be served
+// here, it returns the refusal and false.
 func (x *exchange) admit(now time.Time) (Refusal, bool) {
 	t := x.table.Load()
 	if t == nil {
-		return Refusal{Code: CodeNotReady, RetryAfter: retryNotReady}, false
+		return Refusal{Code: CodeNotReady, RetryAfter: notReadyRetryAfter}, false
 	}
 	var found bool
 	if x.route, found = t.Match(x.call.Host, x.call.Path); !found {
-		return x.unknown(now, CodeNoRoute), false
+		return x.refuseUnknown(now, CodeNoRoute), false
 	}
 	if t.RequiresKey && !x.route.Public {
 		if x.account, found = t.Account(x.call.APIKey); !found {
-			return x.unknown(now, CodeBadKey), false
+			return x.refuseUnknown(now, CodeBadKey), false
 		}
 	}
 	x.urgency = x.route.Urgency
 	if x.account.Ranked {
 		x.urgency = x.account.Urgency
 	}
-	// It may have waited in this host's sockets while its machine was suspended; then its
-	// caller has waited, too, and may have left.
+	// The request may have waited in a socket of this host while the machine was suspended. Its
+	// caller has waited for that time, too, and may have left.
 	late := x.settings.Clock.Late(now)
 	if x.call.CallerTimeout > 0 && x.call.CallerTimeout <= late {
 		return Refusal{Code: CodeLate, RetryAfter: retryElsewhere}, false
 	}
-	x.deadline = earliest(now.Add(-late), x.call.CallerTimeout, x.route.Timeout)
+	x.deadline = earliestDeadline(now.Add(-late), x.call.CallerTimeout, x.route.Timeout)
 	x.zones = x.allowedZones()
 	x.service, found = t.Service(x.pickService(now))
 	if !found {
-		return Refusal{Code: CodeNoUpstream, RetryAfter: retryUnknown}, false
+		return Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter}, false
 	}
 	x.versions.set(x.drawVersions(now))
 	if x.held(now) {
@@ -140,30 +143,32 @@
 	return Refusal{}, true
 }
 
-// unknown refuses for what the configuration doesn't hold, but only while the
-// configuration is known to be the newest; else another host may know more.
-func (x *exchange) unknown(now time.Time, code Code) Refusal {
-	if x.ContactAge(now) > x.settings.ContactBound {
-		return Refusal{Code: CodeNotReady, RetryAfter: retryNotReady}
+// refuseUnknown refuses a request for something that the configuration doesn't hold. It returns
+// the code only while the configuration is known to be the newest. Otherwise it asks the caller
+// to retry, because another host may have a newer one.
+func (x *exchange) refuseUnknown(now time.Time, code Code) Refusal {
+	if x.ContactAge(now) > x.settings.MaxContactAge {
+		return Refusal{Code: CodeNotReady, RetryAfter: notReadyRetryAfter}
 	}
 	return Refusal{Code: code}
 }
 
-func earliest(from time.Time, bounds ...time.Duration) time.Time {
-	var first time.Time
+// earliestDeadline returns from plus the least positive bound; zero if no bound is positive.
+func earliestDeadline(from time.Time, bounds ...time.Duration) time.Time {
+	var earliest time.Time
 	for _, b := range bounds {
 		if b <= 0 {
 			continue
 		}
-		if at := from.Add(b); first.IsZero() || at.Before(first) {
-			first = at
+		if at := from.Add(b); earliest.IsZero() || at.Before(earliest) {
+			earliest = at
 		}
 	}
-	return first
+	return earliest
 }
 
-// pickService draws one of the route's services by weight; one without upstreams
-// is passed over while another has some.
+// pickService draws one of the route's services by weight. A service without upstreams is
+// passed over if another one has some.
 func (x *exchange) pickService(now time.Time) ServiceName {
 	total := 0
 	for _, s := range x.route.Services {
@@ -192,15 +197,15 @@
 	return picked
 }
 
-// left is how long an upstream may still work on the request.
-func (x *exchange) left(now time.Time) time.Duration {
+// timeLeft is how long an upstream may still work on the request; zero sets no limit.
+func (x *exchange) timeLeft(now time.Time) time.Duration {
 	if x.deadline.IsZero() {
 		return 0
 	}
 	return max(x.deadline.Sub(now), time.Millisecond)
 }
 
-// refuse gives the caller its final answer and notes it.
+// refuse sends the caller a refusal as its final answer, and records it.
 func (x *exchange) refuse(r Refusal, keyvals ...any) {
 	took := x.now().Sub(x.call.Arrived)
 	keyvals = append([]any{"route", x.route.Name, "code", r.Code, "may_have_run", r.MayHaveRun, "retry_after", r.RetryAfter, "took", took}, keyvals...)
@@ -209,18 +214,18 @@
 	if r.Code == CodeCallerLeft {
 		return
 	}
-	if err := x.to.Refuse(r); err != nil {
+	if err := x.sink.Refuse(r); err != nil {
 		x.journal.Request(x.call.ID, "refusal not delivered", "err", err)
 	}
 }
 
-// answered notes the end of a request that an upstream answered.
-func (x *exchange) answered(outcome string, keyvals ...any) {
+// recordOutcome records the end of a request that an upstream answered.
+func (x *exchange) recordOutcome(outcome string, keyvals ...any) {
 	took := x.now().Sub(x.call.Arrived)
 	x.observer.Answered(x.route.Kind, outcome, took)
 	keyvals = append([]any{"route", x.route.Name, "outcome", outcome, "took", took}, keyvals...)
 	x.journal.Request(x.call.ID, "answered", keyvals...)
 }
 
-// runID names the request's run on the engines.
+// runID returns the id of the request's run on the engines.
 func (x *exchange) runID() policy.RunID { return policy.RunID(x.call.ID) }
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -22,58 +22,64 @@
 	"github.com/shedpath/shedpath/spool"
 )
 
-// Settings are what a forwarder is told at its start.
+// Settings configure a forwarder when it is created.
 type Settings struct {
-	// Self is this host, as its peers know it.
+	// Self is this host as its peers know it.
 	Self Peer
-	// Seeds are addresses of peers to try while none is known.
+	// Seeds are the peer addresses to try while no peer is known.
 	Seeds []string
-	// FirstStart says that the whole site starts for the first time.
+	// FirstStart is set if the whole site starts for the first time.
 	FirstStart bool
-	// Retries bounds the requests that are sent once more, over all hosts.
-	Retries RetryLimit
-	// DrainFor is how long an upstream surely goes on serving after the first
-	// sign that it leaves.
-	DrainFor time.Duration
-	// ContactBound is how old the proof of contact with the platform may be
-	// for this host to say that a route or key doesn't exist.
-	ContactBound time.Duration
-	// HeldAnswers is how many bytes of answers this host holds for callers that are slower than
-	// their upstreams; zero sets no bound.
-	HeldAnswers int64
-	// Regions tells each zone's region. A zone that it lacks is of none.
+	// RetryLimit bounds the retries of all hosts together.
+	RetryLimit RetryLimit
+	// DrainTime is how long an upstream is sure to go on serving after the first sign that it
+	// leaves.
+	DrainTime time.Duration
+	// MaxContactAge is how old the last proof of contact with the platform may be for this host
+	// to answer that a route or key doesn't exist.
+	MaxContactAge time.Duration
+	// MaxHeldAnswerBytes bounds the answers that this host holds in memory for callers that are
+	// slower than their upstreams; zero sets no bound.
+	MaxHeldAnswerBytes int64
+	// Regions maps each zone to its region. A zone that is missing has no region.
 	Regions map[member.Zone]member.Region
-	// Rollouts bound what a version on trial gets.
-	Rollouts rollout.Limits
+	// RolloutLimits bound what a version on trial gets.
+	RolloutLimits rollout.Limits
 	// Clock counts the time for which the machine is suspended; nil counts none.
 	Clock *clock.Clock
 }
 
-// Journal takes the decision lines of the log. It must not block.
+// Journal receives the log lines about decisions. Its methods must not block.
 type Journal interface {
-	// Request notes a decision about one request.
+	// Request records a decision about one request.
 	Request(id RequestID, event string, keyvals ...any)
-	// Belief notes a change of what this host believes.
-	Belief(event string, keyvals ...any)
+	// HostEvent records a change in what this host knows about the site, its upstreams, its
+	// peers or itself.
+	HostEvent(event string, keyvals ...any)
 }
 
-// Observer counts what happens. It is called on the data path.
+// Observer counts events for the metrics. It is called on the data path.
 type Observer interface {
+	// Answered counts a request that got its final answer, took after it arrived.
 	Answered(kind Kind, outcome string, took time.Duration)
+	// FirstEvent records the time from a request's arrival to the first event of its stream.
 	FirstEvent(took time.Duration)
-	Gap(d time.Duration)
+	// EventGap records the time between two events of a stream.
+	EventGap(d time.Duration)
+	// Repeated counts a request that is sent to a further upstream, and why.
 	Repeated(why string)
+	// Moved counts a stopped run that was moved or lost, and for how long it stood still.
 	Moved(outcome string, pause time.Duration)
-	// Unread counts entries of the origin that couldn't be read or used.
-	Unread(entries int)
-	// Broken counts a connection that an upstream ended before its answer, and whether
-	// the upstream itself had ended.
-	Broken(ended bool)
-	// Permit counts the answers to whether something may be sent to a bounded upstream.
+	// UnreadableEntries counts entries of the origin that could not be read or used.
+	UnreadableEntries(entries int)
+	// ConnectionBroken counts a connection that an upstream ended before its answer was
+	// complete. ended is set if the upstream itself had ended.
+	ConnectionBroken(ended bool)
+	// Permit counts the outcome of a request for a permit to send to a bounded upstream.
 	Permit(permit.Outcome)
-	// Signal counts what upstreams tell about themselves in their answers.
+	// Signal counts what upstreams report about themselves in their answers.
 	Signal(SignalKind)
-	// Send counts what was not sent, or sent all the same.
+	// Send counts sends that were withheld, or made despite a reason against them.
 	Send(eligibility.Verdict)
 	// Suspended counts the time for which this machine was suspended.
 	Suspended(d time.Duration)
@@ -86,75 +92,77 @@
 	journal   Journal
 	observer  Observer
 
-	fleet   *Fleet
-	table   atomic.Pointer[Table]
-	engines *enginePlacer
-	plain   *latencyBalancer
-	// backoffs are the upstreams that asked this host for backoff, and backoffNotices bounds
-	// how often peers are told of that at once.
-	backoffs       backoff.Table
-	backoffNotices eventLimiter
-	// relist asks Run to tell the placement which engines take work.
-	relist chan struct{}
-	// limiter gets leave to send to bounded upstreams, and limitLines bounds the log's
-	// lines about the limits that they name.
-	limiter    *permit.Limiter
-	limitLines eventLimiter
-	// signalLines bounds the lines about what upstreams tell about themselves.
-	signalLines eventLimiter
-	retries     retryBudget
-	// contact is when this host last had proof that its configuration is the
-	// newest.
-	contact latestTime
-	// originContact is when the origin proved that the list is up to date, to
-	// this host or to the one that it follows; never while neither has it.
-	originContact latestTime
-	// originProved wakes when it is renewed.
-	originProved broadcast
-	// proofInherited says that this proof is a peer's.
-	proofInherited atomic.Bool
-	// followed is when a peer that is followed last answered.
-	followed latestTime
-	// listSuspect is when an engine last went without notice that the list had.
-	listSuspect latestTime
-	// newest is the configuration in force as it came, for peers.
-	newest atomic.Pointer[Config]
-	peers  *peerSet
-	turns  turns
-	// peerPort is set by RunPeers, under the lock of peers.
-	peerPort Peers
-	// crashes are requests under which upstreams ended.
+	fleet        *Fleet
+	table        atomic.Pointer[Table]
+	engines      *enginePlacer
+	plainChooser *latencyBalancer
+	// backoffs holds the upstreams that asked this host for backoff. backoffNoticeLimiter
+	// bounds how often peers are notified of that at once.
+	backoffs             backoff.Table
+	backoffNoticeLimiter eventLimiter
+	// relistRequested asks Run to pass the engines that take work to the placement.
+	relistRequested chan struct{}
+	// limiter obtains permits to send to bounded upstreams. limitLogLimiter bounds the log
+	// lines about the limits that upstreams name.
+	limiter         *permit.Limiter
+	limitLogLimiter eventLimiter
+	// signalLogLimiter bounds the log lines about what upstreams report about themselves.
+	signalLogLimiter eventLimiter
+	retries          retryBudget
+	// contactProvedAt is when this host last had proof that its configuration is the newest.
+	contactProvedAt latestTime
+	// originProvedAt is when the origin last proved that the list of upstreams is up to date,
+	// to this host or to the one that it follows; never if neither has such a proof.
+	originProvedAt latestTime
+	// originProofRenewed wakes its waiters when originProvedAt advances.
+	originProofRenewed broadcast
+	// originProofInherited is set if the proof came from a peer.
+	originProofInherited atomic.Bool
+	// followedPeerAnsweredAt is when the peer that this host follows last answered.
+	followedPeerAnsweredAt latestTime
+	// listSuspectedAt is when an engine that was on the list last disappeared without notice.
+	listSuspectedAt latestTime
+	// newestConfig is the configuration in force in the form in which it was received, for
+	// peers.
+	newestConfig atomic.Pointer[Config]
+	peers        *peerSet
+	turns        turns
+	// peerTransport is set by RunPeers under the lock of peers.
+	peerTransport Peers
+	// crashes holds the requests under which upstreams ended.
 	crashes quarantine.Register
-	// toKeep are requests that the origin is to keep.
-	toKeep chan quarantine.Fingerprint
-	// rollouts are the moves of services to other versions, seen what this host has seen of
-	// these, and desk what it decides for all.
-	rollouts rollout.Book
-	seen     rollout.Observations
-	desk     rolloutDesk
-	// answers bounds what is held of answers.
-	answers spool.Budget
-	// offers are peers' newer configurations.
-	offers *configOffers
+	// fingerprintsToStore queues the requests whose quarantine the origin is to store.
+	fingerprintsToStore chan quarantine.Fingerprint
+	// rollouts holds the moves of services to other versions, rolloutObservations what this
+	// host has observed of them, and rolloutDecider what it needs to decide about them for all
+	// hosts.
+	rollouts            rollout.Book
+	rolloutObservations rollout.Observations
+	rolloutDecider      rolloutDesk
+	// answerBudget bounds the memory that answers take.
+	answerBudget spool.Budget
+	// configOffers holds the newer configurations that peers offer.
+	configOffers *configOffers
 
-	// givenUntil is when this host's link will have carried the lists that it gives to others.
-	givenLists sync.Mutex
-	givenUntil time.Time
+	// listSendDoneAt is when this host's link will have transmitted the upstream lists that it
+	// sends to peers. listSendMu guards it.
+	listSendMu     sync.Mutex
+	listSendDoneAt time.Time
 
-	// leavingFailing lets one run of this host at a time leave a failing engine.
-	leavingFailing sync.Mutex
+	// leaveFailingMu lets one run of this host at a time leave a failing engine.
+	leaveFailingMu sync.Mutex
 
 	mu sync.Mutex
-	// inFlight are the requests under way, with what ends each of them.
+	// inFlight maps each request in progress to the function that ends it.
 	inFlight map[*exchange]context.CancelCauseFunc
 	stopping bool
-	// stopSince is when the host was first told to stop.
-	stopSince time.Time
-	// stopBy is when the host will have stopped; zero when it isn't known.
-	stopBy time.Time
-	// idle closes when the forwarder is stopping and nothing is in flight.
+	// stoppingSince is when the host was first told to stop.
+	stoppingSince time.Time
+	// stopDeadline is when the host will have stopped; zero if that isn't known.
+	stopDeadline time.Time
+	// idle is closed when the forwarder is stopping and no request is in flight.
 	idle chan struct{}
-	// closed says that nothing is taken any more, whatever it is.
+	// closed is set once no further request is accepted.
 	closed bool
 }
 
@@ -162,34 +170,34 @@
 func New(s Settings, t Transport, j Journal, o Observer) *Forwarder {
 	f := &Forwarder{
 		settings: s, transport: t, journal: j, observer: o,
-		fleet: &Fleet{}, engines: newEnginePlacer(s.Self.ID, s.Self.Zone), plain: newLatencyBalancer(s.Self.Zone),
-		peers: newPeerSet(s.Self, s.Seeds), offers: newConfigOffers(),
-		inFlight: map[*exchange]context.CancelCauseFunc{}, idle: make(chan struct{}), relist: make(chan struct{}, 1),
-		toKeep: make(chan quarantine.Fingerprint, saveQueueSize),
+		fleet: &Fleet{}, engines: newEnginePlacer(s.Self.ID, s.Self.Zone), plainChooser: newLatencyBalancer(s.Self.Zone),
+		peers: newPeerSet(s.Self, s.Seeds), configOffers: newConfigOffers(),
+		inFlight: map[*exchange]context.CancelCauseFunc{}, idle: make(chan struct{}), relistRequested: make(chan struct{}, 1),
+		fingerprintsToStore: make(chan quarantine.Fingerprint, saveQueueSize),
 	}
 	f.limiter = permit.New(s.Self, permitSite{f}, f.now)
-	f.retries.setLimit(s.Retries)
-	f.answers.Most = s.HeldAnswers
-	f.useClock(s.Clock)
+	f.retries.setLimit(s.RetryLimit)
+	f.answerBudget.Most = s.MaxHeldAnswerBytes
+	f.setClock(s.Clock)
 	return f
 }
 
-// useClock has everything here be decided by a clock.
-func (f *Forwarder) useClock(c *clock.Clock) {
+// setClock makes the forwarder, its placement and its turns use c.
+func (f *Forwarder) setClock(c *clock.Clock) {
 	f.settings.Clock, f.engines.clock, f.turns.clock = c, c, c
 }
 
-// now is the present moment, by which everything here is decided.
+// now returns the time by which the forwarder decides.
 func (f *Forwarder) now() time.Time { return f.settings.Clock.Now() }
 
-// Fleet is what this host believes about the upstreams.
+// Fleet returns what this host knows about the upstreams.
 func (f *Forwarder) Fleet() *Fleet { return f.fleet }
 
-// Table is the configuration in force here; nil before the first.
+// Table returns the configuration in force; nil before the first one.
 func (f *Forwarder) Table() *Table { return f.table.Load() }
 
-// Configure puts a configuration in force, unless it is older than the one
-// that is. It reports whether it is now in force.
+// Configure puts a configuration in force, unless it is older than the present one. It reports
+// whether the configuration's version is in force now.
 func (f *Forwarder) Configure(now time.Time, c Config) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -199,100 +207,103 @@
 	}
 	t := NewTable(c)
 	f.engines.configure(t)
-	f.newest.Store(&c)
+	f.newestConfig.Store(&c)
 	f.table.Store(t)
-	f.journal.Belief("configuration in force", "version", c.Version, "routes", len(c.Routes), "accounts", len(c.Accounts))
-	f.listEngines(now, t)
+	f.journal.HostEvent("configuration in force", "version", c.Version, "routes", len(c.Routes), "accounts", len(c.Accounts))
+	f.updatePlacementEngines(now, t)
 	f.fleet.WakeWaiters()
 	return true
 }
 
-// ContactProved takes in that the configuration was the newest at a time. A restored origin has
-// an older one than the newest that it acknowledged, so that isn't believed where a newer one was
-// known by then.
+// ContactProved records that the configuration in force was proved to be the newest at a time.
+// The proof is ignored if a newer configuration was already known then: a restored origin
+// serves an older configuration than the newest that it acknowledged.
 func (f *Forwarder) ContactProved(at time.Time) {
-	if since, newer := f.offers.newerOfferedAt(f.versionInForce()); !newer || at.Before(since) {
-		f.contact.advance(at)
+	if since, newer := f.configOffers.newerOfferedAt(f.versionInForce()); !newer || at.Before(since) {
+		f.contactProvedAt.advance(at)
 	}
 }
 
-// ContactAge is how long ago the configuration was last proved to be the newest;
-// neverProved when it wasn't.
-func (f *Forwarder) ContactAge(now time.Time) time.Duration { return f.contact.age(now) }
+// ContactAge returns how long ago the configuration was last proved to be the newest, or the
+// greatest age that is reported if it never was.
+func (f *Forwarder) ContactAge(now time.Time) time.Duration { return f.contactProvedAt.age(now) }
 
-// SetRetryLimit changes the bound on repeats.
+// SetRetryLimit changes the bound on retries.
 func (f *Forwarder) SetRetryLimit(l RetryLimit) { f.retries.setLimit(l) }
 
-// Run keeps the placement up to date until the context ends.
+// Run keeps the placement up to date, and drops state that has expired, until the context ends.
 func (f *Forwarder) Run(ctx context.Context) {
 	tick := time.NewTicker(poolRefreshInterval)
 	defer tick.Stop()
-	slept := f.settings.Clock.Slept()
+	suspended := f.settings.Clock.Slept()
 	for {
-		slept = f.noteSuspended(slept)
+		suspended = f.reportSuspension(suspended)
 		changed := f.fleet.Changed()
 		f.retireVersions(f.now())
 		if f.peers.zonesDivided() {
-			PauseFor(ctx, relistPause)
+			PauseFor(ctx, relistDelay)
 		}
 		if t := f.table.Load(); t != nil {
-			f.listEngines(f.now(), t)
+			f.updatePlacementEngines(f.now(), t)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-f.relist:
+		case <-f.relistRequested:
 		case <-tick.C:
 			f.crashes.Forget(f.now(), f.peers.isKnown)
 			f.forgetLimits(f.now())
 			f.backoffs.Forget(f.now())
 			for _, c := range f.fleet.Settle(f.now()) {
 				if !c.Gone {
-					f.journal.Belief("upstream back", "upstream", c.ID, "why", "still on the restored list")
+					f.journal.HostEvent("upstream back", "upstream", c.ID, "why", "still on the restored list")
 					continue
 				}
-				f.journal.Belief("upstream dropped", "upstream", c.ID, "why", "still missing after the list settled")
+				f.journal.HostEvent("upstream dropped", "upstream", c.ID, "why", "still missing after the list settled")
 			}
 			f.logZoneChanges(f.fleet.SettleZoneOrders(f.now()))
 		}
 	}
 }
 
-// relistPause gathers changes of the list: a fleet that is divided has many, and a request to an
-// upstream that has left is turned back as it is sent.
-const relistPause = 25 * time.Millisecond
+// relistDelay gathers changes of the upstream list into one update. A fleet that is divided
+// into cells has many changes. A request to an upstream that left meanwhile is still turned
+// back when it is sent.
+const relistDelay = 25 * time.Millisecond
 
-// noteSuspended tells of a suspension of this machine since it was suspended for so long in
-// all, and returns for how long it has been by now. Peers then learn at once that the host
-// is there again, and it learns what they know.
-func (f *Forwarder) noteSuspended(before time.Duration) time.Duration {
-	slept := f.settings.Clock.Slept()
-	if slept > before {
-		f.journal.Belief("was suspended", "for", slept-before)
-		f.observer.Suspended(slept - before)
+// reportSuspension reports how long this machine was suspended since reported, the total at the
+// last call, and returns the present total. After a suspension it notifies all peers at once,
+// so that they learn that this host is back, and it learns what they know.
+func (f *Forwarder) reportSuspension(reported time.Duration) time.Duration {
+	suspended := f.settings.Clock.Slept()
+	if suspended > reported {
+		f.journal.HostEvent("was suspended", "for", suspended-reported)
+		f.observer.Suspended(suspended - reported)
 		f.peers.notifyAll()
 	}
-	return slept
+	return suspended
 }
 
-// listEngines tells the placement which engines take work.
-func (f *Forwarder) listEngines(now time.Time, t *Table) {
+// updatePlacementEngines passes the engines that take work to the placement.
+func (f *Forwarder) updatePlacementEngines(now time.Time, t *Table) {
 	layout, own := f.peers.cellLayout()
 	f.fleet.SetLayout(layout, own)
 	for name, s := range t.Services() {
 		if s.Engine != nil {
-			f.engines.setAvailable(now, name, f.placedOn(now, name, layout, own))
+			f.engines.setAvailable(now, name, f.placementEngines(now, name, layout, own))
 		}
 	}
 }
 
-// fallbackEngines is how many engines of other cells a host places on by itself whose cell has none.
-const fallbackEngines = 64
+// maxFallbackEngines bounds the engines of other cells on which a host places by itself when
+// its own cell has none.
+const maxFallbackEngines = 64
 
-// placedOn are the engines on which this host places: all where the zones aren't divided, else those
-// of its cell.
-func (f *Forwarder) placedOn(now time.Time, service ServiceName, layout cell.Layout, own cell.ID) []Upstream {
+// placementEngines returns the engines on which this host places runs: all of them if the zones
+// aren't divided into cells, else those of its own cell. If its cell has none, it returns some
+// random ones, of its zone if possible.
+func (f *Forwarder) placementEngines(now time.Time, service ServiceName, layout cell.Layout, own cell.ID) []Upstream {
 	if !layout.Divided() {
 		return f.candidates(now, service)
 	}
@@ -302,12 +313,12 @@
 	}
 	if len(takers) == 0 {
 		all := f.candidates(now, service)
-		near := slices.DeleteFunc(slices.Clone(all), func(u Upstream) bool { return u.Zone != own.Zone })
-		if len(near) == 0 {
-			near = slices.Clone(all)
+		fallback := slices.DeleteFunc(slices.Clone(all), func(u Upstream) bool { return u.Zone != own.Zone })
+		if len(fallback) == 0 {
+			fallback = slices.Clone(all)
 		}
-		rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-		takers = near[:min(len(near), fallbackEngines)]
+		rand.Shuffle(len(fallback), func(i, j int) { fallback[i], fallback[j] = fallback[j], fallback[i] })
+		takers = fallback[:min(len(fallback), maxFallbackEngines)]
 	}
 	slices.SortFunc(takers, compareUpstreamIDs)
 	return takers
--- a/forward/panic_test.go
+++ b/forward/panic_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// panicReader panics instead of reading on.
+// panicReader panics where its reader returns an error.
 type panicReader struct{ io.Reader }
 
 func (r panicReader) Read(p []byte) (int, error) {
@@ -21,14 +21,14 @@
 	panic("a mistake")
 }
 
-// TestRequestThatBringsOutAMistake has a request on which this program panics get its final
-// answer, be said to may have run, and not end the host with all others.
-func TestRequestThatBringsOutAMistake(t *testing.T) {
+// TestRequestPanics checks that a request whose handling panics gets a final answer that says
+// that it may have run, and the host goes on serving all others.
+func TestRequestPanics(t *testing.T) {
 	sends := func(context.Context, Upstream, *UpstreamRequest) (*Response, error) { panic("a mistake") }
 	midway := func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		a := answer(200, "")
 		a.ContentLength = -1
-		a.Body = io.NopCloser(panicReader{&twoEvents{}})
+		a.Body = io.NopCloser(panicReader{&twoEventReader{}})
 		return a, nil
 	}
 	for name, c := range map[string]struct {
@@ -59,10 +59,10 @@
 	}
 }
 
-// twoEvents are the beginning of a stream.
-type twoEvents struct{ done bool }
+// twoEventReader returns the first two events of a stream, and then io.EOF.
+type twoEventReader struct{ done bool }
 
-func (e *twoEvents) Read(p []byte) (int, error) {
+func (e *twoEventReader) Read(p []byte) (int, error) {
 	if e.done {
 		return 0, io.EOF
 	}
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -10,47 +10,49 @@
 	"time"
 )
 
-// errFirstEventLate ends a send to an engine that is silent for too long.
+// errFirstEventLate cancels a send to an engine that is silent for too long.
 var errFirstEventLate = errors.New("the engine's first event is late")
 
-// honest says of a refusal that the request may have run if an earlier engine
-// may have worked on it, whatever the last one said.
-func (s *streamExchange) honest(r Refusal) Refusal {
+// markMayHaveRun returns r, unless an earlier engine may have worked on the request. Then it
+// returns a refusal that says so, whatever the last engine reported.
+func (s *streamExchange) markMayHaveRun(r Refusal) Refusal {
 	if !s.mayHaveRun || r.MayHaveRun || r.Code == CodeCallerLeft {
 		return r
 	}
 	return s.truly(s.now(), Refusal{Code: CodeLost, MayHaveRun: true})
 }
 
-// mayRunAgain reports whether a request that an engine may have worked on may be
-// sent to another: only streams that can be resumed are, while their time lasts.
-func (s *streamExchange) mayRunAgain(ctx context.Context, why Code) bool {
-	return s.route.Resumable && why == CodeLost && ctx.Err() == nil
+// mayRunAgain reports whether a request that an engine may have worked on may be sent to
+// another one. That holds only for lost requests of resumable streams, until their context
+// ends.
+func (s *streamExchange) mayRunAgain(ctx context.Context, code Code) bool {
+	return s.route.Resumable && code == CodeLost && ctx.Err() == nil
 }
 
-// takeRepeat counts a request that an engine got, and reports whether the route
-// and the shared budget allow another.
-func (s *streamExchange) takeRepeat(why string) bool {
-	s.sent++
-	return s.sent < s.route.Attempts && s.takeBudget(why)
+// takeRetry counts an engine that may have run the request, and reports whether the route and
+// the shared retry budget allow another send.
+func (s *streamExchange) takeRetry(reason string) bool {
+	s.attempts++
+	return s.attempts < s.route.Attempts && s.takeRetryBudget(reason)
 }
 
-// takeBudget reports whether the shared budget allows another send.
-func (s *streamExchange) takeBudget(why string) bool {
+// takeRetryBudget takes a retry from the shared budget, records it, and reports whether one was
+// left.
+func (s *streamExchange) takeRetryBudget(reason string) bool {
 	if !s.retries.takeRetry(s.now(), s.service.Name) {
-		s.journal.Request(s.call.ID, "not repeated", "why", "retry budget used up", "after", why)
+		s.journal.Request(s.call.ID, "not repeated", "why", "retry budget used up", "after", reason)
 		return false
 	}
-	s.observer.Repeated(why)
+	s.observer.Repeated(reason)
 	return true
 }
 
-// sendFirst sends the request to its engine. A resumable stream that has further
-// attempts isn't left with an engine that stays silent: it would be late there,
-// and another engine may still answer it.
+// sendFirst sends the request to its engine. A resumable stream with attempts left is withdrawn
+// from an engine that stays silent for too long: it would be late there, and another engine may
+// still answer in time.
 func (s *streamExchange) sendFirst(ctx context.Context, u Upstream) (*Response, error) {
-	begin := s.beginning()
-	if !s.route.Resumable || s.sent+1 >= s.route.Attempts || s.route.Objective <= 0 {
+	begin := s.initialContinuation()
+	if !s.route.Resumable || s.attempts+1 >= s.route.Attempts || s.route.Objective <= 0 {
 		return s.send(ctx, u, begin)
 	}
 	bounded, cancel := context.WithCancelCause(ctx)
@@ -66,44 +68,46 @@
 		}
 		return nil, err
 	}
-	// The answer lives as long as the request.
+	// The body of the answer is read under this context until the request ends.
 	context.AfterFunc(ctx, func() { cancel(nil) })
 	return answer, nil
 }
 
-// beginning is where a run starts: from the caller's last event, if it has one.
-func (s *streamExchange) beginning() *Continuation {
-	if !s.route.Resumable || s.lastEvent == "" {
+// initialContinuation returns where a new run starts: after the last event that the caller has
+// of an earlier answer. It is nil for a run from the beginning.
+func (s *streamExchange) initialContinuation() *Continuation {
+	if !s.route.Resumable || s.lastEventID == "" {
 		return nil
 	}
-	return &Continuation{LastEventID: s.lastEvent}
+	return &Continuation{LastEventID: s.lastEventID}
 }
 
-// resume has another engine run a stream that broke off and go on after the last
-// event that the caller has. It returns false when the route, the budget or the
-// engines don't allow it.
+// resume lets another engine run a stream that broke off and continue it after the last event
+// that the caller has. It returns false if the route, the retry budget or the engines don't
+// allow that, or if the other engine brings no stream.
 func (s *streamExchange) resume(ctx context.Context, broken Upstream) (Upstream, *Response, bool) {
 	s.mayHaveRun = true
-	if s.events > 0 && s.lastEvent == "" {
-		// Without an id there is no telling where to go on.
+	if s.eventCount > 0 && s.lastEventID == "" {
+		// Without an event id it is unknown where to continue.
 		return Upstream{}, nil, false
 	}
-	if !s.mayRunAgain(ctx, CodeLost) || s.held(s.now()) || !s.takeRepeat("broken_off") {
+	if !s.mayRunAgain(ctx, CodeLost) || s.held(s.now()) || !s.takeRetry("broken_off") {
 		return Upstream{}, nil, false
 	}
-	s.avoid = append(s.avoid, broken.ID)
+	s.excluded = append(s.excluded, broken.ID)
 	u, refusal, ok := s.place(ctx)
 	if !ok {
 		s.journal.Request(s.call.ID, "not resumed", "why", refusal.Code)
 		return Upstream{}, nil, false
 	}
-	answer, err := s.send(ctx, u, s.beginning())
+	answer, err := s.send(ctx, u, s.initialContinuation())
 	if err == nil && answer.Status == http.StatusOK && answer.Signed && !answer.UnexpectedEncoding {
-		s.journal.Request(s.call.ID, "resumed", "from", broken.ID, "upstream", u.ID, "after", s.lastEvent)
+		s.journal.Request(s.call.ID, "resumed", "from", broken.ID, "upstream", u.ID, "after", s.lastEventID)
 		return u, answer, true
 	}
-	s.free(false)
-	// The caller's answer is cut either way; judge marks the engine.
-	s.judge(ctx, u, answer, err)
+	s.releasePlace(false)
+	// The caller's answer is cut either way, so the refusal is dropped; the call records the
+	// engine's failure.
+	s.classifyFailure(ctx, u, answer, err)
 	return Upstream{}, nil, false
 }
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -15,8 +15,8 @@
 	"github.com/matryer/is"
 )
 
-// resumableForwarder has a route "/llm/" of resumable streams.
-func resumableForwarder(t *testing.T, transport Transport, attempts int, slack float64) *Forwarder {
+// newResumableForwarder returns a forwarder whose route "/llm/" has resumable streams.
+func newResumableForwarder(t *testing.T, transport Transport, attempts int, slack float64) *Forwarder {
 	f := newForwarder(t, transport)
 	c := testConfig(2)
 	c.Routes[2].Resumable, c.Routes[2].Attempts = true, attempts
@@ -25,41 +25,41 @@
 	return f
 }
 
-// broken is an answer that breaks off after some events.
-func broken(events string) *Response {
+// brokenAnswer returns an answer that breaks off after some events.
+func brokenAnswer(events string) *Response {
 	a := answer(200, "")
 	a.ContentLength, a.Body = -1, io.NopCloser(io.MultiReader(strings.NewReader(events), errReader{}))
 	return a
 }
 
-// TestResume has a resumable stream that an engine lost or broke off go on at
-// another engine after the last event that the caller has, and no other stream.
+// TestResume checks that a resumable stream that an engine lost or broke off continues at
+// another engine after the last event that the caller has. No other stream does.
 func TestResume(t *testing.T) {
 	const first, rest = "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
 	for name, c := range map[string]struct {
 		resumable bool
 		attempts  int
 		slack     float64
-		// firstAnswer is nil where the first engine loses the request.
+		// firstAnswer is nil if the first engine loses the request.
 		firstAnswer *Response
-		// callerHas is the event that the caller names.
+		// callerHas is the id of the last event that the caller reports.
 		callerHas string
 		sent      int
-		// after are the events that the engines are told to go on after.
-		after   []string
-		want    string
-		cut     bool
-		refused Code
+		// continuedAfter lists the event ids after which the engines are asked to continue.
+		continuedAfter []string
+		want           string
+		cut            bool
+		refused        Code
 	}{
 		"lost":                      {true, 2, 100, nil, "", 2, []string{"", ""}, rest, false, ""},
 		"lost, not resumable":       {false, 2, 100, nil, "", 1, []string{""}, "", false, CodeLost},
 		"lost, one attempt":         {true, 1, 100, nil, "", 1, []string{""}, "", false, CodeLost},
 		"lost, no budget":           {true, 2, 0, nil, "", 1, []string{""}, "", false, CodeLost},
-		"broken":                    {true, 2, 100, broken(first), "", 2, []string{"", "1"}, first + rest, false, ""},
-		"broken within an event":    {true, 2, 100, broken(first + "id: 2\nda"), "", 2, []string{"", "1"}, first + rest, false, ""},
-		"broken, not resumable":     {false, 2, 100, broken(first), "", 1, []string{""}, first, true, ""},
-		"broken, no ids":            {true, 2, 100, broken("data: a\n\n"), "", 1, []string{""}, "data: a\n\n", true, ""},
-		"broken, one attempt":       {true, 1, 100, broken(first), "", 1, []string{""}, first, true, ""},
+		"broken":                    {true, 2, 100, brokenAnswer(first), "", 2, []string{"", "1"}, first + rest, false, ""},
+		"broken within an event":    {true, 2, 100, brokenAnswer(first + "id: 2\nda"), "", 2, []string{"", "1"}, first + rest, false, ""},
+		"broken, not resumable":     {false, 2, 100, brokenAnswer(first), "", 1, []string{""}, first, true, ""},
+		"broken, no ids":            {true, 2, 100, brokenAnswer("data: a\n\n"), "", 1, []string{""}, "data: a\n\n", true, ""},
+		"broken, one attempt":       {true, 1, 100, brokenAnswer(first), "", 1, []string{""}, first, true, ""},
 		"lost, caller has an event": {true, 2, 100, nil, "1", 2, []string{"1", "1"}, rest, false, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 			transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
 				last := ""
 				if r.Continue != nil {
-					is.Equal(r.Continue.Handle, "") // nothing is kept of the run
+					is.Equal(r.Continue.Handle, "") // the run left no copy
 					last = r.Continue.LastEventID
 				}
 				after = append(after, last)
@@ -81,7 +81,7 @@
 					return c.firstAnswer, nil
 				}
 			}}
-			f, sink := resumableForwarder(t, transport, c.attempts, c.slack), &fakeSink{}
+			f, sink := newResumableForwarder(t, transport, c.attempts, c.slack), &fakeSink{}
 			if !c.resumable {
 				config := testConfig(3)
 				config.Routes[2].Attempts = c.attempts
@@ -92,20 +92,20 @@
 			f.Serve(t.Context(), request, sink)
 			sent := transport.sentTo()
 			is.Equal(len(sent), c.sent)
-			is.True(len(sent) < 2 || sent[0] != sent[1]) // another engine
-			is.Equal(after, c.after)
+			is.True(len(sent) < 2 || sent[0] != sent[1]) // resumed at another engine
+			is.Equal(after, c.continuedAfter)
 			is.Equal(sink.body.String(), c.want)
 			is.Equal(sink.cut, c.cut)
 			if c.refused != "" {
 				is.Equal(*sink.refused, Refusal{Code: c.refused, MayHaveRun: true})
 			}
-			is.Equal(len(f.engines.states(time.Now())), 0) // every place is free again
+			is.Equal(len(f.engines.runStates(time.Now())), 0) // every place was freed
 		})
 	}
 }
 
-// TestResumeNoRoom has the final answer of a stream that an engine may have
-// worked on say so, though the next engine surely didn't run it.
+// TestResumeNoRoom checks that the final answer of a stream that an engine may have worked on
+// says so, although the engines that were tried next surely didn't run it.
 func TestResumeNoRoom(t *testing.T) {
 	is := is.New(t)
 	tries := 0
@@ -117,14 +117,14 @@
 		a.NotRun = true
 		return a, nil
 	}}
-	f, sink := resumableForwarder(t, transport, 2, 100), &fakeSink{}
+	f, sink := newResumableForwarder(t, transport, 2, 100), &fakeSink{}
 	f.Serve(t.Context(), call("/llm/"), sink)
 	is.Equal(tries, 1+maxRejections)
 	is.Equal(*sink.refused, Refusal{Code: CodeLost, MayHaveRun: true})
 }
 
-// TestResumeSilent has a resumable stream leave an engine that stays silent, and
-// the connection to that engine closed.
+// TestResumeSilent checks that a resumable stream leaves an engine that stays silent, and the
+// request to that engine is cancelled.
 func TestResumeSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -137,7 +137,7 @@
 			}
 			return answer(200, "id: 1\n\n"), nil
 		}}
-		f, sink := resumableForwarder(t, transport, 2, 100), &fakeSink{}
+		f, sink := newResumableForwarder(t, transport, 2, 100), &fakeSink{}
 		began := time.Now()
 		f.Serve(t.Context(), call("/llm/"), sink)
 		is.Equal(tries, 2)
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -12,55 +12,57 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// RunState is what a host tells its peers of one of its runs.
+// RunState describes one of a host's runs to its peers.
 type RunState struct {
 	Run     policy.RunID
 	Service ServiceName
 	Engine  member.UpstreamID
-	// Life is the engine's that the run is in.
+	// Life is the engine's life to which the run belongs.
 	Life Incarnation
-	// Route and Account are what the length of its answer is foreseen by.
+	// Route and Account are what the length of the answer is predicted from.
 	Route   resource.Name
 	Account resource.Account
-	Prompt  policy.Tokens
-	Made    policy.Tokens
-	Limit   policy.Tokens
-	// Begun is how long ago its first token came; zero while it has none.
-	Begun time.Duration
+	// Prompt is the length of the prompt, Made what was generated so far, and Limit the bound
+	// of the answer's length.
+	Prompt policy.Tokens
+	Made   policy.Tokens
+	Limit  policy.Tokens
+	// FirstTokenAge is how long ago the run's first token came; zero before.
+	FirstTokenAge time.Duration
 }
 
-// EndedRun is what a host tells its peers of a run whose answer ended by itself: each of
-// many hosts sees too few answers to know how long they get.
+// EndedRun describes to the peers a run whose answer is complete. A single host among many sees
+// too few answers to learn how long they get.
 type EndedRun struct {
 	Run policy.RunID
 	// Made is the answer's length.
 	Made policy.Tokens
-	// at is when it ended; it isn't told.
-	at time.Time
+	// endedAt is when the run ended; it isn't sent.
+	endedAt time.Time
 }
 
-// endedTold is how long an ended run is told: each peer of the zone hears from this host
-// once meanwhile, and learns from a run when it is no longer listed.
-const endedTold = 2 * shareInterval
+// endedRunTTL is how long an ended run is reported. Within that time each peer of the zone gets
+// a report from this host at least once, and it learns from a run when that is no longer listed.
+const endedRunTTL = 2 * shareInterval
 
-// endedRuns lists the runs that ended by themselves lately.
+// endedRuns returns the runs that were completed within endedRunTTL.
 func (e *enginePlacer) endedRuns(now time.Time) []EndedRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(r EndedRun) bool { return now.Sub(r.at) > endedTold })
+	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(r EndedRun) bool { return now.Sub(r.endedAt) > endedRunTTL })
 	return slices.Clone(e.recentlyEnded)
 }
 
-// first is when the run's first token came; zero while it has none.
-func (s RunState) first(now time.Time) time.Time {
-	if s.Begun <= 0 {
+// firstTokenAt is when the run's first token came; zero before.
+func (s RunState) firstTokenAt(now time.Time) time.Time {
+	if s.FirstTokenAge <= 0 {
 		return time.Time{}
 	}
-	return now.Add(-s.Begun)
+	return now.Add(-s.FirstTokenAge)
 }
 
-// states lists this host's runs.
-func (e *enginePlacer) states(now time.Time) []RunState {
+// runStates returns this host's runs.
+func (e *enginePlacer) runStates(now time.Time) []RunState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var states []RunState
@@ -71,7 +73,7 @@
 				Prompt: run.request.Prompt, Made: policy.Tokens(run.generatedTokens.Load()), Limit: run.request.Limit,
 			}
 			if !run.firstTokenAt.IsZero() {
-				state.Begun = max(now.Sub(run.firstTokenAt), 1)
+				state.FirstTokenAge = max(now.Sub(run.firstTokenAt), 1)
 			}
 			states = append(states, state)
 		}
@@ -79,8 +81,8 @@
 	return states
 }
 
-// forget drops the runs of peers that aren't known any more.
-func (e *enginePlacer) forget(now time.Time, isKnown func(member.HostID) bool) {
+// forgetUnknownPeers drops the runs and report times of peers that are no longer known.
+func (e *enginePlacer) forgetUnknownPeers(now time.Time, isKnown func(member.HostID) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.pools {
@@ -98,30 +100,32 @@
 	}
 }
 
-// reportedLately is how recent a peer's word of its runs must be for them to be known: new
-// runs come and prompts are read within about a second.
-const reportedLately = time.Second
+// maxReportAge is how old a peer's last report may be for its runs to count as known: new runs
+// arrive, and prompts are read, within about a second.
+const maxReportAge = time.Second
 
-// noteKnown takes in how much of each zone's runs this host knows.
-func (e *enginePlacer) noteKnown(now time.Time, zoneOf map[member.HostID]member.Zone) {
+// updateKnownParts tells the placement, for each zone, which part of the zone's hosts have
+// reported their runs recently.
+func (e *enginePlacer) updateKnownParts(now time.Time, zoneOf map[member.HostID]member.Zone) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	hosts, told := map[member.Zone]int{}, map[member.Zone]int{}
+	hosts, reported := map[member.Zone]int{}, map[member.Zone]int{}
 	for host, zone := range zoneOf {
 		hosts[zone]++
-		if at, ever := e.lastReported[host]; ever && now.Sub(at) <= reportedLately {
-			told[zone]++
+		if at, ever := e.lastReported[host]; ever && now.Sub(at) <= maxReportAge {
+			reported[zone]++
 		}
 	}
 	for _, p := range e.pools {
 		for zone, n := range hosts {
-			p.pool.SetKnownPart(zone, float64(told[zone])/float64(n))
+			p.pool.SetKnownPart(zone, float64(reported[zone])/float64(n))
 		}
 	}
 }
 
-// adopt replaces what is known of a peer's runs, and learns from those that ended.
-func (e *enginePlacer) adopt(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
+// replacePeerRuns replaces what is known of a peer's runs by its report, and learns from those
+// that ended.
+func (e *enginePlacer) replacePeerRuns(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastReported[host] = now
@@ -134,17 +138,17 @@
 		lengths[r.Run] = r.Made
 	}
 	for _, p := range e.pools {
-		for id, of := range p.peerRuns {
-			if of != host {
+		for id, owner := range p.peerRuns {
+			if owner != host {
 				continue
 			}
-			s, still := listed[id]
-			if still && p.pool.EngineOf(id) == s.Engine {
+			s, stillListed := listed[id]
+			if stillListed && p.pool.EngineOf(id) == s.Engine {
 				delete(p.unconfirmedGrants, id)
 				continue
 			}
 			if _, isGranted := p.unconfirmedGrants[id]; isGranted {
-				// The share was on its way when the place was given.
+				// The peer sent this report before it learned of the place.
 				continue
 			}
 			delete(p.peerRuns, id)
@@ -155,12 +159,12 @@
 	for id, s := range listed {
 		p := e.pools[s.Service]
 		if p == nil || p.ownRuns[id] != nil || p.poolEngines[s.Engine].Incarnation.newerThan(s.Life) {
-			// It is this host's by now, or of a life of its engine that is over.
+			// The run is this host's by now, or its engine has restarted since.
 			continue
 		}
 		if _, known := p.peerRuns[id]; known {
 			p.pool.Progress(now, id, s.Made)
-			p.pool.Reading(now, id, s.first(now))
+			p.pool.Reading(now, id, s.firstTokenAt(now))
 			continue
 		}
 		p.peerRuns[id] = host
