--- a/cell/cell.go
+++ b/cell/cell.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// undividedMost is how many hosts a zone has that is one cell.
-	undividedMost = 48
-	// hostsPerCell is aimed at in a zone that is divided. Cells have between about two thirds
+	// maxUndividedHosts is how many hosts a zone has that is one cell.
+	maxUndividedHosts = 48
+	// targetHostsPerCell is aimed at in a zone that is divided. Cells have between about two thirds
 	// of it and four thirds, for their number is a power of two.
-	hostsPerCell = 24
-	// keptWithin is how far beyond that the number of cells stays as it is, so that it doesn't
+	targetHostsPerCell = 24
+	// resizeTolerance is how far beyond that the number of cells stays as it is, so that it doesn't
 	// change to and fro with single hosts.
-	keptWithin = 1.25
+	resizeTolerance = 1.25
 )
 
 // ID names a cell.
@@ -39,29 +39,29 @@
 
 // Layout is how the zones are divided. The zero value has each zone be one cell.
 type Layout struct {
-	zones map[member.Zone]zone
+	zones map[member.Zone]zoneCells
 }
 
-// zone is one zone's division.
-type zone struct {
+// zoneCells is one zoneCells's division.
+type zoneCells struct {
 	// count is a power of two.
 	count int
-	// inhabited are the numbers of the cells that have hosts, in their order.
-	inhabited []int
+	// populated are the numbers of the cells that have hosts, in their order.
+	populated []int
 }
 
-// countFor is how many cells a zone of some hosts is divided into, which had some before.
-func countFor(hosts, before int) int {
-	if hosts <= undividedMost {
+// cellCountFor is how many cells a zone of some hosts is divided into, which had some before.
+func cellCountFor(hosts, previous int) int {
+	if hosts <= maxUndividedHosts {
 		return 1
 	}
-	if before > 1 {
-		size := float64(hosts) / float64(before)
-		if size <= hostsPerCell*math.Sqrt2*keptWithin && size >= hostsPerCell/math.Sqrt2/keptWithin {
-			return before
+	if previous > 1 {
+		size := float64(hosts) / float64(previous)
+		if size <= targetHostsPerCell*math.Sqrt2*resizeTolerance && size >= targetHostsPerCell/math.Sqrt2/resizeTolerance {
+			return previous
 		}
 	}
-	return 1 << max(int(math.Round(math.Log2(float64(hosts)/hostsPerCell))), 1)
+	return 1 << max(int(math.Round(math.Log2(float64(hosts)/targetHostsPerCell))), 1)
 }
 
 // Next is the layout for the hosts that are known now, after another.
@@ -70,21 +70,21 @@
 	for _, h := range hosts {
 		sizes[h.Zone]++
 	}
-	next := Layout{zones: make(map[member.Zone]zone, len(sizes))}
+	next := Layout{zones: make(map[member.Zone]zoneCells, len(sizes))}
 	for z, n := range sizes {
-		next.zones[z] = zone{count: countFor(n, l.Count(z))}
+		next.zones[z] = zoneCells{count: cellCountFor(n, l.CellCount(z))}
 	}
 	inhabited := map[ID]bool{}
 	for _, h := range hosts {
-		inhabited[next.OfHost(h)] = true
+		inhabited[next.HostCell(h)] = true
 	}
-	for z, of := range next.zones {
-		for number := range of.count {
+	for z, division := range next.zones {
+		for number := range division.count {
 			if inhabited[ID{z, number}] {
-				of.inhabited = append(of.inhabited, number)
+				division.populated = append(division.populated, number)
 			}
 		}
-		next.zones[z] = of
+		next.zones[z] = division
 	}
 	return next
 }
@@ -94,22 +94,22 @@
 	if len(l.zones) != len(o.zones) {
 		return false
 	}
-	for z, of := range l.zones {
+	for z, division := range l.zones {
 		other, known := o.zones[z]
-		if !known || of.count != other.count || !slices.Equal(of.inhabited, other.inhabited) {
+		if !known || division.count != other.count || !slices.Equal(division.populated, other.populated) {
 			return false
 		}
 	}
 	return true
 }
 
-// Count is how many cells a zone is divided into.
-func (l Layout) Count(z member.Zone) int { return max(l.zones[z].count, 1) }
+// CellCount is how many cells a zone is divided into.
+func (l Layout) CellCount(z member.Zone) int { return max(l.zones[z].count, 1) }
 
 // Divided reports whether some zone has more than one cell.
 func (l Layout) Divided() bool {
-	for _, of := range l.zones {
-		if of.count > 1 {
+	for _, division := range l.zones {
+		if division.count > 1 {
 			return true
 		}
 	}
@@ -119,51 +119,51 @@
 // Cells lists all cells that have hosts.
 func (l Layout) Cells() []ID {
 	var ids []ID
-	for z, of := range l.zones {
-		for _, number := range of.inhabited {
+	for z, division := range l.zones {
+		for _, number := range division.populated {
 			ids = append(ids, ID{z, number})
 		}
 	}
 	return ids
 }
 
-// OfHost is the cell of a host.
-func (l Layout) OfHost(h member.Entry) ID {
-	count := l.Count(h.Zone)
+// HostCell is the cell of a host.
+func (l Layout) HostCell(h member.Entry) ID {
+	count := l.CellCount(h.Zone)
 	// The highest bits decide: when the number doubles, each cell is cut in two.
-	return ID{h.Zone, int(bits.RotateLeft64(spread(xxhash.Sum64String(string(h.ID))), bits.Len(uint(count))-1) & uint64(count-1))}
+	return ID{h.Zone, int(bits.RotateLeft64(mixBits(xxhash.Sum64String(string(h.ID))), bits.Len(uint(count))-1) & uint64(count-1))}
 }
 
-// spread mixes the bits of a hash, whose highest differ little for some similar names.
-func spread(h uint64) uint64 {
+// mixBits mixes the bits of a hash, whose highest differ little for some similar names.
+func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	return h ^ h>>33
 }
 
-// OfUpstream is the cell whose hosts an upstream is for: one that has hosts.
-func (l Layout) OfUpstream(id member.UpstreamID, z member.Zone) ID {
-	of := l.zones[z]
-	if of.count <= 1 || len(of.inhabited) == 0 {
+// UpstreamCell is the cell whose hosts an upstream is for: one that has hosts.
+func (l Layout) UpstreamCell(id member.UpstreamID, z member.Zone) ID {
+	division := l.zones[z]
+	if division.count <= 1 || len(division.populated) == 0 {
 		return ID{z, 0}
 	}
-	best, highest := 0, uint64(0)
-	name := xxhash.Sum64String(string(id))
-	for _, number := range of.inhabited {
-		if w := spread(name ^ spread(uint64(number)+1)); w >= highest {
-			best, highest = number, w
+	best, bestWeight := 0, uint64(0)
+	idHash := xxhash.Sum64String(string(id))
+	for _, number := range division.populated {
+		if weight := mixBits(idHash ^ mixBits(uint64(number)+1)); weight >= bestWeight {
+			best, bestWeight = number, weight
 		}
 	}
 	return ID{z, best}
 }
 
-// Pick is which of some hosts another turns to for a purpose, the same one each time; each host
+// PickHost is which of some hosts another turns to for a purpose, the same one each time; each host
 // turns to another.
-func Pick(self member.HostID, purpose string, among []member.Entry) (member.Entry, bool) {
-	if len(among) == 0 {
+func PickHost(self member.HostID, purpose string, candidates []member.Entry) (member.Entry, bool) {
+	if len(candidates) == 0 {
 		return member.Entry{}, false
 	}
-	return member.First(purpose+" "+string(self), among), true
+	return member.First(purpose+" "+string(self), candidates), true
 }
 
 func (id ID) String() string { return string(id.Zone) + "/" + strconv.Itoa(id.Number) }
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -13,7 +13,7 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-func hosts(zones, perZone int) []member.Entry {
+func makeHosts(zones, perZone int) []member.Entry {
 	var all []member.Entry
 	for z := range zones {
 		for n := range perZone {
@@ -29,21 +29,21 @@
 	for _, perZone := range []int{1, 20, 48, 49, 64, 100, 192, 227, 500, 1250} {
 		t.Run(fmt.Sprint(perZone), func(t *testing.T) {
 			is := is.New(t)
-			all := hosts(3, perZone)
+			all := makeHosts(3, perZone)
 			l := Layout{}.Next(all)
 			sizes, upstreams := map[ID]int{}, map[ID]int{}
 			for _, h := range all {
-				sizes[l.OfHost(h)]++
+				sizes[l.HostCell(h)]++
 			}
-			most := 0
+			largest := 0
 			for _, n := range sizes {
-				most = max(most, n)
+				largest = max(largest, n)
 			}
-			t.Logf("%d cells a zone, %d hosts in the largest", l.Count("z0"), most)
-			is.True(most <= undividedMost+8)
-			is.Equal(l.Divided(), perZone > undividedMost)
+			t.Logf("%d cells a zone, %d hosts in the largest", l.CellCount("z0"), largest)
+			is.True(largest <= maxUndividedHosts+8)
+			is.Equal(l.Divided(), perZone > maxUndividedHosts)
 			for n := range 10 * perZone {
-				upstreams[l.OfUpstream(member.UpstreamID(fmt.Sprintf("i-%08x", n*7919)), "z0")]++
+				upstreams[l.UpstreamCell(member.UpstreamID(fmt.Sprintf("i-%08x", n*7919)), "z0")]++
 			}
 			for id, n := range upstreams {
 				is.True(sizes[id] > 0) // it has hosts
@@ -58,20 +58,20 @@
 // have lost their hosts be for others.
 func TestHostsComeAndGo(t *testing.T) {
 	is := is.New(t)
-	all := hosts(1, 200)
+	all := makeHosts(1, 200)
 	l := Layout{}.Next(all)
-	again := l.Next(all[:170])
-	is.Equal(again.Count("z0"), l.Count("z0"))
-	var left []member.Entry
+	shrunk := l.Next(all[:170])
+	is.Equal(shrunk.CellCount("z0"), l.CellCount("z0"))
+	var remaining []member.Entry
 	for _, h := range all {
-		if l.OfHost(h).Number != 3 {
-			left = append(left, h)
+		if l.HostCell(h).Number != 3 {
+			remaining = append(remaining, h)
 		}
 	}
-	without := l.Next(left)
+	afterLoss := l.Next(remaining)
 	for n := range 1000 {
 		id := member.UpstreamID(fmt.Sprint("i-", n))
-		before, after := l.OfUpstream(id, "z0"), without.OfUpstream(id, "z0")
+		before, after := l.UpstreamCell(id, "z0"), afterLoss.UpstreamCell(id, "z0")
 		is.True(after.Number != 3)
 		is.True(before.Number == 3 || before == after)
 	}
@@ -83,9 +83,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		h := member.Entry{ID: member.HostID(rapid.StringN(1, 20, 40).Draw(t, "name")), Zone: "z0"}
 		doublings := rapid.IntRange(0, 8).Draw(t, "doublings")
-		of := func(count int) int { return Layout{zones: map[member.Zone]zone{"z0": {count: count}}}.OfHost(h).Number }
-		if of(2<<doublings)/2 != of(1<<doublings) {
-			t.Fatalf("%d of %d, %d of %d", of(1<<doublings), 1<<doublings, of(2<<doublings), 2<<doublings)
+		cellNumber := func(count int) int {
+			return Layout{zones: map[member.Zone]zoneCells{"z0": {count: count}}}.HostCell(h).Number
+		}
+		if cellNumber(2<<doublings)/2 != cellNumber(1<<doublings) {
+			t.Fatalf("%d of %d, %d of %d", cellNumber(1<<doublings), 1<<doublings, cellNumber(2<<doublings), 2<<doublings)
 		}
 	})
 }
--- a/forward/answermemory.go
+++ b/forward/answermemory.go
@@ -32,7 +32,7 @@
 func (h *answerMemory) reserve(n int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.released || !h.budget.Take(n) {
+	if h.released || !h.budget.Reserve(n) {
 		return false
 	}
 	h.held += n
@@ -44,7 +44,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.released = true
-	h.budget.Free(h.held)
+	h.budget.Release(h.held)
 }
 
 // readBody reads an answer's body and closes it. If the body is too long to be held, or there
--- a/forward/fleetindex.go
+++ b/forward/fleetindex.go
@@ -35,7 +35,7 @@
 		cells = map[cell.ID]map[member.UpstreamID]*knownUpstream{}
 		x.services[k.Service] = cells
 	}
-	cellID := x.layout.OfUpstream(k.ID, k.Zone)
+	cellID := x.layout.UpstreamCell(k.ID, k.Zone)
 	if cells[cellID] == nil {
 		cells[cellID] = map[member.UpstreamID]*knownUpstream{}
 	}
@@ -44,7 +44,7 @@
 
 // remove removes an upstream. Its service and zone must be those under which it was added.
 func (x *fleetIndex) remove(k *knownUpstream) {
-	cells, cellID := x.services[k.Service], x.layout.OfUpstream(k.ID, k.Zone)
+	cells, cellID := x.services[k.Service], x.layout.UpstreamCell(k.ID, k.Zone)
 	delete(cells[cellID], k.ID)
 	if len(cells[cellID]) == 0 {
 		delete(cells, cellID)
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -164,7 +164,7 @@
 		return FollowReply{}, ctx.Err()
 	}
 	PauseFor(ctx, r.Wait)
-	return FollowReply{OriginAge: time.Duration(p.originAge.Load()), Announcements: []roster.Announcement{{Entry: Peer{ID: "h7", Zone: "z1"}, Count: 1}}, ListRevision: rev(7), Changes: p.changes}, nil
+	return FollowReply{OriginAge: time.Duration(p.originAge.Load()), Announcements: []roster.Announcement{{Entry: Peer{ID: "h7", Zone: "z1"}, Sequence: 1}}, ListRevision: rev(7), Changes: p.changes}, nil
 }
 
 // TestFollowZone checks that one host watches the origin for several zones, and that a zone's
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -177,7 +177,7 @@
 	}
 	f.limiter = permit.New(s.Self, permitSite{f}, f.now)
 	f.retries.setLimit(s.RetryLimit)
-	f.answerBudget.Most = s.MaxHeldAnswerBytes
+	f.answerBudget.MaxBytes = s.MaxHeldAnswerBytes
 	f.setClock(s.Clock)
 	return f
 }
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -32,16 +32,16 @@
 	if !l.Named && !f.limiter.Words.Any() {
 		return
 	}
-	word := ratelimit.Word{Named: l.Named, Rate: l.Rate, Since: sent, At: now}
+	word := ratelimit.AnswerReport{HasLimit: l.Named, Rate: l.Rate, SentAt: sent, ReceivedAt: now}
 	f.noteLimit(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
 }
 
 // receiveLimitMark takes in a peer's word of an upstream's limit.
-func (f *Forwarder) receiveLimitMark(now time.Time, from member.HostID, m ratelimit.Mark) {
-	if !f.fleet.ReceiveIncarnation(m.Upstream, Incarnation(m.Life)) {
+func (f *Forwarder) receiveLimitMark(now time.Time, from member.HostID, m ratelimit.PeerReport) {
+	if !f.fleet.ReceiveIncarnation(m.Upstream, Incarnation(m.Incarnation)) {
 		return
 	}
-	f.noteLimit(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceiveMark(now, from, m))
+	f.noteLimit(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceivePeerReport(now, from, m))
 }
 
 // noteLimit tells of a change of an upstream's limit.
@@ -49,7 +49,7 @@
 	if c == ratelimit.Unchanged {
 		return
 	}
-	if c == ratelimit.Ended {
+	if c == ratelimit.LimitEnded {
 		f.limiter.Raised(id)
 	}
 	if f.limitLogLimiter.allow(now, id) {
@@ -63,17 +63,19 @@
 		_, found := f.fleet.Upstream(id)
 		return found
 	}
-	for _, id := range f.limiter.Words.Forget(now, isKnown) {
-		f.journal.HostEvent(ratelimit.Ended.String(), "upstream", id, "why", "no answer confirmed it")
+	for _, id := range f.limiter.Words.Prune(now, isKnown) {
+		f.journal.HostEvent(ratelimit.LimitEnded.String(), "upstream", id, "why", "no answer confirmed it")
 	}
 	f.limitLogLimiter.prune(now)
 	f.signalLogLimiter.prune(now)
 	f.backoffNoticeLimiter.prune(now)
 	f.limiter.Forget(now, func(id member.UpstreamID) bool {
-		_, named := f.limiter.Words.Bound(now, id)
+		_, named := f.limiter.Words.EffectiveRate(now, id)
 		return named || f.fleet.IsCold(now, id)
 	})
 }
 
 // LimitedUpstreams lists the upstreams that name a limit, or return after they did.
-func (f *Forwarder) LimitedUpstreams() []ratelimit.Entry { return f.limiter.Words.Entries(f.now()) }
+func (f *Forwarder) LimitedUpstreams() []ratelimit.LimitStatus {
+	return f.limiter.Words.Statuses(f.now())
+}
--- a/forward/needyfleet_test.go
+++ b/forward/needyfleet_test.go
@@ -164,7 +164,7 @@
 // hosts, as soon as they have had time to hear of it.
 func (f *needyFleet) aim(id member.UpstreamID) worst {
 	allowed := func(r ratelimit.Rate) float64 {
-		return math.Ceil(float64(max(r, ratelimit.LeastRate)) * limitWindow.Seconds())
+		return math.Ceil(float64(max(r, ratelimit.MinRate)) * limitWindow.Seconds())
 	}
 	return f.check(id, allowed, func(r request) bool {
 		_, heard := f.limit(id, r.at-contactBound)
--- a/forward/neighbours.go
+++ b/forward/neighbours.go
@@ -43,7 +43,7 @@
 
 // add adds a host to the known peers. The mutex is held.
 func (p *peerSet) add(host Peer) *peerState {
-	s := &peerState{Peer: host, cell: p.layout.OfHost(host)}
+	s := &peerState{Peer: host, cell: p.layout.HostCell(host)}
 	s.sameCell = s.cell == p.ownCell
 	p.known[host.ID] = s
 	return s
@@ -55,7 +55,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.roster.Announce(now)
-	p.roster.Forget(now)
+	p.roster.PruneExpired(now)
 	p.updateLayout()
 	p.trackNeighbours(now)
 }
@@ -63,17 +63,17 @@
 // updateLayout recomputes the cells and the neighbours after the roster has changed. The mutex is
 // held.
 func (p *peerSet) updateLayout() {
-	if p.layoutRosterVersion == p.roster.Changed() {
+	if p.layoutRosterVersion == p.roster.Version() {
 		return
 	}
-	p.layoutRosterVersion = p.roster.Changed()
+	p.layoutRosterVersion = p.roster.Version()
 	hosts := p.roster.Entries()
 	next := p.layout.Next(hosts)
 	if !next.Equal(p.layout) {
 		p.layout = next
-		p.ownCell = next.OfHost(p.self)
+		p.ownCell = next.HostCell(p.self)
 		for _, s := range p.known {
-			s.cell = next.OfHost(s.Peer)
+			s.cell = next.HostCell(s.Peer)
 			s.sameCell = s.cell == p.ownCell
 		}
 	}
@@ -88,7 +88,7 @@
 	zones, cells := map[member.Zone][]Peer{}, map[cell.ID][]Peer{}
 	for _, h := range hosts {
 		zones[h.Zone] = append(zones[h.Zone], h)
-		id := next.OfHost(h)
+		id := next.HostCell(h)
 		cells[id] = append(cells[id], h)
 	}
 	for _, zoneHosts := range zones {
@@ -106,7 +106,7 @@
 		}
 	}
 	for id, cellHosts := range cells {
-		if h, found := cell.Pick(p.self.ID, id.String(), cellHosts); found {
+		if h, found := cell.PickHost(p.self.ID, id.String(), cellHosts); found {
 			p.neighbours[h.ID] = h
 		}
 	}
@@ -133,7 +133,7 @@
 	for id, cellHosts := range p.otherCells {
 		if !slices.ContainsFunc(cellHosts, func(h Peer) bool { return p.neighbours[h.ID].ID != "" && !unavailable(h) }) {
 			candidates := slices.DeleteFunc(slices.Clone(cellHosts), unavailable)
-			if h, found := cell.Pick(p.self.ID, id.String(), candidates); found {
+			if h, found := cell.PickHost(p.self.ID, id.String(), candidates); found {
 				p.neighbours[h.ID] = h
 			}
 		}
@@ -265,7 +265,7 @@
 	if s == nil {
 		return nil, 0
 	}
-	return p.roster.Since(now, s.announcedUpTo, to, maxAnnouncementsPerMessage)
+	return p.roster.AnnouncementsSince(now, s.announcedUpTo, to, maxAnnouncementsPerMessage)
 }
 
 // recordAnnouncedUpTo records up to which roster position a followed host has received
@@ -287,7 +287,7 @@
 	if cursor.Epoch != p.epoch {
 		cursor.Position = 0
 	}
-	announcements, upTo := p.roster.Since(now, cursor.Position, to, maxAnnouncementsPerMessage)
+	announcements, upTo := p.roster.AnnouncementsSince(now, cursor.Position, to, maxAnnouncementsPerMessage)
 	return announcements, HostCursor{Epoch: p.epoch, Position: upTo}
 }
 
@@ -300,7 +300,7 @@
 	if s == nil {
 		return nil
 	}
-	announcements, upTo := p.roster.Since(now, s.joinAnnouncedUpTo, to, maxAnnouncementsPerMessage)
+	announcements, upTo := p.roster.AnnouncementsSince(now, s.joinAnnouncedUpTo, to, maxAnnouncementsPerMessage)
 	s.joinAnnouncedUpTo = upTo
 	return announcements
 }
@@ -393,14 +393,14 @@
 func (p *peerSet) ownAnnouncement(now time.Time) (count uint64, ago time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.roster.Own(now)
+	return p.roster.OwnAnnouncement(now)
 }
 
 // upstreamCell returns the cell whose hosts decide about an upstream.
 func (p *peerSet) upstreamCell(u Upstream) cell.ID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.layout.OfUpstream(u.ID, u.Zone)
+	return p.layout.UpstreamCell(u.ID, u.Zone)
 }
 
 // cellLayout returns how the zones are divided, and this host's cell.
@@ -425,7 +425,7 @@
 		}
 	}
 	for id, h := range p.neighbours {
-		if p.known[id] == nil && p.layout.OfHost(h) == p.ownCell {
+		if p.known[id] == nil && p.layout.HostCell(h) == p.ownCell {
 			known++
 		}
 	}
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -56,7 +56,7 @@
 	// Crashes are the requests during which upstreams crashed, those that the peer may not have.
 	Crashes []quarantine.Mark
 	// Limits are the newest rate limits that upstreams have given.
-	Limits []ratelimit.Mark
+	Limits []ratelimit.PeerReport
 	// Backoffs are the upstreams that have asked the host to send nothing for a while.
 	Backoffs []backoff.Mark
 	// Announcements are announcements of hosts. Only the reply to a host that has just started has
@@ -212,7 +212,7 @@
 		From: f.peers.self, AnnouncementCount: count, AnnouncementAge: age, Version: f.versionInForce(), ConfigAge: f.ContactAge(now), OriginAge: f.OriginAge(now), Stopping: f.Stopping(),
 		Leaving: f.fleet.Marks(now),
 		Failing: f.fleet.FailingMarks(now), Cold: f.fleet.ColdMarks(now), List: f.fleet.Revision(), Zones: f.fleet.ZoneOrdersSince(history.Point{}, true), Epoch: f.peers.epoch,
-		Limits: f.limiter.Words.Marks(now), Backoffs: f.backoffs.Marks(now),
+		Limits: f.limiter.Words.PeerReports(now), Backoffs: f.backoffs.Marks(now),
 	}
 }
 
--- a/forward/peerset.go
+++ b/forward/peerset.go
@@ -140,7 +140,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s.AnnouncementCount > 0 {
-		p.roster.Receive(now, s.From.ID, roster.Announcement{Entry: s.From, Epoch: s.Epoch, Count: s.AnnouncementCount, Age: s.AnnouncementAge})
+		p.roster.Receive(now, s.From.ID, roster.Announcement{Entry: s.From, Epoch: s.Epoch, Sequence: s.AnnouncementCount, Age: s.AnnouncementAge})
 	}
 	state := p.known[s.From.ID]
 	if state == nil {
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -18,7 +18,7 @@
 // bound is what an upstream is given at most by all hosts together; false says that nothing
 // bounds it.
 func (f *Forwarder) bound(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
-	named, isNamed := f.limiter.Words.Bound(now, u.ID)
+	named, isNamed := f.limiter.Words.EffectiveRate(now, u.ID)
 	cold, isCold := f.coldRateLimit(now, s, u)
 	switch {
 	case !isNamed:
@@ -105,7 +105,7 @@
 	return u.Zone, known
 }
 
-func (p permitSite) ReceiveWord(now time.Time, from member.HostID, m ratelimit.Mark) {
+func (p permitSite) ReceiveWord(now time.Time, from member.HostID, m ratelimit.PeerReport) {
 	p.receiveLimitMark(now, from, m)
 }
 
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -214,7 +214,7 @@
 		if s.callerErr = s.sink.BeginResponse(first); s.callerErr != nil {
 			return s.callerErr
 		}
-		s.spool = spool.New(spool.Settings{Budget: &s.answerBudget, Most: maxStreamSpoolBytes, Patience: readerStallTimeout, Failed: s.cancel}, s.sink.Write, s.sink.Abort)
+		s.spool = spool.New(spool.Settings{Budget: &s.answerBudget, MaxBytes: maxStreamSpoolBytes, StallTimeout: readerStallTimeout, OnWriteFailure: s.cancel}, s.sink.Write, s.sink.Abort)
 	} else if !s.lastEventAt.IsZero() {
 		gap := now.Sub(s.lastEventAt)
 		s.longestGap = max(s.longestGap, gap)
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -378,12 +378,12 @@
 		})
 	}
 	f.fleet.Apply(now, changes, rev(2))
-	own := layout.OfHost(f.settings.Self)
+	own := layout.HostCell(f.settings.Self)
 	f.fleet.SetLayout(layout, own)
 	f.fleet.MarkZoneUnreachable(now, "llm", "z2")
 	cold, ownCold := f.fleet.ColdMarks(now), 0
 	for _, m := range cold {
-		if layout.OfUpstream(m.Upstream, "z1") == own {
+		if layout.UpstreamCell(m.Upstream, "z1") == own {
 			ownCold++
 		}
 	}
--- a/forward/slowreaders_test.go
+++ b/forward/slowreaders_test.go
@@ -94,7 +94,7 @@
 				is := is.New(t)
 				engines := &unreadTimeoutEngines{eventCount: 100, eventBytes: 800}
 				f := newForwarder(t, &fakeTransport{send: engines.send})
-				f.answerBudget.Most = 14 << 20 // an eighth of 112 MB
+				f.answerBudget.MaxBytes = 14 << 20 // an eighth of 112 MB
 				config := testConfig(2)
 				config.Services[1].Engine = nil // the test isn't about placement
 				f.Configure(time.Now(), config)
@@ -125,7 +125,7 @@
 				done := make(chan struct{})
 				go func() {
 					for {
-						peak = max(peak, f.answerBudget.Held())
+						peak = max(peak, f.answerBudget.Reserved())
 						select {
 						case <-done:
 							return
@@ -145,9 +145,9 @@
 					is.True(!c.whole || s.body.Len() >= whole && !s.cut)
 				}
 				eventSize := int64(engines.eventBytes + 32)
-				is.True(peak <= f.answerBudget.Most+eventSize*int64(c.slow+c.stalled+len(fast))) // one event per caller beyond the bound
-				is.Equal(engines.cutOff.Load(), int64(0))                                        // no engine waited until its timeout
-				is.Equal(f.answerBudget.Held(), int64(0))
+				is.True(peak <= f.answerBudget.MaxBytes+eventSize*int64(c.slow+c.stalled+len(fast))) // one event per caller beyond the bound
+				is.Equal(engines.cutOff.Load(), int64(0))                                            // no engine waited until its timeout
+				is.Equal(f.answerBudget.Reserved(), int64(0))
 			})
 		})
 	}
@@ -179,7 +179,7 @@
 		f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 			return answer(http.StatusOK, body), nil
 		}})
-		f.answerBudget.Most = 2 << 20
+		f.answerBudget.MaxBytes = 2 << 20
 		var peak int64
 		var requests sync.WaitGroup
 		var sinks []*slowSink
@@ -190,13 +190,13 @@
 				c := call("/order/")
 				f.Serve(t.Context(), c, slowWholeSink{s})
 			})
-			peak = max(peak, f.answerBudget.Held())
+			peak = max(peak, f.answerBudget.Reserved())
 		}
 		synctest.Wait()
-		peak = max(peak, f.answerBudget.Held())
+		peak = max(peak, f.answerBudget.Reserved())
 		requests.Wait()
-		is.True(peak <= f.answerBudget.Most)
-		is.Equal(f.answerBudget.Held(), int64(0))
+		is.True(peak <= f.answerBudget.MaxBytes)
+		is.Equal(f.answerBudget.Reserved(), int64(0))
 		for _, s := range sinks {
 			is.Equal(s.body.Len(), len(body))
 		}
--- a/forward/turns.go
+++ b/forward/turns.go
@@ -188,7 +188,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near []Peer
-	of := p.layout.OfUpstream(u.ID, u.Zone)
+	of := p.layout.UpstreamCell(u.ID, u.Zone)
 	if p.ownCell == of {
 		near = append(near, p.self)
 	}
--- a/internal/peer/follow.go
+++ b/internal/peer/follow.go
@@ -68,7 +68,7 @@
 func toWireAnnouncements(told []roster.Announcement) []wireAnnouncement {
 	var w []wireAnnouncement
 	for _, a := range told {
-		w = append(w, wireAnnouncement{string(a.ID), string(a.Zone), a.PeerAddress, a.Capacity, a.Epoch, a.Count, a.Age.Milliseconds()})
+		w = append(w, wireAnnouncement{string(a.ID), string(a.Zone), a.PeerAddress, a.Capacity, a.Epoch, a.Sequence, a.Age.Milliseconds()})
 	}
 	return w
 }
@@ -78,7 +78,7 @@
 	for _, a := range w {
 		told = append(told, roster.Announcement{
 			Entry: member.Entry{ID: member.HostID(a.ID), Zone: member.Zone(a.Zone), PeerAddress: a.Address, Capacity: a.Capacity},
-			Epoch: a.Epoch, Count: a.Count, Age: time.Duration(max(a.Age, 0)) * time.Millisecond,
+			Epoch: a.Epoch, Sequence: a.Count, Age: time.Duration(max(a.Age, 0)) * time.Millisecond,
 		})
 	}
 	return told
--- a/internal/peer/permits.go
+++ b/internal/peer/permits.go
@@ -24,11 +24,11 @@
 	Rate      float64
 }
 
-func toWireLimit(m ratelimit.Mark) wireLimit {
-	return wireLimit{Upstream: string(m.Upstream), Life: m.Life, Age: m.Age.Milliseconds(), Named: m.Named, Rate: float64(m.Rate)}
+func toWireLimit(m ratelimit.PeerReport) wireLimit {
+	return wireLimit{Upstream: string(m.Upstream), Life: m.Incarnation, Age: m.Age.Milliseconds(), Named: m.HasLimit, Rate: float64(m.Rate)}
 }
 
-func toWireLimits(marks []ratelimit.Mark) []wireLimit {
+func toWireLimits(marks []ratelimit.PeerReport) []wireLimit {
 	var w []wireLimit
 	for _, m := range marks {
 		w = append(w, toWireLimit(m))
@@ -36,15 +36,15 @@
 	return w
 }
 
-func (w wireLimit) mark() ratelimit.Mark {
-	return ratelimit.Mark{
-		Upstream: member.UpstreamID(w.Upstream), Life: w.Life, Age: time.Duration(w.Age) * time.Millisecond,
-		Named: w.Named, Rate: ratelimit.Rate(w.Rate).Sane(),
+func (w wireLimit) mark() ratelimit.PeerReport {
+	return ratelimit.PeerReport{
+		Upstream: member.UpstreamID(w.Upstream), Incarnation: w.Life, Age: time.Duration(w.Age) * time.Millisecond,
+		HasLimit: w.Named, Rate: ratelimit.Rate(w.Rate).Clamp(),
 	}
 }
 
-func limitMarks(w []wireLimit) []ratelimit.Mark {
-	var marks []ratelimit.Mark
+func limitMarks(w []wireLimit) []ratelimit.PeerReport {
+	var marks []ratelimit.PeerReport
 	for _, l := range w {
 		marks = append(marks, l.mark())
 	}
@@ -62,7 +62,7 @@
 
 func toWirePermit(a permit.Ask) wirePermit {
 	w := wirePermit{
-		From: string(a.From), Upstream: string(a.Upstream), Rate: float64(a.Rate), Rank: a.Rank, Repeat: a.Repeat, Must: a.Must,
+		From: string(a.From), Upstream: string(a.Upstream), Rate: float64(a.Rate), Rank: a.Rank, Repeat: a.Repeat, Must: a.Unconditional,
 	}
 	if a.HasWord {
 		w.Word = []wireLimit{toWireLimit(a.Word)}
@@ -72,8 +72,8 @@
 
 func (w wirePermit) ask() permit.Ask {
 	a := permit.Ask{
-		Upstream: member.UpstreamID(w.Upstream),
-		Ask:      ratelimit.Ask{From: member.HostID(w.From), Rate: ratelimit.Rate(w.Rate).Sane(), Rank: w.Rank, Repeat: w.Repeat, Must: w.Must},
+		Upstream:      member.UpstreamID(w.Upstream),
+		PermitRequest: ratelimit.PermitRequest{From: member.HostID(w.From), Rate: ratelimit.Rate(w.Rate).Clamp(), Rank: w.Rank, Repeat: w.Repeat, Unconditional: w.Must},
 	}
 	if len(w.Word) > 0 {
 		a.Word, a.HasWord = w.Word[0].mark(), true
@@ -93,7 +93,7 @@
 
 func toWirePermitted(r permit.Reply) wirePermitted {
 	w := wirePermitted{
-		Granted: r.Granted, Passed: r.Passed, Wait: r.Wait.Milliseconds(), Unknown: r.Unknown,
+		Granted: r.Granted, Passed: r.Outranked, Wait: r.Wait.Milliseconds(), Unknown: r.Unknown,
 		ID: string(r.Granter.ID), Zone: string(r.Granter.Zone), Address: r.Granter.PeerAddress,
 	}
 	if r.HasWord {
@@ -104,9 +104,9 @@
 
 func (w wirePermitted) reply() permit.Reply {
 	r := permit.Reply{
-		Grant:   ratelimit.Grant{Granted: w.Granted, Passed: w.Passed, Wait: time.Duration(w.Wait) * time.Millisecond},
-		Granter: forward.Peer{ID: member.HostID(w.ID), Zone: member.Zone(w.Zone), PeerAddress: w.Address},
-		Unknown: w.Unknown,
+		Decision: ratelimit.Decision{Granted: w.Granted, Outranked: w.Passed, Wait: time.Duration(w.Wait) * time.Millisecond},
+		Granter:  forward.Peer{ID: member.HostID(w.ID), Zone: member.Zone(w.Zone), PeerAddress: w.Address},
+		Unknown:  w.Unknown,
 	}
 	if len(w.Word) > 0 {
 		r.Word, r.HasWord = w.Word[0].mark(), true
--- a/internal/peer/permits_test.go
+++ b/internal/peer/permits_test.go
@@ -23,24 +23,24 @@
 // they were; a rate that can't be is taken for the nearest one that can.
 func TestPermitsOnTheWire(t *testing.T) {
 	is := is.New(t)
-	mark := ratelimit.Mark{Upstream: "u", Life: 3, Named: true, Rate: 2.8, Age: 40 * time.Millisecond}
+	mark := ratelimit.PeerReport{Upstream: "u", Incarnation: 3, HasLimit: true, Rate: 2.8, Age: 40 * time.Millisecond}
 	ask := permit.Ask{
-		Upstream: "u", Ask: ratelimit.Ask{From: "h", Rate: 2.8, Rank: 4, Repeat: true, Must: true}, HasWord: true, Word: mark,
+		Upstream: "u", PermitRequest: ratelimit.PermitRequest{From: "h", Rate: 2.8, Rank: 4, Repeat: true, Unconditional: true}, HasWord: true, Word: mark,
 	}
 	is.Equal(toWirePermit(ask).ask(), ask)
 	is.Equal(toWirePermit(permit.Ask{Upstream: "u"}).ask(), permit.Ask{Upstream: "u"})
 	reply := permit.Reply{
-		Grant: ratelimit.Grant{Granted: true, Passed: true, Wait: 250 * time.Millisecond}, Granter: forward.Peer{ID: "g", Zone: "z", PeerAddress: "10.0.0.1:1"},
+		Decision: ratelimit.Decision{Granted: true, Outranked: true, Wait: 250 * time.Millisecond}, Granter: forward.Peer{ID: "g", Zone: "z", PeerAddress: "10.0.0.1:1"},
 		Unknown: true, HasWord: true, Word: mark,
 	}
 	is.Equal(toWirePermitted(reply).reply(), reply)
-	share := forward.Share{Limits: []ratelimit.Mark{mark}}
+	share := forward.Share{Limits: []ratelimit.PeerReport{mark}}
 	is.Equal(toWireShare(time.Now(), share).share(time.Now()).Limits, share.Limits)
 	for _, bad := range []float64{-1, math.NaN(), math.Inf(-1)} {
 		is.Equal(wireLimit{Rate: bad}.mark().Rate, ratelimit.Rate(0))
 		is.Equal(wirePermit{Rate: bad}.ask().Rate, ratelimit.Rate(0))
 	}
-	is.Equal(wireLimit{Rate: math.Inf(1)}.mark().Rate, ratelimit.MostRate)
+	is.Equal(wireLimit{Rate: math.Inf(1)}.mark().Rate, ratelimit.MaxRate)
 }
 
 // BenchmarkPermit is one question for a permit and its answer between two processes' ends on
@@ -60,7 +60,7 @@
 	go func() { _ = server.ServeForward(ctx, listener, asked, ignore) }()
 	to := forward.Peer{ID: "g", Zone: "z", PeerAddress: listener.Addr().String()}
 	for b.Loop() {
-		if _, err := caller.Permit(ctx, to, permit.Ask{Upstream: "u", Ask: ratelimit.Ask{From: "h", Rate: 4}}); err != nil {
+		if _, err := caller.Permit(ctx, to, permit.Ask{Upstream: "u", PermitRequest: ratelimit.PermitRequest{From: "h", Rate: 4}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/telemetry/limits.go
+++ b/internal/telemetry/limits.go
@@ -14,14 +14,14 @@
 
 // limitCollector serves which upstreams name a limit.
 type limitCollector struct {
-	read         func() []ratelimit.Entry
+	read         func() []ratelimit.LimitStatus
 	named, bound *prometheus.Desc
 	upstreams    *prometheus.Desc
 }
 
 // WatchLimits has the metrics tell the limits that upstreams name, read when they are asked
 // for.
-func (f *Forward) WatchLimits(read func() []ratelimit.Entry) {
+func (f *Forward) WatchLimits(read func() []ratelimit.LimitStatus) {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "limit", name), help, labels, nil)
 	}
@@ -45,9 +45,9 @@
 	entries := c.read()
 	to <- prometheus.MustNewConstMetric(c.upstreams, prometheus.GaugeValue, float64(len(entries)))
 	for _, e := range entries[:min(len(entries), mostLimitSeries)] {
-		if e.Named > 0 {
-			to <- prometheus.MustNewConstMetric(c.named, prometheus.GaugeValue, float64(e.Named), string(e.Upstream))
+		if e.NamedRate > 0 {
+			to <- prometheus.MustNewConstMetric(c.named, prometheus.GaugeValue, float64(e.NamedRate), string(e.Upstream))
 		}
-		to <- prometheus.MustNewConstMetric(c.bound, prometheus.GaugeValue, float64(e.Bound), string(e.Upstream))
+		to <- prometheus.MustNewConstMetric(c.bound, prometheus.GaugeValue, float64(e.EffectiveRate), string(e.Upstream))
 	}
 }
--- a/permit/ask.go
+++ b/permit/ask.go
@@ -11,23 +11,23 @@
 // Ask asks the host that grants for leave to send one request to an upstream.
 type Ask struct {
 	Upstream member.UpstreamID
-	ratelimit.Ask
+	ratelimit.PermitRequest
 	// Word is the asker's newest one of the upstream's limit; HasWord says that there is
 	// one.
 	HasWord bool
-	Word    ratelimit.Mark
+	Word    ratelimit.PeerReport
 }
 
 // Reply is the answer to an Ask.
 type Reply struct {
-	ratelimit.Grant
+	ratelimit.Decision
 	// Granter is who grants, if that isn't the host that was asked.
 	Granter member.Entry
 	// Unknown says that the host doesn't know the upstream.
 	Unknown bool
 	// Word is the host's newest one of the limit; HasWord says that there is one.
 	HasWord bool
-	Word    ratelimit.Mark
+	Word    ratelimit.PeerReport
 }
 
 // Outcome says how something got leave to be sent, or why not.
--- a/permit/limiter.go
+++ b/permit/limiter.go
@@ -42,7 +42,7 @@
 	// AskPeer asks another host. It waits for an answer for a bounded time.
 	AskPeer(ctx context.Context, to member.Entry, a Ask) (Reply, error)
 	// ReceiveWord takes in another host's word of an upstream's limit.
-	ReceiveWord(now time.Time, from member.HostID, m ratelimit.Mark)
+	ReceiveWord(now time.Time, from member.HostID, m ratelimit.PeerReport)
 }
 
 // Request is something that is to be sent to a bounded upstream.
@@ -71,7 +71,7 @@
 // it is this host's duty, what they take. Use New. It is safe for use by several goroutines.
 type Limiter struct {
 	// Words are the newest words of the limits that upstreams name.
-	Words ratelimit.Words
+	Words ratelimit.Limits
 
 	self member.Entry
 	site Site
@@ -79,7 +79,7 @@
 	// granter gives out what bounded upstreams take, for all hosts; turns are what this
 	// one may send without asking.
 	granter ratelimit.Granter
-	turns   ratelimit.Turns
+	turns   ratelimit.TurnSchedule
 	// asksAgain is when this host asks again for leave to send to each upstream, and
 	// unanswered when it asks each host again that didn't answer.
 	asksAgain  waits[member.UpstreamID]
@@ -88,7 +88,7 @@
 
 // New returns the limiter of a host. now tells the present moment.
 func New(self member.Entry, s Site, now func() time.Time) *Limiter {
-	return &Limiter{self: self, site: s, now: now, turns: ratelimit.Turns{Self: self.ID}}
+	return &Limiter{self: self, site: s, now: now, turns: ratelimit.TurnSchedule{Self: self.ID}}
 }
 
 // Take asks for leave to send a request. It is called just before it is sent.
@@ -111,11 +111,11 @@
 		outcome = KeptBack
 	}
 	wait := grant.Wait
-	if holds, returning := l.Words.Returning(now, r.Upstream); returning {
+	if holds, returning := l.Words.RecoveryInterval(now, r.Upstream); returning {
 		// The wait follows from a bound that will have doubled by then.
 		wait = min(wait, holds)
 	}
-	if !grant.Passed {
+	if !grant.Outranked {
 		l.asksAgain.extend(r.Upstream, l.now().Add(wait))
 	}
 	return Verdict{Outcome: outcome, Wait: wait, Late: late}
@@ -132,12 +132,12 @@
 }
 
 // ask asks the host that grants, or takes a turn of this host's own.
-func (l *Limiter) ask(ctx context.Context, now time.Time, r Request) (ratelimit.Grant, Outcome) {
+func (l *Limiter) ask(ctx context.Context, now time.Time, r Request) (ratelimit.Decision, Outcome) {
 	a := Ask{
-		Upstream: r.Upstream,
-		Ask:      ratelimit.Ask{From: l.self.ID, Rate: r.Rate, Rank: r.Rank, Repeat: r.Repeat, Must: r.Must},
+		Upstream:      r.Upstream,
+		PermitRequest: ratelimit.PermitRequest{From: l.self.ID, Rate: r.Rate, Rank: r.Rank, Repeat: r.Repeat, Unconditional: r.Must},
 	}
-	a.Word, a.HasWord = l.Words.Mark(now, r.Upstream)
+	a.Word, a.HasWord = l.Words.PeerReport(now, r.Upstream)
 	to := l.site.Granter(now, r.Upstream)
 	// A host of another zone may not have heard yet who grants; the one that it asks knows.
 	for range 2 {
@@ -149,7 +149,7 @@
 			break
 		}
 		if reply.Granter.ID == "" {
-			return reply.Grant, Granted
+			return reply.Decision, Granted
 		}
 		to = reply.Granter
 	}
@@ -157,9 +157,9 @@
 	wait, ok := l.turns.Take(l.now(), r.Upstream, ratelimit.TurnPeriod(r.Rate, known))
 	if !ok {
 		// By then the host that grants may answer again.
-		return ratelimit.Grant{Wait: min(wait, unansweredFor)}, NoTurn
+		return ratelimit.Decision{Wait: min(wait, unansweredFor)}, NoTurn
 	}
-	return ratelimit.Grant{Granted: true}, OwnTurn
+	return ratelimit.Decision{Granted: true}, OwnTurn
 }
 
 // errNoGranter says that the host that grants can't be asked, or doesn't know the upstream.
@@ -199,16 +199,16 @@
 	if granter := l.site.Granter(now, a.Upstream); granter.ID != l.self.ID {
 		reply.Granter = granter
 	} else {
-		reply.Grant = l.give(now, a)
+		reply.Decision = l.give(now, a)
 	}
-	reply.Word, reply.HasWord = l.Words.Mark(now, a.Upstream)
+	reply.Word, reply.HasWord = l.Words.PeerReport(now, a.Upstream)
 	return reply
 }
 
 // give answers an ask as the host that grants. It gives out the part of the hosts that it
 // hears; others may be there still, behind a cut.
-func (l *Limiter) give(now time.Time, a Ask) ratelimit.Grant {
-	if own, bounded := l.Words.Bound(now, a.Upstream); bounded {
+func (l *Limiter) give(now time.Time, a Ask) ratelimit.Decision {
+	if own, bounded := l.Words.EffectiveRate(now, a.Upstream); bounded {
 		a.Rate = min(a.Rate, own)
 	}
 	heard, known := l.site.Heard(now)
@@ -218,13 +218,13 @@
 		part *= cutPart
 	}
 	a.Rate *= ratelimit.Rate(min(part, 1))
-	return l.granter.Give(now, a.Upstream, a.Ask)
+	return l.granter.Decide(now, a.Upstream, a.PermitRequest)
 }
 
 // Renew forgets what is known of an upstream that has started again.
 func (l *Limiter) Renew(id member.UpstreamID) {
-	l.Words.Renew(id)
-	l.granter.Renew(id)
+	l.Words.Reset(id)
+	l.granter.Reset(id)
 	l.asksAgain.end(id)
 }
 
@@ -232,5 +232,5 @@
 func (l *Limiter) Forget(now time.Time, isBounded func(member.UpstreamID) bool) {
 	l.asksAgain.forget(now)
 	l.unanswered.forget(now)
-	l.turns.Forget(isBounded)
+	l.turns.Prune(isBounded)
 }
--- a/permit/limiter_test.go
+++ b/permit/limiter_test.go
@@ -28,7 +28,7 @@
 	answer       func(a Ask) (Reply, error)
 
 	asked   []Ask
-	heardOf []ratelimit.Mark
+	heardOf []ratelimit.PeerReport
 }
 
 func (s *fakeSite) Granter(time.Time, member.UpstreamID) member.Entry { return s.granter }
@@ -44,14 +44,14 @@
 	return s.answer(a)
 }
 
-func (s *fakeSite) ReceiveWord(_ time.Time, _ member.HostID, m ratelimit.Mark) {
+func (s *fakeSite) ReceiveWord(_ time.Time, _ member.HostID, m ratelimit.PeerReport) {
 	s.heardOf = append(s.heardOf, m)
 }
 
 var errAway = errors.New("away")
 
 // granted is a host that gives out all that is asked for.
-func granted(Ask) (Reply, error) { return Reply{Grant: ratelimit.Grant{Granted: true}}, nil }
+func granted(Ask) (Reply, error) { return Reply{Decision: ratelimit.Decision{Granted: true}}, nil }
 
 // TestTake has a host get leave from whoever gives out, and from its own turns where that
 // one can't be asked.
@@ -65,7 +65,7 @@
 		"this host gives out": {site: &fakeSite{granter: own}, want: Granted},
 		"another does":        {site: &fakeSite{granter: other, answer: granted}, want: Granted},
 		"another refuses": {site: &fakeSite{granter: other, answer: func(Ask) (Reply, error) {
-			return Reply{Grant: ratelimit.Grant{Wait: time.Second}}, nil
+			return Reply{Decision: ratelimit.Decision{Wait: time.Second}}, nil
 		}}, want: KeptBack},
 		"its answer is late": {
 			site: &fakeSite{granter: other, answer: granted}, took: lasts + time.Millisecond, want: KeptBack, late: true,
@@ -102,7 +102,7 @@
 			is.Equal(v.OK(), c.want == Granted || c.want == OwnTurn)
 			is.Equal(v.Late, c.late)
 			for _, a := range c.site.asked {
-				is.Equal(a.Ask, ratelimit.Ask{From: own.ID, Rate: 4, Rank: 2})
+				is.Equal(a.PermitRequest, ratelimit.PermitRequest{From: own.ID, Rate: 4, Rank: 2})
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	now := time.Now()
 	s := &fakeSite{granter: other, answer: func(Ask) (Reply, error) {
-		return Reply{Grant: ratelimit.Grant{Wait: time.Second}}, nil
+		return Reply{Decision: ratelimit.Decision{Wait: time.Second}}, nil
 	}}
 	l := New(own, s, func() time.Time { return now })
 	r := Request{Upstream: "u", Rate: 4}
@@ -149,13 +149,13 @@
 
 // TestOnAsk has a host that is asked give out what it is to, and send the others on.
 func TestOnAsk(t *testing.T) {
-	word := ratelimit.Mark{Upstream: "u", Named: true, Rate: 4}
-	ask := Ask{Upstream: "u", Ask: ratelimit.Ask{From: "h9", Rate: 4}, HasWord: true, Word: word}
+	word := ratelimit.PeerReport{Upstream: "u", HasLimit: true, Rate: 4}
+	ask := Ask{Upstream: "u", PermitRequest: ratelimit.PermitRequest{From: "h9", Rate: 4}, HasWord: true, Word: word}
 	for name, c := range map[string]struct {
 		site *fakeSite
 		want Reply
 	}{
-		"it gives out":             {&fakeSite{granter: own}, Reply{Grant: ratelimit.Grant{Granted: true}}},
+		"it gives out":             {&fakeSite{granter: own}, Reply{Decision: ratelimit.Decision{Granted: true}}},
 		"another does":             {&fakeSite{granter: other}, Reply{Granter: other}},
 		"the upstream isn't known": {&fakeSite{granter: own, unknown: true}, Reply{Unknown: true}},
 	} {
@@ -164,7 +164,7 @@
 			now := time.Now()
 			l := New(own, c.site, func() time.Time { return now })
 			is.Equal(l.OnAsk(ask), c.want)
-			is.Equal(c.site.heardOf, []ratelimit.Mark{word})
+			is.Equal(c.site.heardOf, []ratelimit.PeerReport{word})
 		})
 	}
 }
@@ -201,14 +201,14 @@
 	is := is.New(t)
 	now := time.Now()
 	site := &fakeSite{granter: other, answer: func(Ask) (Reply, error) {
-		return Reply{Grant: ratelimit.Grant{Wait: 5 * time.Second}}, nil
+		return Reply{Decision: ratelimit.Decision{Wait: 5 * time.Second}}, nil
 	}}
 	l := New(own, site, func() time.Time { return now })
-	take := func() Verdict { return l.Take(t.Context(), Request{Upstream: "u1", Rate: ratelimit.LeastRate}) }
-	l.Words.Receive(now, "u1", 1, own.ID, ratelimit.Word{Named: true, Rate: ratelimit.LeastRate, At: now})
+	take := func() Verdict { return l.Take(t.Context(), Request{Upstream: "u1", Rate: ratelimit.MinRate}) }
+	l.Words.Receive(now, "u1", 1, own.ID, ratelimit.AnswerReport{HasLimit: true, Rate: ratelimit.MinRate, ReceivedAt: now})
 	is.Equal(take().Wait, 5*time.Second)
 	now = now.Add(100 * time.Millisecond)
-	is.Equal(l.Words.Receive(now, "u1", 1, own.ID, ratelimit.Word{Since: now}), ratelimit.Ended)
+	is.Equal(l.Words.Receive(now, "u1", 1, own.ID, ratelimit.AnswerReport{SentAt: now}), ratelimit.LimitEnded)
 	l.Raised("u1")
 	is.Equal(l.Wait(now, "u1"), time.Duration(0))
 	is.True(take().Wait <= 500*time.Millisecond) // the bound has doubled by then
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -11,8 +11,8 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Ask asks for leave to send one request to an upstream.
-type Ask struct {
+// PermitRequest asks for leave to send one request to an upstream.
+type PermitRequest struct {
 	// From is who asks.
 	From member.HostID
 	// Rate is what the upstream is given at most, by all hosts together.
@@ -22,163 +22,163 @@
 	// Repeat says that the request has been sent before. It never takes the place of one
 	// that hasn't.
 	Repeat bool
-	// Must says that the request goes in any case, and is only counted.
-	Must bool
+	// Unconditional says that the request goes in any case, and is only counted.
+	Unconditional bool
 }
 
-// Grant answers an Ask.
-type Grant struct {
+// Decision answers an Ask.
+type Decision struct {
 	Granted bool
 	// Wait is when to ask again, where nothing is granted.
 	Wait time.Duration
-	// Passed says that there was room, which is left for requests that go before this one:
+	// Outranked says that there was room, which is left for requests that go before this one:
 	// others needn't wait.
-	Passed bool
+	Outranked bool
 }
 
 const (
-	// asksPerSecond is how many questions a second are aimed at for one upstream, where its
+	// targetRetriesPerSecond is how many questions a second are aimed at for one upstream, where its
 	// limit isn't higher: hosts that were refused are spread over as long, mostSpread at
 	// most: what comes free waits for the next who asks.
-	asksPerSecond = 30
-	mostSpread    = time.Second
-	// crowdFor is how long a host counts that was refused.
-	crowdFor = 2 * time.Second
-	// lesserPart is the part of an upstream's limit that requests of lower rank get
+	targetRetriesPerSecond = 30
+	maxRetrySpread         = time.Second
+	// refusedHostWindow is how long a host counts that was refused.
+	refusedHostWindow = 2 * time.Second
+	// lowRankShare is the part of an upstream's limit that requests of lower rank get
 	// together while those of a higher rank are refused: none is refused for good.
-	lesserPart = 0.25
-	// mostCredit bounds what they may have left over.
-	mostCredit = 2
-	// grantLasts is for how long a line that nobody asks is kept.
-	grantLasts = time.Minute
+	lowRankShare = 0.25
+	// maxLowRankCredit bounds what they may have left over.
+	maxLowRankCredit = 2
+	// idleRetention is for how long a line that nobody asks is kept.
+	idleRetention = time.Minute
 )
 
 // Granter gives out, for all hosts, what upstreams take. One host does so for each upstream
 // while it is in touch with the others. The zero value works. It is safe for use by several
 // goroutines.
 type Granter struct {
-	mu    sync.Mutex
-	lines map[member.UpstreamID]*grantLine
+	mu        sync.Mutex
+	upstreams map[member.UpstreamID]*grantState
 }
 
-// grantLine is one upstream's.
-type grantLine struct {
+// grantState is one upstream's.
+type grantState struct {
 	window window
-	// refused is when each host was last refused a first try; lookedAt is when it was
+	// lastRefusals is when each host was last lastRefusals a first try; lookedAt is when it was
 	// last looked which of them count no more.
-	refused  map[member.HostID]time.Time
-	lookedAt time.Time
-	// highest is the highest rank that was refused lately, and refusedAt when.
-	highest   int
-	refusedAt time.Time
-	// credit is how many requests of lower rank may go meanwhile.
-	credit float64
-	// turn spreads those that are refused.
-	turn float64
+	lastRefusals     map[member.HostID]time.Time
+	refusalsPrunedAt time.Time
+	// highestRefusedRank is the highestRefusedRank rank that was refused lately, and refusedAt when.
+	highestRefusedRank int
+	highestRefusedAt   time.Time
+	// lowRankCredit is how many requests of lower rank may go meanwhile.
+	lowRankCredit float64
+	// retryPhase spreads those that are refused.
+	retryPhase float64
 }
 
-// Give answers an Ask.
-func (g *Granter) Give(now time.Time, id member.UpstreamID, a Ask) Grant {
-	a.Rate = max(a.Rate, LeastRate)
+// Decide answers an Ask.
+func (g *Granter) Decide(now time.Time, id member.UpstreamID, req PermitRequest) Decision {
+	req.Rate = max(req.Rate, MinRate)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := g.line(now, id)
-	l.window.advance(now, a.Rate)
-	wait := l.window.wait(a.Rate)
+	s := g.state(now, id)
+	s.window.advance(now, req.Rate)
+	wait := s.window.delay(req.Rate)
 	switch {
-	case a.Must, wait == 0 && l.mayGo(now, a):
-		l.window.give()
-		return Grant{Granted: true}
+	case req.Unconditional, wait == 0 && s.admit(now, req):
+		s.window.add()
+		return Decision{Granted: true}
 	}
-	l.refuse(now, a)
-	return Grant{Wait: l.back(now, a.Rate, wait), Passed: wait == 0}
+	s.recordRefusal(now, req)
+	return Decision{Wait: s.retryDelay(now, req.Rate, wait), Outranked: wait == 0}
 }
 
-func (g *Granter) line(now time.Time, id member.UpstreamID) *grantLine {
-	l := g.lines[id]
+func (g *Granter) state(now time.Time, id member.UpstreamID) *grantState {
+	l := g.upstreams[id]
 	if l != nil {
 		return l
 	}
-	if g.lines == nil {
-		g.lines = map[member.UpstreamID]*grantLine{}
+	if g.upstreams == nil {
+		g.upstreams = map[member.UpstreamID]*grantState{}
 	}
-	for other, l := range g.lines {
-		if now.Sub(l.window.asked) > grantLasts {
-			delete(g.lines, other)
+	for other, l := range g.upstreams {
+		if now.Sub(l.window.activeUntil) > idleRetention {
+			delete(g.upstreams, other)
 		}
 	}
-	l = &grantLine{}
-	g.lines[id] = l
+	l = &grantState{}
+	g.upstreams[id] = l
 	return l
 }
 
-// Renew forgets what an upstream was given that has started again.
-func (g *Granter) Renew(id member.UpstreamID) {
+// Reset forgets what an upstream was given that has started again.
+func (g *Granter) Reset(id member.UpstreamID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.lines, id)
+	delete(g.upstreams, id)
 }
 
-// crowded reports whether first tries were refused lately.
-func (l *grantLine) crowded(now time.Time) bool {
-	return !l.refusedAt.IsZero() && now.Sub(l.refusedAt) < burstOver
+// refusedRecently reports whether first tries were refused lately.
+func (s *grantState) refusedRecently(now time.Time) bool {
+	return !s.highestRefusedAt.IsZero() && now.Sub(s.highestRefusedAt) < burstWindow
 }
 
-// mayGo reports whether a request may go where there is room for one, and counts it for
+// admit reports whether a request may go where there is room for one, and counts it for
 // the part of its rank.
-func (l *grantLine) mayGo(now time.Time, a Ask) bool {
-	if !l.crowded(now) {
+func (s *grantState) admit(now time.Time, req PermitRequest) bool {
+	if !s.refusedRecently(now) {
 		return true
 	}
 	switch {
-	case a.Repeat:
+	case req.Repeat:
 		return false
-	case a.Rank <= l.highest:
-		l.credit = min(l.credit+lesserPart/(1-lesserPart), mostCredit)
+	case req.Rank <= s.highestRefusedRank:
+		s.lowRankCredit = min(s.lowRankCredit+lowRankShare/(1-lowRankShare), maxLowRankCredit)
 		return true
-	case l.credit >= 1:
-		l.credit--
+	case s.lowRankCredit >= 1:
+		s.lowRankCredit--
 		return true
 	}
 	return false
 }
 
-// refuse counts a request that finds no room.
-func (l *grantLine) refuse(now time.Time, a Ask) {
-	if a.Repeat {
+// recordRefusal counts a request that finds no room.
+func (s *grantState) recordRefusal(now time.Time, req PermitRequest) {
+	if req.Repeat {
 		return
 	}
-	if !l.crowded(now) || a.Rank < l.highest {
-		l.highest = a.Rank
+	if !s.refusedRecently(now) || req.Rank < s.highestRefusedRank {
+		s.highestRefusedRank = req.Rank
 	}
-	if a.Rank == l.highest {
-		l.refusedAt = now
+	if req.Rank == s.highestRefusedRank {
+		s.highestRefusedAt = now
 	}
-	if l.refused == nil {
-		l.refused = map[member.HostID]time.Time{}
+	if s.lastRefusals == nil {
+		s.lastRefusals = map[member.HostID]time.Time{}
 	}
-	l.refused[a.From] = now
-	if now.Sub(l.lookedAt) < crowdFor {
+	s.lastRefusals[req.From] = now
+	if now.Sub(s.refusalsPrunedAt) < refusedHostWindow {
 		return
 	}
-	l.lookedAt = now
-	for host, at := range l.refused {
-		if now.Sub(at) >= crowdFor {
-			delete(l.refused, host)
+	s.refusalsPrunedAt = now
+	for host, at := range s.lastRefusals {
+		if now.Sub(at) >= refusedHostWindow {
+			delete(s.lastRefusals, host)
 		}
 	}
 }
 
-// goldenPart spreads a row of numbers evenly over a range, however many there are.
-var goldenPart = (math.Sqrt(5) - 1) / 2
+// goldenRatioConjugate spreads a row of numbers evenly over a range, however many there are.
+var goldenRatioConjugate = (math.Sqrt(5) - 1) / 2
 
-// back is when a host that is refused should ask again: when there is room, and later the
+// retryDelay is when a host that is refused should ask again: when there is room, and later the
 // more hosts there are, so that they don't all ask for the same place.
-func (l *grantLine) back(now time.Time, r Rate, wait time.Duration) time.Duration {
-	_, l.turn = math.Modf(l.turn + goldenPart)
-	others := float64(max(len(l.refused)-1, 0))
-	spread := l.turn * min(others/max(float64(r), asksPerSecond), mostSpread.Seconds())
+func (s *grantState) retryDelay(now time.Time, r Rate, wait time.Duration) time.Duration {
+	_, s.retryPhase = math.Modf(s.retryPhase + goldenRatioConjugate)
+	others := float64(max(len(s.lastRefusals)-1, 0))
+	spread := s.retryPhase * min(others/max(float64(r), targetRetriesPerSecond), maxRetrySpread.Seconds())
 	wait = max(wait, binWidth)
-	l.window.expect(now.Add(wait))
+	s.window.noteActivity(now.Add(wait))
 	return wait + time.Duration(spread*float64(time.Second))
 }
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -15,16 +15,16 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// mostIn is the most of some moments in any span.
-func mostIn(at []time.Duration, span time.Duration) int {
-	most, first := 0, 0
-	for last := range at {
-		for at[last]-at[first] >= span {
+// maxInWindow is the most of some moments in any span.
+func maxInWindow(times []time.Duration, window time.Duration) int {
+	maxCount, first := 0, 0
+	for last := range times {
+		for times[last]-times[first] >= window {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxCount = max(maxCount, last-first+1)
 	}
-	return most
+	return maxCount
 }
 
 // TestGranterKeepsToTheLimit has no four seconds get more than the limit allows, counted in
@@ -36,17 +36,17 @@
 			is := is.New(t)
 			var g Granter
 			start := time.Now()
-			var given []time.Duration
-			const lasts = 60 * time.Second
-			for at := time.Duration(0); at < lasts; at += time.Millisecond {
+			var granted []time.Duration
+			const duration = 60 * time.Second
+			for at := time.Duration(0); at < duration; at += time.Millisecond {
 				for range max(int(rate)/500, 1) {
-					if g.Give(start.Add(at), "u", Ask{Rate: rate}).Granted {
-						given = append(given, at)
+					if g.Decide(start.Add(at), "u", PermitRequest{Rate: rate}).Granted {
+						granted = append(granted, at)
 					}
 				}
 			}
-			is.True(mostIn(given, countedOver) <= int(math.Ceil(float64(rate)*countedOver.Seconds())))
-			is.True(float64(len(given)) >= 0.9*float64(rate)*lasts.Seconds())
+			is.True(maxInWindow(granted, limitWindow) <= int(math.Ceil(float64(rate)*limitWindow.Seconds())))
+			is.True(float64(len(granted)) >= 0.9*float64(rate)*duration.Seconds())
 		})
 	}
 }
@@ -58,18 +58,18 @@
 		var g Granter
 		rate := Rate(rapid.Float64Range(0.2, 50).Draw(t, "rate"))
 		start, now := time.Now(), time.Duration(0)
-		var given []time.Duration
+		var granted []time.Duration
 		for range 400 {
 			now += time.Duration(rapid.IntRange(0, 400).Draw(t, "pause ms")) * time.Millisecond
 			if rapid.IntRange(0, 50).Draw(t, "silence") == 0 {
 				now += 3 * time.Second
 			}
-			if g.Give(start.Add(now), "u", Ask{Rate: rate, Repeat: rapid.Bool().Draw(t, "repeat")}).Granted {
-				given = append(given, now)
+			if g.Decide(start.Add(now), "u", PermitRequest{Rate: rate, Repeat: rapid.Bool().Draw(t, "repeat")}).Granted {
+				granted = append(granted, now)
 			}
 		}
-		if most := mostIn(given, countedOver); most > int(math.Ceil(float64(rate)*countedOver.Seconds())) {
-			t.Fatalf("%d in 4 s at %v a second", most, rate)
+		if maxCount := maxInWindow(granted, limitWindow); maxCount > int(math.Ceil(float64(rate)*limitWindow.Seconds())) {
+			t.Fatalf("%d in 4 s at %v a second", maxCount, rate)
 		}
 	})
 }
@@ -80,13 +80,13 @@
 	is := is.New(t)
 	var g Granter
 	start := time.Now()
-	given := 0
+	granted := 0
 	for at := time.Duration(0); at < 2*time.Second; at += 5 * time.Millisecond {
-		if g.Give(start.Add(at), "u", Ask{Rate: 4}).Granted {
-			given++
+		if g.Decide(start.Add(at), "u", PermitRequest{Rate: 4}).Granted {
+			granted++
 		}
 	}
-	is.True(given <= 2*4+1)
+	is.True(granted <= 2*4+1)
 }
 
 // TestGranterWhenTheLimitMoves has an upstream go on getting what it takes when it names a
@@ -95,24 +95,24 @@
 	is := is.New(t)
 	var g Granter
 	start := time.Now()
-	var given []time.Duration
+	var granted []time.Duration
 	for at := time.Duration(0); at < 30*time.Second; at += time.Millisecond {
 		rate := Rate(8)
 		if at >= 10*time.Second && at < 20*time.Second {
 			rate = 2
 		}
-		if g.Give(start.Add(at), "u", Ask{Rate: rate}).Granted {
-			given = append(given, at)
+		if g.Decide(start.Add(at), "u", PermitRequest{Rate: rate}).Granted {
+			granted = append(granted, at)
 		}
 	}
-	low := 0
-	for _, at := range given {
+	grantedAtLowRate := 0
+	for _, at := range granted {
 		if at >= 10*time.Second && at < 20*time.Second {
-			low++
+			grantedAtLowRate++
 		}
 	}
-	is.True(low >= 18 && low <= 21)
-	is.True(mostIn(given, countedOver) <= 32)
+	is.True(grantedAtLowRate >= 18 && grantedAtLowRate <= 21)
+	is.True(maxInWindow(granted, limitWindow) <= 32)
 }
 
 // TestGranterOrder has first tries go before repeats, and requests whose callers lose more
@@ -121,21 +121,21 @@
 	is := is.New(t)
 	var g Granter
 	start := time.Now()
-	first, repeats, lesser := 0, 0, 0
+	first, repeats, lowRank := 0, 0, 0
 	for at := time.Duration(0); at < 60*time.Second; at += 10 * time.Millisecond {
 		now := start.Add(at)
-		if g.Give(now, "u", Ask{Rate: 10, Rank: 5}).Granted {
-			lesser++
+		if g.Decide(now, "u", PermitRequest{Rate: 10, Rank: 5}).Granted {
+			lowRank++
 		}
-		if g.Give(now, "u", Ask{Rate: 10, Rank: 1, Repeat: true}).Granted {
+		if g.Decide(now, "u", PermitRequest{Rate: 10, Rank: 1, Repeat: true}).Granted {
 			repeats++
 		}
-		if g.Give(now, "u", Ask{Rate: 10, Rank: 1}).Granted {
+		if g.Decide(now, "u", PermitRequest{Rate: 10, Rank: 1}).Granted {
 			first++
 		}
 	}
-	is.True(first >= 2*lesser)
-	is.True(lesser >= 60)
+	is.True(first >= 2*lowRank)
+	is.True(lowRank >= 60)
 	is.True(repeats <= 2)
 }
 
@@ -145,57 +145,57 @@
 	is := is.New(t)
 	var g Granter
 	now := time.Now()
-	for g.Give(now, "u", Ask{Rate: 4}).Granted {
+	for g.Decide(now, "u", PermitRequest{Rate: 4}).Granted {
 		now = now.Add(time.Millisecond)
 	}
-	is.True(!g.Give(now, "u", Ask{Rate: 4}).Passed)
+	is.True(!g.Decide(now, "u", PermitRequest{Rate: 4}).Outranked)
 	now = now.Add(900 * time.Millisecond)
-	repeat := g.Give(now, "u", Ask{Rate: 4, Repeat: true})
-	is.True(!repeat.Granted && repeat.Passed && repeat.Wait > 0)
-	is.True(g.Give(now, "u", Ask{Rate: 4}).Granted)
+	repeat := g.Decide(now, "u", PermitRequest{Rate: 4, Repeat: true})
+	is.True(!repeat.Granted && repeat.Outranked && repeat.Wait > 0)
+	is.True(g.Decide(now, "u", PermitRequest{Rate: 4}).Granted)
 }
 
-// TestGranterCountsWhatMustGo has what goes in any case leave less for the others.
-func TestGranterCountsWhatMustGo(t *testing.T) {
+// TestGranterCountsUnconditionalRequests has what goes in any case leave less for the others.
+func TestGranterCountsUnconditionalRequests(t *testing.T) {
 	is := is.New(t)
 	var g Granter
 	start := time.Now()
-	given := 0
+	granted := 0
 	for at := time.Duration(0); at < 20*time.Second; at += 10 * time.Millisecond {
 		now := start.Add(at)
 		if at%(500*time.Millisecond) == 0 {
-			is.True(g.Give(now, "u", Ask{Rate: 4, Must: true}).Granted)
+			is.True(g.Decide(now, "u", PermitRequest{Rate: 4, Unconditional: true}).Granted)
 		}
-		if g.Give(now, "u", Ask{Rate: 4}).Granted {
-			given++
+		if g.Decide(now, "u", PermitRequest{Rate: 4}).Granted {
+			granted++
 		}
 	}
-	is.True(given >= 36 && given <= 42)
+	is.True(granted >= 36 && granted <= 42)
 }
 
-// TestGranterSpreadsWhatComesBack has hosts that were refused together ask again at
+// TestGranterSpreadsRetries has hosts that were refused together ask again at
 // different times.
-func TestGranterSpreadsWhatComesBack(t *testing.T) {
+func TestGranterSpreadsRetries(t *testing.T) {
 	is := is.New(t)
 	var g Granter
 	now := time.Now()
-	parts := map[time.Duration]int{}
+	waits := map[time.Duration]int{}
 	for n := range 300 {
-		if grant := g.Give(now, "u", Ask{From: member.HostID(fmt.Sprint("h", n)), Rate: 4}); !grant.Granted {
-			parts[grant.Wait/(100*time.Millisecond)]++
+		if decision := g.Decide(now, "u", PermitRequest{From: member.HostID(fmt.Sprint("h", n)), Rate: 4}); !decision.Granted {
+			waits[decision.Wait/(100*time.Millisecond)]++
 		}
 	}
-	is.True(len(parts) >= 8)
-	for _, n := range parts {
+	is.True(len(waits) >= 8)
+	for _, n := range waits {
 		is.True(n <= 60)
 	}
 }
 
-func BenchmarkGive(b *testing.B) {
+func BenchmarkDecide(b *testing.B) {
 	var g Granter
 	now := time.Now()
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		g.Give(now, "u", Ask{Rate: 20})
+		g.Decide(now, "u", PermitRequest{Rate: 20})
 	}
 }
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -14,38 +14,38 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Word is what one answer said of its upstream's need.
-type Word struct {
-	// Named says that the answer named a limit, which is Rate.
-	Named bool
-	Rate  Rate
-	// Since and At bound the moment at which the upstream wrote it: when the request was
+// AnswerReport is what one answer said of its upstream's need.
+type AnswerReport struct {
+	// HasLimit says that the answer named a limit, which is Rate.
+	HasLimit bool
+	Rate     Rate
+	// SentAt and ReceivedAt bound the moment at which the upstream wrote it: when the request was
 	// sent and when the answer came. The head of a stream may be as old as its request.
-	Since, At time.Time
+	SentAt, ReceivedAt time.Time
 }
 
-// Mark is a host's newest word of one upstream, for its peers.
-type Mark struct {
+// PeerReport is a host's newest word of one upstream, for its peers.
+type PeerReport struct {
 	Upstream member.UpstreamID
-	// Life tells this start of the upstream from others under its id.
-	Life  int64
-	Named bool
-	Rate  Rate
+	// Incarnation tells this start of the upstream from others under its id.
+	Incarnation int64
+	HasLimit    bool
+	Rate        Rate
 	// Age is how long ago the word was heard; that of an end, how long ago the request
 	// was sent whose answer named no limit.
 	Age time.Duration
 }
 
-// Entry is how an upstream stands, for operators.
-type Entry struct {
+// LimitStatus is how an upstream stands, for operators.
+type LimitStatus struct {
 	Upstream member.UpstreamID
-	// Named is its limit, and zero while it returns after its need.
-	Named Rate
-	// Bound is what it gets at most at present.
-	Bound Rate
+	// NamedRate is its limit, and zero while it returns after its need.
+	NamedRate Rate
+	// EffectiveRate is what it gets at most at present.
+	EffectiveRate Rate
 	// Age is how old the word is, and From the host that heard it.
-	Age  time.Duration
-	From member.HostID
+	Age        time.Duration
+	ReportedBy member.HostID
 }
 
 // Change says what a word changed.
@@ -54,9 +54,9 @@
 // The changes.
 const (
 	Unchanged Change = iota
-	Named
-	Moved
-	Ended
+	LimitNamed
+	LimitMoved
+	LimitEnded
 )
 
 func (c Change) String() string {
@@ -64,250 +64,250 @@
 }
 
 const (
-	// LeastRate is what an upstream gets that names less, or none at all: nobody would
+	// MinRate is what an upstream gets that names less, or none at all: nobody would
 	// hear that its need is over if it were left alone. One request in 5 s is a quarter
 	// of what may come beside any limit.
-	LeastRate Rate = 0.2
-	// unconfirmedFor is how long a word stands that no answer has confirmed. At LeastRate
+	MinRate Rate = 0.2
+	// confirmationTimeout is how long a word stands that no answer has confirmed. At LeastRate
 	// six requests bring an answer meanwhile; where nothing was sent, or nothing was
 	// answered, the upstream returns in steps. If that is too soon it gets, until its
 	// first answer, as much as it named; if it is too late it stands idle for so long.
-	unconfirmedFor = 30 * time.Second
-	// returnDoubles is in how long the bound of an upstream doubles whose need is over:
+	confirmationTimeout = 30 * time.Second
+	// recoveryDoublingTime is in how long the bound of an upstream doubles whose need is over:
 	// hosts hear of it together, and all would turn to the one that stood idle.
-	returnDoubles = 500 * time.Millisecond
-	// returnAfter is when that begins: an upstream may name its limit in every second answer.
-	returnAfter = 500 * time.Millisecond
-	// returnsFor is after how long it isn't bounded any more: it gets 256 times what it
+	recoveryDoublingTime = 500 * time.Millisecond
+	// recoveryDelay is when that begins: an upstream may name its limit in every second answer.
+	recoveryDelay = 500 * time.Millisecond
+	// recoveryTime is after how long it isn't bounded any more: it gets 256 times what it
 	// had named.
-	returnsFor = returnAfter + 8*returnDoubles
+	recoveryTime = recoveryDelay + 8*recoveryDoublingTime
 )
 
-// Words are the newest words of all upstreams. The zero value works. It is safe for use by
+// Limits are the newest words of all upstreams. The zero value works. It is safe for use by
 // several goroutines.
-type Words struct {
-	// some says that an upstream is bounded, which is all that most requests ask.
-	some atomic.Bool
+type Limits struct {
+	// nonEmpty says that an upstream is bounded, which is all that most requests ask.
+	nonEmpty atomic.Bool
 
 	mu        sync.Mutex
-	upstreams map[member.UpstreamID]*upstreamWord
+	upstreams map[member.UpstreamID]*limitState
 }
 
-// upstreamWord is one upstream's.
-type upstreamWord struct {
-	life  int64
-	named bool
+// limitState is one upstream's.
+type limitState struct {
+	incarnation int64
+	hasLimit    bool
 	// rate is the one that it named last; where it has ended, what it returns from.
 	rate Rate
-	// at is when a limit was last heard; of an end, when the request was sent whose
+	// reportedAt is when a limit was last heard; of an end, when the request was sent whose
 	// answer named none.
-	at   time.Time
-	from member.HostID
+	reportedAt time.Time
+	reportedBy member.HostID
 	// endedAt is when its need was over here; zero while it isn't.
 	endedAt time.Time
 }
 
 // Receive takes in an answer's word, heard by a host. Life is the upstream's at that time.
-func (w *Words) Receive(now time.Time, id member.UpstreamID, life int64, from member.HostID, word Word) Change {
-	if !word.Named && !w.some.Load() {
+func (l *Limits) Receive(now time.Time, id member.UpstreamID, incarnation int64, from member.HostID, report AnswerReport) Change {
+	if !report.HasLimit && !l.nonEmpty.Load() {
 		return Unchanged
 	}
-	at := word.At
-	if !word.Named {
-		at = word.Since
+	reportedAt := report.ReceivedAt
+	if !report.HasLimit {
+		reportedAt = report.SentAt
 	}
-	return w.take(now, id, life, from, word.Named, word.Rate, at)
+	return l.apply(now, id, incarnation, from, report.HasLimit, report.Rate, reportedAt)
 }
 
-// ReceiveMark takes in a peer's word.
-func (w *Words) ReceiveMark(now time.Time, from member.HostID, m Mark) Change {
-	if !m.Named && !w.some.Load() {
+// ReceivePeerReport takes in a peer's word.
+func (l *Limits) ReceivePeerReport(now time.Time, from member.HostID, report PeerReport) Change {
+	if !report.HasLimit && !l.nonEmpty.Load() {
 		return Unchanged
 	}
-	return w.take(now, m.Upstream, m.Life, from, m.Named, m.Rate, now.Add(-max(m.Age, 0)))
+	return l.apply(now, report.Upstream, report.Incarnation, from, report.HasLimit, report.Rate, now.Add(-max(report.Age, 0)))
 }
 
-func (w *Words) take(now time.Time, id member.UpstreamID, life int64, from member.HostID, named bool, rate Rate, at time.Time) Change {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	u := w.upstreams[id]
-	if u == nil || u.life != life && u.life != 0 && life != 0 {
-		if !named {
+func (l *Limits) apply(now time.Time, id member.UpstreamID, incarnation int64, from member.HostID, hasLimit bool, rate Rate, reportedAt time.Time) Change {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	u := l.upstreams[id]
+	if u == nil || u.incarnation != incarnation && u.incarnation != 0 && incarnation != 0 {
+		if !hasLimit {
 			return Unchanged
 		}
-		u = &upstreamWord{life: life}
-		w.put(id, u)
+		u = &limitState{incarnation: incarnation}
+		l.add(id, u)
 	}
-	if u.life == 0 {
+	if u.incarnation == 0 {
 		// It wasn't known when the limit was heard first.
-		u.life = life
+		u.incarnation = incarnation
 	}
 	// An answer without a limit ends it only if its request was sent after the limit was
 	// last heard: else it may be the older word.
-	if !at.After(u.at) {
+	if !reportedAt.After(u.reportedAt) {
 		return Unchanged
 	}
-	was, before := u.bounded(now), u.rate
-	u.at, u.from = at, from
-	if !named {
-		return u.end(now)
+	wasInForce, previousRate := u.limitInForce(now), u.rate
+	u.reportedAt, u.reportedBy = reportedAt, from
+	if !hasLimit {
+		return u.endLimit(now)
 	}
-	u.named, u.rate, u.endedAt = true, rate, time.Time{}
+	u.hasLimit, u.rate, u.endedAt = true, rate, time.Time{}
 	switch {
-	case !was:
-		return Named
-	case before != rate:
-		return Moved
+	case !wasInForce:
+		return LimitNamed
+	case previousRate != rate:
+		return LimitMoved
 	}
 	return Unchanged
 }
 
-func (w *Words) put(id member.UpstreamID, u *upstreamWord) {
-	if w.upstreams == nil {
-		w.upstreams = map[member.UpstreamID]*upstreamWord{}
+func (l *Limits) add(id member.UpstreamID, u *limitState) {
+	if l.upstreams == nil {
+		l.upstreams = map[member.UpstreamID]*limitState{}
 	}
-	w.upstreams[id] = u
-	w.some.Store(true)
+	l.upstreams[id] = u
+	l.nonEmpty.Store(true)
 }
 
-// end begins the upstream's return.
-func (u *upstreamWord) end(now time.Time) Change {
-	if !u.named {
+// endLimit begins the upstream's return.
+func (u *limitState) endLimit(now time.Time) Change {
+	if !u.hasLimit {
 		return Unchanged
 	}
-	u.named, u.endedAt = false, now
-	return Ended
+	u.hasLimit, u.endedAt = false, now
+	return LimitEnded
 }
 
-// bounded reports whether the upstream names a limit.
-func (u *upstreamWord) bounded(now time.Time) bool {
-	return u.named && now.Sub(u.at) < unconfirmedFor
+// limitInForce reports whether the upstream names a limit.
+func (u *limitState) limitInForce(now time.Time) bool {
+	return u.hasLimit && now.Sub(u.reportedAt) < confirmationTimeout
 }
 
-// bound is what the upstream gets at most; false says that nothing bounds it.
-func (u *upstreamWord) bound(now time.Time) (Rate, bool) {
-	least := max(u.rate, LeastRate)
-	if u.bounded(now) {
-		return least, true
+// effectiveRate is what the upstream gets at most; false says that nothing bounds it.
+func (u *limitState) effectiveRate(now time.Time) (Rate, bool) {
+	base := max(u.rate, MinRate)
+	if u.limitInForce(now) {
+		return base, true
 	}
 	ended := u.endedAt
-	if u.named {
-		ended = u.at.Add(unconfirmedFor)
+	if u.hasLimit {
+		ended = u.reportedAt.Add(confirmationTimeout)
 	}
-	since := now.Sub(ended)
-	if since >= returnsFor {
+	elapsed := now.Sub(ended)
+	if elapsed >= recoveryTime {
 		return 0, false
 	}
-	return least * Rate(math.Exp2(float64(max(since-returnAfter, 0))/float64(returnDoubles))), true
+	return base * Rate(math.Exp2(float64(max(elapsed-recoveryDelay, 0))/float64(recoveryDoublingTime))), true
 }
 
-// Bound is what an upstream gets at most; false says that nothing bounds it.
-func (w *Words) Bound(now time.Time, id member.UpstreamID) (Rate, bool) {
-	if !w.some.Load() {
+// EffectiveRate is what an upstream gets at most; false says that nothing bounds it.
+func (l *Limits) EffectiveRate(now time.Time, id member.UpstreamID) (Rate, bool) {
+	if !l.nonEmpty.Load() {
 		return 0, false
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	u := w.upstreams[id]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	u := l.upstreams[id]
 	if u == nil {
 		return 0, false
 	}
-	return u.bound(now)
+	return u.effectiveRate(now)
 }
 
-// Returning is for how long at most an upstream's present bound holds whose need is over, for it
+// RecoveryInterval is for how long at most an upstream's present bound holds whose need is over, for it
 // rises; false for one that names a limit, or that nothing bounds.
-func (w *Words) Returning(now time.Time, id member.UpstreamID) (time.Duration, bool) {
-	if !w.some.Load() {
+func (l *Limits) RecoveryInterval(now time.Time, id member.UpstreamID) (time.Duration, bool) {
+	if !l.nonEmpty.Load() {
 		return 0, false
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	u := w.upstreams[id]
-	if u == nil || u.bounded(now) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	u := l.upstreams[id]
+	if u == nil || u.limitInForce(now) {
 		return 0, false
 	}
-	return returnDoubles, true
+	return recoveryDoublingTime, true
 }
 
 // Any reports whether some upstream may be bounded.
-func (w *Words) Any() bool { return w.some.Load() }
+func (l *Limits) Any() bool { return l.nonEmpty.Load() }
 
-// Renew forgets an upstream that has started again.
-func (w *Words) Renew(id member.UpstreamID) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.upstreams, id)
-	w.some.Store(len(w.upstreams) > 0)
+// Reset forgets an upstream that has started again.
+func (l *Limits) Reset(id member.UpstreamID) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.upstreams, id)
+	l.nonEmpty.Store(len(l.upstreams) > 0)
 }
 
-// Forget drops the upstreams that aren't bounded any more, and those that aren't known. It
+// Prune drops the upstreams that aren't bounded any more, and those that aren't known. It
 // returns those of which a word ended because no answer confirmed it.
-func (w *Words) Forget(now time.Time, isKnown func(member.UpstreamID) bool) (unconfirmed []member.UpstreamID) {
-	if !w.some.Load() {
+func (l *Limits) Prune(now time.Time, isKnown func(member.UpstreamID) bool) (unconfirmed []member.UpstreamID) {
+	if !l.nonEmpty.Load() {
 		return nil
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for id, u := range w.upstreams {
-		if u.named && !u.bounded(now) {
-			u.named, u.endedAt = false, u.at.Add(unconfirmedFor)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for id, u := range l.upstreams {
+		if u.hasLimit && !u.limitInForce(now) {
+			u.hasLimit, u.endedAt = false, u.reportedAt.Add(confirmationTimeout)
 			unconfirmed = append(unconfirmed, id)
 		}
-		if _, bounded := u.bound(now); !bounded || !isKnown(id) {
-			delete(w.upstreams, id)
+		if _, bounded := u.effectiveRate(now); !bounded || !isKnown(id) {
+			delete(l.upstreams, id)
 		}
 	}
-	w.some.Store(len(w.upstreams) > 0)
+	l.nonEmpty.Store(len(l.upstreams) > 0)
 	return unconfirmed
 }
 
-// Mark is the newest word of an upstream; false says that there is none.
-func (w *Words) Mark(now time.Time, id member.UpstreamID) (Mark, bool) {
-	if !w.some.Load() {
-		return Mark{}, false
+// PeerReport is the newest word of an upstream; false says that there is none.
+func (l *Limits) PeerReport(now time.Time, id member.UpstreamID) (PeerReport, bool) {
+	if !l.nonEmpty.Load() {
+		return PeerReport{}, false
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	u := w.upstreams[id]
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	u := l.upstreams[id]
 	if u == nil {
-		return Mark{}, false
+		return PeerReport{}, false
 	}
-	return u.mark(now, id), true
+	return u.toPeerReport(now, id), true
 }
 
-// Marks are the newest words of all upstreams.
-func (w *Words) Marks(now time.Time) []Mark {
-	if !w.some.Load() {
+// PeerReports are the newest words of all upstreams.
+func (l *Limits) PeerReports(now time.Time) []PeerReport {
+	if !l.nonEmpty.Load() {
 		return nil
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	marks := make([]Mark, 0, len(w.upstreams))
-	for id, u := range w.upstreams {
-		marks = append(marks, u.mark(now, id))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	reports := make([]PeerReport, 0, len(l.upstreams))
+	for id, u := range l.upstreams {
+		reports = append(reports, u.toPeerReport(now, id))
 	}
-	return marks
+	return reports
 }
 
-func (u *upstreamWord) mark(now time.Time, id member.UpstreamID) Mark {
-	return Mark{Upstream: id, Life: u.life, Named: u.named, Rate: u.rate, Age: now.Sub(u.at)}
+func (u *limitState) toPeerReport(now time.Time, id member.UpstreamID) PeerReport {
+	return PeerReport{Upstream: id, Incarnation: u.incarnation, HasLimit: u.hasLimit, Rate: u.rate, Age: now.Sub(u.reportedAt)}
 }
 
-// Entries lists how the bounded upstreams stand, by their ids.
-func (w *Words) Entries(now time.Time) []Entry {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	entries := make([]Entry, 0, len(w.upstreams))
-	for id, u := range w.upstreams {
-		e := Entry{Upstream: id, Age: now.Sub(u.at), From: u.from}
+// Statuses lists how the bounded upstreams stand, by their ids.
+func (l *Limits) Statuses(now time.Time) []LimitStatus {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	statuses := make([]LimitStatus, 0, len(l.upstreams))
+	for id, u := range l.upstreams {
+		status := LimitStatus{Upstream: id, Age: now.Sub(u.reportedAt), ReportedBy: u.reportedBy}
 		// Zero for one that isn't bounded any more and wasn't forgotten yet.
-		e.Bound, _ = u.bound(now)
-		if u.bounded(now) {
-			e.Named = u.rate
+		status.EffectiveRate, _ = u.effectiveRate(now)
+		if u.limitInForce(now) {
+			status.NamedRate = u.rate
 		}
-		entries = append(entries, e)
+		statuses = append(statuses, status)
 	}
-	slices.SortFunc(entries, func(a, b Entry) int { return strings.Compare(string(a.Upstream), string(b.Upstream)) })
-	return entries
+	slices.SortFunc(statuses, func(a, b LimitStatus) int { return strings.Compare(string(a.Upstream), string(b.Upstream)) })
+	return statuses
 }
--- a/ratelimit/rate.go
+++ b/ratelimit/rate.go
@@ -12,9 +12,9 @@
 // Rate is in requests a second, from all hosts together.
 type Rate float64
 
-// MostRate is the highest limit that is kept to. No upstream takes as many, and what a
+// MaxRate is the highest limit that is kept to. No upstream takes as many, and what a
 // higher one allows needn't be counted.
-const MostRate Rate = 100_000
+const MaxRate Rate = 100_000
 
 // ParseRate reads a limit as an upstream writes it: a decimal number that isn't negative.
 func ParseRate(text string) (Rate, error) {
@@ -25,13 +25,13 @@
 	if math.IsNaN(n) || n < 0 {
 		return 0, fmt.Errorf("%q isn't a rate", text)
 	}
-	return min(Rate(n), MostRate), nil
+	return min(Rate(n), MaxRate), nil
 }
 
-// Sane is a rate that another told, or the nearest one that there can be.
-func (r Rate) Sane() Rate {
+// Clamp is a rate that another told, or the nearest one that there can be.
+func (r Rate) Clamp() Rate {
 	if r >= 0 {
-		return min(r, MostRate)
+		return min(r, MaxRate)
 	}
 	return 0
 }
--- a/ratelimit/rate_test.go
+++ b/ratelimit/rate_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestParseRate(t *testing.T) {
-	for text, want := range map[string]Rate{"2.8": 2.8, "0.2": 0.2, "0": 0, "4": 4, "1e9": MostRate, "Inf": MostRate} {
+	for text, want := range map[string]Rate{"2.8": 2.8, "0.2": 0.2, "0": 0, "4": 4, "1e9": MaxRate, "Inf": MaxRate} {
 		t.Run(text, func(t *testing.T) {
 			is := is.New(t)
 			got, err := ParseRate(text)
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// AnnounceEvery is how often a host announces itself.
-	AnnounceEvery = 60 * time.Second
-	// keptFor is for how long after its last announcement a host is known.
-	keptFor = 200 * time.Second
+	// AnnounceInterval is how often a host announces itself.
+	AnnounceInterval = 60 * time.Second
+	// announcementTTL is for how long after its last announcement a host is known.
+	announcementTTL = 200 * time.Second
 )
 
 // Announcement is a host's word that it is there.
 type Announcement struct {
 	member.Entry
-	// Epoch tells the process that made it from earlier ones of the host, and Count orders the
+	// Epoch tells the process that made it from earlier ones of the host, and Sequence orders the
 	// announcements of one process.
-	Epoch, Count uint64
+	Epoch, Sequence uint64
 	// Age is how long ago it was made.
 	Age time.Duration
 }
@@ -38,64 +38,64 @@
 type Roster struct {
 	self  member.Entry
 	epoch uint64
-	hosts map[member.HostID]*known
-	// last counts the announcements that were taken in.
-	last uint64
-	// changed counts the hosts that came or went.
-	changed uint64
+	hosts map[member.HostID]*hostRecord
+	// lastPosition counts the announcements that were taken in.
+	lastPosition uint64
+	// version counts the hosts that came or went.
+	version uint64
 }
 
-type known struct {
+type hostRecord struct {
 	Announcement
-	// at is when it was made, by this host's clock.
-	at time.Time
-	// count is that of last when it was taken in, and from who told it.
-	count uint64
-	from  member.HostID
+	// announcedAt is when it was made, by this host's clock.
+	announcedAt time.Time
+	// position is that of last when it was taken in, and from who told it.
+	position     uint64
+	receivedFrom member.HostID
 }
 
-// processesApart is by how much later a process's announcement must have been made than that of
+// minEpochSeparation is by how much later a process's announcement must have been made than that of
 // another of its host to be believed the later one: their ages are told, and are late by what they took.
-const processesApart = 200 * time.Millisecond
+const minEpochSeparation = 200 * time.Millisecond
 
 // supersededBy reports whether an announcement is later than the one that is known.
-func (k *known) supersededBy(now time.Time, a *Announcement) bool {
+func (k *hostRecord) supersededBy(now time.Time, a *Announcement) bool {
 	if a.Epoch == k.Epoch {
-		return a.Count > k.Count
+		return a.Sequence > k.Sequence
 	}
-	return now.Add(-a.Age).Sub(k.at) > processesApart
+	return now.Add(-a.Age).Sub(k.announcedAt) > minEpochSeparation
 }
 
 // New returns the roster of a process of a host, which has it alone.
 func New(self member.Entry, epoch uint64) *Roster {
-	return &Roster{self: self, epoch: epoch, hosts: map[member.HostID]*known{}}
+	return &Roster{self: self, epoch: epoch, hosts: map[member.HostID]*hostRecord{}}
 }
 
 // Announce has this host be announced anew, if that is due.
 func (r *Roster) Announce(now time.Time) {
 	k := r.hosts[r.self.ID]
-	if k != nil && now.Sub(k.at) < AnnounceEvery {
+	if k != nil && now.Sub(k.announcedAt) < AnnounceInterval {
 		return
 	}
-	own := Announcement{Entry: r.self, Epoch: r.epoch, Count: 1}
+	own := Announcement{Entry: r.self, Epoch: r.epoch, Sequence: 1}
 	if k != nil {
-		own.Count = k.Count + 1
+		own.Sequence = k.Sequence + 1
 	}
 	r.Receive(now, r.self.ID, own)
 }
 
-// Own is this host's last announcement.
-func (r *Roster) Own(now time.Time) (count uint64, age time.Duration) {
+// OwnAnnouncement is this host's last announcement.
+func (r *Roster) OwnAnnouncement(now time.Time) (sequence uint64, age time.Duration) {
 	k := r.hosts[r.self.ID]
 	if k == nil {
 		return 0, 0
 	}
-	return k.Count, now.Sub(k.at)
+	return k.Sequence, now.Sub(k.announcedAt)
 }
 
 // Receive takes in an announcement that another host passed on. It reports whether it is news.
 func (r *Roster) Receive(now time.Time, from member.HostID, a Announcement) bool {
-	if a.ID == "" || a.Age > keptFor || a.ID == r.self.ID && from != r.self.ID {
+	if a.ID == "" || a.Age > announcementTTL || a.ID == r.self.ID && from != r.self.ID {
 		return false
 	}
 	k := r.hosts[a.ID]
@@ -103,25 +103,25 @@
 		return false
 	}
 	if k == nil || k.Entry != a.Entry {
-		r.changed++
+		r.version++
 	}
-	r.last++
-	r.hosts[a.ID] = &known{Announcement: a, at: now.Add(-a.Age), count: r.last, from: from}
+	r.lastPosition++
+	r.hosts[a.ID] = &hostRecord{Announcement: a, announcedAt: now.Add(-a.Age), position: r.lastPosition, receivedFrom: from}
 	return true
 }
 
-// Forget drops the hosts that weren't announced lately.
-func (r *Roster) Forget(now time.Time) {
+// PruneExpired drops the hosts that weren't announced lately.
+func (r *Roster) PruneExpired(now time.Time) {
 	for id, k := range r.hosts {
-		if id != r.self.ID && now.Sub(k.at) > keptFor {
+		if id != r.self.ID && now.Sub(k.announcedAt) > announcementTTL {
 			delete(r.hosts, id)
-			r.changed++
+			r.version++
 		}
 	}
 }
 
-// Changed rises with each host that comes, goes, or is announced otherwise.
-func (r *Roster) Changed() uint64 { return r.changed }
+// Version rises with each host that comes, goes, or is announced otherwise.
+func (r *Roster) Version() uint64 { return r.version }
 
 // Len is how many hosts are known, with this one if it has announced itself.
 func (r *Roster) Len() int { return len(r.hosts) }
@@ -135,28 +135,28 @@
 	return all
 }
 
-// Since returns announcements that were taken in after a count, the earliest first and some at
+// AnnouncementsSince returns announcements that were taken in after a count, the earliest first and some at
 // most, but for those that came from whom they are for, and the count to go on from.
-func (r *Roster) Since(now time.Time, count uint64, to member.HostID, most int) ([]Announcement, uint64) {
-	if count >= r.last {
-		return nil, r.last
+func (r *Roster) AnnouncementsSince(now time.Time, position uint64, to member.HostID, limit int) ([]Announcement, uint64) {
+	if position >= r.lastPosition {
+		return nil, r.lastPosition
 	}
-	var news []*known
+	var pending []*hostRecord
 	for _, k := range r.hosts {
-		if k.count > count && k.from != to && k.ID != to {
-			news = append(news, k)
+		if k.position > position && k.receivedFrom != to && k.ID != to {
+			pending = append(pending, k)
 		}
 	}
-	slices.SortFunc(news, func(a, b *known) int { return cmp.Compare(a.count, b.count) })
-	upTo := r.last
-	if len(news) > most {
-		news = news[:most]
-		upTo = news[most-1].count
+	slices.SortFunc(pending, func(a, b *hostRecord) int { return cmp.Compare(a.position, b.position) })
+	nextPosition := r.lastPosition
+	if len(pending) > limit {
+		pending = pending[:limit]
+		nextPosition = pending[limit-1].position
 	}
-	told := make([]Announcement, len(news))
-	for i, k := range news {
-		told[i] = k.Announcement
-		told[i].Age = now.Sub(k.at)
+	announcements := make([]Announcement, len(pending))
+	for i, k := range pending {
+		announcements[i] = k.Announcement
+		announcements[i].Age = now.Sub(k.announcedAt)
 	}
-	return told, upTo
+	return announcements, nextPosition
 }
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -34,19 +34,19 @@
 			}
 		}
 		type edge struct{ from, to int }
-		counts, told := map[edge]uint64{}, 0
-		pass := func(e edge) {
-			news, upTo := all[e.from].Since(now, counts[e], all[e.to].self.ID, 5)
-			counts[e] = upTo
-			told += len(news)
+		positions, sent := map[edge]uint64{}, 0
+		exchange := func(e edge) {
+			news, upTo := all[e.from].AnnouncementsSince(now, positions[e], all[e.to].self.ID, 5)
+			positions[e] = upTo
+			sent += len(news)
 			for _, a := range news {
 				all[e.to].Receive(now, all[e.from].self.ID, a)
 			}
 		}
 		for range 6 * n {
 			for i := 1; i < n; i++ {
-				pass(edge{parent[i], i})
-				pass(edge{i, parent[i]})
+				exchange(edge{parent[i], i})
+				exchange(edge{i, parent[i]})
 			}
 		}
 		for i, r := range all {
@@ -54,8 +54,8 @@
 				t.Fatalf("h%d knows %d of %d", i, r.Len(), n)
 			}
 		}
-		if told > n*(n-1) {
-			t.Fatalf("%d announcements told among %d hosts", told, n)
+		if sent > n*(n-1) {
+			t.Fatalf("%d announcements told among %d hosts", sent, n)
 		}
 	})
 }
@@ -66,17 +66,17 @@
 	now := time.Unix(1000, 0)
 	a, b, gone := New(entry(1), 1), New(entry(2), 2), New(entry(3), 3)
 	gone.Announce(now)
-	news, _ := gone.Since(now, 0, "h1", 10)
+	news, _ := gone.AnnouncementsSince(now, 0, "h1", 10)
 	is.True(a.Receive(now, "h3", news[0]))
 	for range 300 {
 		now = now.Add(time.Second)
 		for _, pair := range [][2]*Roster{{a, b}, {b, a}} {
 			pair[0].Announce(now)
-			told, _ := pair[0].Since(now, 0, pair[1].self.ID, 10)
+			told, _ := pair[0].AnnouncementsSince(now, 0, pair[1].self.ID, 10)
 			for _, n := range told {
 				pair[1].Receive(now, pair[0].self.ID, n)
 			}
-			pair[0].Forget(now)
+			pair[0].PruneExpired(now)
 		}
 	}
 	is.Equal(a.Len(), 2)
@@ -88,14 +88,14 @@
 func TestHostStartsAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
-	before, after := New(entry(1), 7), New(entry(1), 3)
-	before.Announce(now)
-	old, _ := before.Since(now.Add(5*time.Second), 0, "h9", 1)
+	oldProcess, newProcess := New(entry(1), 7), New(entry(1), 3)
+	oldProcess.Announce(now)
+	old, _ := oldProcess.AnnouncementsSince(now.Add(5*time.Second), 0, "h9", 1)
 	moved := entry(1)
 	moved.PeerAddress = "10.0.0.7:1"
-	after.self = moved
-	after.Announce(now.Add(4 * time.Second))
-	fresh, _ := after.Since(now.Add(5*time.Second), 0, "h9", 1)
+	newProcess.self = moved
+	newProcess.Announce(now.Add(4 * time.Second))
+	fresh, _ := newProcess.AnnouncementsSince(now.Add(5*time.Second), 0, "h9", 1)
 	for _, order := range [][]Announcement{{old[0], fresh[0], old[0]}, {fresh[0], old[0]}} {
 		r := New(entry(2), 1)
 		for _, a := range order {
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -21,35 +21,35 @@
 
 // Budget bounds what all spools of a process hold together. The zero value sets no bound.
 type Budget struct {
-	// Most is the bound in bytes.
-	Most int64
-	held atomic.Int64
+	// MaxBytes is the bound in bytes.
+	MaxBytes int64
+	reserved atomic.Int64
 }
 
-// Take counts some bytes, if there is room for them.
-func (b *Budget) Take(n int) bool {
-	if held := b.held.Add(int64(n)); b.Most > 0 && held > b.Most {
-		b.held.Add(-int64(n))
+// Reserve counts some bytes, if there is room for them.
+func (b *Budget) Reserve(n int) bool {
+	if held := b.reserved.Add(int64(n)); b.MaxBytes > 0 && held > b.MaxBytes {
+		b.reserved.Add(-int64(n))
 		return false
 	}
 	return true
 }
 
-// Free gives back what was taken.
-func (b *Budget) Free(n int) { b.held.Add(-int64(n)) }
+// Release gives back what was taken.
+func (b *Budget) Release(n int) { b.reserved.Add(-int64(n)) }
 
-// Held is how many bytes are held.
-func (b *Budget) Held() int64 { return b.held.Load() }
+// Reserved is how many bytes are held.
+func (b *Budget) Reserved() int64 { return b.reserved.Load() }
 
 // Settings bound one spool.
 type Settings struct {
 	Budget *Budget
-	// Most is how many bytes it holds at most.
-	Most int
-	// Patience is how long the reader may take nothing while the source waits for it.
-	Patience time.Duration
-	// Failed is told that a write has failed, beside what the source does; nil tells nobody.
-	Failed func()
+	// MaxBytes is how many bytes it holds at most.
+	MaxBytes int
+	// StallTimeout is how long the reader may take nothing while the source waits for it.
+	StallTimeout time.Duration
+	// OnWriteFailure is told that a write has failed, beside what the source does; nil tells nobody.
+	OnWriteFailure func()
 }
 
 // Spool holds what one reader hasn't taken yet. Use New; Close ends its goroutine.
@@ -61,27 +61,27 @@
 
 	mu sync.Mutex
 	// queue is what waits, and held its bytes with those of the write that is under way.
-	queue [][]byte
-	held  int
-	// waiting says that the source waits for room, and spare is what the reader has taken
+	queue     [][]byte
+	heldBytes int
+	// sourceWaiting says that the source waits for room, and spare is what the reader has taken
 	// meanwhile: it is kept for the source, for other streams would take it.
-	waiting bool
-	spare   int
-	// wrote counts the writes that are done.
-	wrote uint64
-	err   error
+	sourceWaiting bool
+	freedBytes    int
+	// writeCount counts the writes that are done.
+	writeCount uint64
+	err        error
 	// closing says that nothing more comes.
 	closing bool
-	// changed wakes who waits for room or for the end, and filled the goroutine that writes.
-	changed, filled chan struct{}
-	done            chan struct{}
+	// progress wakes who waits for room or for the end, and queueChanged the goroutine that writes.
+	progress, queueChanged chan struct{}
+	done                   chan struct{}
 }
 
 // New returns a spool before a reader.
 func New(s Settings, write func([]byte) error, abort func()) *Spool {
 	sp := &Spool{
 		settings: s, write: write, abort: abort,
-		changed: make(chan struct{}, 1), filled: make(chan struct{}, 1), done: make(chan struct{}),
+		progress: make(chan struct{}, 1), queueChanged: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 	go sp.run()
 	return sp
@@ -93,77 +93,77 @@
 		s.mu.Lock()
 		if len(s.queue) == 0 || s.err != nil {
 			if s.closing || s.err != nil {
-				s.dropAll()
+				s.dropQueue()
 				s.mu.Unlock()
-				wake(s.changed)
+				notify(s.progress)
 				return
 			}
 			s.mu.Unlock()
-			<-s.filled
+			<-s.queueChanged
 			continue
 		}
-		part := s.queue[0]
+		chunk := s.queue[0]
 		s.queue[0], s.queue = nil, s.queue[1:]
 		s.mu.Unlock()
-		err := s.write(part)
+		err := s.write(chunk)
 		s.mu.Lock()
-		s.release(len(part))
-		s.wrote++
-		failed := err != nil && s.err == nil && s.settings.Failed != nil
+		s.release(len(chunk))
+		s.writeCount++
+		failed := err != nil && s.err == nil && s.settings.OnWriteFailure != nil
 		if s.err == nil {
 			s.err = err
 		}
 		s.mu.Unlock()
 		if failed {
-			s.settings.Failed()
+			s.settings.OnWriteFailure()
 		}
-		wake(s.changed)
+		notify(s.progress)
 	}
 }
 
-// dropAll frees what won't be written. The mutex is held.
-func (s *Spool) dropAll() {
-	for _, part := range s.queue {
-		s.release(len(part))
+// dropQueue frees what won't be written. The mutex is held.
+func (s *Spool) dropQueue() {
+	for _, chunk := range s.queue {
+		s.release(len(chunk))
 	}
 	s.queue = nil
 }
 
 func (s *Spool) release(n int) {
-	s.held -= n
-	if s.waiting {
-		s.spare += n
+	s.heldBytes -= n
+	if s.sourceWaiting {
+		s.freedBytes += n
 		return
 	}
-	s.settings.Budget.Free(n)
+	s.settings.Budget.Release(n)
 }
 
-// take counts some bytes against the bounds, if there is room for them. The mutex is held.
-func (s *Spool) take(n int) bool {
+// reserve counts some bytes against the bounds, if there is room for them. The mutex is held.
+func (s *Spool) reserve(n int) bool {
 	// One part always fits: without that a reader who is up to date would be held up by what
 	// others hold.
-	must := s.held == 0
-	if !must && s.held+n > s.settings.Most {
+	empty := s.heldBytes == 0
+	if !empty && s.heldBytes+n > s.settings.MaxBytes {
 		return false
 	}
-	if missing := n - s.spare; missing > 0 && !s.settings.Budget.Take(missing) {
-		if !must {
+	if needed := n - s.freedBytes; needed > 0 && !s.settings.Budget.Reserve(needed) {
+		if !empty {
 			return false
 		}
-		s.settings.Budget.held.Add(int64(missing))
+		s.settings.Budget.reserved.Add(int64(needed))
 	}
-	s.spare = max(s.spare-n, 0)
-	s.held += n
+	s.freedBytes = max(s.freedBytes-n, 0)
+	s.heldBytes += n
 	return true
 }
 
 // endWait gives back what the source that has waited doesn't need. The mutex is held.
 func (s *Spool) endWait() {
-	s.settings.Budget.Free(s.spare)
-	s.waiting, s.spare = false, 0
+	s.settings.Budget.Release(s.freedBytes)
+	s.sourceWaiting, s.freedBytes = false, 0
 }
 
-func wake(c chan struct{}) {
+func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -175,38 +175,38 @@
 // that of an earlier write.
 func (s *Spool) Put(ctx context.Context, p []byte) error {
 	return s.wait(ctx, func() bool {
-		if !s.take(len(p)) {
-			s.waiting = true
+		if !s.reserve(len(p)) {
+			s.sourceWaiting = true
 			return false
 		}
 		s.queue = append(s.queue, append([]byte(nil), p...))
-		wake(s.filled)
+		notify(s.queueChanged)
 		return true
 	})
 }
 
 // Close waits until the reader has all, as Put does for room, and ends the spool.
 func (s *Spool) Close(ctx context.Context) error {
-	err := s.wait(ctx, func() bool { return s.held == 0 })
+	err := s.wait(ctx, func() bool { return s.heldBytes == 0 })
 	s.mu.Lock()
 	s.closing = true
 	s.mu.Unlock()
-	wake(s.filled)
+	notify(s.queueChanged)
 	<-s.done
 	return err
 }
 
 // wait waits until something is done, which it tries after each write. On an error nothing more
 // is written.
-func (s *Spool) wait(ctx context.Context, try func() bool) error {
+func (s *Spool) wait(ctx context.Context, attempt func() bool) error {
 	var timer *time.Timer
 	var expired <-chan time.Time
-	var seen uint64
+	var lastWriteCount uint64
 	for {
 		s.mu.Lock()
-		err, ok, wrote := s.err, false, s.wrote
+		err, ok, writeCount := s.err, false, s.writeCount
 		if err == nil {
-			ok = try()
+			ok = attempt()
 		}
 		if ok || err != nil {
 			s.endWait()
@@ -221,24 +221,24 @@
 			}
 			return nil
 		case timer == nil:
-			timer = time.NewTimer(s.settings.Patience)
-			expired, seen = timer.C, wrote
-		case wrote != seen:
-			timer.Reset(s.settings.Patience)
-			seen = wrote
+			timer = time.NewTimer(s.settings.StallTimeout)
+			expired, lastWriteCount = timer.C, writeCount
+		case writeCount != lastWriteCount:
+			timer.Reset(s.settings.StallTimeout)
+			lastWriteCount = writeCount
 		}
 		select {
-		case <-s.changed:
+		case <-s.progress:
 		case <-expired:
-			return s.giveUp(ErrStalled)
+			return s.fail(ErrStalled)
 		case <-ctx.Done():
-			return s.giveUp(context.Cause(ctx))
+			return s.fail(context.Cause(ctx))
 		}
 	}
 }
 
-// giveUp ends the write that is under way, and drops the rest.
-func (s *Spool) giveUp(err error) error {
+// fail ends the write that is under way, and drops the rest.
+func (s *Spool) fail(err error) error {
 	s.mu.Lock()
 	if s.err == nil {
 		s.err = err
@@ -247,6 +247,6 @@
 	s.endWait()
 	s.mu.Unlock()
 	s.abort()
-	wake(s.filled)
+	notify(s.queueChanged)
 	return err
 }
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -18,11 +18,11 @@
 
 // reader takes a part every so often, until it is aborted.
 type reader struct {
-	mu      sync.Mutex
-	pause   time.Duration
-	got     strings.Builder
-	aborted chan struct{}
-	once    sync.Once
+	mu       sync.Mutex
+	pause    time.Duration
+	received strings.Builder
+	aborted  chan struct{}
+	once     sync.Once
 }
 
 func newReader(pause time.Duration) *reader {
@@ -41,18 +41,18 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.got.Write(p)
+	r.received.Write(p)
 	return nil
 }
 
 func (r *reader) abort() { r.once.Do(func() { close(r.aborted) }) }
 
-// TestSlowReaderHoldsNoSource has a source be done before its slow reader, which gets all in order.
-func TestSlowReaderHoldsNoSource(t *testing.T) {
+// TestSlowReaderDoesNotBlockSource has a source be done before its slow reader, which gets all in order.
+func TestSlowReaderDoesNotBlockSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r, b := newReader(200*time.Millisecond), &Budget{Most: 1000}
-		s := New(Settings{Budget: b, Most: 500, Patience: time.Second}, r.write, r.abort)
+		r, b := newReader(200*time.Millisecond), &Budget{MaxBytes: 1000}
+		s := New(Settings{Budget: b, MaxBytes: 500, StallTimeout: time.Second}, r.write, r.abort)
 		start, want := time.Now(), ""
 		for n := range 40 {
 			part := fmt.Sprintf("part %02d;", n)
@@ -61,33 +61,33 @@
 		}
 		is.Equal(time.Since(start), time.Duration(0))
 		is.NoErr(s.Close(t.Context()))
-		is.Equal(r.got.String(), want)
+		is.Equal(r.received.String(), want)
 		is.Equal(time.Since(start), 40*200*time.Millisecond)
-		is.Equal(b.Held(), int64(0))
+		is.Equal(b.Reserved(), int64(0))
 	})
 }
 
-// TestReaderSlowerThanItsBound has the source wait for a reader that goes on reading.
-func TestReaderSlowerThanItsBound(t *testing.T) {
+// TestSourceWaitsForSlowReader has the source wait for a reader that goes on reading.
+func TestSourceWaitsForSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r, b := newReader(800*time.Millisecond), &Budget{Most: 1000}
-		s := New(Settings{Budget: b, Most: 100, Patience: time.Second}, r.write, r.abort)
+		r, b := newReader(800*time.Millisecond), &Budget{MaxBytes: 1000}
+		s := New(Settings{Budget: b, MaxBytes: 100, StallTimeout: time.Second}, r.write, r.abort)
 		for range 30 {
 			is.NoErr(s.Put(t.Context(), make([]byte, 40)))
-			is.True(b.Held() <= 100)
+			is.True(b.Reserved() <= 100)
 		}
 		is.NoErr(s.Close(t.Context()))
-		is.Equal(r.got.Len(), 1200)
+		is.Equal(r.received.Len(), 1200)
 	})
 }
 
-// TestStalledReaderIsGivenUp has a reader that takes nothing be given up, and its memory be freed.
-func TestStalledReaderIsGivenUp(t *testing.T) {
+// TestStalledReaderIsDisconnected has a reader that takes nothing be given up, and its memory be freed.
+func TestStalledReaderIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r, b := newReader(time.Hour), &Budget{Most: 1000}
-		s := New(Settings{Budget: b, Most: 100, Patience: time.Second}, r.write, r.abort)
+		r, b := newReader(time.Hour), &Budget{MaxBytes: 1000}
+		s := New(Settings{Budget: b, MaxBytes: 100, StallTimeout: time.Second}, r.write, r.abort)
 		start := time.Now()
 		var err error
 		for err == nil {
@@ -96,20 +96,20 @@
 		is.Equal(err, ErrStalled)
 		is.Equal(time.Since(start), time.Second)
 		is.Equal(s.Close(t.Context()), ErrStalled)
-		is.Equal(b.Held(), int64(0))
+		is.Equal(b.Reserved(), int64(0))
 	})
 }
 
-// TestSlowReadersCostNoOther has one that reads at once be served although slow ones hold all
+// TestSlowReadersDoNotBlockFastReader has one that reads at once be served although slow ones hold all
 // memory that there is for them.
-func TestSlowReadersCostNoOther(t *testing.T) {
+func TestSlowReadersDoNotBlockFastReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := &Budget{Most: 1000}
+		b := &Budget{MaxBytes: 1000}
 		var slow []*Spool
 		for range 20 {
 			r := newReader(time.Hour)
-			s := New(Settings{Budget: b, Most: 500, Patience: time.Minute}, r.write, r.abort)
+			s := New(Settings{Budget: b, MaxBytes: 500, StallTimeout: time.Minute}, r.write, r.abort)
 			slow = append(slow, s)
 			go func() {
 				for s.Put(t.Context(), make([]byte, 50)) == nil {
@@ -117,9 +117,9 @@
 			}()
 		}
 		synctest.Wait()
-		is.True(b.Held() <= 1000+20*50) // and one part each
+		is.True(b.Reserved() <= 1000+20*50) // and one part each
 		fast := newReader(0)
-		s := New(Settings{Budget: b, Most: 500, Patience: time.Second}, fast.write, fast.abort)
+		s := New(Settings{Budget: b, MaxBytes: 500, StallTimeout: time.Second}, fast.write, fast.abort)
 		start := time.Now()
 		for range 100 {
 			is.NoErr(s.Put(t.Context(), make([]byte, 50)))
@@ -130,21 +130,21 @@
 		for _, s := range slow {
 			is.Equal(s.Close(t.Context()), ErrStalled)
 		}
-		is.Equal(b.Held(), int64(0))
+		is.Equal(b.Reserved(), int64(0))
 	})
 }
 
-// TestSourceLeavesWhileItWaits has a source that waits for room end with its context.
-func TestSourceLeavesWhileItWaits(t *testing.T) {
+// TestSourceContextEndsWhileWaiting has a source that waits for room end with its context.
+func TestSourceContextEndsWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r, b := newReader(time.Hour), &Budget{}
-		s := New(Settings{Budget: b, Most: 10, Patience: time.Minute}, r.write, r.abort)
+		s := New(Settings{Budget: b, MaxBytes: 10, StallTimeout: time.Minute}, r.write, r.abort)
 		ctx, cancel := context.WithCancel(t.Context())
 		is.NoErr(s.Put(ctx, make([]byte, 10)))
 		time.AfterFunc(time.Second, cancel)
 		is.Equal(s.Put(ctx, make([]byte, 10)), context.Canceled)
 		is.Equal(s.Close(ctx), context.Canceled)
-		is.Equal(b.Held(), int64(0))
+		is.Equal(b.Reserved(), int64(0))
 	})
 }
