--- a/cell/cell.go
+++ b/cell/cell.go
@@ -3,10 +3,10 @@
 
 // Package cell divides the hosts and upstreams of a zone into cells of bounded size.
 //
-// Hosts share what changes from moment to moment with those of their own cell only, so that its
-// cost doesn't grow with the fleet. Which cell a host or an upstream is of follows from its name
-// and the number of cells, which every host works out from the list of hosts. Hosts whose lists
-// differ may disagree for a moment; nothing may depend on their agreeing. The package is pure.
+// Hosts share frequently changing state only within their own cell, so that its cost doesn't
+// grow with the fleet. The cell of a host or upstream follows from its name and from the
+// division of its zone, which every host computes from its list of hosts. Hosts whose lists
+// differ may disagree for a moment; nothing may depend on their agreement. The package is pure.
 package cell
 
 import (
@@ -21,36 +21,37 @@
 )
 
 const (
-	// maxUndividedHosts is how many hosts a zone has that is one cell.
+	// maxUndividedHosts is the largest number of hosts for which a zone is a single cell.
 	maxUndividedHosts = 48
-	// targetHostsPerCell is aimed at in a zone that is divided. Cells have between about two thirds
-	// of it and four thirds, for their number is a power of two.
+	// targetHostsPerCell is the intended cell size in a divided zone. Because the number of
+	// cells is a power of two, cells have between about two thirds and four thirds of it.
 	targetHostsPerCell = 24
-	// resizeTolerance is how far beyond that the number of cells stays as it is, so that it doesn't
-	// change to and fro with single hosts.
+	// resizeTolerance is the factor by which cells may exceed or fall below that range before
+	// the number of cells changes, so that it doesn't change back and forth with single hosts.
 	resizeTolerance = 1.25
 )
 
-// ID names a cell.
+// ID identifies a cell.
 type ID struct {
 	Zone   member.Zone
 	Number int
 }
 
-// Layout is how the zones are divided. The zero value has each zone be one cell.
+// Layout is the division of the zones into cells. In the zero value each zone is one cell.
 type Layout struct {
 	zones map[member.Zone]zoneCells
 }
 
-// zoneCells is one zoneCells's division.
+// zoneCells is the division of one zone.
 type zoneCells struct {
-	// count is a power of two.
+	// count is the number of cells, a power of two.
 	count int
-	// populated are the numbers of the cells that have hosts, in their order.
+	// populated holds the numbers of the cells that have hosts, in ascending order.
 	populated []int
 }
 
-// cellCountFor is how many cells a zone of some hosts is divided into, which had some before.
+// cellCountFor returns the number of cells for a zone with that many hosts; previous is the
+// number of cells that it has had so far.
 func cellCountFor(hosts, previous int) int {
 	if hosts <= maxUndividedHosts {
 		return 1
@@ -64,7 +65,7 @@
 	return 1 << max(int(math.Round(math.Log2(float64(hosts)/targetHostsPerCell))), 1)
 }
 
-// Next is the layout for the hosts that are known now, after another.
+// Next returns the layout for a new list of hosts, derived from the previous layout l.
 func (l Layout) Next(hosts []member.Entry) Layout {
 	sizes := map[member.Zone]int{}
 	for _, h := range hosts {
@@ -74,13 +75,13 @@
 	for z, n := range sizes {
 		next.zones[z] = zoneCells{count: cellCountFor(n, l.CellCount(z))}
 	}
-	inhabited := map[ID]bool{}
+	populated := map[ID]bool{}
 	for _, h := range hosts {
-		inhabited[next.HostCell(h)] = true
+		populated[next.HostCell(h)] = true
 	}
 	for z, division := range next.zones {
 		for number := range division.count {
-			if inhabited[ID{z, number}] {
+			if populated[ID{z, number}] {
 				division.populated = append(division.populated, number)
 			}
 		}
@@ -89,7 +90,7 @@
 	return next
 }
 
-// Equal reports whether two layouts divide alike.
+// Equal reports whether two layouts divide the zones in the same way.
 func (l Layout) Equal(o Layout) bool {
 	if len(l.zones) != len(o.zones) {
 		return false
@@ -103,10 +104,10 @@
 	return true
 }
 
-// CellCount is how many cells a zone is divided into.
+// CellCount returns the number of cells of a zone.
 func (l Layout) CellCount(z member.Zone) int { return max(l.zones[z].count, 1) }
 
-// Divided reports whether some zone has more than one cell.
+// Divided reports whether any zone has more than one cell.
 func (l Layout) Divided() bool {
 	for _, division := range l.zones {
 		if division.count > 1 {
@@ -116,7 +117,7 @@
 	return false
 }
 
-// Cells lists all cells that have hosts.
+// Cells lists all cells that have hosts, in no order.
 func (l Layout) Cells() []ID {
 	var ids []ID
 	for z, division := range l.zones {
@@ -127,21 +128,24 @@
 	return ids
 }
 
-// HostCell is the cell of a host.
+// HostCell returns the cell of a host.
 func (l Layout) HostCell(h member.Entry) ID {
 	count := l.CellCount(h.Zone)
-	// The highest bits decide: when the number doubles, each cell is cut in two.
+	// The highest bits of the hash select the cell, so that each cell is split in two when the
+	// number of cells doubles.
 	return ID{h.Zone, int(bits.RotateLeft64(mixBits(xxhash.Sum64String(string(h.ID))), bits.Len(uint(count))-1) & uint64(count-1))}
 }
 
-// mixBits mixes the bits of a hash, whose highest differ little for some similar names.
+// mixBits mixes the bits of a hash. Without it the highest bits differ little for some similar
+// names.
 func mixBits(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	return h ^ h>>33
 }
 
-// UpstreamCell is the cell whose hosts an upstream is for: one that has hosts.
+// UpstreamCell returns the cell whose hosts serve an upstream. It selects among the cells that
+// have hosts by rendezvous hashing.
 func (l Layout) UpstreamCell(id member.UpstreamID, z member.Zone) ID {
 	division := l.zones[z]
 	if division.count <= 1 || len(division.populated) == 0 {
@@ -157,8 +161,8 @@
 	return ID{z, best}
 }
 
-// PickHost is which of some hosts another turns to for a purpose, the same one each time; each host
-// turns to another.
+// PickHost selects the candidate that host self contacts for a purpose: the same one each time,
+// and different ones for different hosts. It returns false if there are no candidates.
 func PickHost(self member.HostID, purpose string, candidates []member.Entry) (member.Entry, bool) {
 	if len(candidates) == 0 {
 		return member.Entry{}, false
--- a/cell/cell_test.go
+++ b/cell/cell_test.go
@@ -23,8 +23,8 @@
 	return all
 }
 
-// TestCellsStayBounded has cells be of bounded size whatever the size of the fleet, and upstreams
-// be spread evenly over them.
+// TestCellsStayBounded checks that the size of cells is bounded for any size of the fleet, and
+// that upstreams are spread evenly over the cells.
 func TestCellsStayBounded(t *testing.T) {
 	for _, perZone := range []int{1, 20, 48, 49, 64, 100, 192, 227, 500, 1250} {
 		t.Run(fmt.Sprint(perZone), func(t *testing.T) {
@@ -39,14 +39,14 @@
 			for _, n := range sizes {
 				largest = max(largest, n)
 			}
-			t.Logf("%d cells a zone, %d hosts in the largest", l.CellCount("z0"), largest)
+			t.Logf("%d cells in the zone, %d hosts in the largest cell", l.CellCount("z0"), largest)
 			is.True(largest <= maxUndividedHosts+8)
 			is.Equal(l.Divided(), perZone > maxUndividedHosts)
 			for n := range 10 * perZone {
 				upstreams[l.UpstreamCell(member.UpstreamID(fmt.Sprintf("i-%08x", n*7919)), "z0")]++
 			}
 			for id, n := range upstreams {
-				is.True(sizes[id] > 0) // it has hosts
+				is.True(sizes[id] > 0) // the cell of the upstreams has hosts
 				mean := float64(10*perZone) / float64(len(upstreams))
 				is.True(perZone < 48 || float64(n) < 1.6*mean)
 			}
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestHostsComeAndGo has hosts keep their cells while few come or go, and upstreams of cells that
-// have lost their hosts be for others.
+// TestHostsComeAndGo checks that the number of cells stays while few hosts leave, and that only
+// the upstreams of a cell that has lost its hosts move to other cells.
 func TestHostsComeAndGo(t *testing.T) {
 	is := is.New(t)
 	all := makeHosts(1, 200)
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestDoublingCutsCellsInTwo has no host move to a cell that isn't a half of its own when the number
-// of cells doubles.
+// TestDoublingCutsCellsInTwo checks that, when the number of cells doubles, each host moves to
+// one of the two halves of its cell.
 func TestDoublingCutsCellsInTwo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := member.Entry{ID: member.HostID(rapid.StringN(1, 20, 40).Draw(t, "name")), Zone: "z0"}
@@ -87,7 +87,7 @@
 			return Layout{zones: map[member.Zone]zoneCells{"z0": {count: count}}}.HostCell(h).Number
 		}
 		if cellNumber(2<<doublings)/2 != cellNumber(1<<doublings) {
-			t.Fatalf("%d of %d, %d of %d", cellNumber(1<<doublings), 1<<doublings, cellNumber(2<<doublings), 2<<doublings)
+			t.Fatalf("host moved from cell %d of %d to cell %d of %d, which is not a half of its cell", cellNumber(1<<doublings), 1<<doublings, cellNumber(2<<doublings), 2<<doublings)
 		}
 	})
 }
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,11 +1,15 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package ratelimit keeps to how many requests a second an upstream takes from all hosts
+// Package ratelimit keeps to the rates at which upstreams accept requests from all hosts
 // together.
 //
-// An upstream in need names that limit in its answers, each of which one host hears. The
-// package keeps the newest word of each upstream, and has it return to its full part in
-// steps when its need is over. It is pure: no I/O, no goroutine, and the present time is an
-// argument.
+// An upstream may name such a limit, in requests per second, in its answers. Each answer
+// reaches only one host. The package
+//   - keeps the newest limit of each upstream, learned from an answer or from a peer (Limits),
+//     and raises the rate in steps once the limit ends,
+//   - lets one host decide for all which requests may be sent (Granter),
+//   - lets a host without contact to that one send in turns of its own (TurnSchedule).
+//
+// It is pure: it does no I/O, starts no goroutines and gets the current time as an argument.
 package ratelimit
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -11,73 +11,78 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// PermitRequest asks for leave to send one request to an upstream.
+// PermitRequest asks for a permit to send one request to an upstream.
 type PermitRequest struct {
-	// From is who asks.
+	// From is the host that asks.
 	From member.HostID
-	// Rate is what the upstream is given at most, by all hosts together.
+	// Rate is the highest rate at which all hosts together may send to the upstream.
 	Rate Rate
-	// Rank orders requests by what their callers lose; a lower one goes first.
+	// Rank orders requests by how much their callers would lose. A lower rank goes first.
 	Rank int
-	// Repeat says that the request has been sent before. It never takes the place of one
-	// that hasn't.
+	// Repeat says that the request has been sent before. A repeat never takes the place of a
+	// first attempt.
 	Repeat bool
-	// Unconditional says that the request goes in any case, and is only counted.
+	// Unconditional says that the request is sent in any case. It is always granted and only
+	// counted.
 	Unconditional bool
 }
 
-// Decision answers an Ask.
+// Decision is the answer to a PermitRequest.
 type Decision struct {
 	Granted bool
-	// Wait is when to ask again, where nothing is granted.
+	// Wait is how long the host waits before it asks again, if the request is not granted.
 	Wait time.Duration
-	// Outranked says that there was room, which is left for requests that go before this one:
-	// others needn't wait.
+	// Outranked says that the request was refused although the rate had room, because that room
+	// is kept for requests that go first. Other requests needn't wait.
 	Outranked bool
 }
 
 const (
-	// targetRetriesPerSecond is how many questions a second are aimed at for one upstream, where its
-	// limit isn't higher: hosts that were refused are spread over as long, mostSpread at
-	// most: what comes free waits for the next who asks.
+	// targetRetriesPerSecond is the rate at which refused hosts should ask again for one
+	// upstream; if the limit of the upstream is higher, that is the rate. Refused hosts are
+	// spread over the time that follows from it, at most maxRetrySpread, because capacity that
+	// becomes free stays unused until the next host asks.
 	targetRetriesPerSecond = 30
 	maxRetrySpread         = time.Second
-	// refusedHostWindow is how long a host counts that was refused.
+	// refusedHostWindow is how long after its last refusal a host counts among the refused
+	// hosts, over which the next requests are spread.
 	refusedHostWindow = 2 * time.Second
-	// lowRankShare is the part of an upstream's limit that requests of lower rank get
-	// together while those of a higher rank are refused: none is refused for good.
+	// lowRankShare is the share of an upstream's limit that requests of lower priority get
+	// together while requests of higher priority are refused, so that no request is refused
+	// forever.
 	lowRankShare = 0.25
-	// maxLowRankCredit bounds what they may have left over.
+	// maxLowRankCredit bounds the unused part of that share, in requests.
 	maxLowRankCredit = 2
-	// idleRetention is for how long a line that nobody asks is kept.
+	// idleRetention is how long the state of an upstream is kept after the last request for it.
 	idleRetention = time.Minute
 )
 
-// Granter gives out, for all hosts, what upstreams take. One host does so for each upstream
-// while it is in touch with the others. The zero value works. It is safe for use by several
-// goroutines.
+// Granter decides for all hosts which requests may be sent to upstreams. For each upstream one
+// host does so, as long as it is in contact with the others. The zero value is ready for use. A
+// Granter is safe for concurrent use.
 type Granter struct {
 	mu        sync.Mutex
 	upstreams map[member.UpstreamID]*grantState
 }
 
-// grantState is one upstream's.
+// grantState is the state of one upstream.
 type grantState struct {
 	window window
-	// lastRefusals is when each host was last lastRefusals a first try; lookedAt is when it was
-	// last looked which of them count no more.
+	// lastRefusals is when each host was last refused a first attempt. refusalsPrunedAt is when
+	// expired entries were last removed.
 	lastRefusals     map[member.HostID]time.Time
 	refusalsPrunedAt time.Time
-	// highestRefusedRank is the highestRefusedRank rank that was refused lately, and refusedAt when.
+	// highestRefusedRank is the lowest number, and so the highest priority, among the ranks
+	// refused recently. highestRefusedAt is when a request of that rank was last refused.
 	highestRefusedRank int
 	highestRefusedAt   time.Time
-	// lowRankCredit is how many requests of lower rank may go meanwhile.
+	// lowRankCredit is how many requests of lower priority may be granted meanwhile.
 	lowRankCredit float64
-	// retryPhase spreads those that are refused.
+	// retryPhase, in [0, 1), is the place of the last refused host within the retry spread.
 	retryPhase float64
 }
 
-// Decide answers an Ask.
+// Decide decides on a request to an upstream. A rate below MinRate counts as MinRate.
 func (g *Granter) Decide(now time.Time, id member.UpstreamID, req PermitRequest) Decision {
 	req.Rate = max(req.Rate, MinRate)
 	g.mu.Lock()
@@ -94,10 +99,12 @@
 	return Decision{Wait: s.retryDelay(now, req.Rate, wait), Outranked: wait == 0}
 }
 
+// state returns the state of an upstream. If there is none it creates it, and removes the
+// states of idle upstreams.
 func (g *Granter) state(now time.Time, id member.UpstreamID) *grantState {
-	l := g.upstreams[id]
-	if l != nil {
-		return l
+	s := g.upstreams[id]
+	if s != nil {
+		return s
 	}
 	if g.upstreams == nil {
 		g.upstreams = map[member.UpstreamID]*grantState{}
@@ -107,25 +114,26 @@
 			delete(g.upstreams, other)
 		}
 	}
-	l = &grantState{}
-	g.upstreams[id] = l
-	return l
+	s = &grantState{}
+	g.upstreams[id] = s
+	return s
 }
 
-// Reset forgets what an upstream was given that has started again.
+// Reset drops the state of an upstream that has restarted.
 func (g *Granter) Reset(id member.UpstreamID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.upstreams, id)
 }
 
-// refusedRecently reports whether first tries were refused lately.
+// refusedRecently reports whether a first attempt of the highest refused rank was refused
+// within burstWindow.
 func (s *grantState) refusedRecently(now time.Time) bool {
 	return !s.highestRefusedAt.IsZero() && now.Sub(s.highestRefusedAt) < burstWindow
 }
 
-// admit reports whether a request may go where there is room for one, and counts it for
-// the part of its rank.
+// admit reports whether a request may be sent when the rate has room for one, and updates the
+// credit of lower ranks.
 func (s *grantState) admit(now time.Time, req PermitRequest) bool {
 	if !s.refusedRecently(now) {
 		return true
@@ -143,7 +151,7 @@
 	return false
 }
 
-// recordRefusal counts a request that finds no room.
+// recordRefusal records the refusal of a first attempt. Repeats are not recorded.
 func (s *grantState) recordRefusal(now time.Time, req PermitRequest) {
 	if req.Repeat {
 		return
@@ -169,11 +177,13 @@
 	}
 }
 
-// goldenRatioConjugate spreads a row of numbers evenly over a range, however many there are.
+// goldenRatioConjugate has multiples whose fractional parts are spread evenly over [0, 1),
+// however many there are.
 var goldenRatioConjugate = (math.Sqrt(5) - 1) / 2
 
-// retryDelay is when a host that is refused should ask again: when there is room, and later the
-// more hosts there are, so that they don't all ask for the same place.
+// retryDelay returns after which time a refused host asks again: when the rate has room, plus a
+// delay that grows with the number of refused hosts, so that they don't all ask for the same
+// capacity.
 func (s *grantState) retryDelay(now time.Time, r Rate, wait time.Duration) time.Duration {
 	_, s.retryPhase = math.Modf(s.retryPhase + goldenRatioConjugate)
 	others := float64(max(len(s.lastRefusals)-1, 0))
--- a/ratelimit/granter_test.go
+++ b/ratelimit/granter_test.go
@@ -15,7 +15,8 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// maxInWindow is the most of some moments in any span.
+// maxInWindow returns the largest number of the ascending times that fall into any window of
+// the given length.
 func maxInWindow(times []time.Duration, window time.Duration) int {
 	maxCount, first := 0, 0
 	for last := range times {
@@ -27,9 +28,8 @@
 	return maxCount
 }
 
-// TestGranterKeepsToTheLimit has no four seconds get more than the limit allows, counted in
-// whole requests, and nine tenths of it be used, whatever it is, where hosts ask all the
-// time.
+// TestGranterKeepsToTheLimit checks, for hosts that ask all the time, that any four seconds get
+// no more requests than the limit allows, rounded up, and that 90 % of the limit is used.
 func TestGranterKeepsToTheLimit(t *testing.T) {
 	for _, rate := range []Rate{0.2, 0.4, 1, 2.8, 4, 6.5, 27, 90, 1000} {
 		t.Run(fmt.Sprint(float64(rate)), func(t *testing.T) {
@@ -45,14 +45,13 @@
 					}
 				}
 			}
-			is.True(maxInWindow(granted, limitWindow) <= int(math.Ceil(float64(rate)*limitWindow.Seconds())))
-			is.True(float64(len(granted)) >= 0.9*float64(rate)*duration.Seconds())
+			is.True(maxInWindow(granted, limitWindow) <= int(math.Ceil(float64(rate)*limitWindow.Seconds()))) // any window stays within the limit
+			is.True(float64(len(granted)) >= 0.9*float64(rate)*duration.Seconds())                            // 90 % of the limit is used
 		})
 	}
 }
 
-// TestGranterAnyTimes is TestGranterKeepsToTheLimit for requests that come at any times,
-// with pauses, and limits that move.
+// TestGranterAnyTimes checks the limit for requests at arbitrary times, with pauses.
 func TestGranterAnyTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var g Granter
@@ -69,13 +68,13 @@
 			}
 		}
 		if maxCount := maxInWindow(granted, limitWindow); maxCount > int(math.Ceil(float64(rate)*limitWindow.Seconds())) {
-			t.Fatalf("%d in 4 s at %v a second", maxCount, rate)
+			t.Fatalf("granted %d requests within 4 s, more than a limit of %v a second allows", maxCount, rate)
 		}
 	})
 }
 
-// TestGranterAfterASilence has a host that nobody asked, or that was suspended, give out no
-// more than the rate from then on: another may have done so meanwhile.
+// TestGranterAfterASilence checks that a host that nobody has asked before, or that was
+// suspended, starts without a burst: another host may have granted requests meanwhile.
 func TestGranterAfterASilence(t *testing.T) {
 	is := is.New(t)
 	var g Granter
@@ -86,11 +85,11 @@
 			granted++
 		}
 	}
-	is.True(granted <= 2*4+1)
+	is.True(granted <= 2*4+1) // two seconds at 4 a second, without a burst
 }
 
-// TestGranterWhenTheLimitMoves has an upstream go on getting what it takes when it names a
-// lower limit, and no more.
+// TestGranterWhenTheLimitMoves checks that an upstream that names a lower limit still gets
+// requests at that limit, and no more.
 func TestGranterWhenTheLimitMoves(t *testing.T) {
 	is := is.New(t)
 	var g Granter
@@ -111,12 +110,12 @@
 			grantedAtLowRate++
 		}
 	}
-	is.True(grantedAtLowRate >= 18 && grantedAtLowRate <= 21)
-	is.True(maxInWindow(granted, limitWindow) <= 32)
+	is.True(grantedAtLowRate >= 18 && grantedAtLowRate <= 21) // 10 s at 2 a second
+	is.True(maxInWindow(granted, limitWindow) <= 32)          // 4 s at the higher limit
 }
 
-// TestGranterOrder has first tries go before repeats, and requests whose callers lose more
-// before others, of which none is refused for good.
+// TestGranterOrder checks that first attempts go before repeats and lower ranks before higher
+// ones, and that no rank is refused forever.
 func TestGranterOrder(t *testing.T) {
 	is := is.New(t)
 	var g Granter
@@ -134,13 +133,13 @@
 			first++
 		}
 	}
-	is.True(first >= 2*lowRank)
-	is.True(lowRank >= 60)
-	is.True(repeats <= 2)
+	is.True(first >= 2*lowRank) // rank 1 gets most of the limit
+	is.True(lowRank >= 60)      // rank 5 still gets 1 a second
+	is.True(repeats <= 2)       // repeats yield to first attempts
 }
 
-// TestGranterPassesRepeats has a repeat that is refused where there is room not keep others
-// from asking for it.
+// TestGranterPassesRepeats checks that a repeat that is refused although the rate has room
+// doesn't keep a first attempt from being granted.
 func TestGranterPassesRepeats(t *testing.T) {
 	is := is.New(t)
 	var g Granter
@@ -155,7 +154,8 @@
 	is.True(g.Decide(now, "u", PermitRequest{Rate: 4}).Granted)
 }
 
-// TestGranterCountsUnconditionalRequests has what goes in any case leave less for the others.
+// TestGranterCountsUnconditionalRequests checks that unconditional requests are counted against
+// the limit.
 func TestGranterCountsUnconditionalRequests(t *testing.T) {
 	is := is.New(t)
 	var g Granter
@@ -170,11 +170,11 @@
 			granted++
 		}
 	}
-	is.True(granted >= 36 && granted <= 42)
+	is.True(granted >= 36 && granted <= 42) // 20 s at 4 a second, less 2 a second sent unconditionally
 }
 
-// TestGranterSpreadsRetries has hosts that were refused together ask again at
-// different times.
+// TestGranterSpreadsRetries checks that hosts that are refused together ask again at different
+// times.
 func TestGranterSpreadsRetries(t *testing.T) {
 	is := is.New(t)
 	var g Granter
@@ -185,9 +185,9 @@
 			waits[decision.Wait/(100*time.Millisecond)]++
 		}
 	}
-	is.True(len(waits) >= 8)
+	is.True(len(waits) >= 8) // different 100 ms intervals
 	for _, n := range waits {
-		is.True(n <= 60)
+		is.True(n <= 60) // hosts in one interval
 	}
 }
 
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -14,41 +14,44 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// AnswerReport is what one answer said of its upstream's need.
+// AnswerReport is what one answer says about the limit of its upstream.
 type AnswerReport struct {
-	// HasLimit says that the answer named a limit, which is Rate.
+	// HasLimit says that the answer names a limit, which is Rate.
 	HasLimit bool
 	Rate     Rate
-	// SentAt and ReceivedAt bound the moment at which the upstream wrote it: when the request was
-	// sent and when the answer came. The head of a stream may be as old as its request.
+	// SentAt and ReceivedAt bound the time at which the upstream wrote the answer: when the
+	// request was sent and when the answer came. The head of a stream may be as old as its
+	// request.
 	SentAt, ReceivedAt time.Time
 }
 
-// PeerReport is a host's newest word of one upstream, for its peers.
+// PeerReport is a host's newest knowledge of the limit of one upstream, sent to its peers.
 type PeerReport struct {
 	Upstream member.UpstreamID
-	// Incarnation tells this start of the upstream from others under its id.
+	// Incarnation distinguishes this start of the upstream from others with the same ID. Zero
+	// means unknown.
 	Incarnation int64
 	HasLimit    bool
 	Rate        Rate
-	// Age is how long ago the word was heard; that of an end, how long ago the request
-	// was sent whose answer named no limit.
+	// Age is how long ago the limit was received. If the limit has ended, it is how long ago
+	// the request was sent whose answer named no limit.
 	Age time.Duration
 }
 
-// LimitStatus is how an upstream stands, for operators.
+// LimitStatus describes the limit of an upstream for operators.
 type LimitStatus struct {
 	Upstream member.UpstreamID
-	// NamedRate is its limit, and zero while it returns after its need.
+	// NamedRate is the limit that the upstream names. It is zero while the rate recovers after
+	// a limit.
 	NamedRate Rate
-	// EffectiveRate is what it gets at most at present.
+	// EffectiveRate is the rate at which all hosts together may send to the upstream now.
 	EffectiveRate Rate
-	// Age is how old the word is, and From the host that heard it.
+	// Age is the age of the report, and ReportedBy the host that it came from.
 	Age        time.Duration
 	ReportedBy member.HostID
 }
 
-// Change says what a word changed.
+// Change is the effect of a report on the limit of an upstream.
 type Change int
 
 // The changes.
@@ -64,50 +67,55 @@
 }
 
 const (
-	// MinRate is what an upstream gets that names less, or none at all: nobody would
-	// hear that its need is over if it were left alone. One request in 5 s is a quarter
-	// of what may come beside any limit.
+	// MinRate is the rate at which requests are sent to an upstream that names a lower limit,
+	// or zero: without requests no host would learn that the limit has ended. One request in
+	// five seconds is a quarter of the requests that may be sent beyond any limit.
 	MinRate Rate = 0.2
-	// confirmationTimeout is how long a word stands that no answer has confirmed. At LeastRate
-	// six requests bring an answer meanwhile; where nothing was sent, or nothing was
-	// answered, the upstream returns in steps. If that is too soon it gets, until its
-	// first answer, as much as it named; if it is too late it stands idle for so long.
+	// confirmationTimeout is how long a limit stays in force without an answer that confirms
+	// it. At MinRate six requests get an answer in that time. If none was sent or answered, the
+	// rate recovers in steps. If that is too early, the upstream gets, until its first answer,
+	// as much as it named; if it is too late, the upstream stays idle for this time.
 	confirmationTimeout = 30 * time.Second
-	// recoveryDoublingTime is in how long the bound of an upstream doubles whose need is over:
-	// hosts hear of it together, and all would turn to the one that stood idle.
+	// recoveryDoublingTime is the time in which the rate doubles after a limit has ended. The
+	// rate rises in steps because hosts learn of the end together and would all turn to the
+	// idle upstream.
 	recoveryDoublingTime = 500 * time.Millisecond
-	// recoveryDelay is when that begins: an upstream may name its limit in every second answer.
+	// recoveryDelay is how long after the end of a limit the rate starts to rise: an upstream
+	// may name its limit in only every second answer.
 	recoveryDelay = 500 * time.Millisecond
-	// recoveryTime is after how long it isn't bounded any more: it gets 256 times what it
-	// had named.
+	// recoveryTime is how long after the end of its limit an upstream is no longer limited. The
+	// rate is then 256 times the limit.
 	recoveryTime = recoveryDelay + 8*recoveryDoublingTime
 )
 
-// Limits are the newest words of all upstreams. The zero value works. It is safe for use by
-// several goroutines.
+// Limits holds the newest limits of all upstreams. The zero value is ready for use. Limits is
+// safe for concurrent use.
 type Limits struct {
-	// nonEmpty says that an upstream is bounded, which is all that most requests ask.
+	// nonEmpty says that some upstream may be limited. Most requests read only this field.
 	nonEmpty atomic.Bool
 
 	mu        sync.Mutex
 	upstreams map[member.UpstreamID]*limitState
 }
 
-// limitState is one upstream's.
+// limitState is the limit of one upstream.
 type limitState struct {
 	incarnation int64
 	hasLimit    bool
-	// rate is the one that it named last; where it has ended, what it returns from.
+	// rate is the limit that was named last. After its end it is the rate from which recovery
+	// starts.
 	rate Rate
-	// reportedAt is when a limit was last heard; of an end, when the request was sent whose
-	// answer named none.
+	// reportedAt is when a limit was last received. If the limit has ended, it is when the
+	// request was sent whose answer named no limit.
 	reportedAt time.Time
 	reportedBy member.HostID
-	// endedAt is when its need was over here; zero while it isn't.
+	// endedAt is when this host learned that the limit has ended, or when the limit expired
+	// unconfirmed; zero while it is in force.
 	endedAt time.Time
 }
 
-// Receive takes in an answer's word, heard by a host. Life is the upstream's at that time.
+// Receive records the report in an answer that a host received. incarnation is that of the
+// upstream at that time; zero means unknown.
 func (l *Limits) Receive(now time.Time, id member.UpstreamID, incarnation int64, from member.HostID, report AnswerReport) Change {
 	if !report.HasLimit && !l.nonEmpty.Load() {
 		return Unchanged
@@ -119,7 +127,7 @@
 	return l.apply(now, id, incarnation, from, report.HasLimit, report.Rate, reportedAt)
 }
 
-// ReceivePeerReport takes in a peer's word.
+// ReceivePeerReport records a report received from a peer.
 func (l *Limits) ReceivePeerReport(now time.Time, from member.HostID, report PeerReport) Change {
 	if !report.HasLimit && !l.nonEmpty.Load() {
 		return Unchanged
@@ -127,6 +135,7 @@
 	return l.apply(now, report.Upstream, report.Incarnation, from, report.HasLimit, report.Rate, now.Add(-max(report.Age, 0)))
 }
 
+// apply records a limit, or its end, unless a newer report is known.
 func (l *Limits) apply(now time.Time, id member.UpstreamID, incarnation int64, from member.HostID, hasLimit bool, rate Rate, reportedAt time.Time) Change {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,11 +148,11 @@
 		l.add(id, u)
 	}
 	if u.incarnation == 0 {
-		// It wasn't known when the limit was heard first.
+		// The incarnation was unknown when the limit was first received.
 		u.incarnation = incarnation
 	}
-	// An answer without a limit ends it only if its request was sent after the limit was
-	// last heard: else it may be the older word.
+	// An answer without a limit ends the limit only if its request was sent after the limit was
+	// last received. Otherwise the answer may be the older of the two.
 	if !reportedAt.After(u.reportedAt) {
 		return Unchanged
 	}
@@ -170,7 +179,7 @@
 	l.nonEmpty.Store(true)
 }
 
-// endLimit begins the upstream's return.
+// endLimit ends the limit and starts the recovery of the rate.
 func (u *limitState) endLimit(now time.Time) Change {
 	if !u.hasLimit {
 		return Unchanged
@@ -179,12 +188,13 @@
 	return LimitEnded
 }
 
-// limitInForce reports whether the upstream names a limit.
+// limitInForce reports whether the upstream names a limit that was confirmed recently.
 func (u *limitState) limitInForce(now time.Time) bool {
 	return u.hasLimit && now.Sub(u.reportedAt) < confirmationTimeout
 }
 
-// effectiveRate is what the upstream gets at most; false says that nothing bounds it.
+// effectiveRate returns the rate at which all hosts together may send to the upstream, and
+// whether it is limited.
 func (u *limitState) effectiveRate(now time.Time) (Rate, bool) {
 	base := max(u.rate, MinRate)
 	if u.limitInForce(now) {
@@ -201,7 +211,8 @@
 	return base * Rate(math.Exp2(float64(max(elapsed-recoveryDelay, 0))/float64(recoveryDoublingTime))), true
 }
 
-// EffectiveRate is what an upstream gets at most; false says that nothing bounds it.
+// EffectiveRate returns the rate at which all hosts together may send to an upstream, and
+// whether it is limited.
 func (l *Limits) EffectiveRate(now time.Time, id member.UpstreamID) (Rate, bool) {
 	if !l.nonEmpty.Load() {
 		return 0, false
@@ -215,8 +226,9 @@
 	return u.effectiveRate(now)
 }
 
-// RecoveryInterval is for how long at most an upstream's present bound holds whose need is over, for it
-// rises; false for one that names a limit, or that nothing bounds.
+// RecoveryInterval returns for how long at most the current rate of a recovering upstream is
+// valid, since that rate rises. It returns false if the limit of the upstream is in force or no
+// limit is known.
 func (l *Limits) RecoveryInterval(now time.Time, id member.UpstreamID) (time.Duration, bool) {
 	if !l.nonEmpty.Load() {
 		return 0, false
@@ -230,10 +242,10 @@
 	return recoveryDoublingTime, true
 }
 
-// Any reports whether some upstream may be bounded.
+// Any reports whether any upstream may be limited.
 func (l *Limits) Any() bool { return l.nonEmpty.Load() }
 
-// Reset forgets an upstream that has started again.
+// Reset drops the limit of an upstream that has restarted.
 func (l *Limits) Reset(id member.UpstreamID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -241,8 +253,8 @@
 	l.nonEmpty.Store(len(l.upstreams) > 0)
 }
 
-// Prune drops the upstreams that aren't bounded any more, and those that aren't known. It
-// returns those of which a word ended because no answer confirmed it.
+// Prune removes upstreams that are no longer limited or no longer known. It returns the
+// upstreams whose limit ended because no answer confirmed it.
 func (l *Limits) Prune(now time.Time, isKnown func(member.UpstreamID) bool) (unconfirmed []member.UpstreamID) {
 	if !l.nonEmpty.Load() {
 		return nil
@@ -254,7 +266,7 @@
 			u.hasLimit, u.endedAt = false, u.reportedAt.Add(confirmationTimeout)
 			unconfirmed = append(unconfirmed, id)
 		}
-		if _, bounded := u.effectiveRate(now); !bounded || !isKnown(id) {
+		if _, limited := u.effectiveRate(now); !limited || !isKnown(id) {
 			delete(l.upstreams, id)
 		}
 	}
@@ -262,7 +274,7 @@
 	return unconfirmed
 }
 
-// PeerReport is the newest word of an upstream; false says that there is none.
+// PeerReport returns the newest report on an upstream for peers, and whether there is one.
 func (l *Limits) PeerReport(now time.Time, id member.UpstreamID) (PeerReport, bool) {
 	if !l.nonEmpty.Load() {
 		return PeerReport{}, false
@@ -276,7 +288,7 @@
 	return u.toPeerReport(now, id), true
 }
 
-// PeerReports are the newest words of all upstreams.
+// PeerReports returns the newest reports on all upstreams for peers.
 func (l *Limits) PeerReports(now time.Time) []PeerReport {
 	if !l.nonEmpty.Load() {
 		return nil
@@ -294,14 +306,15 @@
 	return PeerReport{Upstream: id, Incarnation: u.incarnation, HasLimit: u.hasLimit, Rate: u.rate, Age: now.Sub(u.reportedAt)}
 }
 
-// Statuses lists how the bounded upstreams stand, by their ids.
+// Statuses lists the limited upstreams, sorted by ID.
 func (l *Limits) Statuses(now time.Time) []LimitStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	statuses := make([]LimitStatus, 0, len(l.upstreams))
 	for id, u := range l.upstreams {
 		status := LimitStatus{Upstream: id, Age: now.Sub(u.reportedAt), ReportedBy: u.reportedBy}
-		// Zero for one that isn't bounded any more and wasn't forgotten yet.
+		// The rate is zero for an upstream that is no longer limited but has not been pruned
+		// yet.
 		status.EffectiveRate, _ = u.effectiveRate(now)
 		if u.limitInForce(now) {
 			status.NamedRate = u.rate
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -12,12 +12,13 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// receivedReport is a word of a test: of a request that was sent and answered at some times.
+// receivedReport is a report in an answer, with the times of its request and its answer since
+// the start of the test, or in a message from a peer.
 type receivedReport struct {
 	sentAt, receivedAt time.Duration
 	hasLimit           bool
 	rate               Rate
-	// age, if it isn't zero, has it be a peer's mark of that age.
+	// age, if not zero, makes it the report of a peer with that age.
 	age  time.Duration
 	want Change
 }
@@ -26,7 +27,7 @@
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
 		reports []receivedReport
-		// at and bound are what is asked at the end.
+		// at is when the rate is read at the end; bound and bounded are the expected result.
 		at      time.Duration
 		bound   Rate
 		bounded bool
@@ -69,19 +70,20 @@
 	}
 }
 
-// TestLimitsOfIncarnations has a limit be of one life of an upstream, and of none that isn't known.
+// TestLimitsOfIncarnations checks that a limit applies to one incarnation of an upstream only,
+// and to no unknown upstream.
 func TestLimitsOfIncarnations(t *testing.T) {
 	is := is.New(t)
 	var limits Limits
 	now := time.Now()
 	is.Equal(limits.Receive(now, "u", 1, "h", AnswerReport{HasLimit: true, Rate: 1, ReceivedAt: now}), LimitNamed)
-	is.Equal(limits.Receive(now.Add(1), "u", 2, "h", AnswerReport{SentAt: now.Add(1), ReceivedAt: now.Add(1)}), Unchanged) // another start, without need
+	is.Equal(limits.Receive(now.Add(1), "u", 2, "h", AnswerReport{SentAt: now.Add(1), ReceivedAt: now.Add(1)}), Unchanged) // another incarnation, without a limit
 	limits.Reset("u")
 	_, bounded := limits.EffectiveRate(now, "u")
 	is.True(!bounded && !limits.Any())
 	limits.Receive(now, "u", 2, "h", AnswerReport{HasLimit: true, Rate: 1, ReceivedAt: now})
 	limits.Reset("u")
-	limits.Receive(now, "u", 0, "h", AnswerReport{HasLimit: true, Rate: 1, ReceivedAt: now}) // its life isn't known yet
+	limits.Receive(now, "u", 0, "h", AnswerReport{HasLimit: true, Rate: 1, ReceivedAt: now}) // its incarnation isn't known yet
 	later := now.Add(time.Millisecond)
 	is.Equal(limits.Receive(later, "u", 2, "h", AnswerReport{SentAt: later, ReceivedAt: later}), LimitEnded)
 	limits.Reset("u")
--- a/ratelimit/rate.go
+++ b/ratelimit/rate.go
@@ -9,26 +9,28 @@
 	"strconv"
 )
 
-// Rate is in requests a second, from all hosts together.
+// Rate is a number of requests per second from all hosts together.
 type Rate float64
 
-// MaxRate is the highest limit that is kept to. No upstream takes as many, and what a
-// higher one allows needn't be counted.
+// MaxRate is the highest limit that is enforced. No upstream takes that many requests, so
+// higher limits needn't be counted.
 const MaxRate Rate = 100_000
 
-// ParseRate reads a limit as an upstream writes it: a decimal number that isn't negative.
+// ParseRate parses a limit as an upstream writes it: a non-negative decimal number. Limits
+// above MaxRate become MaxRate.
 func ParseRate(text string) (Rate, error) {
 	n, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0, err
 	}
 	if math.IsNaN(n) || n < 0 {
-		return 0, fmt.Errorf("%q isn't a rate", text)
+		return 0, fmt.Errorf("rate %q is not a non-negative number", text)
 	}
 	return min(Rate(n), MaxRate), nil
 }
 
-// Clamp is a rate that another told, or the nearest one that there can be.
+// Clamp returns the valid rate nearest to a rate received from a peer: within 0 and MaxRate,
+// and 0 for NaN.
 func (r Rate) Clamp() Rate {
 	if r >= 0 {
 		return min(r, MaxRate)
--- a/ratelimit/strategies_test.go
+++ b/ratelimit/strategies_test.go
@@ -14,9 +14,9 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-var compareFlag = flag.Bool("limit.ways", false, "compare ways in which hosts share a limit")
+var compareFlag = flag.Bool("limit.ways", false, "compare strategies for sharing a limit among hosts")
 
-// demand is what hosts want of one upstream.
+// demand describes the requests that hosts want to send to one upstream.
 type demand struct {
 	hosts             int
 	rate              Rate
@@ -24,37 +24,37 @@
 	atOneHost         bool
 }
 
-// strategy is one in which hosts share a limit.
+// strategy is a way in which hosts share a limit.
 type strategy interface {
-	// allow reports whether a host allow send now, and counts its messages.
+	// allow reports whether a host may send now, and counts the messages that it needs.
 	allow(now time.Time, host int) bool
-	// messages is how many were sent.
+	// messages returns the number of messages sent.
 	messages() int
 }
 
-// turnStrategy has each host send in turns of its own.
+// turnStrategy lets each host send in turns of its own.
 type turnStrategy struct {
 	turns  []TurnSchedule
 	period time.Duration
 }
 
-func newTurnStrategy(l demand) strategy {
-	// The whole rate is shared, not the part that is left to hosts that are cut off.
-	w := &turnStrategy{turns: make([]TurnSchedule, l.hosts), period: time.Duration(float64(l.hosts) / float64(l.rate) * float64(time.Second))}
-	for h := range w.turns {
-		w.turns[h].Self = member.HostID(fmt.Sprint("h", h))
+func newTurnStrategy(d demand) strategy {
+	// The hosts share the whole limit here, not only the share of hosts that are cut off.
+	s := &turnStrategy{turns: make([]TurnSchedule, d.hosts), period: time.Duration(float64(d.hosts) / float64(d.rate) * float64(time.Second))}
+	for h := range s.turns {
+		s.turns[h].Self = member.HostID(fmt.Sprint("h", h))
 	}
-	return w
+	return s
 }
 
-func (w *turnStrategy) allow(now time.Time, host int) bool {
-	_, ok := w.turns[host].Take(now, "u", w.period)
+func (s *turnStrategy) allow(now time.Time, host int) bool {
+	_, ok := s.turns[host].Take(now, "u", s.period)
 	return ok
 }
-func (w *turnStrategy) messages() int { return 0 }
+func (s *turnStrategy) messages() int { return 0 }
 
-// demandShareStrategy has hosts tell each other what they want, each half second, and each take the
-// part of the rate that it wanted of all.
+// demandShareStrategy lets hosts announce their demand to each other every half second. Each
+// host uses the share of the limit that matches its share of the total demand.
 type demandShareStrategy struct {
 	demand          demand
 	recentDemand    []float64
@@ -65,42 +65,42 @@
 	messageCount    int
 }
 
-func newDemandShareStrategy(l demand) strategy {
-	return &demandShareStrategy{demand: l, recentDemand: make([]float64, l.hosts), announcedDemand: make([]float64, l.hosts), tokens: make([]float64, l.hosts), refilledAt: make([]time.Time, l.hosts)}
+func newDemandShareStrategy(d demand) strategy {
+	return &demandShareStrategy{demand: d, recentDemand: make([]float64, d.hosts), announcedDemand: make([]float64, d.hosts), tokens: make([]float64, d.hosts), refilledAt: make([]time.Time, d.hosts)}
 }
 
-func (w *demandShareStrategy) allow(now time.Time, host int) bool {
-	if now.Sub(w.announcedAt) >= 500*time.Millisecond {
-		w.announcedAt = now
-		copy(w.announcedDemand, w.recentDemand)
-		for h := range w.recentDemand {
-			w.recentDemand[h] /= 2
+func (s *demandShareStrategy) allow(now time.Time, host int) bool {
+	if now.Sub(s.announcedAt) >= 500*time.Millisecond {
+		s.announcedAt = now
+		copy(s.announcedDemand, s.recentDemand)
+		for h := range s.recentDemand {
+			s.recentDemand[h] /= 2
 		}
-		// Each tells each other host.
-		w.messageCount += w.demand.hosts * (w.demand.hosts - 1)
+		// Each host sends its demand to each other host.
+		s.messageCount += s.demand.hosts * (s.demand.hosts - 1)
 	}
-	w.recentDemand[host]++
+	s.recentDemand[host]++
 	total := 0.0
-	for _, t := range w.announcedDemand {
+	for _, t := range s.announcedDemand {
 		total += t
 	}
-	share := 1 / float64(w.demand.hosts)
+	share := 1 / float64(s.demand.hosts)
 	if total > 0 {
-		share = w.announcedDemand[host] / total
+		share = s.announcedDemand[host] / total
 	}
-	if !w.refilledAt[host].IsZero() {
-		w.tokens[host] = min(w.tokens[host]+share*float64(w.demand.rate)*now.Sub(w.refilledAt[host]).Seconds(), 1)
+	if !s.refilledAt[host].IsZero() {
+		s.tokens[host] = min(s.tokens[host]+share*float64(s.demand.rate)*now.Sub(s.refilledAt[host]).Seconds(), 1)
 	}
-	w.refilledAt[host] = now
-	if w.tokens[host] < 1 {
+	s.refilledAt[host] = now
+	if s.tokens[host] < 1 {
 		return false
 	}
-	w.tokens[host]--
+	s.tokens[host]--
 	return true
 }
-func (w *demandShareStrategy) messages() int { return w.messageCount }
+func (s *demandShareStrategy) messages() int { return s.messageCount }
 
-// grantStrategy has one host give out requests, and the others ask it.
+// grantStrategy lets one host grant requests that the others ask for.
 type grantStrategy struct {
 	demand       demand
 	granter      Granter
@@ -108,29 +108,29 @@
 	messageCount int
 }
 
-func newGrantStrategy(l demand) strategy {
-	return &grantStrategy{demand: l, retryAt: make([]time.Time, l.hosts)}
+func newGrantStrategy(d demand) strategy {
+	return &grantStrategy{demand: d, retryAt: make([]time.Time, d.hosts)}
 }
 
-func (w *grantStrategy) allow(now time.Time, host int) bool {
-	if now.Before(w.retryAt[host]) {
+func (s *grantStrategy) allow(now time.Time, host int) bool {
+	if now.Before(s.retryAt[host]) {
 		return false
 	}
 	if host > 0 {
-		w.messageCount += 2
+		s.messageCount += 2
 	}
-	g := w.granter.Decide(now, "u", PermitRequest{From: member.HostID(fmt.Sprint("h", host)), Rate: w.demand.rate})
+	g := s.granter.Decide(now, "u", PermitRequest{From: member.HostID(fmt.Sprint("h", host)), Rate: s.demand.rate})
 	if !g.Granted {
-		w.retryAt[host] = now.Add(g.Wait)
+		s.retryAt[host] = now.Add(g.Wait)
 	}
 	return g.Granted
 }
-func (w *grantStrategy) messages() int { return w.messageCount }
+func (s *grantStrategy) messages() int { return s.messageCount }
 
-// TestLimitWays compares ways in which hosts share a limit, where it is asked to.
+// TestLimitWays compares strategies for sharing a limit. It runs only if its flag is set.
 func TestLimitWays(t *testing.T) {
 	if !*compareFlag {
-		t.Skip("compared by hand: -limit.ways")
+		t.Skip("comparison of strategies: run with -limit.ways")
 	}
 	strategies := []struct {
 		name string
@@ -139,25 +139,25 @@
 	for _, hosts := range []int{3, 9, 60, 300} {
 		for _, rate := range []Rate{0.2, 4, 27} {
 			for _, atOneHost := range []bool{false, true} {
-				l := demand{hosts: hosts, rate: rate, requestsPerSecond: max(10*float64(rate), 10), atOneHost: atOneHost}
-				for _, w := range strategies {
-					t.Log(l.simulate(w.name, w.make(l)))
+				d := demand{hosts: hosts, rate: rate, requestsPerSecond: max(10*float64(rate), 10), atOneHost: atOneHost}
+				for _, s := range strategies {
+					t.Log(d.simulate(s.name, s.make(d)))
 				}
 			}
 		}
 	}
 }
 
-func (l demand) simulate(name string, s strategy) string {
+func (d demand) simulate(name string, s strategy) string {
 	const duration = 120 * time.Second
 	random := rand.New(rand.NewPCG(1, 0))
 	start, sent := time.Now(), []time.Duration(nil)
 	started := time.Now()
 	asked := 0
-	for at := time.Duration(0); at < duration; at += time.Duration(-math.Log(1-random.Float64()) / l.requestsPerSecond * float64(time.Second)) {
+	for at := time.Duration(0); at < duration; at += time.Duration(-math.Log(1-random.Float64()) / d.requestsPerSecond * float64(time.Second)) {
 		host := 1
-		if !l.atOneHost {
-			host = random.IntN(l.hosts)
+		if !d.atOneHost {
+			host = random.IntN(d.hosts)
 		}
 		asked++
 		if s.allow(start.Add(at), host) {
@@ -165,8 +165,8 @@
 		}
 	}
 	elapsed := time.Since(started)
-	allowed := math.Ceil(float64(l.rate) * limitWindow.Seconds())
-	return fmt.Sprintf("%d hosts, %v a second, at one host %t: %s: most in 4 s %d of %v; used %.2f; refused %.2f; %.1f messages a second; %v a decision",
-		l.hosts, float64(l.rate), l.atOneHost, name, maxInWindow(sent, limitWindow), allowed, float64(len(sent))/(float64(l.rate)*duration.Seconds()),
+	allowed := math.Ceil(float64(d.rate) * limitWindow.Seconds())
+	return fmt.Sprintf("%d hosts, %v a second, at one host %t: %s: at most %d in 4 s, %v allowed; share of limit used %.2f; share of requests refused %.2f; %.1f messages a second; %v a decision",
+		d.hosts, float64(d.rate), d.atOneHost, name, maxInWindow(sent, limitWindow), allowed, float64(len(sent))/(float64(d.rate)*duration.Seconds()),
 		1-float64(len(sent))/float64(asked), float64(s.messages())/duration.Seconds(), elapsed/time.Duration(asked))
 }
--- a/ratelimit/turns.go
+++ b/ratelimit/turns.go
@@ -13,36 +13,37 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// turnRateShare of a rate is shared by the hosts that can't reach the one that grants: it comes
-// beside what that one gives out, and half as much again as its limit is what an upstream
-// is to bear at most.
+// turnRateShare is the share of a limit that hosts without contact to the granting host use
+// together. They use it in addition to what that host grants; the sum is at most 1.5 times the
+// limit, the most that an upstream is expected to bear.
 const turnRateShare = 0.5
 
-// maxTurnAge is how long a turn can be used. A turn that was kept would be used together
-// with the others' when traffic jumps: of 66 hosts that share 27 a second, where 45 in any
-// second are allowed, an upstream got up to 20 in a second with requests in bursts of
-// 0.6 s, and up to 49 with turns that never end; with requests all the time, 23 in a second
-// and 13.5 in the mean (50 plays of 20 s).
+// maxTurnAge is how long after its start a turn can be used. Turns that never expire would be
+// used together when traffic jumps: 66 hosts that share a limit of 27 a second then sent up to
+// 49 requests in one second, where 45 are allowed.
 const maxTurnAge = 300 * time.Millisecond
 
-// TurnSchedule are the requests that a host may send to bounded upstreams without asking anybody:
-// one in each turn of its own. TurnSchedule come as often as the known hosts can share a part of
-// the rate. The zero value works. It is safe for use by several goroutines.
+// TurnSchedule determines when a host may send to limited upstreams without asking the granting
+// host: one request in each of its turns. Turns come as often as the known hosts together may
+// use a share of the limit. The zero value is ready for use. A TurnSchedule is safe for
+// concurrent use.
 type TurnSchedule struct {
-	// Self is this host: each has turns of its own.
+	// Self is this host. Each host has turns of its own.
 	Self member.HostID
 
 	mu sync.Mutex
-	// nextTurns is when the nextTurns turn at each upstream begins.
+	// nextTurns is when the current or next turn at each upstream begins.
 	nextTurns map[member.UpstreamID]time.Time
 }
 
-// TurnPeriod is the time between two turns of one host.
+// TurnPeriod returns the time between two turns of one host at an upstream with the limit r, if
+// that many hosts share it.
 func TurnPeriod(r Rate, hosts int) time.Duration {
 	return time.Duration(float64(hosts) / (turnRateShare * float64(max(r, MinRate))) * float64(time.Second))
 }
 
-// Take uses this host's present turn. Without one it tells how long it is until the next.
+// Take uses this host's current turn. If there is none it returns false and the time until the
+// next turn.
 func (t *TurnSchedule) Take(now time.Time, id member.UpstreamID, period time.Duration) (wait time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,13 +55,15 @@
 	return 0, true
 }
 
-// currentTurn is when the present currentTurn began, or the next one will.
+// currentTurn returns when the current turn began or, if there is none, when the next one
+// begins.
 func (t *TurnSchedule) currentTurn(now time.Time, id member.UpstreamID, period time.Duration) time.Time {
 	at, known := t.nextTurns[id]
 	usableTime := min(maxTurnAge, period)
 	switch {
 	case !known || at.Sub(now) > period || now.Sub(at) > 10*period:
-		// Hosts hear of a bounded upstream together; their turns must not begin together.
+		// Hosts learn of a limit at about the same time. The hash keeps their turns from
+		// starting together.
 		phase := float64(xxhash.Sum64String(string(t.Self)+" "+string(id))) / math.MaxUint64
 		at = now.Add(time.Duration(phase * float64(period)))
 	case now.Sub(at) >= usableTime:
@@ -74,12 +77,12 @@
 	return at
 }
 
-// Prune drops the turns at upstreams that aren't bounded any more.
-func (t *TurnSchedule) Prune(isBounded func(member.UpstreamID) bool) {
+// Prune removes the turns at upstreams that are no longer limited.
+func (t *TurnSchedule) Prune(isLimited func(member.UpstreamID) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id := range t.nextTurns {
-		if !isBounded(id) {
+		if !isLimited(id) {
 			delete(t.nextTurns, id)
 		}
 	}
--- a/ratelimit/turns_test.go
+++ b/ratelimit/turns_test.go
@@ -13,14 +13,15 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// turnLoad is what one bounded upstream gets from many hosts.
+// turnLoad is the load that one limited upstream gets from many hosts.
 type turnLoad struct {
-	// maxPerSecond is the maxPerSecond in any second, and mean the mean.
+	// maxPerSecond is the largest number of requests in any second, meanPerSecond the mean.
 	maxPerSecond  int
 	meanPerSecond float64
 }
 
-// simulateTurns has hosts with requests at some times send to one bounded upstream by their turns.
+// simulateTurns lets hosts send to one limited upstream in their turns whenever they have a
+// request, and returns the load.
 func simulateTurns(upstream member.UpstreamID, hosts int, rate Rate, knownHosts func(host int) int, hasRequest func(at time.Duration) bool) turnLoad {
 	const step, duration = 10 * time.Millisecond, 20 * time.Second
 	turns := make([]TurnSchedule, hosts)
@@ -49,17 +50,17 @@
 	return load
 }
 
-// TestTurnsShare has all hosts together send a bounded upstream no more in any second
-// than it bears, and most of that, however many they are, whenever their requests come.
-// The bound is half as much again as the upstream's rate, and 5.
+// TestTurnsShare checks that all hosts together send a limited upstream no more than it can
+// bear in any second, and use most of their share of the limit, for any number of hosts and any
+// timing of requests. The bound is 1.5 times the limit plus 5 requests.
 func TestTurnsShare(t *testing.T) {
 	always := func(time.Duration) bool { return true }
 	bursts := func(at time.Duration) bool { return at%(3*time.Second) < 600*time.Millisecond }
 	for _, hosts := range []int{1, 3, 6, 66, 195} {
 		for _, rate := range []Rate{4, 27, 90} {
 			for name, c := range map[string]struct {
-				wants func(time.Duration) bool
-				// knownHosts is how many of the hosts each knows.
+				hasRequest func(time.Duration) bool
+				// knownHosts is how many of the hosts each host knows.
 				knownHosts int
 				minUse     float64
 			}{
@@ -73,13 +74,13 @@
 					const runs = 4
 					mean := 0.0
 					for run := range runs {
-						load := simulateTurns(member.UpstreamID(fmt.Sprint("u", run)), hosts, rate, func(int) int { return c.knownHosts }, c.wants)
+						load := simulateTurns(member.UpstreamID(fmt.Sprint("u", run)), hosts, rate, func(int) int { return c.knownHosts }, c.hasRequest)
 						if bound := int(1.5*float64(rate) + 5); load.maxPerSecond > bound {
-							t.Errorf("%d in a second, %d are allowed", load.maxPerSecond, bound)
+							t.Errorf("upstream got %d requests in a second, want at most %d", load.maxPerSecond, bound)
 						}
 						mean += load.meanPerSecond / runs
 					}
-					is.True(mean >= c.minUse*float64(rate)) // what it bears is used
+					is.True(mean >= c.minUse*float64(rate)) // the share of the limit is used
 				})
 			}
 		}
--- a/ratelimit/window.go
+++ b/ratelimit/window.go
@@ -9,40 +9,45 @@
 )
 
 const (
-	// limitWindow is the span in which requests are counted against a limit.
+	// limitWindow is the time in which requests are counted against a limit.
 	limitWindow = 4 * time.Second
-	// burstWindow is a shorter one, so that what was left over isn't sent all at once.
+	// burstWindow is a shorter window that keeps unused capacity from being sent all at once.
 	burstWindow = time.Second
-	// binWidth is by how much the spans slide: an eightieth of a window may stay unused.
+	// binWidth is the step in which the windows slide. Up to an eightieth of limitWindow may
+	// stay unused.
 	binWidth = 50 * time.Millisecond
-	// binCount is for the longest span: two requests at just over one in four seconds.
+	// binCount suffices for the longest window: two requests at a rate just above one in four
+	// seconds.
 	binCount = 164
-	// idleThreshold is how long nobody asks until what was given before isn't believed to be
-	// all: the host was suspended, or another gave out requests meanwhile.
+	// idleThreshold is how long a window may go without a request before its counts are taken
+	// as incomplete: the host was suspended, or another host granted requests meanwhile.
 	idleThreshold = time.Second
 )
 
-// window counts what an upstream was given lately. The zero value is one that nobody asked.
+// window counts the requests recently granted for an upstream. The zero value has seen no
+// requests.
 type window struct {
 	bins [binCount]float64
-	// newestBin is the number of the newestBin bin since began.
+	// newestBin is the number of the newest bin, counted from startedAt.
 	newestBin int64
 	startedAt time.Time
-	// activeUntil is when it was activeUntil last, or the next who asks is expected, and rate what for.
+	// activeUntil is when the last permit request came or, if later, when the next is expected.
+	// lastRate is the rate of the last one.
 	activeUntil time.Time
 	lastRate    Rate
 }
 
-// quota is how many whole requests a rate allows, and in which span.
+// quota returns how many whole requests a rate allows, and in which window.
 func quota(r Rate) (maxRequests float64, span time.Duration) {
 	maxRequests = max(math.Ceil(float64(r)*limitWindow.Seconds()), 1)
 	return maxRequests, time.Duration(maxRequests / float64(r) * float64(time.Second))
 }
 
-// burstQuota is how many requests a rate allows in burstOver.
+// burstQuota returns how many requests a rate allows in burstWindow.
 func burstQuota(r Rate) float64 { return math.Ceil(float64(r)*burstWindow.Seconds()) + 1 }
 
-// advance slides the window to a moment, and sees to what it can't know.
+// advance slides the window to the current time. It corrects the counts if the rate was lowered
+// or the window was idle.
 func (w *window) advance(now time.Time, r Rate) {
 	if w.startedAt.IsZero() {
 		w.startedAt = now
@@ -65,15 +70,16 @@
 	}
 }
 
-// noteActivity takes in when somebody asks.
+// noteActivity records when a host asks or is expected to ask.
 func (w *window) noteActivity(at time.Time) {
 	if at.After(w.activeUntil) {
 		w.activeUntil = at
 	}
 }
 
-// assumeUsed takes it that, up to one request, all was given out that might have been, evenly. No
-// window is empty after a silence: those of several hosts would be used up together.
+// assumeUsed fills the window evenly with the requests that other hosts may have granted, up to
+// one request below the quota. After an idle time the window can't be taken as empty: several
+// hosts could each use up a whole window.
 func (w *window) assumeUsed(r Rate) {
 	maxRequests, span := quota(r)
 	count := binsSpanning(span)
@@ -85,8 +91,8 @@
 	}
 }
 
-// capToQuota has what was given at a higher rate count as much as was allowed at a lower one, so
-// that the upstream isn't left alone until that has slid out.
+// capToQuota reduces requests granted at a higher rate to the quota of a lower one, so that the
+// upstream doesn't go without requests until they have left the window.
 func (w *window) capToQuota(r Rate) {
 	maxRequests, span := quota(r)
 	count := binsSpanning(span)
@@ -99,17 +105,17 @@
 	}
 }
 
-// binsSpanning is how many bins a span touches that ends within the newest.
+// binsSpanning returns how many bins a time span touches that ends within the newest bin.
 func binsSpanning(span time.Duration) int {
 	return min(int((span+binWidth-1)/binWidth)+1, binCount)
 }
 
-// binIndex is where the nth newest binIndex is.
+// binIndex returns the index of the nth newest bin.
 func (w *window) binIndex(n int) int64 {
 	return ((w.newestBin-int64(n))%binCount + binCount) % binCount
 }
 
-// sumNewest is what was given in the newest bins.
+// sumNewest returns the number of requests in the newest count bins.
 func (w *window) sumNewest(count int) float64 {
 	sum := 0.0
 	for n := range count {
@@ -118,17 +124,18 @@
 	return sum
 }
 
-// delay is how long it is until another request may go; zero when it may now.
+// delay returns the time until another request may be sent, zero if one may be sent now.
 func (w *window) delay(r Rate) time.Duration {
 	maxRequests, span := quota(r)
 	return max(w.delayForQuota(maxRequests, binsSpanning(span)), w.delayForQuota(burstQuota(r), binsSpanning(burstWindow)))
 }
 
-// roundingTolerance is left by the parts of requests that fill spreads over bins.
+// roundingTolerance absorbs the rounding of the fractions of requests that assumeUsed and
+// capToQuota spread over bins.
 const roundingTolerance = 1e-6
 
-// delayForQuota is how long it is until no more than some requests but one were given in the
-// newest bins.
+// delayForQuota returns the time until the newest count bins hold at most maxRequests-1
+// requests.
 func (w *window) delayForQuota(maxRequests float64, count int) time.Duration {
 	excess := w.sumNewest(count) - (maxRequests - 1)
 	for n := count - 1; n >= 0 && excess > roundingTolerance; n-- {
@@ -140,5 +147,5 @@
 	return 0
 }
 
-// add counts a request.
+// add counts a granted request.
 func (w *window) add() { w.bins[w.binIndex(0)]++ }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,12 +1,13 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package roster keeps which hosts there are.
+// Package roster keeps the list of known hosts.
 //
-// Each host announces itself now and then; announcements travel from host to host along the links
-// that there are anyway, each at most once over each. A host that is announced no more is
-// forgotten after a while. Whether it lives at the moment is for those to find out who speak to it.
-// The package is pure: no I/O, no goroutine, and no clock.
+// Each host announces itself periodically. Announcements spread from host to host over existing
+// connections, each at most once over each connection. A host without new announcements is
+// removed after a while. Whether a host is alive at the moment is for the hosts that
+// communicate with it to detect. The package is pure: it does no I/O, starts no goroutines and
+// reads no clock.
 package roster
 
 import (
@@ -18,47 +19,51 @@
 )
 
 const (
-	// AnnounceInterval is how often a host announces itself.
+	// AnnounceInterval is the interval at which a host announces itself.
 	AnnounceInterval = 60 * time.Second
-	// announcementTTL is for how long after its last announcement a host is known.
+	// announcementTTL is how long after its last announcement a host is kept.
 	announcementTTL = 200 * time.Second
 )
 
-// Announcement is a host's word that it is there.
+// Announcement is a host's statement that it exists.
 type Announcement struct {
 	member.Entry
-	// Epoch tells the process that made it from earlier ones of the host, and Sequence orders the
+	// Epoch identifies the process of the host that made the announcement. Sequence orders the
 	// announcements of one process.
 	Epoch, Sequence uint64
-	// Age is how long ago it was made.
+	// Age is how long ago the announcement was made.
 	Age time.Duration
 }
 
-// Roster is what one host knows. Use New. It isn't safe for use by several goroutines.
+// Roster holds the hosts that one host knows. Create it with New. It is not safe for concurrent
+// use.
 type Roster struct {
 	self  member.Entry
 	epoch uint64
 	hosts map[member.HostID]*hostRecord
-	// lastPosition counts the announcements that were taken in.
+	// lastPosition is the number of announcements accepted so far.
 	lastPosition uint64
-	// version counts the hosts that came or went.
+	// version increases whenever a host is added, changed or removed.
 	version uint64
 }
 
+// hostRecord is the newest announcement of one host.
 type hostRecord struct {
 	Announcement
-	// announcedAt is when it was made, by this host's clock.
+	// announcedAt is when the announcement was made, by this host's clock.
 	announcedAt time.Time
-	// position is that of last when it was taken in, and from who told it.
+	// position numbers the accepted announcements in their order. receivedFrom is the host that
+	// passed this one on.
 	position     uint64
 	receivedFrom member.HostID
 }
 
-// minEpochSeparation is by how much later a process's announcement must have been made than that of
-// another of its host to be believed the later one: their ages are told, and are late by what they took.
+// minEpochSeparation is how much later than that of another process of its host an announcement
+// must have been made to replace it. Announcements carry their age, which doesn't include the
+// time of transfer, so small differences prove no order.
 const minEpochSeparation = 200 * time.Millisecond
 
-// supersededBy reports whether an announcement is later than the one that is known.
+// supersededBy reports whether an announcement is newer than the recorded one.
 func (k *hostRecord) supersededBy(now time.Time, a *Announcement) bool {
 	if a.Epoch == k.Epoch {
 		return a.Sequence > k.Sequence
@@ -66,12 +71,13 @@
 	return now.Add(-a.Age).Sub(k.announcedAt) > minEpochSeparation
 }
 
-// New returns the roster of a process of a host, which has it alone.
+// New returns the roster of a process of host self, without any hosts. epoch identifies the
+// process.
 func New(self member.Entry, epoch uint64) *Roster {
 	return &Roster{self: self, epoch: epoch, hosts: map[member.HostID]*hostRecord{}}
 }
 
-// Announce has this host be announced anew, if that is due.
+// Announce renews the announcement of this host if it is due.
 func (r *Roster) Announce(now time.Time) {
 	k := r.hosts[r.self.ID]
 	if k != nil && now.Sub(k.announcedAt) < AnnounceInterval {
@@ -84,7 +90,7 @@
 	r.Receive(now, r.self.ID, own)
 }
 
-// OwnAnnouncement is this host's last announcement.
+// OwnAnnouncement returns the sequence number and the age of this host's last announcement.
 func (r *Roster) OwnAnnouncement(now time.Time) (sequence uint64, age time.Duration) {
 	k := r.hosts[r.self.ID]
 	if k == nil {
@@ -93,7 +99,8 @@
 	return k.Sequence, now.Sub(k.announcedAt)
 }
 
-// Receive takes in an announcement that another host passed on. It reports whether it is news.
+// Receive records an announcement that another host passed on. It reports whether the
+// announcement was new.
 func (r *Roster) Receive(now time.Time, from member.HostID, a Announcement) bool {
 	if a.ID == "" || a.Age > announcementTTL || a.ID == r.self.ID && from != r.self.ID {
 		return false
@@ -110,7 +117,7 @@
 	return true
 }
 
-// PruneExpired drops the hosts that weren't announced lately.
+// PruneExpired removes the hosts whose last announcement is older than announcementTTL.
 func (r *Roster) PruneExpired(now time.Time) {
 	for id, k := range r.hosts {
 		if id != r.self.ID && now.Sub(k.announcedAt) > announcementTTL {
@@ -120,13 +127,13 @@
 	}
 }
 
-// Version rises with each host that comes, goes, or is announced otherwise.
+// Version returns a number that increases whenever a host is added, changed or removed.
 func (r *Roster) Version() uint64 { return r.version }
 
-// Len is how many hosts are known, with this one if it has announced itself.
+// Len returns the number of known hosts, including this one once it has announced itself.
 func (r *Roster) Len() int { return len(r.hosts) }
 
-// Entries lists the hosts, in no order.
+// Entries lists the known hosts, in no order.
 func (r *Roster) Entries() []member.Entry {
 	all := make([]member.Entry, 0, len(r.hosts))
 	for _, k := range r.hosts {
@@ -135,8 +142,9 @@
 	return all
 }
 
-// AnnouncementsSince returns announcements that were taken in after a count, the earliest first and some at
-// most, but for those that came from whom they are for, and the count to go on from.
+// AnnouncementsSince returns up to limit announcements accepted after a position, oldest first,
+// and the position to continue from. It leaves out those of the recipient and those received
+// from it.
 func (r *Roster) AnnouncementsSince(now time.Time, position uint64, to member.HostID, limit int) ([]Announcement, uint64) {
 	if position >= r.lastPosition {
 		return nil, r.lastPosition
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -18,8 +18,8 @@
 	return member.Entry{ID: member.HostID(fmt.Sprint("h", n)), Zone: "z1", PeerAddress: fmt.Sprintf("10.0.0.%d:1", n)}
 }
 
-// TestAnnouncementsReachAllOverATree has hosts that speak along the edges of a tree come to know
-// each other, and each announcement go over each edge once at most.
+// TestAnnouncementsReachAllOverATree checks that hosts connected as a tree all learn of each
+// other, and that each announcement passes each edge at most once.
 func TestAnnouncementsReachAllOverATree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -51,16 +51,17 @@
 		}
 		for i, r := range all {
 			if r.Len() != n {
-				t.Fatalf("h%d knows %d of %d", i, r.Len(), n)
+				t.Fatalf("h%d knows %d of %d hosts", i, r.Len(), n)
 			}
 		}
 		if sent > n*(n-1) {
-			t.Fatalf("%d announcements told among %d hosts", sent, n)
+			t.Fatalf("%d announcements sent among %d hosts, want each at most once over each edge", sent, n)
 		}
 	})
 }
 
-// TestHostThatIsAnnouncedNoMore is forgotten by all, however they go on telling each other.
+// TestHostThatIsAnnouncedNoMore checks that a host that stops announcing itself is removed
+// everywhere, although the other hosts keep exchanging announcements.
 func TestHostThatIsAnnouncedNoMore(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
@@ -83,8 +84,8 @@
 	is.Equal(b.Len(), 2)
 }
 
-// TestHostStartsAgain has the announcement of a host's new process replace that of the one before,
-// which still travels, wherever the two meet.
+// TestHostStartsAgain checks that the announcement of a restarted host replaces the one of its
+// previous process, in whichever order the two arrive.
 func TestHostStartsAgain(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
--- a/spool/spool.go
+++ b/spool/spool.go
@@ -3,9 +3,10 @@
 
 // Package spool passes a stream on to a reader that may be slower than its source.
 //
-// What the reader hasn't taken yet is kept in memory, within a bound for each stream and one for
-// the process, so that the source needn't wait for the reader. When a bound is reached the source
-// waits; a reader that takes nothing for too long meanwhile is given up.
+// Data that the reader hasn't taken yet is buffered in memory, within a bound for each stream
+// and one for the process, so that the source needn't wait for the reader. When a bound is
+// reached the source waits; if the reader then takes nothing for too long, its stream is
+// aborted.
 package spool
 
 import (
@@ -16,17 +17,19 @@
 	"time"
 )
 
-// ErrStalled says that a reader took nothing for so long that it was given up.
+// ErrStalled is returned after a reader took nothing for longer than Settings.StallTimeout.
 var ErrStalled = errors.New("the reader has stalled")
 
-// Budget bounds what all spools of a process hold together. The zero value sets no bound.
+// Budget bounds the bytes that all spools of a process hold together. The zero value sets no
+// bound.
 type Budget struct {
-	// MaxBytes is the bound in bytes.
+	// MaxBytes is the bound; zero means no bound.
 	MaxBytes int64
 	reserved atomic.Int64
 }
 
-// Reserve counts some bytes, if there is room for them.
+// Reserve reserves n bytes and reports whether the budget had room for them. Without room it
+// reserves nothing.
 func (b *Budget) Reserve(n int) bool {
 	if held := b.reserved.Add(int64(n)); b.MaxBytes > 0 && held > b.MaxBytes {
 		b.reserved.Add(-int64(n))
@@ -35,49 +38,55 @@
 	return true
 }
 
-// Release gives back what was taken.
+// Release returns n reserved bytes to the budget.
 func (b *Budget) Release(n int) { b.reserved.Add(-int64(n)) }
 
-// Reserved is how many bytes are held.
+// Reserved returns the number of reserved bytes.
 func (b *Budget) Reserved() int64 { return b.reserved.Load() }
 
-// Settings bound one spool.
+// Settings configures a spool.
 type Settings struct {
 	Budget *Budget
-	// MaxBytes is how many bytes it holds at most.
+	// MaxBytes is the largest number of bytes that the spool holds. A spool that holds nothing
+	// accepts a larger chunk.
 	MaxBytes int
 	// StallTimeout is how long the reader may take nothing while the source waits for it.
 	StallTimeout time.Duration
-	// OnWriteFailure is told that a write has failed, beside what the source does; nil tells nobody.
+	// OnWriteFailure, if not nil, is called after the first failed write, unless the spool has
+	// failed already. Put and Close return the error as well.
 	OnWriteFailure func()
 }
 
-// Spool holds what one reader hasn't taken yet. Use New; Close ends its goroutine.
+// Spool buffers data for one reader. Create it with New; Close ends its goroutine.
 type Spool struct {
 	settings Settings
-	// write hands bytes to the reader, and abort has a write that is under way fail.
+	// write passes bytes to the reader. abort makes a write in progress fail.
 	write func([]byte) error
 	abort func()
 
 	mu sync.Mutex
-	// queue is what waits, and held its bytes with those of the write that is under way.
+	// queue holds the chunks still to be written. heldBytes counts their bytes and those of the
+	// write in progress.
 	queue     [][]byte
 	heldBytes int
-	// sourceWaiting says that the source waits for room, and spare is what the reader has taken
-	// meanwhile: it is kept for the source, for other streams would take it.
+	// sourceWaiting says that the source waits for room. freedBytes counts the bytes that the
+	// reader has taken meanwhile; they stay reserved in the budget for this source, because
+	// other streams would take them otherwise.
 	sourceWaiting bool
 	freedBytes    int
-	// writeCount counts the writes that are done.
+	// writeCount is the number of completed writes.
 	writeCount uint64
 	err        error
-	// closing says that nothing more comes.
+	// closing says that no more data follows.
 	closing bool
-	// progress wakes who waits for room or for the end, and queueChanged the goroutine that writes.
+	// progress wakes the source, which waits for room or for the end of writing. queueChanged
+	// wakes the writing goroutine.
 	progress, queueChanged chan struct{}
 	done                   chan struct{}
 }
 
-// New returns a spool before a reader.
+// New returns a spool that passes data to a reader with write. abort must make a write in
+// progress fail.
 func New(s Settings, write func([]byte) error, abort func()) *Spool {
 	sp := &Spool{
 		settings: s, write: write, abort: abort,
@@ -87,6 +96,7 @@
 	return sp
 }
 
+// run writes the queued chunks until the spool is closed or fails.
 func (s *Spool) run() {
 	defer close(s.done)
 	for {
@@ -121,7 +131,7 @@
 	}
 }
 
-// dropQueue frees what won't be written. The mutex is held.
+// dropQueue discards the chunks that won't be written. The mutex is held.
 func (s *Spool) dropQueue() {
 	for _, chunk := range s.queue {
 		s.release(len(chunk))
@@ -129,6 +139,8 @@
 	s.queue = nil
 }
 
+// release takes n bytes off those held. While the source waits they stay reserved for it. The
+// mutex is held.
 func (s *Spool) release(n int) {
 	s.heldBytes -= n
 	if s.sourceWaiting {
@@ -138,10 +150,11 @@
 	s.settings.Budget.Release(n)
 }
 
-// reserve counts some bytes against the bounds, if there is room for them. The mutex is held.
+// reserve reserves n bytes within both bounds and reports whether there was room for them. The
+// mutex is held.
 func (s *Spool) reserve(n int) bool {
-	// One part always fits: without that a reader who is up to date would be held up by what
-	// others hold.
+	// An empty spool always accepts one chunk. Otherwise what other spools hold would block a
+	// reader that keeps up.
 	empty := s.heldBytes == 0
 	if !empty && s.heldBytes+n > s.settings.MaxBytes {
 		return false
@@ -157,12 +170,14 @@
 	return true
 }
 
-// endWait gives back what the source that has waited doesn't need. The mutex is held.
+// endWait returns to the budget what the source no longer needs after its wait. The mutex is
+// held.
 func (s *Spool) endWait() {
 	s.settings.Budget.Release(s.freedBytes)
 	s.sourceWaiting, s.freedBytes = false, 0
 }
 
+// notify wakes the goroutine that receives from c, now or when it next does.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -170,9 +185,9 @@
 	}
 }
 
-// Put has the reader get some bytes, which it copies. It waits while there is no room, but not
-// for a reader that takes nothing: then the error is ErrStalled. Otherwise it is the context's, or
-// that of an earlier write.
+// Put queues a copy of p for the reader. While there is no room it waits. It returns ErrStalled
+// if the reader takes nothing for StallTimeout meanwhile, the cause if ctx ends, or the error
+// of an earlier write.
 func (s *Spool) Put(ctx context.Context, p []byte) error {
 	return s.wait(ctx, func() bool {
 		if !s.reserve(len(p)) {
@@ -185,7 +200,8 @@
 	})
 }
 
-// Close waits until the reader has all, as Put does for room, and ends the spool.
+// Close waits until the reader has taken everything, under the same conditions as Put, and ends
+// the spool.
 func (s *Spool) Close(ctx context.Context) error {
 	err := s.wait(ctx, func() bool { return s.heldBytes == 0 })
 	s.mu.Lock()
@@ -196,8 +212,8 @@
 	return err
 }
 
-// wait waits until something is done, which it tries after each write. On an error nothing more
-// is written.
+// wait calls attempt, first at once and then after writes, until it succeeds. It returns the
+// same errors as Put. After an error nothing more is written.
 func (s *Spool) wait(ctx context.Context, attempt func() bool) error {
 	var timer *time.Timer
 	var expired <-chan time.Time
@@ -237,7 +253,8 @@
 	}
 }
 
-// fail ends the write that is under way, and drops the rest.
+// fail aborts the write in progress and discards the rest. It returns err, or the earlier error
+// if the spool has failed already.
 func (s *Spool) fail(err error) error {
 	s.mu.Lock()
 	if s.err == nil {
--- a/spool/spool_test.go
+++ b/spool/spool_test.go
@@ -16,7 +16,7 @@
 	"github.com/matryer/is"
 )
 
-// reader takes a part every so often, until it is aborted.
+// reader takes one chunk after each pause, until it is aborted.
 type reader struct {
 	mu       sync.Mutex
 	pause    time.Duration
@@ -47,7 +47,8 @@
 
 func (r *reader) abort() { r.once.Do(func() { close(r.aborted) }) }
 
-// TestSlowReaderDoesNotBlockSource has a source be done before its slow reader, which gets all in order.
+// TestSlowReaderDoesNotBlockSource checks that a source finishes before its slow reader, which
+// still gets everything in order.
 func TestSlowReaderDoesNotBlockSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -67,7 +68,8 @@
 	})
 }
 
-// TestSourceWaitsForSlowReader has the source wait for a reader that goes on reading.
+// TestSourceWaitsForSlowReader checks that the source waits, without an error, for a reader
+// that keeps reading.
 func TestSourceWaitsForSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -82,7 +84,8 @@
 	})
 }
 
-// TestStalledReaderIsDisconnected has a reader that takes nothing be given up, and its memory be freed.
+// TestStalledReaderIsDisconnected checks that the stream of a reader that takes nothing is
+// aborted and its memory is released.
 func TestStalledReaderIsDisconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -100,8 +103,8 @@
 	})
 }
 
-// TestSlowReadersDoNotBlockFastReader has one that reads at once be served although slow ones hold all
-// memory that there is for them.
+// TestSlowReadersDoNotBlockFastReader checks that a fast reader is served without delay while
+// slow readers use up the budget.
 func TestSlowReadersDoNotBlockFastReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -117,7 +120,7 @@
 			}()
 		}
 		synctest.Wait()
-		is.True(b.Reserved() <= 1000+20*50) // and one part each
+		is.True(b.Reserved() <= 1000+20*50) // the budget, and one chunk for each spool
 		fast := newReader(0)
 		s := New(Settings{Budget: b, MaxBytes: 500, StallTimeout: time.Second}, fast.write, fast.abort)
 		start := time.Now()
@@ -134,7 +137,8 @@
 	})
 }
 
-// TestSourceContextEndsWhileWaiting has a source that waits for room end with its context.
+// TestSourceContextEndsWhileWaiting checks that a source that waits for room stops when its
+// context ends.
 func TestSourceContextEndsWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
