--- a/cell/cell.go
+++ b/cell/cell.go
@@ -167,7 +167,7 @@
 	if len(candidates) == 0 {
 		return member.Entry{}, false
 	}
-	return member.First(purpose+" "+string(self), candidates), true
+	return member.HighestRanked(purpose+" "+string(self), candidates), true
 }
 
 func (id ID) String() string { return string(id.Zone) + "/" + strconv.Itoa(id.Number) }
--- a/entry/fakesite_test.go
+++ b/entry/fakesite_test.go
@@ -195,7 +195,7 @@
 	peers := &fakePeers{from: id, site: s, cut: map[member.HostID]bool{}}
 	store := &switchedStore{fakeStore: s.store}
 	s.stores[id] = store
-	e := New(Settings{Self: self, GenerationKey: []byte("key"), HostListEvery: time.Second, Clock: s.clock}, Ports{
+	e := New(Settings{Self: self, GenerationKey: []byte("key"), HostListInterval: time.Second, Clock: s.clock}, Dependencies{
 		Store: store, Claims: store, Outcomes: store, Hosts: s.hosts, Peers: peers,
 		Engines: s.engines, Services: s.services, Leases: &s.leases, Upstreams: s.upstreams,
 	})
@@ -210,7 +210,7 @@
 // addEngine lists an engine that reports plenty of room.
 func (s *fakeSite) addEngine(id member.UpstreamID, zone member.Zone) {
 	s.engines.mu.Lock()
-	s.engines.loads[id] = EngineLoad{Report: policy.Report{Memory: 100_000, Step: 20 * time.Millisecond}}
+	s.engines.loads[id] = EngineLoad{Report: policy.Report{TotalMemory: 100_000, StepTime: 20 * time.Millisecond}}
 	s.engines.mu.Unlock()
 	s.hosts.change(func(list *member.HostList) {
 		list.Upstreams = append(list.Upstreams, member.Upstream{
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -133,7 +133,7 @@
 		}
 		for _, s := range p.pools {
 			p.advance(now, s)
-			p.send(s)
+			p.flushOutbox(s)
 		}
 		tick.Reset(p.untilNextTurn())
 	}
@@ -178,15 +178,15 @@
 func (p *placement) settings(name resource.Name) policy.Settings {
 	declared, _ := p.entry.config.Catalog().Pool(name)
 	return policy.Settings{
-		Objective: declared.Objective, BetweenTokens: time.Duration(declared.BetweenTokens),
-		QueueLimit: declared.QueueLimit, QueueBytes: declared.QueueBytes,
+		Objective: declared.Objective, MaxStepTime: time.Duration(declared.BetweenTokens),
+		MaxQueueLength: declared.QueueLimit, MaxQueueBytes: declared.QueueBytes,
 	}
 }
 
 // followMembers brings every pool up to date with the members and the
 // configuration.
 func (p *placement) followMembers(now time.Time) {
-	p.entry.backoffs.Forget(now)
+	p.entry.backoffs.RemoveExpired(now)
 	for _, name := range p.entry.config.Catalog().PoolNames() {
 		p.followPool(now, p.state(name))
 	}
@@ -202,9 +202,9 @@
 		s.owner, s.distrusted = owner, time.Time{}
 		p.announceRuns(s)
 	}
-	s.pool.SetShare(len(live))
-	if p.coordinates(s) && !p.entry.settings.Alone {
-		s.pool.SetShare(1)
+	s.pool.SetDeciderCount(len(live))
+	if p.coordinates(s) && !p.entry.settings.LocalPlacement {
+		s.pool.SetDeciderCount(1)
 	}
 	p.dropLostGuests(now, s)
 	for run, at := range s.ended {
@@ -257,7 +257,7 @@
 	if err == nil {
 		select {
 		case d := <-w.decided:
-			return p.elsewhere(ctx, pool, r, d), nil
+			return p.tryOtherZones(ctx, pool, r, d), nil
 		case <-ctx.Done():
 			err = ctx.Err()
 		}
@@ -269,7 +269,7 @@
 // submit brings a request to the pool's coordinator, or decides here.
 func (p *placement) submit(now time.Time, s *poolState, w *waiter) {
 	s.waiters[w.request.Run] = w
-	if p.coordinates(s) || p.entry.settings.Alone || now.Before(s.distrusted) {
+	if p.coordinates(s) || p.entry.settings.LocalPlacement || now.Before(s.distrusted) {
 		p.submitHere(now, s, w)
 		return
 	}
@@ -365,8 +365,8 @@
 			s.pool.Finish(now, f)
 			return
 		}
-		if own != nil && f.Whole {
-			s.pool.Learn(&own.request, f.Made)
+		if own != nil && f.Complete {
+			s.pool.LearnLength(&own.request, f.GeneratedTokens)
 		}
 		s.finished[coordinator.ID] = append(s.finished[coordinator.ID], f)
 	})
--- a/entry/placement_test.go
+++ b/entry/placement_test.go
@@ -109,7 +109,7 @@
 	inPair(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
 		is.NoErr(coordinator.OnFinished(s.ctx, "desk", []policy.Finish{{Run: "r"}}))
-		decisions, err := coordinator.OnPlace(s.ctx, other.self.ID, "desk", []policy.Request{{Run: "r", Prompt: 1, Deadline: time.Now().Add(time.Minute)}})
+		decisions, err := coordinator.OnPlace(s.ctx, other.self.ID, "desk", []policy.Request{{Run: "r", PromptTokens: 1, Deadline: time.Now().Add(time.Minute)}})
 		is.NoErr(err)
 		is.Equal(decisions[0].Verdict, policy.Refused)
 		is.Equal(placedAt(coordinator), 0)
@@ -181,7 +181,7 @@
 				p.setCut(peer, id != peer)
 			}
 		}
-		time.Sleep(2 * member.SuspectAfter)
+		time.Sleep(2 * member.SuspectTimeout)
 		is.Equal(placedAt(coordinator), 0)
 		release()
 		is.NoErr(<-ended)
@@ -206,7 +206,7 @@
 // TestGivenUpCommands has callers leave while the duty comes to their commands:
 // what these write later is nothing of theirs. The race detector judges it.
 func TestGivenUpCommands(t *testing.T) {
-	e := New(Settings{Self: member.Entry{ID: "e1", Zone: "az1"}}, Ports{})
+	e := New(Settings{Self: member.Entry{ID: "e1", Zone: "az1"}}, Dependencies{})
 	e.config.apply(resource.LogEntry{Revision: 1, Changes: []resource.Change{poolChange("desk", 1)}})
 	e.placement.drainCommands()
 	e.placement.state("desk")
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -245,7 +245,7 @@
 
 // followOrigin reads everything from the origin or waits for its next update.
 func (w *follower) followOrigin(ctx context.Context) {
-	provedAt, slept := w.now(), w.settings.Clock.Slept()
+	provedAt, slept := w.now(), w.settings.Clock.TotalSuspended()
 	var update OriginUpdate
 	var err error
 	if w.configReadDue(provedAt) {
@@ -273,7 +273,7 @@
 		// The update lacks what was written between the point of the watch and the restore.
 		w.needsFullRead = true
 		return
-	case !w.needsFullRead && w.settings.Clock.Slept() == slept:
+	case !w.needsFullRead && w.settings.Clock.TotalSuspended() == slept:
 		// The machine wasn't suspended during the watch. If it was, the answer may have waited
 		// here, and is only proved for the time before the call.
 		provedAt = w.now()
@@ -322,17 +322,17 @@
 		w.logUnread(now, update)
 	}
 	w.peers.addFromDirectory(now, update.Hosts)
-	w.receiveCrashes(now, update.HeldRequests)
+	w.receivePeerCrashes(now, update.HeldRequests)
 	if w.needsFullRead {
 		w.journal.HostEvent("list read", "revision", update.Revision, "upstreams", len(update.Changes), "took", now.Sub(provedAt))
 	}
 	// Rollouts are applied before the revision of the list rises, because followers aren't sent
 	// again what came before that revision.
 	if w.needsFullRead {
-		w.takeRollouts(now, w.rollouts.Missing(update.Rollouts, update.Revision))
+		w.receiveRollouts(now, w.rollouts.Missing(update.Rollouts, update.Revision))
 	}
-	w.takeRollouts(now, update.Rollouts)
-	w.takeRolloutRecords(update.RolloutRecords)
+	w.receiveRollouts(now, update.Rollouts)
+	w.receiveRolloutRecords(update.RolloutRecords)
 	zones, changes := w.fleet.ApplyUpdate(now, update, w.needsFullRead)
 	w.logZoneChanges(zones)
 	w.handleListChanges(changes)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -128,7 +128,7 @@
 func refusal(answer *http.Response) error {
 	defer answer.Body.Close()
 	if answer.StatusCode == http.StatusNotFound {
-		return trace.Wrap(entry.ErrRunGone)
+		return trace.Wrap(entry.ErrRunNotFound)
 	}
 	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxRefusalBytes))
 	refused := &entry.EngineRefusal{Status: answer.StatusCode, Text: strings.TrimSpace(string(text))}
@@ -156,8 +156,8 @@
 	}
 	return entry.EngineLoad{
 		Report: policy.Report{
-			Engine: u.ID, Memory: policy.Tokens(answer.MemoryTokens), Used: policy.Tokens(answer.UsedTokens),
-			Running: answer.Running, Waiting: answer.Waiting, Step: answer.Step,
+			Engine: u.ID, TotalMemory: policy.Tokens(answer.MemoryTokens), UsedMemory: policy.Tokens(answer.UsedTokens),
+			Running: answer.Running, Waiting: answer.Waiting, StepTime: answer.Step,
 		},
 		Preemptions: answer.Preemptions, Leaving: answer.Leaving, Models: answer.Models,
 	}, nil
