--- a/entry/generation.go
+++ b/entry/generation.go
@@ -116,7 +116,7 @@
 		r.Limit = window - r.Prompt
 	}
 	g := &generation{entry: e, request: r, pool: model.Pool, sink: sink, asked: e.now(), asking: asking{
-		Asked: quarantine.Asked{Caller: string(r.Account), Method: string(r.Shape), Target: string(r.Route), Body: r.Body}, route: r.Route,
+		RequestIdentity: quarantine.RequestIdentity{Caller: string(r.Account), Method: string(r.Shape), Target: string(r.Route), Body: r.Body}, route: r.Route,
 	}}
 	return g.run(ctx, g.asked.Add(time.Duration(route.Timeout)))
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -79,7 +79,7 @@
 func (m *members) runHeartbeats(ctx context.Context) {
 	for {
 		m.beat(ctx)
-		m.entry.crashes.Forget(m.entry.now(), m.isKnown)
+		m.entry.crashes.Prune(m.entry.now(), m.isKnown)
 		timer := time.NewTimer(jitter(member.HeartbeatEvery))
 		select {
 		case <-timer.C:
@@ -134,7 +134,7 @@
 	}
 	answer.age(m.entry.settings.Clock.Slept() - slept)
 	m.receive(m.entry.now(), answer)
-	m.entry.crashes.Told(answer.From.ID, answer.Epoch, upTo)
+	m.entry.crashes.MarksSent(answer.From.ID, answer.Epoch, upTo)
 	if answer.Revision > m.entry.config.Catalog().Revision() {
 		m.entry.config.pull(ctx, to)
 	}
@@ -159,7 +159,7 @@
 // tells everything.
 func (m *members) heartbeat(now time.Time, peer member.Entry, pools []PoolStatus) (Heartbeat, uint64) {
 	revision, to := m.entry.config.Catalog().Revision(), peer.Zone
-	crashes, upTo := m.entry.crashes.Tell(now, peer.ID)
+	crashes, upTo := m.entry.crashes.UnsentMarks(now, peer.ID)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h := Heartbeat{
@@ -220,7 +220,7 @@
 
 // receive takes in what a peer told.
 func (m *members) receive(now time.Time, h Heartbeat) {
-	m.entry.crashes.Met(h.From.ID, h.Epoch)
+	m.entry.crashes.PeerSeen(h.From.ID, h.Epoch)
 	m.entry.crashes.Receive(now, h.Crashes)
 	m.entry.observeEra(h.Era)
 	m.mu.Lock()
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -69,12 +69,12 @@
 			delete(c.ends, other)
 		}
 	}
-	return quarantine.Upstream{ID: id, Life: end.life}
+	return quarantine.Upstream{ID: id, Incarnation: end.life}
 }
 
 // asking is one request as the quarantine tells it from others.
 type asking struct {
-	quarantine.Asked
+	quarantine.RequestIdentity
 	route resource.Name
 	print *quarantine.Fingerprint
 	// isTry says that this one finds out whether upstreams bear the request by now.
@@ -84,7 +84,7 @@
 // tries reports whether a request is the one by which an entry finds out whether upstreams
 // bear it by now. One entry does so for all.
 func (e *Entry) tries(a *asking) bool {
-	if !a.isTry && e.members.decidesAlone(e.now(), a.print.String()) && e.crashes.TakeTry(e.now(), *a.print) {
+	if !a.isTry && e.members.decidesAlone(e.now(), a.print.String()) && e.crashes.BeginTrial(e.now(), *a.print) {
 		a.isTry = true
 		_ = level.Info(e.logger).Log("msg", "tried again", "asks", a.print)
 	}
@@ -93,13 +93,13 @@
 
 // held refuses a request under which upstreams ended, for it isn't sent any more.
 func (e *Entry) held(a *asking) *Failure {
-	evidence, print := e.crashes.Judge(e.now(), a.Asked, a.print)
+	evidence, print := e.crashes.Evaluate(e.now(), a.RequestIdentity, a.print)
 	a.print = print
-	if evidence.Standing < quarantine.Tried || evidence.Standing == quarantine.Tried && e.tries(a) {
+	if evidence.Standing < quarantine.TrialDue || evidence.Standing == quarantine.TrialDue && e.tries(a) {
 		return nil
 	}
-	_ = level.Warn(e.logger).Log("msg", "held back", "asks", print, "upstreams_ended", evidence.Ended, "last_ended_ago", evidence.Last)
-	return fail(CodeQuarantined, NotRun, "%d upstreams ended while this request began to run on them; it is not sent to another", evidence.Ended)
+	_ = level.Warn(e.logger).Log("msg", "held back", "asks", print, "upstreams_ended", evidence.UpstreamsEnded, "last_ended_ago", evidence.SinceLastEnd)
+	return fail(CodeQuarantined, NotRun, "%d upstreams ended while this request began to run on them; it is not sent to another", evidence.UpstreamsEnded)
 }
 
 // broke looks whether an upstream ended when the link to it broke, and if so counts that
@@ -120,17 +120,17 @@
 		f := a.Fingerprint()
 		a.print = &f
 	}
-	evidence := e.crashes.Crashed(now, *a.print, quarantine.Origin{Caller: a.Caller, Route: string(a.route)}, e.crashes.endOf(now, u.ID))
-	_ = level.Warn(e.logger).Log("msg", "upstream ended under it", "upstream", u.ID, "asks", a.print, "upstreams_ended", evidence.Ended, "held", evidence.Standing == quarantine.Held)
+	evidence := e.crashes.RecordCrash(now, *a.print, quarantine.Origin{Caller: a.Caller, Route: string(a.route)}, e.crashes.endOf(now, u.ID))
+	_ = level.Warn(e.logger).Log("msg", "upstream ended under it", "upstream", u.ID, "asks", a.print, "upstreams_ended", evidence.UpstreamsEnded, "held", evidence.Standing == quarantine.Held)
 	e.members.nudge()
 }
 
 // survived takes in that an upstream has run the request and gone on.
 func (e *Entry) survived(a *asking) {
-	evidence, print := e.crashes.Judge(e.now(), a.Asked, a.print)
+	evidence, print := e.crashes.Evaluate(e.now(), a.RequestIdentity, a.print)
 	a.print = print
 	if evidence.Standing != quarantine.Clear {
-		e.crashes.RanWell(e.now(), *print)
+		e.crashes.ClearCrashes(e.now(), *print)
 	}
 }
 
@@ -139,7 +139,7 @@
 
 // Release lets a request through again. It reports whether anything was against it.
 func (e *Entry) Release(f quarantine.Fingerprint) bool {
-	if !e.crashes.RanWell(e.now(), f) {
+	if !e.crashes.ClearCrashes(e.now(), f) {
 		return false
 	}
 	_ = level.Info(e.logger).Log("msg", "let through again", "asks", f, "by", "operator")
--- a/entry/service.go
+++ b/entry/service.go
@@ -137,7 +137,7 @@
 // left, and after that only where the route allows repeats.
 func (e *Entry) callUpstreams(ctx context.Context, route resource.Route, upstreams []member.Upstream, r ServiceRequest) (ServiceAnswer, *Failure) {
 	var last *Failure
-	asks := asking{Asked: quarantine.Asked{
+	asks := asking{RequestIdentity: quarantine.RequestIdentity{
 		Caller: string(r.Account), Method: r.Method, Host: string(r.Route), Target: r.Path, Body: r.Body,
 	}, route: r.Route}
 	for tries, u := range upstreams {
--- a/forward/brokenconnection.go
+++ b/forward/brokenconnection.go
@@ -30,8 +30,8 @@
 
 // requestIdentity is what identifies the content of the request, so that repeats of it under
 // other request IDs are recognised.
-func (x *exchange) requestIdentity() quarantine.Asked {
-	a := quarantine.Asked{
+func (x *exchange) requestIdentity() quarantine.RequestIdentity {
+	a := quarantine.RequestIdentity{
 		Caller: string(x.account.Name), Method: x.call.Method, Host: normalizeHost(x.call.Host), Target: x.call.Target, Body: x.call.Body,
 	}
 	if a.Caller == "" {
--- a/forward/crashingrequest_test.go
+++ b/forward/crashingrequest_test.go
@@ -29,14 +29,14 @@
 // other request had more than twice; the engines' record has it begin 75 to 110 ms before
 // the end. Six hosts in three zones placed them, none of them twice.
 
-// contactBound is within how long hosts that reach each other are to know what one saw.
-const contactBound = 3 * time.Second
+// maxPropagationDelay is within how long hosts that reach each other are to know what one saw.
+const maxPropagationDelay = 3 * time.Second
 
 // newCrashSite returns three zones of two hosts before some engines and plain upstreams.
-func newCrashSite(fleet *fakeFleet, engines int) *site { return newCrashSiteOf(fleet, 3, 2, engines) }
+func newCrashSite(fleet *fakeFleet, engines int) *site { return newCrashSiteWith(fleet, 3, 2, engines) }
 
-// newCrashSiteOf is newCrashSite with other zones and hosts.
-func newCrashSiteOf(fleet *fakeFleet, zones, hostsPerZone, engines int) *site {
+// newCrashSiteWith is newCrashSite with other zones and hosts.
+func newCrashSiteWith(fleet *fakeFleet, zones, hostsPerZone, engines int) *site {
 	s := newSite(zones, hostsPerZone, true)
 	s.origin.list = nil
 	for _, service := range []ServiceName{"llm", "app"} {
@@ -97,7 +97,7 @@
 					time.Sleep(900 * time.Millisecond)
 				}
 				time.Sleep(5 * time.Second)
-				late, all := fleet.after(crashing, 3, contactBound)
+				late, all := fleet.after(crashing, 3, maxPropagationDelay)
 				if late > 3 {
 					t.Errorf("after three upstreams had ended it reached upstreams %d times more; %d ended", late, all)
 				}
--- a/forward/crashload_test.go
+++ b/forward/crashload_test.go
@@ -20,52 +20,52 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-var crashDaysFlag = flag.Bool("crash.days", false, "compare ways to treat requests that crash upstreams, on three sizes of site")
+var crashLoadsFlag = flag.Bool("crash.days", false, "compare ways to treat requests that crash upstreams, on three sizes of site")
 
 // crashLoad is a day on which upstreams end for several reasons, some of them requests.
 type crashLoad struct {
 	zones, hostsPerZone, engines int
-	// goodPerSecond is how many other requests come. One in five asks what others ask,
+	// normalPerSecond is how many other requests come. One in five asks what others ask,
 	// too, as requests about a popular thing do; the rest come again until they were
 	// served, three times at most.
-	goodPerSecond float64
-	// crashing is how many different requests crash upstreams, and crashingPerSecond how
+	normalPerSecond float64
+	// crashingRequests is how many different requests crash upstreams, and crashingPerSecond how
 	// often any of them comes.
-	crashing          int
+	crashingRequests  int
 	crashingPerSecond float64
-	// reclaimsEvery, crashesEvery and flapsEvery are the times between engines that leave
+	// reclaimInterval, crashInterval and flapInterval are the times between engines that leave
 	// with notice, end without, and end and come back all the time.
-	reclaimsEvery, crashesEvery, flapsEvery time.Duration
-	lasts                                   time.Duration
+	reclaimInterval, crashInterval, flapInterval time.Duration
+	duration                                     time.Duration
 }
 
 // crashTally is what came of a day.
 type crashTally struct {
 	mu sync.Mutex
-	// good are the other requests, lost those of them that an engine took with it, and
-	// mistaken those that were held back; own are those of these that ask what nobody
+	// normal are the other requests, lost those of them that an engine took with it, and
+	// wronglyHeld those that were held back; wronglyHeldUnique are those of these that ask what nobody
 	// else does.
-	good, lost, mistaken, own int
+	normal, lost, wronglyHeld, wronglyHeldUnique int
 	// refused are those of them that were refused for another reason.
 	refused int
-	// ends are how many engines ended under requests, and sent how often such a request
+	// enginesEnded are how many engines ended under requests, and crashingArrivals how often such a request
 	// reached an engine.
-	ends, sent int
+	enginesEnded, crashingArrivals int
 }
 
 func (t *crashTally) String() string {
-	return fmt.Sprintf("good %d lost %d refused %d held by mistake %d; engines ended under requests %d", t.good, t.lost, t.refused, t.mistaken, t.ends)
+	return fmt.Sprintf("good %d lost %d refused %d held by mistake %d; engines ended under requests %d", t.normal, t.lost, t.refused, t.wronglyHeld, t.enginesEnded)
 }
 
-func (t *crashTally) note(s *fakeSink, own bool) {
+func (t *crashTally) record(s *fakeSink, isUnique bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.good++
+	t.normal++
 	switch {
 	case s.refused != nil && s.refused.Code == CodeQuarantined:
-		t.mistaken++
-		if own {
-			t.own++
+		t.wronglyHeld++
+		if isUnique {
+			t.wronglyHeldUnique++
 		}
 	case lost(s):
 		t.lost++
@@ -74,8 +74,8 @@
 	}
 }
 
-// play plays the day.
-func (l crashLoad) play(t *testing.T, heldAfter int, seed uint64) *crashTally {
+// run plays the day.
+func (l crashLoad) run(t *testing.T, heldAfter int, seed uint64) *crashTally {
 	t.Helper()
 	tally := &crashTally{}
 	synctest.Test(t, func(t *testing.T) {
@@ -84,9 +84,9 @@
 		random := rand.New(rand.NewPCG(seed, 0))
 		fleet := newFakeFleet()
 		fleet.events = 160
-		s := newCrashSiteOf(fleet, l.zones, l.hostsPerZone, l.engines)
+		s := newCrashSiteWith(fleet, l.zones, l.hostsPerZone, l.engines)
 		for _, f := range s.hosts {
-			f.crashes.SetHeldAfter(heldAfter)
+			f.crashes.SetHoldThreshold(heldAfter)
 		}
 		s.serveAll(ctx)
 		time.Sleep(4 * time.Second)
@@ -104,14 +104,14 @@
 			pause := time.Duration(float64(time.Second) / perSecond)
 			draws := rand.New(rand.NewPCG(seed, uint64(draw(math.MaxInt))))
 			calls.Go(func() {
-				for n := 0; time.Duration(n)*pause < l.lasts; n++ {
+				for n := 0; time.Duration(n)*pause < l.duration; n++ {
 					calls.Go(func() { job(n) })
 					time.Sleep(pause/2 + time.Duration(draws.Int64N(int64(pause))))
 				}
 			})
 		}
 		hosts := l.zones * l.hostsPerZone
-		every(l.goodPerSecond, func(n int) {
+		every(l.normalPerSecond, func(n int) {
 			body, tries := fmt.Sprint("good", n), 3
 			if n%5 == 0 {
 				body, tries = fmt.Sprint("popular", n%3), 1
@@ -119,7 +119,7 @@
 			for range tries {
 				sink := &fakeSink{}
 				s.anyHost(draw(hosts), l).Serve(ctx, crashCall("/llm/", body, n), sink)
-				tally.note(sink, tries > 1)
+				tally.record(sink, tries > 1)
 				if !lost(sink) {
 					return
 				}
@@ -127,21 +127,21 @@
 			}
 		})
 		every(l.crashingPerSecond, func(n int) {
-			body := fmt.Sprint(crashing, draw(l.crashing))
+			body := fmt.Sprint(crashing, draw(l.crashingRequests))
 			s.anyHost(draw(hosts), l).Serve(ctx, crashCall("/llm/", body, n), &fakeSink{})
 		})
-		per := func(d time.Duration) float64 {
+		rate := func(d time.Duration) float64 {
 			if d <= 0 {
 				return 0
 			}
 			return 1 / d.Seconds()
 		}
-		engine := func() member.UpstreamID { return member.UpstreamID(fmt.Sprintf("llm%02d", draw(l.engines))) }
+		randomEngine := func() member.UpstreamID { return member.UpstreamID(fmt.Sprintf("llm%02d", draw(l.engines))) }
 		revision := rev(100)
-		every(per(l.crashesEvery), func(int) { fleet.end(engine()) })
-		every(per(l.flapsEvery), func(n int) { fleet.end(member.UpstreamID(fmt.Sprintf("llm%02d", n%2))) })
-		every(per(l.reclaimsEvery), func(int) {
-			id := engine()
+		every(rate(l.crashInterval), func(int) { fleet.end(randomEngine()) })
+		every(rate(l.flapInterval), func(n int) { fleet.end(member.UpstreamID(fmt.Sprintf("llm%02d", n%2))) })
+		every(rate(l.reclaimInterval), func(int) {
+			id := randomEngine()
 			u, known := s.hostAt(0).fleet.Upstream(id)
 			if !known || u.Leaving {
 				return
@@ -163,8 +163,8 @@
 		calls.Wait()
 		fleet.mu.Lock()
 		for body := range fleet.ends {
-			tally.ends += len(fleet.ends[body])
-			tally.sent += len(fleet.arrivals[body])
+			tally.enginesEnded += len(fleet.ends[body])
+			tally.crashingArrivals += len(fleet.arrivals[body])
 		}
 		fleet.mu.Unlock()
 		cancel()
@@ -178,71 +178,71 @@
 	return s.hosts[fmt.Sprintf("10.%d.0.%d:1", n%l.zones+1, n/l.zones%l.hostsPerZone+1)]
 }
 
-// troubledDay has engines reclaimed, crashing and flapping, without a request that is to
+// faultyLoad has engines reclaimed, crashing and flapping, without a request that is to
 // blame.
-func troubledDay(zones, hostsPerZone, engines int) crashLoad {
+func faultyLoad(zones, hostsPerZone, engines int) crashLoad {
 	return crashLoad{
-		zones: zones, hostsPerZone: hostsPerZone, engines: engines, goodPerSecond: float64(engines) / 2, lasts: time.Minute,
-		reclaimsEvery: 6 * time.Second, crashesEvery: 5 * time.Second, flapsEvery: 4 * time.Second,
+		zones: zones, hostsPerZone: hostsPerZone, engines: engines, normalPerSecond: float64(engines) / 2, duration: time.Minute,
+		reclaimInterval: 6 * time.Second, crashInterval: 5 * time.Second, flapInterval: 4 * time.Second,
 	}
 }
 
-// with has some different requests crash engines, which make up a part of all.
-func (l crashLoad) with(crashing int, part float64) crashLoad {
-	l.crashing, l.crashingPerSecond = crashing, part*l.goodPerSecond
+// withCrashingRequests has some different requests crash engines, which make up a part of all.
+func (l crashLoad) withCrashingRequests(count int, share float64) crashLoad {
+	l.crashingRequests, l.crashingPerSecond = count, share*l.normalPerSecond
 	return l
 }
 
-// TestCrashDay has days on which engines are reclaimed, crash and flap, without and with a
+// TestCrashLoad has days on which engines are reclaimed, crash and flap, without and with a
 // tenth of the requests that crash engines, hold nobody by mistake who asks what nobody else
 // does; and such a request end three engines, or as many as it had reached before anybody
 // could know. What many ask alike may be held for a minute by bad luck; that is a figure.
 //
 // It is a third of a day: with the race detector, whose own runtime failed on whole ones,
 // they take ten seconds and more. -crash.days plays whole ones.
-func TestCrashDay(t *testing.T) {
-	day := troubledDay(3, 2, 12)
-	day.lasts = 20 * time.Second
+func TestCrashLoad(t *testing.T) {
+	load := faultyLoad(3, 2, 12)
+	load.duration = 20 * time.Second
 	t.Run("no such request", func(t *testing.T) {
 		is := is.New(t)
-		tally := day.play(t, 0, 1)
+		tally := load.run(t, 0, 1)
 		t.Log(tally)
-		is.Equal(tally.own, 0)
-		is.True(tally.good > 100)
+		is.Equal(tally.wronglyHeldUnique, 0)
+		is.True(tally.normal > 100)
 	})
 	t.Run("a tenth of them", func(t *testing.T) {
 		is := is.New(t)
-		tally := day.with(2, 0.1).play(t, 0, 1)
+		tally := load.withCrashingRequests(2, 0.1).run(t, 0, 1)
 		t.Log(tally)
-		is.Equal(tally.own, 0)
-		is.True(tally.ends <= 2*(3+2))
+		is.Equal(tally.wronglyHeldUnique, 0)
+		is.True(tally.enginesEnded <= 2*(3+2))
 	})
 }
 
-// TestCrashWays compares ways to treat such requests, where it is asked to.
-func TestCrashWays(t *testing.T) {
-	if !*crashDaysFlag {
+// TestCrashHoldThresholds compares ways to treat such requests, where it is asked to.
+func TestCrashHoldThresholds(t *testing.T) {
+	if !*crashLoadsFlag {
 		t.Skip("compared by hand: -crash.days")
 	}
 	for _, size := range []struct {
 		name                         string
 		zones, hostsPerZone, engines int
 	}{{"small", 3, 2, 12}, {"grown", 3, 20, 45}, {"large", 5, 39, 62}} {
-		day := troubledDay(size.zones, size.hostsPerZone, size.engines)
-		quiet := day
-		quiet.reclaimsEvery, quiet.crashesEvery, quiet.flapsEvery = 0, 0, 0
+		faults := faultyLoad(size.zones, size.hostsPerZone, size.engines)
+		quiet := faults
+		quiet.reclaimInterval, quiet.crashInterval, quiet.flapInterval = 0, 0, 0
 		for _, load := range []struct {
 			name string
 			crashLoad
-		}{{"none", day}, {"few", quiet.with(2, 0.1)}, {"many", day.with(max(4, size.engines/3), 0.1)}} {
-			for _, heldAfter := range []int{math.MaxInt, quarantine.DefaultHeldAfter, 2} {
+		}{{"none", faults}, {"few", quiet.withCrashingRequests(2, 0.1)}, {"many", faults.withCrashingRequests(max(4, size.engines/3), 0.1)}} {
+			for _, heldAfter := range []int{math.MaxInt, quarantine.DefaultHoldThreshold, 2} {
 				total := &crashTally{}
 				for seed := range uint64(3) {
-					tally := load.play(t, heldAfter, seed+1)
-					total.good, total.lost, total.refused = total.good+tally.good, total.lost+tally.lost, total.refused+tally.refused
-					total.mistaken, total.ends = total.mistaken+tally.mistaken, total.ends+tally.ends
+					tally := load.run(t, heldAfter, seed+1)
+					total.normal, total.lost, total.refused = total.normal+tally.normal, total.lost+tally.lost, total.refused+tally.refused
+					total.wronglyHeld, total.enginesEnded = total.wronglyHeld+tally.wronglyHeld, total.enginesEnded+tally.enginesEnded
 				}
-				t.Logf("%s, %s of %d: held after %d: %v", size.name, load.name, load.crashing, heldAfter, total)
+				t.Logf("%s, %s of %d: held after %d: %v", size.name, load.name, load.crashingRequests, heldAfter, total)
 			}
 		}
 	}
--- a/forward/drillstore_test.go
+++ b/forward/drillstore_test.go
@@ -19,12 +19,12 @@
 
 // drillStore is an origin in virtual time that can be restored from an older copy.
 type drillStore struct {
-	mu  sync.Mutex
-	era history.Era
-	at  history.Revision
+	mu           sync.Mutex
+	era          history.Era
+	lastRevision history.Revision
 	// events are all changes of the present era, with those that its copy had.
-	events []drillEvent
-	away   bool
+	events      []drillEvent
+	unavailable bool
 	// changed closes at the next change and is made anew.
 	changed chan struct{}
 	calls   []drillCall
@@ -53,20 +53,20 @@
 func (s *drillStore) write(e drillEvent) history.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at++
-	e.revision, e.at = s.at, time.Now()
+	s.lastRevision++
+	e.revision, e.at = s.lastRevision, time.Now()
 	s.events = append(s.events, e)
-	s.wake()
-	return s.at
+	s.notifyWatchers()
+	return s.lastRevision
 }
 
-// writeUnlessThere makes a change again unless the store has it.
-func (s *drillStore) writeUnlessThere(e drillEvent) {
+// writeUnlessCurrent makes a change again unless the store has it.
+func (s *drillStore) writeUnlessCurrent(e drillEvent) {
 	s.mu.Lock()
 	var newest drillEvent
-	for _, there := range s.events {
-		if there.key == e.key {
-			newest = there
+	for _, existing := range s.events {
+		if existing.key == e.key {
+			newest = existing
 		}
 	}
 	s.mu.Unlock()
@@ -76,21 +76,21 @@
 	}
 }
 
-func (s *drillStore) wake() {
+func (s *drillStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *drillStore) list(u Upstream) history.Revision {
+func (s *drillStore) listUpstream(u Upstream) history.Revision {
 	return s.write(drillEvent{key: "upstream/" + string(u.ID), upstream: &Change{Upstream: u}})
 }
 
-func (s *drillStore) drop(id member.UpstreamID) history.Revision {
+func (s *drillStore) dropUpstream(id member.UpstreamID) history.Revision {
 	return s.write(drillEvent{key: "upstream/" + string(id), upstream: &Change{Upstream: Upstream{ID: id}, Gone: true}})
 }
 
-func (s *drillStore) order(zone member.Zone, out bool) history.Revision {
-	return s.write(drillEvent{key: "zone/" + string(zone), zone: &ZoneOrder{Zone: zone, OutOfService: out}})
+func (s *drillStore) orderZone(zone member.Zone, outOfService bool) history.Revision {
+	return s.write(drillEvent{key: "zone/" + string(zone), zone: &ZoneOrder{Zone: zone, OutOfService: outOfService}})
 }
 
 func (s *drillStore) configure(v Version) history.Revision {
@@ -105,30 +105,30 @@
 func (s *drillStore) revision() history.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.at
+	return s.lastRevision
 }
 
-// leave has the store answer nobody until it is restored or returns.
-func (s *drillStore) leave() {
+// stopAnswering has the store answer nobody until it is restored or returns.
+func (s *drillStore) stopAnswering() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = true
-	s.wake()
+	s.unavailable = true
+	s.notifyWatchers()
 }
 
 // restore has the store come back from the copy of a revision.
-func (s *drillStore) restore(copied history.Revision) {
+func (s *drillStore) restore(backupRevision history.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = false
+	s.unavailable = false
 	s.era++
-	s.at = copied
-	s.events = slices.DeleteFunc(s.events, func(e drillEvent) bool { return e.revision > copied })
-	s.wake()
+	s.lastRevision = backupRevision
+	s.events = slices.DeleteFunc(s.events, func(e drillEvent) bool { return e.revision > backupRevision })
+	s.notifyWatchers()
 }
 
-// callsIn counts each host's calls in the second after a time.
-func (s *drillStore) callsIn(from, until time.Time) map[member.HostID]int {
+// callsBetween counts each host's calls in the second after a time.
+func (s *drillStore) callsBetween(from, until time.Time) map[member.HostID]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	calls := map[member.HostID]int{}
@@ -140,56 +140,56 @@
 	return calls
 }
 
-// drillLink is the store as one host reaches it.
-type drillLink struct {
+// drillStoreClient is the store as one host reaches it.
+type drillStoreClient struct {
 	*drillStore
-	host member.HostID
-	mu   *sync.Mutex
-	cut  map[member.HostID]bool
+	host      member.HostID
+	noStoreMu *sync.Mutex
+	noStore   map[member.HostID]bool
 }
 
-// call notes a call, and reports whether the store answers it.
-func (l drillLink) call() bool {
+// recordCall notes a recordCall, and reports whether the store answers it.
+func (l drillStoreClient) recordCall() bool {
 	l.drillStore.mu.Lock()
 	defer l.drillStore.mu.Unlock()
 	l.calls = append(l.calls, drillCall{l.host, time.Now()})
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.away && !l.cut[l.host]
+	l.noStoreMu.Lock()
+	defer l.noStoreMu.Unlock()
+	return !l.unavailable && !l.noStore[l.host]
 }
 
-// newest are the events after a revision, the newest of each key if only that is wanted.
-func (s *drillStore) newest(after history.Revision, whole bool) (OriginUpdate, bool, <-chan struct{}) {
+// changesAfter are the events after a revision, the changesAfter of each key if only that is wanted.
+func (s *drillStore) changesAfter(after history.Revision, onlyNewest bool) (OriginUpdate, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news := OriginUpdate{Revision: history.At(s.era, s.at)}
-	last := map[string]history.Revision{}
+	update := OriginUpdate{Revision: history.At(s.era, s.lastRevision)}
+	newest := map[string]history.Revision{}
 	for _, e := range s.events {
-		last[e.key] = e.revision
+		newest[e.key] = e.revision
 	}
 	for _, e := range s.events {
-		if e.revision > after && (!whole || last[e.key] == e.revision) {
-			e.tell(&news, s.era, whole)
+		if e.revision > after && (!onlyNewest || newest[e.key] == e.revision) {
+			e.appendTo(&update, s.era, onlyNewest)
 		}
 	}
-	return news, after <= s.at, s.changed
+	return update, after <= s.lastRevision, s.changed
 }
 
-// tell puts an event among news; a reading doesn't have what is gone.
-func (e drillEvent) tell(news *OriginUpdate, era history.Era, whole bool) {
+// appendTo puts an event among news; a reading doesn't have what is gone.
+func (e drillEvent) appendTo(update *OriginUpdate, era history.Era, onlyNewest bool) {
 	switch {
-	case e.upstream != nil && !(whole && e.upstream.Gone):
+	case e.upstream != nil && !(onlyNewest && e.upstream.Gone):
 		c := *e.upstream
 		c.Revision = history.At(era, e.revision)
-		news.Changes = append(news.Changes, c)
-	case e.zone != nil && !(whole && !e.zone.OutOfService):
+		update.Changes = append(update.Changes, c)
+	case e.zone != nil && !(onlyNewest && !e.zone.OutOfService):
 		o := *e.zone
 		o.Revision = history.At(era, e.revision)
-		news.ZoneOrders = append(news.ZoneOrders, o)
+		update.ZoneOrders = append(update.ZoneOrders, o)
 	case e.config != nil:
-		news.Config = e.config
+		update.Config = e.config
 	case e.crash != nil:
-		news.HeldRequests = append(news.HeldRequests, *e.crash)
+		update.HeldRequests = append(update.HeldRequests, *e.crash)
 	}
 }
 
@@ -197,55 +197,55 @@
 	return len(n.Changes)+len(n.ZoneOrders)+len(n.HeldRequests) == 0 && n.Config == nil
 }
 
-// drillAnswers is how long the store takes for an answer.
-const drillAnswers = 4 * time.Millisecond
+// drillStoreLatency is how long the store takes for an answer.
+const drillStoreLatency = 4 * time.Millisecond
 
-func (l drillLink) Read(ctx context.Context, known history.Era) (OriginUpdate, error) {
-	PauseFor(ctx, drillAnswers)
-	if !l.call() {
+func (l drillStoreClient) Read(ctx context.Context, known history.Era) (OriginUpdate, error) {
+	PauseFor(ctx, drillStoreLatency)
+	if !l.recordCall() {
 		return OriginUpdate{}, errGone
 	}
-	news, _, _ := l.newest(0, true)
-	return news, nil
+	update, _, _ := l.changesAfter(0, true)
+	return update, nil
 }
 
-func (l drillLink) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
-	PauseFor(ctx, drillAnswers)
-	if !l.call() {
+func (l drillStoreClient) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
+	PauseFor(ctx, drillStoreLatency)
+	if !l.recordCall() {
 		return OriginUpdate{}, errGone
 	}
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
-		news, had, changed := l.newest(after.Revision(), false)
-		if !had {
+		update, hasHistory, changed := l.changesAfter(after.Revision(), false)
+		if !hasHistory {
 			return OriginUpdate{}, ErrHistoryGone
 		}
-		if !news.isEmpty() {
-			return news, nil
+		if !update.isEmpty() {
+			return update, nil
 		}
 		select {
 		case <-changed:
-		case <-over.C:
-			return news, nil
+		case <-timeout.C:
+			return update, nil
 		case <-ctx.Done():
 			return OriginUpdate{}, ctx.Err()
 		}
 		l.drillStore.mu.Lock()
-		away := l.away
+		unavailable := l.unavailable
 		l.drillStore.mu.Unlock()
-		if away {
+		if unavailable {
 			return OriginUpdate{}, errGone
 		}
 	}
 }
 
-func (l drillLink) Keep(_ context.Context, m quarantine.Mark) error {
-	if !l.call() {
+func (l drillStoreClient) Keep(_ context.Context, m quarantine.Mark) error {
+	if !l.recordCall() {
 		return errGone
 	}
 	for i := range m.Crashes {
-		m.Crashes[i].Ago = 0
+		m.Crashes[i].Age = 0
 	}
 	l.write(drillEvent{key: "crash/" + m.Request.String(), crash: &m})
 	return nil
@@ -254,23 +254,23 @@
 // drill is a site of hosts before a store that is restored.
 type drill struct {
 	*site
-	store *drillStore
-	start time.Time
-	cutMu sync.Mutex
+	store     *drillStore
+	beganAt   time.Time
+	noStoreMu sync.Mutex
 	// noStore are the hosts that don't reach the store.
 	noStore map[member.HostID]bool
 	ctx     context.Context
-	// ends end the process at each address.
-	ends map[string]context.CancelFunc
+	// stopHost end the process at each address.
+	stopHost map[string]context.CancelFunc
 
-	found    sync.Mutex
-	findings []string
+	findingsMu sync.Mutex
+	findings   []string
 }
 
 func newDrill(ctx context.Context, zones, hostsPerZone int) *drill {
-	d := &drill{site: newSite(zones, hostsPerZone, true), store: newDrillStore(), start: time.Now(), noStore: map[member.HostID]bool{}, ctx: ctx, ends: map[string]context.CancelFunc{}}
+	d := &drill{site: newSite(zones, hostsPerZone, true), store: newDrillStore(), beganAt: time.Now(), noStore: map[member.HostID]bool{}, ctx: ctx, stopHost: map[string]context.CancelFunc{}}
 	for _, id := range []member.UpstreamID{"app1", "app2", "app3", "app4"} {
-		d.store.list(plainUp(id))
+		d.store.listUpstream(plainUpstream(id))
 	}
 	d.store.configure(1)
 	for _, f := range d.hosts {
@@ -281,11 +281,11 @@
 
 // startHost runs a host's duties.
 func (d *drill) startHost(f *Forwarder) {
-	ctx, end := context.WithCancel(d.ctx)
+	ctx, cancel := context.WithCancel(d.ctx)
 	d.mu.Lock()
-	d.ends[f.settings.Self.PeerAddress] = end
+	d.stopHost[f.settings.Self.PeerAddress] = cancel
 	d.mu.Unlock()
-	d.startBy(ctx, f, drillLink{d.store, f.settings.Self.ID, &d.cutMu, d.noStore})
+	d.startBy(ctx, f, drillStoreClient{d.store, f.settings.Self.ID, &d.noStoreMu, d.noStore})
 	go f.Run(ctx)
 }
 
@@ -293,29 +293,29 @@
 func (d *drill) restart(address string) *Forwarder {
 	d.mu.Lock()
 	settings := d.hosts[address].settings
-	end := d.ends[address]
+	stop := d.stopHost[address]
 	d.mu.Unlock()
-	end()
+	stop()
 	settings.FirstStart = false
-	fresh := New(settings, &fakeTransport{}, silentJournal{}, silentObserver{})
-	d.replace(fresh)
-	d.startHost(fresh)
-	return fresh
+	restarted := New(settings, &fakeTransport{}, silentJournal{}, silentObserver{})
+	d.replace(restarted)
+	d.startHost(restarted)
+	return restarted
 }
 
 // withoutStore has hosts not reach the store, or reach it again.
-func (d *drill) withoutStore(cut bool, hosts ...member.HostID) {
-	d.cutMu.Lock()
-	defer d.cutMu.Unlock()
+func (d *drill) withoutStore(unreachable bool, hosts ...member.HostID) {
+	d.noStoreMu.Lock()
+	defer d.noStoreMu.Unlock()
 	for _, h := range hosts {
-		d.noStore[h] = cut
+		d.noStore[h] = unreachable
 	}
 }
 
-func (d *drill) finding(format string, args ...any) {
-	d.found.Lock()
-	defer d.found.Unlock()
-	d.findings = append(d.findings, fmt.Sprintf("%5.2f s ", time.Since(d.start).Seconds())+fmt.Sprintf(format, args...))
+func (d *drill) addFinding(format string, args ...any) {
+	d.findingsMu.Lock()
+	defer d.findingsMu.Unlock()
+	d.findings = append(d.findings, fmt.Sprintf("%5.2f s ", time.Since(d.beganAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
 // report fails the test with the first findings.
@@ -330,8 +330,8 @@
 	}
 }
 
-// each are the hosts, in the order of their names.
-func (d *drill) each() []*Forwarder {
+// sortedHosts are the hosts, in the order of their names.
+func (d *drill) sortedHosts() []*Forwarder {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var hosts []*Forwarder
@@ -344,40 +344,40 @@
 	return hosts
 }
 
-// drillLook is how often hosts are looked at.
-const drillLook = 20 * time.Millisecond
+// drillCheckInterval is how often hosts are looked at.
+const drillCheckInterval = 20 * time.Millisecond
 
-// hold checks all hosts for a while: from a time on, what is said has to hold.
-func (d *drill) hold(what string, from, lasts time.Duration, holds func(f *Forwarder) bool) {
-	time.Sleep(from)
+// checkHolds checks all hosts for a while: from a time on, what is said has to checkHolds.
+func (d *drill) checkHolds(condition string, delay, duration time.Duration, holds func(f *Forwarder) bool) {
+	time.Sleep(delay)
 	failing := map[member.HostID]bool{}
-	for began := time.Now(); time.Since(began) < lasts; time.Sleep(drillLook) {
-		for _, f := range d.each() {
+	for startedAt := time.Now(); time.Since(startedAt) < duration; time.Sleep(drillCheckInterval) {
+		for _, f := range d.sortedHosts() {
 			if id := f.settings.Self.ID; !failing[id] && !holds(f) {
 				failing[id] = true
-				d.finding("%s: not at %s", what, id)
+				d.addFinding("%s: not at %s", condition, id)
 			}
 		}
 	}
 }
 
-func plainUp(id member.UpstreamID) Upstream {
+func plainUpstream(id member.UpstreamID) Upstream {
 	return Upstream{ID: id, Service: "app", Address: "10.1.0.1:" + string(id), Zone: "z1", Slots: 6}
 }
 
-func leavingUp(id member.UpstreamID) Upstream {
-	u := plainUp(id)
+func leavingUpstream(id member.UpstreamID) Upstream {
+	u := plainUpstream(id)
 	u.Leaving = true
 	return u
 }
 
-// takes reports whether a host gives an upstream new work.
-func takes(id member.UpstreamID) func(f *Forwarder) bool {
+// givesWork reports whether a host gives an upstream new work.
+func givesWork(id member.UpstreamID) func(f *Forwarder) bool {
 	return func(f *Forwarder) bool {
 		return slices.ContainsFunc(f.fleet.Available(f.now(), "app"), func(u Upstream) bool { return u.ID == id })
 	}
 }
 
-func takesNot(id member.UpstreamID) func(f *Forwarder) bool {
-	return func(f *Forwarder) bool { return !takes(id)(f) }
+func givesNoWork(id member.UpstreamID) func(f *Forwarder) bool {
+	return func(f *Forwarder) bool { return !givesWork(id)(f) }
 }
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -252,7 +252,7 @@
 		case <-changed:
 		case <-f.relistRequested:
 		case <-tick.C:
-			f.crashes.Forget(f.now(), f.peers.isKnown)
+			f.crashes.Prune(f.now(), f.peers.isKnown)
 			f.forgetLimits(f.now())
 			f.backoffs.Forget(f.now())
 			for _, c := range f.fleet.Settle(f.now()) {
--- a/forward/limitfaults_test.go
+++ b/forward/limitfaults_test.go
@@ -163,7 +163,7 @@
 				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, lasts: until,
 				needs: []need{needOf(id, rate, until)}, happens: c.happens, coldRate: 10,
 			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
-				rule, aim, used := fleet.rule(id, c.excused...), fleet.aim(id), fleet.used(id, settled+contactBound, until, rate)
+				rule, aim, used := fleet.rule(id, c.excused...), fleet.aim(id), fleet.used(id, settled+maxPropagationDelay, until, rate)
 				t.Logf("%v; used %.2f; asked %d, served %d", aim, used, tally.asked, tally.good)
 				if rule.broken() {
 					perHost := map[member.HostID]int{}
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -148,7 +148,7 @@
 
 // newNeedySite returns zones of hosts before upstreams that name limits.
 func newNeedySite(fleet *needyFleet, zones, hostsPerZone, upstreams int) *site {
-	s := newCrashSiteOf(fleet.fakeFleet, zones, hostsPerZone, upstreams)
+	s := newCrashSiteWith(fleet.fakeFleet, zones, hostsPerZone, upstreams)
 	for _, f := range s.hosts {
 		f.transport = &fakeTransport{send: fleet.sendFrom(f.settings.Self.ID), reach: fleet.Reach}
 	}
@@ -197,7 +197,7 @@
 // requests, and nine tenths of them used while more is wanted; and no caller wait for a
 // refusal, or hear that its request may have run.
 func TestLimitsAim(t *testing.T) {
-	const from = settled + contactBound
+	const from = settled + maxPropagationDelay
 	for name, d := range map[string]limitDay{
 		"calls, at all hosts":         {path: "/order/", perSecond: 40},
 		"calls, at one host":          {path: "/order/", perSecond: 40, atOneHost: true},
@@ -271,8 +271,8 @@
 			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
 				got, takes := 0, 0.0
 				for _, n := range needs {
-					got += fleet.count(n.upstream, settled+contactBound, until)
-					takes += float64(n.rate) * (until - settled - contactBound).Seconds()
+					got += fleet.count(n.upstream, settled+maxPropagationDelay, until)
+					takes += float64(n.rate) * (until - settled - maxPropagationDelay).Seconds()
 					if rule, aim := fleet.rule(n.upstream), fleet.aim(n.upstream); rule.broken() || aim.broken() {
 						t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
 					}
@@ -303,7 +303,7 @@
 					needs: needs, lasts: until, permits: func(n int64) { asks = n },
 				}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
 					for _, n := range needs {
-						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, settled+contactBound, until, n.rate)
+						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, settled+maxPropagationDelay, until, n.rate)
 						t.Logf("%s at %v a second: %v; used %.2f", n.upstream, float64(n.rate), aim, used)
 						if rule.broken() || aim.broken() {
 							t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
--- a/forward/needyfleet_test.go
+++ b/forward/needyfleet_test.go
@@ -135,11 +135,11 @@
 // highest is the highest limit that an upstream names in the window up to a time, if it has
 // named one since the contact bound before that.
 func (f *needyFleet) highest(id member.UpstreamID, at time.Duration) (ratelimit.Rate, bool) {
-	if _, named := f.limit(id, at-contactBound); !named {
+	if _, named := f.limit(id, at-maxPropagationDelay); !named {
 		return 0, false
 	}
 	var highest ratelimit.Rate
-	for t := at - contactBound; t <= at; t += 50 * time.Millisecond {
+	for t := at - maxPropagationDelay; t <= at; t += 50 * time.Millisecond {
 		rate, named := f.limit(id, t)
 		if !named {
 			return 0, false
@@ -167,7 +167,7 @@
 		return math.Ceil(float64(max(r, ratelimit.LeastRate)) * limitWindow.Seconds())
 	}
 	return f.check(id, allowed, func(r request) bool {
-		_, heard := f.limit(id, r.at-contactBound)
+		_, heard := f.limit(id, r.at-maxPropagationDelay)
 		return heard
 	})
 }
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -153,7 +153,7 @@
 		f.engines.forgetUnknownPeers(now, f.peers.isKnown)
 		f.engines.updateKnownParts(now, f.peers.zoneByHost())
 		share := f.newShare(now)
-		for _, to := range f.peers.shareTargets(now, period, all, f.crashes.Behind) {
+		for _, to := range f.peers.shareTargets(now, period, all, f.crashes.LacksLocalChanges) {
 			pending.Go(func() { f.shareWith(ctx, peers, to, share) })
 		}
 		if period {
@@ -221,7 +221,7 @@
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	var upTo uint64
-	share.Crashes, upTo = f.crashes.Tell(f.now(), to.ID)
+	share.Crashes, upTo = f.crashes.UnsentMarks(f.now(), to.ID)
 	suspendedBefore := f.settings.Clock.Slept()
 	reply, err := peers.Share(ctx, to, share)
 	f.peers.recordShareResult(to.ID, err)
@@ -233,7 +233,7 @@
 			f.peers.recordExchange(f.now(), reply.From.ID)
 		}
 		f.receiveShare(reply)
-		f.crashes.Told(reply.From.ID, reply.Epoch, upTo)
+		f.crashes.MarksSent(reply.From.ID, reply.Epoch, upTo)
 	}
 }
 
@@ -263,7 +263,7 @@
 		f.receivePeerBackoff(now, s.From.ID, mark)
 	}
 	f.resetRestartedUpstreams()
-	f.crashes.Met(s.From.ID, s.Epoch)
+	f.crashes.PeerSeen(s.From.ID, s.Epoch)
 	f.receiveCrashes(now, s.Crashes)
 	if len(s.Announcements) > 0 {
 		f.peers.receiveAnnouncements(now, s.From.ID, s.Announcements)
@@ -299,7 +299,7 @@
 		reply.Runs, reply.EndedRuns = f.engines.runStates(now), f.engines.endedRuns(now)
 		f.peers.recordExchange(now, s.From.ID)
 	}
-	reply.Crashes, _ = f.crashes.Tell(now, s.From.ID)
+	reply.Crashes, _ = f.crashes.UnsentMarks(now, s.From.ID)
 	if s.List.IsZero() {
 		reply.Announcements = f.peers.announcementsForJoiner(now, s.From.ID)
 	}
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -39,7 +39,7 @@
 
 // evidence is what is known against the request.
 func (x *exchange) evidence(now time.Time) quarantine.Evidence {
-	e, f := x.crashes.Judge(now, x.requestIdentity(), x.cachedFingerprint.Load())
+	e, f := x.crashes.Evaluate(now, x.requestIdentity(), x.cachedFingerprint.Load())
 	x.cachedFingerprint.Store(f)
 	return e
 }
@@ -49,10 +49,10 @@
 // beside a slow one, a move, a stream that is taken up again, and the end of a wait.
 func (x *exchange) held(now time.Time) bool {
 	e := x.evidence(now)
-	if e.Standing < quarantine.Tried || e.Standing == quarantine.Tried && x.tries(now) {
+	if e.Standing < quarantine.TrialDue || e.Standing == quarantine.TrialDue && x.tries(now) {
 		return false
 	}
-	x.journal.Request(x.call.ID, "held back", "asks", x.fingerprint(), "upstreams_ended", e.Ended, "last_ended_ago", e.Last)
+	x.journal.Request(x.call.ID, "held back", "asks", x.fingerprint(), "upstreams_ended", e.UpstreamsEnded, "last_ended_ago", e.SinceLastEnd)
 	return true
 }
 
@@ -61,7 +61,7 @@
 func (x *exchange) tries(now time.Time) bool {
 	x.quarantineTrialMu.Lock()
 	defer x.quarantineTrialMu.Unlock()
-	if !x.isQuarantineTrial && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
+	if !x.isQuarantineTrial && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.BeginTrial(now, x.fingerprint()) {
 		x.isQuarantineTrial = true
 		x.journal.Request(x.call.ID, "tried again", "asks", x.fingerprint())
 	}
@@ -76,8 +76,8 @@
 // peer is told at once: the request may come to any of them next.
 func (x *exchange) crashedUnder(now time.Time, u Upstream) {
 	f := x.fingerprint()
-	e := x.crashes.Crashed(now, f, quarantine.Origin{Caller: string(x.account.Name), Route: x.route.Name}, quarantine.Upstream{ID: u.ID, Life: int64(u.Incarnation)})
-	x.journal.Request(x.call.ID, "upstream ended under it", "upstream", u.ID, "life", u.Incarnation, "asks", f, "upstreams_ended", e.Ended, "held", e.Standing == quarantine.Held)
+	e := x.crashes.RecordCrash(now, f, quarantine.Origin{Caller: string(x.account.Name), Route: x.route.Name}, quarantine.Upstream{ID: u.ID, Incarnation: int64(u.Incarnation)})
+	x.journal.Request(x.call.ID, "upstream ended under it", "upstream", u.ID, "life", u.Incarnation, "asks", f, "upstreams_ended", e.UpstreamsEnded, "held", e.Standing == quarantine.Held)
 	if e.Standing == quarantine.Held {
 		x.endHeld([]quarantine.Fingerprint{f})
 		x.queueSave(f)
@@ -88,11 +88,11 @@
 // survived takes in that an upstream has run the request and gone on.
 func (x *exchange) survived(now time.Time) {
 	e := x.evidence(now)
-	if e.Standing == quarantine.Clear || !x.crashes.RanWell(now, x.fingerprint()) {
+	if e.Standing == quarantine.Clear || !x.crashes.ClearCrashes(now, x.fingerprint()) {
 		return
 	}
 	x.journal.Request(x.call.ID, "ran well", "asks", x.fingerprint())
-	if e.Standing >= quarantine.Tried {
+	if e.Standing >= quarantine.TrialDue {
 		x.queueSave(x.fingerprint())
 	}
 }
@@ -159,7 +159,7 @@
 func (f *Forwarder) OnQuarantine(release *quarantine.Fingerprint) (entries []quarantine.Entry, released bool) {
 	now := f.now()
 	if release != nil {
-		if released = f.crashes.RanWell(now, *release); released {
+		if released = f.crashes.ClearCrashes(now, *release); released {
 			f.journal.HostEvent("let through again", "asks", *release, "by", "operator")
 			f.peers.notifyAll()
 			f.queueSave(*release)
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -98,7 +98,7 @@
 			d.crashThrice("/llm/", crashing)
 			time.Sleep(10 * time.Second)
 			d.regain(cut.settings.Self.PeerAddress)
-			time.Sleep(contactBound)
+			time.Sleep(maxPropagationDelay)
 			if !d.heldAt(cut, "/llm/", crashing) {
 				d.Errorf("the host that is back sends it")
 			}
@@ -113,7 +113,7 @@
 			d.replace(again)
 			d.start(d.ctx, again)
 			go again.Run(d.ctx)
-			time.Sleep(contactBound)
+			time.Sleep(maxPropagationDelay)
 			if !d.heldAt(again, "/llm/", crashing) {
 				d.Errorf("the host that has started sends it")
 			}
@@ -127,7 +127,7 @@
 			d.origin.lost.Store(false)
 			time.Sleep(3 * time.Second)
 			d.restartAll()
-			time.Sleep(contactBound)
+			time.Sleep(maxPropagationDelay)
 			for n := range 6 {
 				if !d.heldAt(d.hostAt(n), "/llm/", crashing) {
 					d.Errorf("host %d sends it", n)
@@ -145,7 +145,7 @@
 			}
 			time.Sleep(time.Second)
 			d.restartAll()
-			time.Sleep(contactBound)
+			time.Sleep(maxPropagationDelay)
 			if d.heldAt(d.hostAt(0), "/llm/", crashing) {
 				d.Errorf("it is held again")
 			}
@@ -182,7 +182,7 @@
 			f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) { return c.answer(), nil }})
 			asked := call("/order/")
 			x := &exchange{Forwarder: f, call: asked, account: Account{Name: "counter"}}
-			f.crashes.Crashed(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: "app9"})
+			f.crashes.RecordCrash(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: "app9"})
 			f.Serve(t.Context(), asked, &fakeSink{})
 			is.Equal(len(f.Quarantined()) == 0, c.cleared)
 		})
@@ -270,7 +270,7 @@
 			for n := range 6 {
 				entries := d.hostAt(n).crashes.Entries(time.Now())
 				is.Equal(len(entries), 1) // nothing is left against the other
-				is.Equal(entries[0].Ended, 3)
+				is.Equal(entries[0].UpstreamsEnded, 3)
 			}
 		})
 	})
--- a/forward/restoremodel_test.go
+++ b/forward/restoremodel_test.go
@@ -64,7 +64,7 @@
 
 func (m *restoreModel) startUpstream() {
 	m.startedCount++
-	m.store.list(plainUp(member.UpstreamID(fmt.Sprint("app", m.startedCount))))
+	m.store.listUpstream(plainUpstream(member.UpstreamID(fmt.Sprint("app", m.startedCount))))
 }
 
 // livingUpstreams returns the upstreams that may get work.
@@ -110,7 +110,7 @@
 		return
 	}
 	if h.needsFullRead {
-		update, _, _ := m.store.newest(0, true)
+		update, _, _ := m.store.changesAfter(0, true)
 		h.fleet.ApplyUpdate(m.now, update, true)
 		if !h.storeFailingSince.IsZero() {
 			h.fleet.ListRegained(m.now, m.now.Sub(h.storeFailingSince))
@@ -119,7 +119,7 @@
 		h.needsFullRead, h.watchFrom = false, update.Revision
 		return
 	}
-	update, hasHistory, _ := m.store.newest(h.watchFrom.Revision(), false)
+	update, hasHistory, _ := m.store.changesAfter(h.watchFrom.Revision(), false)
 	if !hasHistory || !update.Revision.SameEra(h.watchFrom) {
 		h.needsFullRead = true
 		return
@@ -250,19 +250,19 @@
 				if ids := m.livingUpstreams(); len(ids) > 1 {
 					id := rapid.SampledFrom(ids).Draw(t, "upstream")
 					m.leaving[id] = true
-					m.supersedeLost("upstream/"+string(id), func() { m.store.list(leavingUp(id)) })
+					m.supersedeLost("upstream/"+string(id), func() { m.store.listUpstream(leavingUpstream(id)) })
 				}
 			},
 			"upstream ends": func(t *rapid.T) {
 				if ids := m.livingUpstreams(); len(ids) > 1 {
 					id := rapid.SampledFrom(ids).Draw(t, "upstream")
 					m.ended[id] = true
-					m.supersedeLost("upstream/"+string(id), func() { m.store.drop(id) })
+					m.supersedeLost("upstream/"+string(id), func() { m.store.dropUpstream(id) })
 				}
 			},
 			"zone out or in": func(*rapid.T) {
 				m.zoneOut = !m.zoneOut
-				m.supersedeLost("zone/z2", func() { m.store.order("z2", m.zoneOut) })
+				m.supersedeLost("zone/z2", func() { m.store.orderZone("z2", m.zoneOut) })
 			},
 			"other write":       func(*rapid.T) { m.store.touch() },
 			"restore":           func(t *rapid.T) { m.restore(rapid.IntRange(0, 4).Draw(t, "lost")) },
--- a/forward/rollouts_test.go
+++ b/forward/rollouts_test.go
@@ -165,7 +165,7 @@
 	var failuresMu sync.Mutex
 	fleet, tally := newFakeFleet(), &rolloutTally{}
 	fleet.events = 40 // runs that nothing moves end by themselves
-	s := newCrashSiteOf(fleet, d.zones, d.hostsPerZone, 6)
+	s := newCrashSiteWith(fleet, d.zones, d.hostsPerZone, 6)
 	o := &rolloutOrigin{siteOrigin: s.origin, records: map[ServiceName]rollout.Status{}, phases: map[rollout.Phase]time.Time{}, next: 100}
 	var given time.Time
 	versions := map[member.UpstreamID]rollout.Version{}
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -24,26 +24,26 @@
 // What one host costs at different sizes of the fleet, counted in virtual time. What grows with the
 // fleet at one host doesn't hold at twice its size.
 
-// scaleSite is a site of which the calls are counted by host.
-type scaleSite struct {
+// countingSite is a site of which the calls are counted by host.
+type countingSite struct {
 	*site
-	mu             sync.Mutex
-	counted        bool
-	in, out        map[member.HostID]int
-	wholes         map[member.HostID]int
-	followersOf    map[member.HostID]map[member.HostID]bool
-	sharesReceived map[member.HostID]int
+	mu                sync.Mutex
+	isCounting        bool
+	callsIn, callsOut map[member.HostID]int
+	completeReplies   map[member.HostID]int
+	followersOf       map[member.HostID]map[member.HostID]bool
+	sharesReceived    map[member.HostID]int
 }
 
-func (s *scaleSite) note(from, to member.HostID, follow bool) {
+func (s *countingSite) recordCall(from, to member.HostID, isFollow bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.counted {
+	if !s.isCounting {
 		return
 	}
-	s.out[from]++
-	s.in[to]++
-	if !follow {
+	s.callsOut[from]++
+	s.callsIn[to]++
+	if !isFollow {
 		s.sharesReceived[to]++
 		return
 	}
@@ -53,24 +53,24 @@
 	s.followersOf[to][from] = true
 }
 
-// scalePort counts a host's calls.
-type scalePort struct {
+// countingPort counts a host's calls.
+type countingPort struct {
 	sitePort
-	counts *scaleSite
+	counter *countingSite
 }
 
-func (p scalePort) Share(ctx context.Context, to Peer, share Share) (Share, error) {
-	p.counts.note(p.self, to.ID, false)
+func (p countingPort) Share(ctx context.Context, to Peer, share Share) (Share, error) {
+	p.counter.recordCall(p.self, to.ID, false)
 	return p.sitePort.Share(ctx, to, share)
 }
 
-func (p scalePort) Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error) {
-	p.counts.note(p.self, to.ID, true)
+func (p countingPort) Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error) {
+	p.counter.recordCall(p.self, to.ID, true)
 	reply, err := p.sitePort.Follow(ctx, to, r)
 	if reply.Complete {
-		p.counts.mu.Lock()
-		p.counts.wholes[to.ID]++
-		p.counts.mu.Unlock()
+		p.counter.mu.Lock()
+		p.counter.completeReplies[to.ID]++
+		p.counter.mu.Unlock()
 	}
 	return reply, err
 }
@@ -78,29 +78,29 @@
 // directoryOrigin is the origin with the hosts that are on the directory.
 type directoryOrigin struct {
 	*siteOrigin
-	hosts []Peer
-	asked *atomic.Int64
+	hosts      []Peer
+	hostsReads *atomic.Int64
 }
 
 func (o directoryOrigin) Hosts(context.Context) ([]Peer, error) {
-	o.asked.Add(1)
+	o.hostsReads.Add(1)
 	return o.hosts, nil
 }
 
-// scaleZones is how many zones a fleet of some hosts has: the smallest divided zones have 49 hosts, and
+// zonesForFleet is how many zones a fleet of some hosts has: the smallest divided zones have 49 hosts, and
 // the race detector is slow with hundreds.
-func scaleZones(hosts int) int {
+func zonesForFleet(hosts int) int {
 	if hosts < 240 {
 		return 2
 	}
 	return 5
 }
 
-// newScaleSite starts a site with ten engines a host.
-func newScaleSite(ctx context.Context, hosts int) *scaleSite {
-	zones := scaleZones(hosts)
-	s := &scaleSite{
-		site: newSite(zones, hosts/zones, true), in: map[member.HostID]int{}, out: map[member.HostID]int{}, wholes: map[member.HostID]int{},
+// newCountingSite starts a site with ten engines a host.
+func newCountingSite(ctx context.Context, hosts int) *countingSite {
+	zones := zonesForFleet(hosts)
+	s := &countingSite{
+		site: newSite(zones, hosts/zones, true), callsIn: map[member.HostID]int{}, callsOut: map[member.HostID]int{}, completeReplies: map[member.HostID]int{},
 		followersOf: map[member.HostID]map[member.HostID]bool{}, sharesReceived: map[member.HostID]int{},
 	}
 	s.origin.list = nil
@@ -121,7 +121,7 @@
 		f.peers.self, f.peers.roster = *self, roster.New(*self, f.peers.epoch)
 	}
 	for _, f := range s.hosts {
-		go f.RunPeers(ctx, scalePort{sitePort{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
+		go f.RunPeers(ctx, countingPort{sitePort{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
 		go f.Follow(ctx, s.origin)
 		go f.RunDirectory(ctx, siteDirectory{s.entries[f.settings.Self.ID]})
 		go f.Run(ctx)
@@ -129,8 +129,8 @@
 	return s
 }
 
-// perSecond is the middle and the highest of some counts, by the second.
-func perSecond(counts map[member.HostID]int, hosts int, d time.Duration) (middle, most float64) {
+// ratesPerSecond is the middle and the highest of some counts, by the second.
+func ratesPerSecond(counts map[member.HostID]int, hosts int, d time.Duration) (median, highest float64) {
 	all := make([]int, 0, hosts)
 	for _, n := range counts {
 		all = append(all, n)
@@ -142,40 +142,40 @@
 	return float64(all[len(all)/2]) / d.Seconds(), float64(all[len(all)-1]) / d.Seconds()
 }
 
-// undividedMessages are what a host of the largest undivided zone gets and answers in a second: two of
+// undividedZoneMessages are what a host of the largest undivided zone gets and answers in a second: two of
 // each of the 47 others, and some of other zones.
-const undividedMessages = 2 * (47 + 8)
+const undividedZoneMessages = 2 * (47 + 8)
 
-// TestMessagesAHost has the messages of a host be bounded whatever the size of the fleet.
-func TestMessagesAHost(t *testing.T) {
-	const settles, lasts = 6 * time.Second, 3 * time.Second
-	var middles []float64
+// TestMessagesPerHost has the messages of a host be bounded whatever the size of the fleet.
+func TestMessagesPerHost(t *testing.T) {
+	const settleTime, countTime = 6 * time.Second, 3 * time.Second
+	var medians []float64
 	for _, hosts := range scaleSizes(t) {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				s := newScaleSite(ctx, hosts)
-				time.Sleep(settles)
-				up := 0
+				s := newCountingSite(ctx, hosts)
+				time.Sleep(settleTime)
+				ready := 0
 				for _, f := range s.hosts {
 					if f.versionInForce() == 1 && f.OriginAge(time.Now()) < 3*time.Second {
-						up++
+						ready++
 					}
 				}
 				reads := s.origin.reads.Load()
 				s.mu.Lock()
-				s.counted = true
+				s.isCounting = true
 				s.mu.Unlock()
 				watches := s.origin.watches.Load()
-				time.Sleep(lasts)
+				time.Sleep(countTime)
 				watches = s.origin.watches.Load() - watches
 				// How long a change takes to all hosts.
 				published := time.Now()
 				u, _ := s.first().fleet.Upstream(s.origin.list[0].ID)
 				u.Leaving, u.Revision = true, rev(90)
 				s.origin.publish(Change{Upstream: u})
-				var reached time.Duration
+				var propagation time.Duration
 				for known := 0; known < hosts && time.Since(published) < 10*time.Second; {
 					time.Sleep(time.Millisecond)
 					known = 0
@@ -184,44 +184,44 @@
 							known++
 						}
 					}
-					reached = time.Since(published)
+					propagation = time.Since(published)
 				}
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				in, inMost := perSecond(s.in, hosts, lasts)
-				out, outMost := perSecond(s.out, hosts, lasts)
-				followers, wholes, known, entries := 0, 0, 0, 0
-				for _, of := range s.followersOf {
-					followers = max(followers, len(of))
+				inMedian, inHighest := ratesPerSecond(s.callsIn, hosts, countTime)
+				outMedian, outHighest := ratesPerSecond(s.callsOut, hosts, countTime)
+				followers, completeReplies, known, entries := 0, 0, 0, 0
+				for _, hostFollowers := range s.followersOf {
+					followers = max(followers, len(hostFollowers))
 				}
-				for _, n := range s.wholes {
-					wholes = max(wholes, n)
+				for _, n := range s.completeReplies {
+					completeReplies = max(completeReplies, n)
 				}
 				for _, f := range s.hosts {
 					known = max(known, f.peers.count(func(*peerState) bool { return true }))
 					entries += int(s.entries[f.settings.Self.ID].Load())
 				}
 				t.Logf("%d hosts, %d up: in %.1f, %.1f at the busiest; out %.1f, %.1f; followers %d at most; whole lists %d at most; hosts known %d; readings of the origin %d, watches %.1f a second; entries %d; a change at all after %v",
-					hosts, up, in, inMost, out, outMost, followers, wholes, known, reads, float64(watches)/lasts.Seconds(), entries, reached)
-				middles = append(middles, in)
-				if up < hosts {
-					t.Errorf("%d of %d hosts are up to date", up, hosts)
+					hosts, ready, inMedian, inHighest, outMedian, outHighest, followers, completeReplies, known, reads, float64(watches)/countTime.Seconds(), entries, propagation)
+				medians = append(medians, inMedian)
+				if ready < hosts {
+					t.Errorf("%d of %d hosts are up to date", ready, hosts)
 				}
 				if s.first().peers.zonesDivided() && followers > 5*maxFollowers {
 					t.Errorf("%d follow one host", followers)
 				}
-				if reached > time.Second {
-					t.Errorf("a change reached all after %v", reached)
+				if propagation > time.Second {
+					t.Errorf("a change reached all after %v", propagation)
 				}
 				cancel()
 			})
 			synctest.Test(t, func(*testing.T) {})
 		})
 	}
-	const mostMiddle = undividedMessages
-	for i, in := range middles {
-		if in > mostMiddle {
-			t.Errorf("%.0f messages a second at a host in the middle, %.0f allowed (size %d)", in, float64(mostMiddle), i)
+	const maxMedian = undividedZoneMessages
+	for i, in := range medians {
+		if in > maxMedian {
+			t.Errorf("%.0f messages a second at a host in the middle, %.0f allowed (size %d)", in, float64(maxMedian), i)
 		}
 	}
 }
@@ -241,23 +241,23 @@
 	return sizes
 }
 
-// TestAllHostsStartAgainAtOnce has a fleet of divided zones be up again within seconds, and few of its
+// TestAllHostsRestartAtOnce has a fleet of divided zones be up again within seconds, and few of its
 // hosts read the store, whether or not the addresses that hosts are given at their start are right.
-func TestAllHostsStartAgainAtOnce(t *testing.T) {
+func TestAllHostsRestartAtOnce(t *testing.T) {
 	for name, seedsGone := range map[string]bool{"the first hosts are there": false, "the first hosts are gone": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const hosts, within = 104, 5 * time.Second
+				const hosts, maxRestartTime = 104, 5 * time.Second
 				first, kill := context.WithCancel(t.Context())
-				s := newScaleSite(first, hosts)
+				s := newCountingSite(first, hosts)
 				time.Sleep(4 * time.Second)
 				kill()
 				time.Sleep(time.Second)
 				reads := s.origin.reads.Load()
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				var again []*Forwarder
-				origin := directoryOrigin{siteOrigin: s.origin, asked: &atomic.Int64{}}
+				var restarted []*Forwarder
+				origin := directoryOrigin{siteOrigin: s.origin, hostsReads: &atomic.Int64{}}
 				for _, f := range s.hosts {
 					if s.entries[f.settings.Self.ID].Load() > 0 {
 						origin.hosts = append(origin.hosts, f.settings.Self)
@@ -269,32 +269,32 @@
 					settings.FirstStart = false
 					f := New(settings, old.transport, silentJournal{}, silentObserver{})
 					s.replace(f)
-					if seedsGone && n < scaleZones(hosts) {
+					if seedsGone && n < zonesForFleet(hosts) {
 						s.lose(settings.Self.PeerAddress)
 						continue
 					}
-					again = append(again, f)
+					restarted = append(restarted, f)
 				}
-				for _, f := range again {
-					go f.RunPeers(ctx, scalePort{sitePort{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
+				for _, f := range restarted {
+					go f.RunPeers(ctx, countingPort{sitePort{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
 					go f.Follow(ctx, origin)
 					go f.RunDirectory(ctx, siteDirectory{s.entries[f.settings.Self.ID]})
 					go f.Run(ctx)
 				}
-				began, up := time.Now(), 0
-				for up < len(again) && time.Since(began) < 20*time.Second {
+				began, ready := time.Now(), 0
+				for ready < len(restarted) && time.Since(began) < 20*time.Second {
 					time.Sleep(50 * time.Millisecond)
-					up = 0
-					for _, f := range again {
+					ready = 0
+					for _, f := range restarted {
 						if f.versionInForce() > 0 && !f.fleet.Revision().IsZero() {
-							up++
+							ready++
 						}
 					}
 				}
 				took, read := time.Since(began), s.origin.reads.Load()-reads
-				t.Logf("%d of %d up after %v; %d readings of the store, %d of its directory", up, len(again), took, read, origin.asked.Load())
-				if up < len(again) || took > within {
-					t.Errorf("%d of %d up after %v", up, len(again), took)
+				t.Logf("%d of %d up after %v; %d readings of the store, %d of its directory", ready, len(restarted), took, read, origin.hostsReads.Load())
+				if ready < len(restarted) || took > maxRestartTime {
+					t.Errorf("%d of %d up after %v", ready, len(restarted), took)
 				}
 				if read > hosts/10 {
 					t.Errorf("%d readings of the store", read)
@@ -305,26 +305,26 @@
 	}
 }
 
-// TestWordOfAnUpstreamReachesItsCell has an upstream's word that it leaves, which one host of another
+// TestLeavingSignalReachesItsCell has an upstream's word that it leaves, which one host of another
 // zone heard, reach the hosts that place on it at once, and all within the period in which each host
 // is spoken to.
-func TestWordOfAnUpstreamReachesItsCell(t *testing.T) {
+func TestLeavingSignalReachesItsCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts = 104
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := newScaleSite(ctx, hosts)
+		s := newCountingSite(ctx, hosts)
 		time.Sleep(5 * time.Second)
-		heard := s.nth(1) // of the second zone
-		u, _ := heard.fleet.Upstream(s.origin.list[0].ID)
-		of := heard.peers.upstreamCell(u)
+		receiver := s.nth(1) // of the second zone
+		u, _ := receiver.fleet.Upstream(s.origin.list[0].ID)
+		upstreamCell := receiver.peers.upstreamCell(u)
 		s.mu.Lock()
-		s.counted = true
+		s.isCounting = true
 		s.mu.Unlock()
-		told := time.Now()
-		heard.takeSignals(told, u, answerToRequest, Signals{Leaving: true})
-		var cellAt, allAt time.Duration
-		for allAt == 0 && time.Since(told) < 20*time.Second {
+		receivedAt := time.Now()
+		receiver.takeSignals(receivedAt, u, answerToRequest, Signals{Leaving: true})
+		var cellDelay, allDelay time.Duration
+		for allDelay == 0 && time.Since(receivedAt) < 20*time.Second {
 			time.Sleep(5 * time.Millisecond)
 			inCell, all := true, true
 			for _, f := range s.hosts {
@@ -332,28 +332,28 @@
 					continue
 				}
 				all = false
-				if _, own := f.peers.cellLayout(); own == of {
+				if _, own := f.peers.cellLayout(); own == upstreamCell {
 					inCell = false
 				}
 			}
-			if inCell && cellAt == 0 {
-				cellAt = time.Since(told)
+			if inCell && cellDelay == 0 {
+				cellDelay = time.Since(receivedAt)
 				s.mu.Lock()
-				s.counted = false
+				s.isCounting = false
 				s.mu.Unlock()
 			}
 			if all {
-				allAt = time.Since(told)
+				allDelay = time.Since(receivedAt)
 			}
 		}
 		s.mu.Lock()
-		_, most := perSecond(s.in, hosts, time.Second)
+		_, highest := ratesPerSecond(s.callsIn, hosts, time.Second)
 		s.mu.Unlock()
-		t.Logf("its cell knows after %v, all hosts after %v; %.0f messages at the busiest host until its cell knew", cellAt, allAt, most)
-		if cellAt == 0 || cellAt > leavingKnownWithin/4 {
-			t.Errorf("its cell knows after %v", cellAt)
+		t.Logf("its cell knows after %v, all hosts after %v; %.0f messages at the busiest host until its cell knew", cellDelay, allDelay, highest)
+		if cellDelay == 0 || cellDelay > maxLeavingDelay/4 {
+			t.Errorf("its cell knows after %v", cellDelay)
 		}
-		if allAt == 0 {
+		if allDelay == 0 {
 			t.Error("not all hosts know")
 		}
 		cancel()
--- a/forward/signalday_test.go
+++ b/forward/signalday_test.go
@@ -127,7 +127,7 @@
 		fleet := newSignalFleet(d.spells...)
 		fleet.failEvery = d.failEvery
 		tally := &signalTally{refused: map[Code]int{}, tries: map[int]int{}}
-		s := newCrashSiteOf(fleet.fakeFleet, d.zones, d.hostsPerZone, d.upstreams)
+		s := newCrashSiteWith(fleet.fakeFleet, d.zones, d.hostsPerZone, d.upstreams)
 		for _, f := range s.hosts {
 			f.transport = signalTransport{fleet, f.settings.Self.ID}
 			f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: max(60, 2.2*float64(len(s.hosts))), Window: 10 * time.Second})
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -68,10 +68,10 @@
 		// returns says that the upstream has to get requests at the end.
 		returns bool
 	}{
-		"hosts hear it from each other":             {quietFrom: from + contactBound},
+		"hosts hear it from each other":             {quietFrom: from + maxPropagationDelay},
 		"its entry lapses for 1 s":                  {happens: lapse(time.Second)},
 		"its entry lapses for 5 s":                  {happens: lapse(5 * time.Second)},
-		"the store is away until it has long ended": {storeLost: 3 * time.Second, storeBack: 15 * time.Second, quietFrom: from + contactBound},
+		"the store is away until it has long ended": {storeLost: 3 * time.Second, storeBack: 15 * time.Second, quietFrom: from + maxPropagationDelay},
 		"hosts start again while the store is away": {
 			storeLost: 3 * time.Second, storeBack: 15 * time.Second, quietFrom: 12 * time.Second,
 			happens: func(ctx context.Context, s *site, fleet *signalFleet) {
@@ -155,7 +155,7 @@
 				t.Logf("%v; it got %d requests after it had told the first host", tally, fleet.got("app00", from, until))
 				report(t, "rule", fleet.drainRule())
 				report(t, "aim", fleet.drainAim())
-				if n := fleet.got("app00", from+contactBound, until); n > 0 {
+				if n := fleet.got("app00", from+maxPropagationDelay, until); n > 0 {
 					t.Errorf("it got %d requests later than the contact bound", n)
 				}
 				if tally.good < tally.asked {
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -44,7 +44,7 @@
 		f := newForwarder(t, &fakeTransport{})
 		x := &exchange{Forwarder: f, call: call("/status/")}
 		for _, id := range []string{"e1", "e2", "e3"} {
-			x.crashes.Crashed(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: member.UpstreamID(id)})
+			x.crashes.RecordCrash(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: member.UpstreamID(id)})
 		}
 		is.True(x.held(f.now()))
 		time.Sleep(2 * time.Minute)
@@ -61,7 +61,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := newCrashSiteOf(newFakeFleet(), 3, 3, 60)
+		s := newCrashSiteWith(newFakeFleet(), 3, 3, 60)
 		s.serveAll(ctx)
 		time.Sleep(settled)
 		callsIn := func(play func()) (shares, follows int64) {
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -54,7 +54,7 @@
 		o.kept = map[quarantine.Fingerprint]quarantine.Mark{}
 	}
 	for i := range m.Crashes {
-		m.Crashes[i].Ago = 0
+		m.Crashes[i].Age = 0
 	}
 	o.kept[m.Request] = m
 	return nil
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -147,11 +147,11 @@
 			"a request is held": {
 				func(f *Forwarder) {
 					for n := range 3 {
-						f.crashes.Crashed(f.now(), quarantine.Fingerprint{}, quarantine.Origin{}, quarantine.Upstream{ID: member.UpstreamID(fmt.Sprint("e", n))})
+						f.crashes.RecordCrash(f.now(), quarantine.Fingerprint{}, quarantine.Origin{}, quarantine.Upstream{ID: member.UpstreamID(fmt.Sprint("e", n))})
 					}
 				},
 				func(f *Forwarder) bool {
-					e, _ := f.crashes.Judge(f.now(), quarantine.Asked{}, &quarantine.Fingerprint{})
+					e, _ := f.crashes.Evaluate(f.now(), quarantine.RequestIdentity{}, &quarantine.Fingerprint{})
 					return e.Standing == quarantine.Held
 				}, time.Minute,
 			},
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -90,7 +90,7 @@
 	}
 	var all []quarantined
 	for _, e := range entries {
-		all = append(all, quarantined{e.Request.String(), e.Caller, e.Route, e.Standing == quarantine.Held, e.Ended, e.Last.Seconds()})
+		all = append(all, quarantined{e.Request.String(), e.Caller, e.Route, e.Standing == quarantine.Held, e.UpstreamsEnded, e.SinceLastEnd.Seconds()})
 	}
 	return writeQuarantine(out, all)
 }
--- a/internal/peer/crashes.go
+++ b/internal/peer/crashes.go
@@ -33,10 +33,10 @@
 	for _, m := range marks {
 		w := wireCrashes{Head: m.Request.Head[:], Body: m.Request.Body[:], Caller: m.Origin.Caller, Route: m.Origin.Route}
 		for _, c := range m.Crashes {
-			w.Ended = append(w.Ended, wireCrash{ID: string(c.ID), Life: c.Life, Ago: c.Ago.Milliseconds()})
+			w.Ended = append(w.Ended, wireCrash{ID: string(c.ID), Life: c.Incarnation, Ago: c.Age.Milliseconds()})
 		}
 		for _, u := range m.Cleared {
-			w.Cleared = append(w.Cleared, wireCrash{ID: string(u.ID), Life: u.Life})
+			w.Cleared = append(w.Cleared, wireCrash{ID: string(u.ID), Life: u.Incarnation})
 		}
 		all = append(all, w)
 	}
@@ -54,7 +54,7 @@
 		copy(m.Request.Head[:], w.Head)
 		copy(m.Request.Body[:], w.Body)
 		for _, c := range w.Ended {
-			m.Crashes = append(m.Crashes, quarantine.CrashAge{Upstream: c.upstream(), Ago: time.Duration(c.Ago) * time.Millisecond})
+			m.Crashes = append(m.Crashes, quarantine.CrashAge{Upstream: c.upstream(), Age: time.Duration(c.Ago) * time.Millisecond})
 		}
 		for _, c := range w.Cleared {
 			m.Cleared = append(m.Cleared, c.upstream())
@@ -65,7 +65,7 @@
 }
 
 func (w wireCrash) upstream() quarantine.Upstream {
-	return quarantine.Upstream{ID: member.UpstreamID(w.ID), Life: w.Life}
+	return quarantine.Upstream{ID: member.UpstreamID(w.ID), Incarnation: w.Life}
 }
 
 // wireQuarantined is a quarantine.Entry; Ago is in milliseconds.
@@ -85,7 +85,7 @@
 	w := wireQuarantine{Released: released}
 	for _, e := range entries {
 		w.Entries = append(w.Entries, wireQuarantined{
-			Request: e.Request.String(), Caller: e.Caller, Route: e.Route, Standing: int(e.Standing), Ended: e.Ended, Ago: e.Last.Milliseconds(),
+			Request: e.Request.String(), Caller: e.Caller, Route: e.Route, Standing: int(e.Standing), Ended: e.UpstreamsEnded, Ago: e.SinceLastEnd.Milliseconds(),
 		})
 	}
 	return w
@@ -100,7 +100,7 @@
 		}
 		entries = append(entries, quarantine.Entry{
 			Request: f, Origin: quarantine.Origin{Caller: q.Caller, Route: q.Route},
-			Evidence: quarantine.Evidence{Standing: quarantine.Standing(q.Standing), Ended: q.Ended, Last: time.Duration(q.Ago) * time.Millisecond},
+			Evidence: quarantine.Evidence{Standing: quarantine.Standing(q.Standing), UpstreamsEnded: q.Ended, SinceLastEnd: time.Duration(q.Ago) * time.Millisecond},
 		})
 	}
 	return entries, nil
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -34,10 +34,10 @@
 // through again.
 func TestQuarantineByMesh(t *testing.T) {
 	is := is.New(t)
-	asked := quarantine.Asked{Caller: "counter", Target: "/llm/x"}
+	asked := quarantine.RequestIdentity{Caller: "counter", Target: "/llm/x"}
 	held := quarantine.Entry{
 		Request: asked.Fingerprint(), Origin: quarantine.Origin{Caller: "counter", Route: "chat"},
-		Evidence: quarantine.Evidence{Standing: quarantine.Held, Ended: 3, Last: 1500 * time.Millisecond},
+		Evidence: quarantine.Evidence{Standing: quarantine.Held, UpstreamsEnded: 3, SinceLastEnd: 1500 * time.Millisecond},
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -61,11 +61,11 @@
 // what names no request be left out.
 func TestCrashesOnTheWire(t *testing.T) {
 	is := is.New(t)
-	asked := quarantine.Asked{Caller: "counter", Target: "/llm/x", Body: []byte("b")}
+	asked := quarantine.RequestIdentity{Caller: "counter", Target: "/llm/x", Body: []byte("b")}
 	marks := []quarantine.Mark{{
 		Request: asked.Fingerprint(), Origin: quarantine.Origin{Caller: "counter", Route: "chat"},
-		Crashes: []quarantine.CrashAge{{Upstream: quarantine.Upstream{ID: "e1", Life: 7}, Ago: 250 * time.Millisecond}},
-		Cleared: []quarantine.Upstream{{ID: "e2", Life: 9}},
+		Crashes: []quarantine.CrashAge{{Upstream: quarantine.Upstream{ID: "e1", Incarnation: 7}, Age: 250 * time.Millisecond}},
+		Cleared: []quarantine.Upstream{{ID: "e2", Incarnation: 9}},
 	}}
 	share := toWireShare(time.Now(), forward.Share{Crashes: marks, Epoch: 5})
 	is.Equal(share.share(time.Now()).Crashes, marks)
--- a/internal/telemetry/forward_test.go
+++ b/internal/telemetry/forward_test.go
@@ -62,9 +62,9 @@
 	defer f.Close()
 	f.WatchQuarantine(func() []quarantine.Entry {
 		return []quarantine.Entry{
-			{Evidence: quarantine.Evidence{Standing: quarantine.Held, Ended: 3}},
-			{Evidence: quarantine.Evidence{Standing: quarantine.Suspect, Ended: 1}},
-			{Evidence: quarantine.Evidence{Standing: quarantine.Suspect, Ended: 2}},
+			{Evidence: quarantine.Evidence{Standing: quarantine.Held, UpstreamsEnded: 3}},
+			{Evidence: quarantine.Evidence{Standing: quarantine.Suspect, UpstreamsEnded: 1}},
+			{Evidence: quarantine.Evidence{Standing: quarantine.Suspect, UpstreamsEnded: 2}},
 		}
 	})
 	page := httptest.NewRecorder()
--- a/internal/web/quarantine.go
+++ b/internal/web/quarantine.go
@@ -27,7 +27,7 @@
 	for _, e := range a.entry.Quarantine() {
 		answer = append(answer, quarantinedAnswer{
 			Asks: e.Request.String(), Account: e.Caller, Route: e.Route, Held: e.Standing == quarantine.Held,
-			Ended: e.Ended, LastEndedAgoS: e.Last.Seconds(),
+			Ended: e.UpstreamsEnded, LastEndedAgoS: e.SinceLastEnd.Seconds(),
 		})
 	}
 	writeJSON(w, http.StatusOK, answer)
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -17,16 +17,16 @@
 type Fingerprint struct {
 	// Head is of everything but the body's bytes: it tells cheaply that a request isn't
 	// one of those that are known.
-	Head Head
+	Head HeadDigest
 	// Body is of the body.
 	Body [16]byte
 }
 
-// Head is the part of a Fingerprint that takes no reading of the body.
-type Head [8]byte
+// HeadDigest is the part of a Fingerprint that takes no reading of the body.
+type HeadDigest [8]byte
 
-// Asked is what makes two requests the same.
-type Asked struct {
+// RequestIdentity is what makes two requests the same.
+type RequestIdentity struct {
 	// Caller is the account, or the key where there is no account.
 	Caller string
 	Method string
@@ -35,9 +35,9 @@
 	Body         []byte
 }
 
-// Head digests everything but the body's bytes. The digest isn't keyed, but is one for
+// HeadDigest digests everything but the body's bytes. The digest isn't keyed, but is one for
 // which nobody can make a second request that has another's.
-func (a *Asked) Head() Head {
+func (a *RequestIdentity) HeadDigest() HeadDigest {
 	digest := sha256.New()
 	for _, part := range []string{a.Caller, a.Method, a.Host, a.Target} {
 		writePart(digest, part)
@@ -45,7 +45,7 @@
 	var size [8]byte
 	binary.LittleEndian.PutUint64(size[:], uint64(len(a.Body)))
 	writePart(digest, string(size[:]))
-	var head Head
+	var head HeadDigest
 	copy(head[:], digest.Sum(nil))
 	return head
 }
@@ -60,8 +60,8 @@
 }
 
 // Fingerprint digests all of it.
-func (a *Asked) Fingerprint() Fingerprint {
-	f := Fingerprint{Head: a.Head()}
+func (a *RequestIdentity) Fingerprint() Fingerprint {
+	f := Fingerprint{Head: a.HeadDigest()}
 	body := sha256.Sum256(a.Body)
 	copy(f.Body[:], body[:])
 	return f
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -9,217 +9,217 @@
 	"time"
 )
 
-// mostRequests bounds the requests that are remembered, some 400 bytes each.
-const mostRequests = 1024
+// maxRequests bounds the requests that are remembered, some 400 bytes each.
+const maxRequests = 1024
 
 // List is what a host knows of requests under which upstreams ended. The zero value knows
 // none and works. It is for one goroutine at a time.
 type List struct {
-	// HeldAfter is how many upstreams have to end under a request for it to be held;
+	// HoldThreshold is how many upstreams have to end under a request for it to be held;
 	// zero takes the default.
-	HeldAfter int
+	HoldThreshold int
 
 	records map[Fingerprint]*record
-	// heads counts the records with each head.
-	heads map[Head]int
-	// under are the requests that each upstream ended under.
-	under map[Upstream][]Fingerprint
-	// changes numbers the changes, and seen is the last one that this host saw itself.
-	changes, seen uint64
+	// recordsPerHead counts the records with each head.
+	recordsPerHead map[HeadDigest]int
+	// requestsByUpstream are the requests that each upstream ended requestsByUpstream.
+	requestsByUpstream map[Upstream][]Fingerprint
+	// lastChange numbers the lastChange, and lastLocalChange is the last one that this host saw itself.
+	lastChange, lastLocalChange uint64
 }
 
 // Evidence is what a request's standing rests on.
 type Evidence struct {
 	Standing Standing
-	// Ended is how many upstreams have ended under it, and Last how long ago the last
+	// UpstreamsEnded is how many upstreams have ended under it, and Last how long ago the last
 	// one did.
-	Ended int
-	Last  time.Duration
+	UpstreamsEnded int
+	SinceLastEnd   time.Duration
 }
 
-func (l *List) heldAfter() int {
-	if l.HeldAfter > 0 {
-		return l.HeldAfter
+func (l *List) holdThreshold() int {
+	if l.HoldThreshold > 0 {
+		return l.HoldThreshold
 	}
-	return DefaultHeldAfter
+	return DefaultHoldThreshold
 }
 
-// Knows reports whether a request with this head may be on the list; if not, it is Clear.
-func (l *List) Knows(h Head) bool { return l.heads[h] > 0 }
+// MayContain reports whether a request with this head may be on the list; if not, it is Clear.
+func (l *List) MayContain(h HeadDigest) bool { return l.recordsPerHead[h] > 0 }
 
 // Len is how many requests are on the list.
 func (l *List) Len() int { return len(l.records) }
 
-// Judge tells how a request stands.
-func (l *List) Judge(now time.Time, f Fingerprint) Evidence {
+// Evaluate tells how a request stands.
+func (l *List) Evaluate(now time.Time, f Fingerprint) Evidence {
 	r := l.records[f]
 	if r == nil {
 		return Evidence{}
 	}
 	var e Evidence
 	for _, c := range r.crashes {
-		if l.explained(f, r, c.Upstream) {
+		if l.explainedByOther(f, r, c.Upstream) {
 			continue
 		}
-		if age := now.Sub(c.At); e.Ended == 0 || age < e.Last {
-			e.Last = age
+		if age := now.Sub(c.At); e.UpstreamsEnded == 0 || age < e.SinceLastEnd {
+			e.SinceLastEnd = age
 		}
-		e.Ended++
+		e.UpstreamsEnded++
 	}
 	switch {
-	case e.Ended >= l.heldAfter() && e.Last < heldFor(e.Ended-l.heldAfter()):
+	case e.UpstreamsEnded >= l.holdThreshold() && e.SinceLastEnd < holdTime(e.UpstreamsEnded-l.holdThreshold()):
 		e.Standing = Held
-	case e.Ended >= l.heldAfter():
-		e.Standing = Tried
-	case e.Ended > 0:
+	case e.UpstreamsEnded >= l.holdThreshold():
+		e.Standing = TrialDue
+	case e.UpstreamsEnded > 0:
 		e.Standing = Suspect
 	}
 	return e
 }
 
-// explained reports whether an upstream's end under a request is another's doing: of one
+// explainedByOther reports whether an upstream's end under a request is another's doing: of one
 // under which enough have ended to be held, and more than under this one. Requests that
 // only ran beside such a one are served again as soon as that is known.
-func (l *List) explained(f Fingerprint, r *record, u Upstream) bool {
-	return slices.ContainsFunc(l.under[u], func(other Fingerprint) bool {
-		ended := len(l.records[other].crashes)
-		return other != f && ended >= l.heldAfter() && ended > len(r.crashes)
+func (l *List) explainedByOther(f Fingerprint, r *record, u Upstream) bool {
+	return slices.ContainsFunc(l.requestsByUpstream[u], func(other Fingerprint) bool {
+		otherCrashes := len(l.records[other].crashes)
+		return other != f && otherCrashes >= l.holdThreshold() && otherCrashes > len(r.crashes)
 	})
 }
 
-// add takes in an end under a request, and reports whether it is new.
-func (l *List) add(f Fingerprint, r *record, c Crash) bool {
-	added, dropped := r.add(c)
+// addCrash takes in an end under a request, and reports whether it is new.
+func (l *List) addCrash(f Fingerprint, r *record, c Crash) bool {
+	added, dropped := r.addCrash(c)
 	if !added {
 		return false
 	}
-	l.under[c.Upstream] = append(l.under[c.Upstream], f)
+	l.requestsByUpstream[c.Upstream] = append(l.requestsByUpstream[c.Upstream], f)
 	if dropped != (Upstream{}) {
-		l.notUnder(f, dropped)
+		l.unindexCrash(f, dropped)
 	}
 	return true
 }
 
-// clear has an end under a request not count, and reports whether that is new.
-func (l *List) clear(now time.Time, f Fingerprint, r *record, u Upstream) bool {
-	l.notUnder(f, u)
-	return r.clear(now, u)
+// clearCrash has an end under a request not count, and reports whether that is new.
+func (l *List) clearCrash(now time.Time, f Fingerprint, r *record, u Upstream) bool {
+	l.unindexCrash(f, u)
+	return r.clearCrash(now, u)
 }
 
-// notUnder has an upstream's end not be under a request.
-func (l *List) notUnder(f Fingerprint, u Upstream) {
-	left := slices.DeleteFunc(l.under[u], func(other Fingerprint) bool { return other == f })
+// unindexCrash has an upstream's end not be under a request.
+func (l *List) unindexCrash(f Fingerprint, u Upstream) {
+	left := slices.DeleteFunc(l.requestsByUpstream[u], func(other Fingerprint) bool { return other == f })
 	if len(left) == 0 {
-		delete(l.under, u)
+		delete(l.requestsByUpstream, u)
 		return
 	}
-	l.under[u] = left
+	l.requestsByUpstream[u] = left
 }
 
-// Crashed takes in that this host saw an upstream end under a request, and returns how
+// RecordCrash takes in that this host saw an upstream end under a request, and returns how
 // that stands now.
-func (l *List) Crashed(now time.Time, f Fingerprint, o Origin, u Upstream) Evidence {
-	r := l.of(now, f)
+func (l *List) RecordCrash(now time.Time, f Fingerprint, o Origin, u Upstream) Evidence {
+	r := l.ensureRecord(now, f)
 	r.Origin = o
-	if l.add(f, r, Crash{Upstream: u, At: now}) {
-		l.changed(r, true)
+	if l.addCrash(f, r, Crash{Upstream: u, At: now}) {
+		l.numberChange(r, true)
 	}
-	return l.Judge(now, f)
+	return l.Evaluate(now, f)
 }
 
-// TakeTry reports whether a request that is to be tried once more may be sent now by this
+// BeginTrial reports whether a request that is to be tried once more may be sent now by this
 // host, and counts it: not while an earlier try may still tell.
-func (l *List) TakeTry(now time.Time, f Fingerprint) bool {
+func (l *List) BeginTrial(now time.Time, f Fingerprint) bool {
 	r := l.records[f]
-	if r == nil || !r.triedAt.IsZero() && now.Sub(r.triedAt) < tryTells {
+	if r == nil || !r.lastTrialAt.IsZero() && now.Sub(r.lastTrialAt) < trialInterval {
 		return false
 	}
-	r.triedAt = now
+	r.lastTrialAt = now
 	return true
 }
 
-// RanWell takes in that an upstream has run a request and gone on, or that an operator lets
+// ClearCrashes takes in that an upstream has run a request and gone on, or that an operator lets
 // it through. It reports whether there was anything against it.
-func (l *List) RanWell(now time.Time, f Fingerprint) bool {
+func (l *List) ClearCrashes(now time.Time, f Fingerprint) bool {
 	r := l.records[f]
 	if r == nil || len(r.crashes) == 0 {
 		return false
 	}
 	for _, c := range slices.Clone(r.crashes) {
-		l.clear(now, f, r, c.Upstream)
+		l.clearCrash(now, f, r, c.Upstream)
 	}
-	l.changed(r, true)
+	l.numberChange(r, true)
 	return true
 }
 
-func (l *List) of(now time.Time, f Fingerprint) *record {
+func (l *List) ensureRecord(now time.Time, f Fingerprint) *record {
 	if r := l.records[f]; r != nil {
 		return r
 	}
 	if l.records == nil {
-		l.records, l.heads, l.under = map[Fingerprint]*record{}, map[Head]int{}, map[Upstream][]Fingerprint{}
+		l.records, l.recordsPerHead, l.requestsByUpstream = map[Fingerprint]*record{}, map[HeadDigest]int{}, map[Upstream][]Fingerprint{}
 	}
-	if len(l.records) >= mostRequests {
-		l.Forget(now)
+	if len(l.records) >= maxRequests {
+		l.PruneExpired(now)
 	}
-	if len(l.records) >= mostRequests {
-		l.dropLeast()
+	if len(l.records) >= maxRequests {
+		l.evictRecord()
 	}
 	r := &record{}
 	l.records[f] = r
-	l.heads[f.Head]++
+	l.recordsPerHead[f.Head]++
 	return r
 }
 
-func (l *List) changed(r *record, seen bool) {
-	l.changes++
-	r.changed = l.changes
-	if seen {
-		l.seen = l.changes
+func (l *List) numberChange(r *record, local bool) {
+	l.lastChange++
+	r.lastChange = l.lastChange
+	if local {
+		l.lastLocalChange = l.lastChange
 	}
 }
 
-func (l *List) drop(f Fingerprint) {
+func (l *List) removeRecord(f Fingerprint) {
 	for _, c := range l.records[f].crashes {
-		l.notUnder(f, c.Upstream)
+		l.unindexCrash(f, c.Upstream)
 	}
 	delete(l.records, f)
-	if l.heads[f.Head]--; l.heads[f.Head] <= 0 {
-		delete(l.heads, f.Head)
+	if l.recordsPerHead[f.Head]--; l.recordsPerHead[f.Head] <= 0 {
+		delete(l.recordsPerHead, f.Head)
 	}
 }
 
-// Forget drops what says nothing any more. It is to be called from time to time.
-func (l *List) Forget(now time.Time) {
+// PruneExpired drops what says nothing any more. It is to be called from time to time.
+func (l *List) PruneExpired(now time.Time) {
 	for f, r := range l.records {
-		if r.over(now) {
-			l.drop(f)
+		if r.isExpired(now) {
+			l.removeRecord(f)
 		}
 	}
 }
 
-// dropLeast drops one record: of the caller that has the most, for one caller may send any
+// evictRecord drops one record: of the caller that has the most, for one caller may send any
 // number of different requests; of those the ones with the fewest ends first, and of these
 // the one whose last end is longest ago.
-func (l *List) dropLeast() {
-	perCaller := map[string]int{}
+func (l *List) evictRecord() {
+	recordsPerCaller := map[string]int{}
 	for _, r := range l.records {
-		perCaller[r.Caller]++
+		recordsPerCaller[r.Caller]++
 	}
-	var least Fingerprint
-	var lowest *record
-	order := func(a, b *record) int {
+	var evictedKey Fingerprint
+	var evicted *record
+	compare := func(a, b *record) int {
 		return cmp.Or(
-			cmp.Compare(perCaller[b.Caller], perCaller[a.Caller]), cmp.Compare(a.Caller, b.Caller),
-			cmp.Compare(min(len(a.crashes), l.heldAfter()), min(len(b.crashes), l.heldAfter())), a.last().Compare(b.last()), cmp.Compare(a.changed, b.changed),
+			cmp.Compare(recordsPerCaller[b.Caller], recordsPerCaller[a.Caller]), cmp.Compare(a.Caller, b.Caller),
+			cmp.Compare(min(len(a.crashes), l.holdThreshold()), min(len(b.crashes), l.holdThreshold())), a.lastCrashAt().Compare(b.lastCrashAt()), cmp.Compare(a.lastChange, b.lastChange),
 		)
 	}
 	for f, r := range l.records {
-		if lowest == nil || order(r, lowest) < 0 {
-			least, lowest = f, r
+		if evicted == nil || compare(r, evicted) < 0 {
+			evictedKey, evicted = f, r
 		}
 	}
-	l.drop(least)
+	l.removeRecord(evictedKey)
 }
 
 // Mark is what one host tells another of a request. Hosts' clocks differ, so it tells ages.
@@ -234,43 +234,43 @@
 // CrashAge is a Crash with how long ago it was.
 type CrashAge struct {
 	Upstream
-	Ago time.Duration
+	Age time.Duration
 }
 
-// Changes is the number of the last change, and seen that of the last one that this host
+// LastChanges is the number of the last change, and seen that of the last one that this host
 // saw itself: others hear of these from nobody else.
-func (l *List) Changes() (last, seen uint64) { return l.changes, l.seen }
+func (l *List) LastChanges() (last, local uint64) { return l.lastChange, l.lastLocalChange }
 
-// Since returns what has changed after a change, some at most, and the number of the
+// MarksSince returns what has changed after a change, some at most, and the number of the
 // change up to which that tells everything.
-func (l *List) Since(now time.Time, after uint64, most int) ([]Mark, uint64) {
-	if after >= l.changes {
-		return nil, l.changes
+func (l *List) MarksSince(now time.Time, afterChange uint64, maxMarks int) ([]Mark, uint64) {
+	if afterChange >= l.lastChange {
+		return nil, l.lastChange
 	}
 	type numbered struct {
 		Fingerprint
 		*record
 	}
-	var news []numbered
+	var changedRecords []numbered
 	for f, r := range l.records {
-		if r.changed > after {
-			news = append(news, numbered{f, r})
+		if r.lastChange > afterChange {
+			changedRecords = append(changedRecords, numbered{f, r})
 		}
 	}
-	slices.SortFunc(news, func(a, b numbered) int { return cmp.Compare(a.changed, b.changed) })
-	upTo := l.changes
-	if len(news) > most {
-		news = news[:most]
-		upTo = news[most-1].changed
+	slices.SortFunc(changedRecords, func(a, b numbered) int { return cmp.Compare(a.lastChange, b.lastChange) })
+	lastIncluded := l.lastChange
+	if len(changedRecords) > maxMarks {
+		changedRecords = changedRecords[:maxMarks]
+		lastIncluded = changedRecords[maxMarks-1].lastChange
 	}
-	marks := make([]Mark, 0, len(news))
-	for _, n := range news {
-		marks = append(marks, n.mark(now, n.Fingerprint))
+	marks := make([]Mark, 0, len(changedRecords))
+	for _, n := range changedRecords {
+		marks = append(marks, n.toMark(now, n.Fingerprint))
 	}
-	return marks, upTo
+	return marks, lastIncluded
 }
 
-func (r *record) mark(now time.Time, f Fingerprint) Mark {
+func (r *record) toMark(now time.Time, f Fingerprint) Mark {
 	m := Mark{Request: f, Origin: r.Origin, Cleared: slices.Clone(r.cleared)}
 	for _, c := range r.crashes {
 		m.Crashes = append(m.Crashes, CrashAge{c.Upstream, max(now.Sub(c.At), 0)})
@@ -282,34 +282,34 @@
 func (l *List) Receive(now time.Time, marks []Mark) []Fingerprint {
 	var held []Fingerprint
 	for _, m := range marks {
-		if l.receive(now, m) {
+		if l.receiveMark(now, m) {
 			held = append(held, m.Request)
 		}
 	}
 	return held
 }
 
-// receive takes in one mark, and reports whether the request is held since.
-func (l *List) receive(now time.Time, m Mark) bool {
-	if l.records[m.Request] == nil && len(l.records) >= mostRequests && len(m.Crashes) < l.heldAfter() {
+// receiveMark takes in one mark, and reports whether the request is held since.
+func (l *List) receiveMark(now time.Time, m Mark) bool {
+	if l.records[m.Request] == nil && len(l.records) >= maxRequests && len(m.Crashes) < l.holdThreshold() {
 		// Full hosts would push out each other's suspects for ever.
 		return false
 	}
-	r := l.of(now, m.Request)
-	before, changed := l.Judge(now, m.Request).Standing, false
+	r := l.ensureRecord(now, m.Request)
+	before, changed := l.Evaluate(now, m.Request).Standing, false
 	if r.Origin == (Origin{}) {
 		r.Origin = m.Origin
 	}
 	for _, u := range m.Cleared {
-		changed = l.clear(now, m.Request, r, u) || changed
+		changed = l.clearCrash(now, m.Request, r, u) || changed
 	}
 	for _, c := range m.Crashes {
-		changed = 0 <= c.Ago && c.Ago <= keptFor && l.add(m.Request, r, Crash{Upstream: c.Upstream, At: now.Add(-c.Ago)}) || changed
+		changed = 0 <= c.Age && c.Age <= crashRetention && l.addCrash(m.Request, r, Crash{Upstream: c.Upstream, At: now.Add(-c.Age)}) || changed
 	}
 	if changed {
-		l.changed(r, false)
+		l.numberChange(r, false)
 	}
-	return before != Held && l.Judge(now, m.Request).Standing == Held
+	return before != Held && l.Evaluate(now, m.Request).Standing == Held
 }
 
 // Entry is a request on the list as operators see it.
@@ -323,12 +323,12 @@
 func (l *List) Entries(now time.Time) []Entry {
 	var entries []Entry
 	for f, r := range l.records {
-		if e := l.Judge(now, f); e.Standing != Clear {
+		if e := l.Evaluate(now, f); e.Standing != Clear {
 			entries = append(entries, Entry{f, r.Origin, e})
 		}
 	}
 	slices.SortFunc(entries, func(a, b Entry) int {
-		return cmp.Or(cmp.Compare(b.Standing, a.Standing), cmp.Compare(a.Last, b.Last), cmp.Compare(a.Request.String(), b.Request.String()))
+		return cmp.Or(cmp.Compare(b.Standing, a.Standing), cmp.Compare(a.SinceLastEnd, b.SinceLastEnd), cmp.Compare(a.Request.String(), b.Request.String()))
 	})
 	return entries
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -14,8 +14,8 @@
 // however many hosts or copies of the request saw that.
 type Upstream struct {
 	ID member.UpstreamID
-	// Life tells the starts under one id apart; zero where that isn't known.
-	Life int64
+	// Incarnation tells the starts under one id apart; zero where that isn't known.
+	Incarnation int64
 }
 
 // Crash is an upstream's end under a request.
@@ -36,33 +36,33 @@
 	Clear Standing = iota
 	// Suspect: some have. Most requests that were beside one that crashes upstreams are.
 	Suspect
-	// Tried: so many have that it would be held, but none for so long that one host may
+	// TrialDue: so many have that it would be held, but none for so long that one host may
 	// send it once more: its upstreams may have been mended, or it was only beside.
-	Tried
+	TrialDue
 	// Held: so many have that it isn't to be sent any more.
 	Held
 )
 
 const (
-	// DefaultHeldAfter is how many upstreams have to end under a request for it to be held.
+	// DefaultHoldThreshold is how many upstreams have to end under a request for it to be held.
 	// Fewer would hold requests that only ran beside another.
-	DefaultHeldAfter = 3
-	// heldFirst is how long after the last end a request is held until it is tried once
+	DefaultHoldThreshold = 3
+	// initialHoldTime is how long after the last end a request is held until it is tried once
 	// more; with each upstream that ends of that, it is heldMore times as long. One that
 	// many send, and that was held by mistake, is served again after that, and one that
 	// isn't takes three more upstreams in half an hour, and the next two hours later.
-	heldFirst = time.Minute
-	heldMore  = 5
-	// tryTells is within how long it shows whether an upstream bears a request.
-	tryTells = 30 * time.Second
-	// keptFor is how long after the last end all of it is forgotten.
-	keptFor = 24 * time.Hour
-	// clearedKept is how long it is known which ends don't count any more, so that hosts
+	initialHoldTime    = time.Minute
+	holdTimeMultiplier = 5
+	// trialInterval is within how long it shows whether an upstream bears a request.
+	trialInterval = 30 * time.Second
+	// crashRetention is how long after the last end all of it is forgotten.
+	crashRetention = 24 * time.Hour
+	// clearedRetention is how long it is known which ends don't count any more, so that hosts
 	// which hear of them later don't count them either.
-	clearedKept = 5 * time.Minute
-	// mostCrashes and mostCleared are kept of one request; further ones replace the oldest.
-	mostCrashes = 8
-	mostCleared = 16
+	clearedRetention = 5 * time.Minute
+	// maxCrashes and mostCleared are kept of one request; further ones replace the oldest.
+	maxCrashes = 8
+	maxCleared = 16
 )
 
 // record is what is known of one request. Hosts that hear the same things in any order, and
@@ -76,41 +76,41 @@
 	cleared []Upstream
 	// clearedAt is when the last of them was cleared here.
 	clearedAt time.Time
-	// triedAt is when this host last sent the request once more although it was held.
-	triedAt time.Time
-	// changed numbers the last change among the list's.
-	changed uint64
+	// lastTrialAt is when this host last sent the request once more although it was held.
+	lastTrialAt time.Time
+	// lastChange numbers the last change among the list's.
+	lastChange uint64
 }
 
-// add takes in an end, and reports whether it is new. dropped is the one that had to make
+// addCrash takes in an end, and reports whether it is new. dropped is the one that had to make
 // room for it; zero for none.
-func (r *record) add(c Crash) (added bool, dropped Upstream) {
-	if slices.Contains(r.cleared, c.Upstream) || r.endedUnder(c.Upstream) {
+func (r *record) addCrash(c Crash) (added bool, dropped Upstream) {
+	if slices.Contains(r.cleared, c.Upstream) || r.hasCrash(c.Upstream) {
 		return false, Upstream{}
 	}
 	r.crashes = append(r.crashes, c)
-	if len(r.crashes) > mostCrashes {
+	if len(r.crashes) > maxCrashes {
 		dropped = r.crashes[0].Upstream
 		r.crashes = slices.Delete(r.crashes, 0, 1)
 	}
 	return true, dropped
 }
 
-// clear has an upstream's end not count, and reports whether that is new.
-func (r *record) clear(now time.Time, u Upstream) bool {
+// clearCrash has an upstream's end not count, and reports whether that is new.
+func (r *record) clearCrash(now time.Time, u Upstream) bool {
 	if slices.Contains(r.cleared, u) {
 		return false
 	}
 	r.crashes = slices.DeleteFunc(r.crashes, func(c Crash) bool { return c.Upstream == u })
 	r.cleared, r.clearedAt = append(r.cleared, u), now
-	if len(r.cleared) > mostCleared {
+	if len(r.cleared) > maxCleared {
 		r.cleared = slices.Delete(r.cleared, 0, 1)
 	}
 	return true
 }
 
-// last is when an upstream last ended under the request; zero when none did.
-func (r *record) last() time.Time {
+// lastCrashAt is when an upstream lastCrashAt ended under the request; zero when none did.
+func (r *record) lastCrashAt() time.Time {
 	var last time.Time
 	for _, c := range r.crashes {
 		if c.At.After(last) {
@@ -120,23 +120,23 @@
 	return last
 }
 
-func (r *record) endedUnder(u Upstream) bool {
+func (r *record) hasCrash(u Upstream) bool {
 	return slices.ContainsFunc(r.crashes, func(c Crash) bool { return c.Upstream == u })
 }
 
-// heldFor is how long a request is held after so many ends more than it takes for that.
-func heldFor(more int) time.Duration {
-	held := heldFirst
-	for range min(more, 4) {
-		held *= heldMore
+// holdTime is how long a request is held after so many ends more than it takes for that.
+func holdTime(excess int) time.Duration {
+	hold := initialHoldTime
+	for range min(excess, 4) {
+		hold *= holdTimeMultiplier
 	}
-	return held
+	return hold
 }
 
-// over reports whether the record says nothing any more.
-func (r *record) over(now time.Time) bool {
+// isExpired reports whether the record says nothing any more.
+func (r *record) isExpired(now time.Time) bool {
 	if len(r.crashes) == 0 {
-		return now.Sub(r.clearedAt) > clearedKept
+		return now.Sub(r.clearedAt) > clearedRetention
 	}
-	return now.Sub(r.last()) > keptFor
+	return now.Sub(r.lastCrashAt()) > crashRetention
 }
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -13,39 +13,39 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// marksAtOnce bounds what is told at once, some 100 bytes each.
-const marksAtOnce = 64
+// maxMarksPerMessage bounds what is told at once, some 100 bytes each.
+const maxMarksPerMessage = 64
 
 // Register is a List that several goroutines use, with what each peer has been told of it.
 // The zero value works.
 type Register struct {
-	mu   sync.Mutex
-	list List
-	told map[member.HostID]peerTold
-	// forgotAt is when it was last looked for what can be forgotten.
-	forgotAt time.Time
-	// some says that the list isn't empty, which is all that most requests have to know.
-	some atomic.Bool
+	mu           sync.Mutex
+	list         List
+	peerProgress map[member.HostID]sentProgress
+	// lastPruneAt is when it was last looked for what can be forgotten.
+	lastPruneAt time.Time
+	// nonEmpty says that the list isn't empty, which is all that most requests have to know.
+	nonEmpty atomic.Bool
 }
 
-// peerTold is up to which change a process of a peer has been told everything.
-type peerTold struct{ epoch, upTo uint64 }
+// sentProgress is up to which change a process of a peer has been told everything.
+type sentProgress struct{ epoch, lastSentChange uint64 }
 
-// SetHeldAfter changes how many upstreams have to end under a request for it to be held.
-func (r *Register) SetHeldAfter(n int) {
+// SetHoldThreshold changes how many upstreams have to end under a request for it to be held.
+func (r *Register) SetHoldThreshold(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list.HeldAfter = n
+	r.list.HoldThreshold = n
 }
 
-// Judge tells how a request stands. Nothing is known against most, and finding that out
+// Evaluate tells how a request stands. Nothing is known against most, and finding that out
 // takes no look at their bodies. The fingerprint is given once it had to be worked out, or
 // taken where it was before.
-func (r *Register) Judge(now time.Time, a Asked, known *Fingerprint) (Evidence, *Fingerprint) {
-	if !r.some.Load() {
+func (r *Register) Evaluate(now time.Time, a RequestIdentity, known *Fingerprint) (Evidence, *Fingerprint) {
+	if !r.nonEmpty.Load() {
 		return Evidence{}, known
 	}
-	if known == nil && !r.knows(a.Head()) {
+	if known == nil && !r.mayContain(a.HeadDigest()) {
 		return Evidence{}, nil
 	}
 	if known == nil {
@@ -54,35 +54,35 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.Judge(now, *known), known
+	return r.list.Evaluate(now, *known), known
 }
 
-func (r *Register) knows(h Head) bool {
+func (r *Register) mayContain(h HeadDigest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.Knows(h)
+	return r.list.MayContain(h)
 }
 
-// Crashed is List.Crashed.
-func (r *Register) Crashed(now time.Time, f Fingerprint, o Origin, u Upstream) Evidence {
+// RecordCrash is List.RecordCrash.
+func (r *Register) RecordCrash(now time.Time, f Fingerprint, o Origin, u Upstream) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.some.Store(true)
-	return r.list.Crashed(now, f, o, u)
+	r.nonEmpty.Store(true)
+	return r.list.RecordCrash(now, f, o, u)
 }
 
-// TakeTry is List.TakeTry.
-func (r *Register) TakeTry(now time.Time, f Fingerprint) bool {
+// BeginTrial is List.BeginTrial.
+func (r *Register) BeginTrial(now time.Time, f Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.TakeTry(now, f)
+	return r.list.BeginTrial(now, f)
 }
 
-// RanWell is List.RanWell.
-func (r *Register) RanWell(now time.Time, f Fingerprint) bool {
+// ClearCrashes is List.ClearCrashes.
+func (r *Register) ClearCrashes(now time.Time, f Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.RanWell(now, f)
+	return r.list.ClearCrashes(now, f)
 }
 
 // Receive is List.Receive.
@@ -92,7 +92,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.some.Store(true)
+	r.nonEmpty.Store(true)
 	return r.list.Receive(now, marks)
 }
 
@@ -111,88 +111,88 @@
 	if known == nil {
 		return Mark{}, false
 	}
-	return known.mark(now, f), true
+	return known.toMark(now, f), true
 }
 
-// Tell returns what a peer hasn't been told yet, and the change up to which that is all.
-func (r *Register) Tell(now time.Time, to member.HostID) ([]Mark, uint64) {
-	if !r.some.Load() {
+// UnsentMarks returns what a peer hasn't been told yet, and the change up to which that is all.
+func (r *Register) UnsentMarks(now time.Time, peer member.HostID) ([]Mark, uint64) {
+	if !r.nonEmpty.Load() {
 		return nil, 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.Since(now, r.told[to].upTo, marksAtOnce)
+	return r.list.MarksSince(now, r.peerProgress[peer].lastSentChange, maxMarksPerMessage)
 }
 
-// Met takes in that a process of a peer was heard of, by an epoch of its own: one that has
+// PeerSeen takes in that a process of a peer was heard of, by an epoch of its own: one that has
 // started again knows nothing of what its last process was told.
-func (r *Register) Met(peer member.HostID, epoch uint64) {
+func (r *Register) PeerSeen(peer member.HostID, epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told, met := r.told[peer]; met && told.epoch == epoch {
+	if progress, known := r.peerProgress[peer]; known && progress.epoch == epoch {
 		return
 	}
-	if r.told == nil {
-		r.told = map[member.HostID]peerTold{}
+	if r.peerProgress == nil {
+		r.peerProgress = map[member.HostID]sentProgress{}
 	}
-	r.told[peer] = peerTold{epoch: epoch}
+	r.peerProgress[peer] = sentProgress{epoch: epoch}
 }
 
-// Told takes in that a process of a peer has been told everything up to a change.
-func (r *Register) Told(peer member.HostID, epoch, upTo uint64) {
+// MarksSent takes in that a process of a peer has been told everything up to a change.
+func (r *Register) MarksSent(peer member.HostID, epoch, lastChange uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told := r.told[peer]; told.epoch == epoch && upTo > told.upTo {
-		r.told[peer] = peerTold{epoch, upTo}
+	if progress := r.peerProgress[peer]; progress.epoch == epoch && lastChange > progress.lastSentChange {
+		r.peerProgress[peer] = sentProgress{epoch, lastChange}
 	}
 }
 
-// Behind reports whether a peer hasn't been told of all that this host saw itself, which it
+// LacksLocalChanges reports whether a peer hasn't been told of all that this host saw itself, which it
 // may hear from nobody else.
-func (r *Register) Behind(peer member.HostID) bool {
-	if !r.some.Load() {
+func (r *Register) LacksLocalChanges(peer member.HostID) bool {
+	if !r.nonEmpty.Load() {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, seen := r.list.Changes()
-	return r.told[peer].upTo < seen
+	_, lastLocal := r.list.LastChanges()
+	return r.peerProgress[peer].lastSentChange < lastLocal
 }
 
-// forgetEvery is the least time between two looks for what can be forgotten, which is all
+// pruneInterval is the least time between two looks for what can be forgotten, which is all
 // kept for minutes.
-const forgetEvery = 10 * time.Second
+const pruneInterval = 10 * time.Second
 
-// forgetDue reports whether it is time to look for that, and notes it.
-func (r *Register) forgetDue(now time.Time) bool {
+// beginPruneIfDue reports whether it is time to look for that, and notes it.
+func (r *Register) beginPruneIfDue(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.forgotAt) < forgetEvery {
+	if now.Sub(r.lastPruneAt) < pruneInterval {
 		return false
 	}
-	r.forgotAt = now
+	r.lastPruneAt = now
 	return true
 }
 
-// Forget drops what says nothing any more, and what was told to peers that aren't known. It
+// Prune drops what says nothing any more, and what was told to peers that aren't known. It
 // may be called often.
-func (r *Register) Forget(now time.Time, isKnown func(member.HostID) bool) {
-	if !r.forgetDue(now) {
+func (r *Register) Prune(now time.Time, isKnown func(member.HostID) bool) {
+	if !r.beginPruneIfDue(now) {
 		return
 	}
 	// Whoever knows the peers may ask what they were told under a lock of its own.
-	gone := slices.DeleteFunc(r.met(), isKnown)
+	gone := slices.DeleteFunc(r.knownPeers(), isKnown)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, peer := range gone {
-		delete(r.told, peer)
+		delete(r.peerProgress, peer)
 	}
-	r.list.Forget(now)
-	r.some.Store(r.list.Len() > 0)
+	r.list.PruneExpired(now)
+	r.nonEmpty.Store(r.list.Len() > 0)
 }
 
-func (r *Register) met() []member.HostID {
+func (r *Register) knownPeers() []member.HostID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Collect(maps.Keys(r.told))
+	return slices.Collect(maps.Keys(r.peerProgress))
 }
