--- a/forward/crashingrequest_test.go
+++ b/forward/crashingrequest_test.go
@@ -15,27 +15,22 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// What happened: a request ended each engine that began to run it, some 0.1 s after its
-// first token. Its caller got 502 and sent it anew, with another request id, to any host:
-// 21 engines ended under two such requests within 40 s, and with them 33 streams that
-// only ran beside and 7 requests that hadn't begun. Ten and eleven ends under one request
-// are on record, seven and eight of them after the third.
+// These tests guard against a request that crashes each engine which runs it, some 0.1 s after its
+// first token. Its caller gets 502 and retries it, with another request ID and at any host: two such
+// requests ended 21 engines within 40 s, and with them the streams that ran beside.
 //
-// The cause: hosts judged upstreams by the requests that they lost, and bounded a
-// service's repeats, but nobody judged a request by the upstreams that ended under it.
-// Each arrival was a new request to each host, and to one host when it came again there.
-//
-// Evidence: each of the 21 ends has exactly one run with one of two prompt sizes, which no
-// other request had more than twice; the engines' record has it begin 75 to 110 ms before
-// the end. Six hosts in three zones placed them, none of them twice.
+// Hosts counted lost requests per upstream and bounded the retries of a service, but didn't count
+// ended upstreams per request: to each host, and to the same host later, each retry was a new request.
 
-// maxPropagationDelay is within how long hosts that reach each other are to know what one saw.
+// maxPropagationDelay is within how long hosts that can reach each other must know what one of
+// them observed.
 const maxPropagationDelay = 3 * time.Second
 
-// newCrashSite returns three zones of two hosts before some engines and plain upstreams.
+// newCrashSite returns a site of three zones with two hosts each, with the given number of
+// engines and as many plain upstreams.
 func newCrashSite(fleet *fakeFleet, engines int) *site { return newCrashSiteWith(fleet, 3, 2, engines) }
 
-// newCrashSiteWith is newCrashSite with other zones and hosts.
+// newCrashSiteWith is newCrashSite with the given numbers of zones and hosts per zone.
 func newCrashSiteWith(fleet *fakeFleet, zones, hostsPerZone, engines int) *site {
 	s := newSite(zones, hostsPerZone, true)
 	s.origin.list = nil
@@ -55,12 +50,13 @@
 	return s
 }
 
-// hostAt is the nth host of a site, in an order that leads from zone to zone.
+// hostAt returns the nth host of a site of three zones with two hosts each; consecutive hosts are
+// in different zones.
 func (s *site) hostAt(n int) *Forwarder {
 	return s.hosts[fmt.Sprintf("10.%d.0.%d:1", n%3+1, n/3%2+1)]
 }
 
-// serveAll starts every host, with the placement.
+// serveAll starts every host of the site, including its placement.
 func (s *site) serveAll(ctx context.Context) {
 	s.startAll(ctx)
 	for _, f := range s.hosts {
@@ -68,16 +64,16 @@
 	}
 }
 
-// crashCall is a request that ends upstreams; each has an id of its own.
+// crashCall returns a call with the given body and with a request ID made from the body and n.
 func crashCall(path, body string, n int) *Call {
 	c := call(path)
 	c.ID, c.Body = RequestID(fmt.Sprint(body, n)), []byte(body)
 	return c
 }
 
-// TestRequestThatCrashesUpstreams has a request under which three upstreams ended reach
-// upstreams three times more at most, later than the hosts have had time to tell each
-// other; wherever it comes to, and by whatever way a host would send it.
+// TestRequestThatCrashesUpstreams checks that a request which has crashed three upstreams reaches
+// upstreams at most three times more once hosts have had time to tell each other. This must hold
+// at every host, and for each way in which a host sends requests.
 func TestRequestThatCrashesUpstreams(t *testing.T) {
 	for name, path := range map[string]string{
 		"stream": "/llm/", "stream that may be resumed": "/resumable/",
@@ -99,7 +95,7 @@
 				time.Sleep(5 * time.Second)
 				late, all := fleet.after(crashing, 3, maxPropagationDelay)
 				if late > 3 {
-					t.Errorf("after three upstreams had ended it reached upstreams %d times more; %d ended", late, all)
+					t.Errorf("the request reached upstreams %d times after it had ended three of them, at most 3 are allowed; it ended %d in all", late, all)
 				}
 				is.True(all >= 3)
 				cancel()
--- a/forward/crashload_test.go
+++ b/forward/crashload_test.go
@@ -20,41 +20,43 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-var crashLoadsFlag = flag.Bool("crash.days", false, "compare ways to treat requests that crash upstreams, on three sizes of site")
+var crashLoadsFlag = flag.Bool("crash.days", false, "compare hold thresholds for requests that crash upstreams, on three sizes of site")
 
-// crashLoad is a day on which upstreams end for several reasons, some of them requests.
+// crashLoad is a load during which upstreams end for several reasons, among them requests that
+// crash them.
 type crashLoad struct {
 	zones, hostsPerZone, engines int
-	// normalPerSecond is how many other requests come. One in five asks what others ask,
-	// too, as requests about a popular thing do; the rest come again until they were
-	// served, three times at most.
+	// normalPerSecond is the rate of requests that crash nothing. One in five has the same
+	// content as others, as requests on a popular subject do. The rest are unique, and each is
+	// sent up to three times while its upstream ends under it.
 	normalPerSecond float64
-	// crashingRequests is how many different requests crash upstreams, and crashingPerSecond how
-	// often any of them comes.
+	// crashingRequests is how many different requests crash upstreams, and crashingPerSecond the
+	// rate at which they arrive in total.
 	crashingRequests  int
 	crashingPerSecond float64
-	// reclaimInterval, crashInterval and flapInterval are the times between engines that leave
-	// with notice, end without, and end and come back all the time.
+	// reclaimInterval is the mean time between engines that leave with notice, crashInterval
+	// between engines that end without notice, and flapInterval between the ends of two engines
+	// that end in turn again and again. Zero means never.
 	reclaimInterval, crashInterval, flapInterval time.Duration
 	duration                                     time.Duration
 }
 
-// crashTally is what came of a day.
+// crashTally counts the outcomes of a load.
 type crashTally struct {
 	mu sync.Mutex
-	// normal are the other requests, lost those of them that an engine took with it, and
-	// wronglyHeld those that were held back; wronglyHeldUnique are those of these that ask what nobody
-	// else does.
+	// normal counts the answers to requests that crash nothing. Of these, lost ended with their
+	// engine, wronglyHeld were refused as quarantined, and wronglyHeldUnique are those of the
+	// wrongly held whose content is unique.
 	normal, lost, wronglyHeld, wronglyHeldUnique int
-	// refused are those of them that were refused for another reason.
+	// refused counts the normal requests that were refused for another reason.
 	refused int
-	// enginesEnded are how many engines ended under requests, and crashingArrivals how often such a request
-	// reached an engine.
+	// enginesEnded counts the engines that crashing requests ended, and crashingArrivals how
+	// often such a request reached an engine.
 	enginesEnded, crashingArrivals int
 }
 
 func (t *crashTally) String() string {
-	return fmt.Sprintf("good %d lost %d refused %d held by mistake %d; engines ended under requests %d", t.normal, t.lost, t.refused, t.wronglyHeld, t.enginesEnded)
+	return fmt.Sprintf("normal requests: %d, lost %d, refused %d, wrongly held %d; engines ended by crashing requests: %d", t.normal, t.lost, t.refused, t.wronglyHeld, t.enginesEnded)
 }
 
 func (t *crashTally) record(s *fakeSink, isUnique bool) {
@@ -74,8 +76,9 @@
 	}
 }
 
-// run plays the day.
-func (l crashLoad) run(t *testing.T, heldAfter int, seed uint64) *crashTally {
+// run runs the load on a new site whose hosts have the given hold threshold, and returns the
+// outcomes. Zero is the default threshold.
+func (l crashLoad) run(t *testing.T, holdThreshold int, seed uint64) *crashTally {
 	t.Helper()
 	tally := &crashTally{}
 	synctest.Test(t, func(t *testing.T) {
@@ -86,7 +89,7 @@
 		fleet.events = 160
 		s := newCrashSiteWith(fleet, l.zones, l.hostsPerZone, l.engines)
 		for _, f := range s.hosts {
-			f.crashes.SetHoldThreshold(heldAfter)
+			f.crashes.SetHoldThreshold(holdThreshold)
 		}
 		s.serveAll(ctx)
 		time.Sleep(4 * time.Second)
@@ -173,13 +176,13 @@
 	return tally
 }
 
-// anyHost is one of the hosts of a load's site.
+// anyHost returns the host with number n, modulo the size of the load's site.
 func (s *site) anyHost(n int, l crashLoad) *Forwarder {
 	return s.hosts[fmt.Sprintf("10.%d.0.%d:1", n%l.zones+1, n/l.zones%l.hostsPerZone+1)]
 }
 
-// faultyLoad has engines reclaimed, crashing and flapping, without a request that is to
-// blame.
+// faultyLoad returns a load with engines that are reclaimed, crash and flap, but without requests
+// that crash them.
 func faultyLoad(zones, hostsPerZone, engines int) crashLoad {
 	return crashLoad{
 		zones: zones, hostsPerZone: hostsPerZone, engines: engines, normalPerSecond: float64(engines) / 2, duration: time.Minute,
@@ -187,19 +190,21 @@
 	}
 }
 
-// withCrashingRequests has some different requests crash engines, which make up a part of all.
+// withCrashingRequests returns the load with count different requests that crash engines. Their
+// rate is the given share of the normal rate.
 func (l crashLoad) withCrashingRequests(count int, share float64) crashLoad {
 	l.crashingRequests, l.crashingPerSecond = count, share*l.normalPerSecond
 	return l
 }
 
-// TestCrashLoad has days on which engines are reclaimed, crash and flap, without and with a
-// tenth of the requests that crash engines, hold nobody by mistake who asks what nobody else
-// does; and such a request end three engines, or as many as it had reached before anybody
-// could know. What many ask alike may be held for a minute by bad luck; that is a figure.
+// TestCrashLoad runs loads with engines that are reclaimed, crash and flap, without and with
+// crashing requests (a tenth of the normal rate). No request with unique content may be held by
+// mistake, and the crashing requests may end only a few engines each: three, and those that they
+// reached before hosts could know. Requests with common content may be held for a minute by
+// coincidence, so those are only logged.
 //
-// It is a third of a day: with the race detector, whose own runtime failed on whole ones,
-// they take ten seconds and more. -crash.days plays whole ones.
+// The loads last a third of the usual time, because the race detector's own runtime failed on
+// full ones, and they take ten seconds and more with it. The flag -crash.days runs full ones.
 func TestCrashLoad(t *testing.T) {
 	load := faultyLoad(3, 2, 12)
 	load.duration = 20 * time.Second
@@ -219,10 +224,11 @@
 	})
 }
 
-// TestCrashHoldThresholds compares ways to treat such requests, where it is asked to.
+// TestCrashHoldThresholds logs the outcomes of several hold thresholds, if the flag -crash.days
+// is set.
 func TestCrashHoldThresholds(t *testing.T) {
 	if !*crashLoadsFlag {
-		t.Skip("compared by hand: -crash.days")
+		t.Skip("runs only with -crash.days")
 	}
 	for _, size := range []struct {
 		name                         string
@@ -235,14 +241,14 @@
 			name string
 			crashLoad
 		}{{"none", faults}, {"few", quiet.withCrashingRequests(2, 0.1)}, {"many", faults.withCrashingRequests(max(4, size.engines/3), 0.1)}} {
-			for _, heldAfter := range []int{math.MaxInt, quarantine.DefaultHoldThreshold, 2} {
+			for _, holdThreshold := range []int{math.MaxInt, quarantine.DefaultHoldThreshold, 2} {
 				total := &crashTally{}
 				for seed := range uint64(3) {
-					tally := load.run(t, heldAfter, seed+1)
+					tally := load.run(t, holdThreshold, seed+1)
 					total.normal, total.lost, total.refused = total.normal+tally.normal, total.lost+tally.lost, total.refused+tally.refused
 					total.wronglyHeld, total.enginesEnded = total.wronglyHeld+tally.wronglyHeld, total.enginesEnded+tally.enginesEnded
 				}
-				t.Logf("%s, %s of %d: held after %d: %v", size.name, load.name, load.crashingRequests, heldAfter, total)
+				t.Logf("site %s, %s crashing requests (%d): hold threshold %d: %v", size.name, load.name, load.crashingRequests, holdThreshold, total)
 			}
 		}
 	}
--- a/forward/drillstore_test.go
+++ b/forward/drillstore_test.go
@@ -17,50 +17,53 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// drillStore is an origin in virtual time that can be restored from an older copy.
+// drillStore is an origin in virtual time that can be restored from a backup.
 type drillStore struct {
 	mu           sync.Mutex
 	era          history.Era
 	lastRevision history.Revision
-	// events are all changes of the present era, with those that its copy had.
+	// events are all changes of the present era, and those of earlier eras that the last backup
+	// contained.
 	events      []drillEvent
 	unavailable bool
-	// changed closes at the next change and is made anew.
+	// changed is closed at the next change and then replaced.
 	changed chan struct{}
 	calls   []drillCall
 }
 
-// drillEvent is one change of a key; exactly one of the values is set, unless it is gone.
+// drillEvent is one change of a key. At most one of upstream, zone, config and crash is set.
 type drillEvent struct {
-	key      string
-	revision history.Revision
-	upstream *Change
-	zone     *ZoneOrder
-	config   *Config
-	crash    *quarantine.Mark
-	at       time.Time
+	key       string
+	revision  history.Revision
+	upstream  *Change
+	zone      *ZoneOrder
+	config    *Config
+	crash     *quarantine.Mark
+	writtenAt time.Time
 }
 
-// drillCall is one call that a host made.
+// drillCall records a call by a host.
 type drillCall struct {
 	host member.HostID
 	at   time.Time
 }
 
+// newDrillStore returns an empty store in era 1.
 func newDrillStore() *drillStore { return &drillStore{era: 1, changed: make(chan struct{})} }
 
-// write makes one change, and returns its revision.
+// write stores one change and returns its revision.
 func (s *drillStore) write(e drillEvent) history.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastRevision++
-	e.revision, e.at = s.lastRevision, time.Now()
+	e.revision, e.writtenAt = s.lastRevision, time.Now()
 	s.events = append(s.events, e)
 	s.notifyWatchers()
 	return s.lastRevision
 }
 
-// writeUnlessCurrent makes a change again unless the store has it.
+// writeUnlessCurrent writes a change again unless the newest change of its key has the same
+// value.
 func (s *drillStore) writeUnlessCurrent(e drillEvent) {
 	s.mu.Lock()
 	var newest drillEvent
@@ -76,6 +79,7 @@
 	}
 }
 
+// notifyWatchers wakes all watches. The mutex is held.
 func (s *drillStore) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -98,17 +102,17 @@
 	return s.write(drillEvent{key: "config", config: &c})
 }
 
-// touch makes a change that concerns no host.
+// touch writes a change that concerns no host, to advance the revision.
 func (s *drillStore) touch() history.Revision { return s.write(drillEvent{key: "other"}) }
 
-// revision is the store's present one.
+// revision returns the revision of the last change.
 func (s *drillStore) revision() history.Revision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastRevision
 }
 
-// stopAnswering has the store answer nobody until it is restored or returns.
+// stopAnswering makes the store unavailable until it is restored.
 func (s *drillStore) stopAnswering() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +120,7 @@
 	s.notifyWatchers()
 }
 
-// restore has the store come back from the copy of a revision.
+// restore makes the store available again with the content of a backup, in a new era.
 func (s *drillStore) restore(backupRevision history.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +131,7 @@
 	s.notifyWatchers()
 }
 
-// callsBetween counts each host's calls in the second after a time.
+// callsBetween counts each host's calls from one time until another.
 func (s *drillStore) callsBetween(from, until time.Time) map[member.HostID]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +144,8 @@
 	return calls
 }
 
-// drillStoreClient is the store as one host reaches it.
+// drillStoreClient is the store as one host reaches it. noStore contains the hosts that can't
+// reach it.
 type drillStoreClient struct {
 	*drillStore
 	host      member.HostID
@@ -148,7 +153,7 @@
 	noStore   map[member.HostID]bool
 }
 
-// recordCall notes a recordCall, and reports whether the store answers it.
+// recordCall records a call, and reports whether the store answers it.
 func (l drillStoreClient) recordCall() bool {
 	l.drillStore.mu.Lock()
 	defer l.drillStore.mu.Unlock()
@@ -158,31 +163,34 @@
 	return !l.unavailable && !l.noStore[l.host]
 }
 
-// changesAfter are the events after a revision, the changesAfter of each key if only that is wanted.
-func (s *drillStore) changesAfter(after history.Revision, onlyNewest bool) (OriginUpdate, bool, <-chan struct{}) {
+// changesAfter returns the changes after a revision, or only the newest change of each key for a
+// full read. It also reports whether the store has reached that revision, and returns a channel
+// that is closed at the next change.
+func (s *drillStore) changesAfter(after history.Revision, fullRead bool) (OriginUpdate, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	update := OriginUpdate{Revision: history.At(s.era, s.lastRevision)}
-	newest := map[string]history.Revision{}
+	newestOfKey := map[string]history.Revision{}
 	for _, e := range s.events {
-		newest[e.key] = e.revision
+		newestOfKey[e.key] = e.revision
 	}
 	for _, e := range s.events {
-		if e.revision > after && (!onlyNewest || newest[e.key] == e.revision) {
-			e.appendTo(&update, s.era, onlyNewest)
+		if e.revision > after && (!fullRead || newestOfKey[e.key] == e.revision) {
+			e.appendTo(&update, s.era, fullRead)
 		}
 	}
 	return update, after <= s.lastRevision, s.changed
 }
 
-// appendTo puts an event among news; a reading doesn't have what is gone.
-func (e drillEvent) appendTo(update *OriginUpdate, era history.Era, onlyNewest bool) {
+// appendTo adds an event to an update. A full read leaves out upstreams that are gone, and zones
+// that are in service.
+func (e drillEvent) appendTo(update *OriginUpdate, era history.Era, fullRead bool) {
 	switch {
-	case e.upstream != nil && !(onlyNewest && e.upstream.Gone):
+	case e.upstream != nil && !(fullRead && e.upstream.Gone):
 		c := *e.upstream
 		c.Revision = history.At(era, e.revision)
 		update.Changes = append(update.Changes, c)
-	case e.zone != nil && !(onlyNewest && !e.zone.OutOfService):
+	case e.zone != nil && !(fullRead && !e.zone.OutOfService):
 		o := *e.zone
 		o.Revision = history.At(era, e.revision)
 		update.ZoneOrders = append(update.ZoneOrders, o)
@@ -197,7 +205,7 @@
 	return len(n.Changes)+len(n.ZoneOrders)+len(n.HeldRequests) == 0 && n.Config == nil
 }
 
-// drillStoreLatency is how long the store takes for an answer.
+// drillStoreLatency is how long the store takes to begin to handle a call.
 const drillStoreLatency = 4 * time.Millisecond
 
 func (l drillStoreClient) Read(ctx context.Context, known history.Era) (OriginUpdate, error) {
@@ -251,22 +259,23 @@
 	return nil
 }
 
-// drill is a site of hosts before a store that is restored.
+// drill is a site of hosts with a store that is restored from a backup.
 type drill struct {
 	*site
 	store     *drillStore
 	beganAt   time.Time
 	noStoreMu sync.Mutex
-	// noStore are the hosts that don't reach the store.
+	// noStore contains the hosts that can't reach the store. noStoreMu guards it.
 	noStore map[member.HostID]bool
 	ctx     context.Context
-	// stopHost end the process at each address.
+	// stopHost ends the host process at each address.
 	stopHost map[string]context.CancelFunc
 
 	findingsMu sync.Mutex
 	findings   []string
 }
 
+// newDrill starts a site whose store has four upstreams and version 1 of the configuration.
 func newDrill(ctx context.Context, zones, hostsPerZone int) *drill {
 	d := &drill{site: newSite(zones, hostsPerZone, true), store: newDrillStore(), beganAt: time.Now(), noStore: map[member.HostID]bool{}, ctx: ctx, stopHost: map[string]context.CancelFunc{}}
 	for _, id := range []member.UpstreamID{"app1", "app2", "app3", "app4"} {
@@ -279,7 +288,7 @@
 	return d
 }
 
-// startHost runs a host's duties.
+// startHost starts a host's background tasks.
 func (d *drill) startHost(f *Forwarder) {
 	ctx, cancel := context.WithCancel(d.ctx)
 	d.mu.Lock()
@@ -289,7 +298,7 @@
 	go f.Run(ctx)
 }
 
-// restart has a host's process end at once, and a new one start that knows nothing.
+// restart ends a host's process at once, and starts a new one without any state.
 func (d *drill) restart(address string) *Forwarder {
 	d.mu.Lock()
 	settings := d.hosts[address].settings
@@ -303,7 +312,7 @@
 	return restarted
 }
 
-// withoutStore has hosts not reach the store, or reach it again.
+// withoutStore makes the store unreachable for hosts, or reachable again.
 func (d *drill) withoutStore(unreachable bool, hosts ...member.HostID) {
 	d.noStoreMu.Lock()
 	defer d.noStoreMu.Unlock()
@@ -312,25 +321,26 @@
 	}
 }
 
+// addFinding records a failure, preceded by the seconds since the drill began.
 func (d *drill) addFinding(format string, args ...any) {
 	d.findingsMu.Lock()
 	defer d.findingsMu.Unlock()
 	d.findings = append(d.findings, fmt.Sprintf("%5.2f s ", time.Since(d.beganAt).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// report fails the test with the first findings.
+// report fails the test with the first eight findings, and the number of all if there are more.
 func (d *drill) report(t *testing.T) {
 	t.Helper()
 	for i, finding := range d.findings {
 		if i == 8 {
-			t.Errorf("%d findings in all", len(d.findings))
+			t.Errorf("%d findings in total, the rest is not shown", len(d.findings))
 			break
 		}
 		t.Error(finding)
 	}
 }
 
-// sortedHosts are the hosts, in the order of their names.
+// sortedHosts returns the hosts, sorted by ID.
 func (d *drill) sortedHosts() []*Forwarder {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -344,10 +354,11 @@
 	return hosts
 }
 
-// drillCheckInterval is how often hosts are looked at.
+// drillCheckInterval is the time between two checks of all hosts.
 const drillCheckInterval = 20 * time.Millisecond
 
-// checkHolds checks all hosts for a while: from a time on, what is said has to checkHolds.
+// checkHolds waits for the delay, and then checks for the given time that a condition holds at
+// every host.
 func (d *drill) checkHolds(condition string, delay, duration time.Duration, holds func(f *Forwarder) bool) {
 	time.Sleep(delay)
 	failing := map[member.HostID]bool{}
@@ -355,7 +366,7 @@
 		for _, f := range d.sortedHosts() {
 			if id := f.settings.Self.ID; !failing[id] && !holds(f) {
 				failing[id] = true
-				d.addFinding("%s: not at %s", condition, id)
+				d.addFinding("condition %q does not hold at host %s", condition, id)
 			}
 		}
 	}
@@ -371,13 +382,14 @@
 	return u
 }
 
-// givesWork reports whether a host gives an upstream new work.
+// givesWork returns a function that reports whether a host gives new work to an upstream.
 func givesWork(id member.UpstreamID) func(f *Forwarder) bool {
 	return func(f *Forwarder) bool {
 		return slices.ContainsFunc(f.fleet.Available(f.now(), "app"), func(u Upstream) bool { return u.ID == id })
 	}
 }
 
+// givesNoWork returns the negation of givesWork.
 func givesNoWork(id member.UpstreamID) func(f *Forwarder) bool {
 	return func(f *Forwarder) bool { return !givesWork(id)(f) }
 }
--- a/forward/randomdrill_test.go
+++ b/forward/randomdrill_test.go
@@ -21,40 +21,42 @@
 )
 
 var (
-	drillSeed  = flag.Uint64("drill.seed", 1, "seed of the day with a store that is restored")
-	drillSizes = flag.String("drill.sizes", "9,60", "hosts of the sites before a store that is restored")
+	drillSeed  = flag.Uint64("drill.seed", 1, "seed of the random drill")
+	drillSizes = flag.String("drill.sizes", "9,60", "sizes of the sites in drills with a store that is restored, in hosts")
 )
 
 const (
-	// drillSettleTime is for how long a host has to be undisturbed to be held to a bound.
+	// drillSettleTime is how long a host, or the store, must have been undisturbed before bounds
+	// apply to it.
 	drillSettleTime = 3 * time.Second
-	// randomDrillDuration is how long things happen on a drill day, in series that overlap.
+	// randomDrillDuration is how long the series of random events run. The series overlap.
 	randomDrillDuration = 40 * time.Second
 )
 
-// randomDrill is a day on which much happens while the store is restored again and again.
+// randomDrill is a drill with random events at the hosts and in the store, during which the store
+// is restored several times.
 type randomDrill struct {
 	*drill
 	random *rand.Rand
-	// startedAt is when the series began.
+	// startedAt is when the series of events began.
 	startedAt time.Time
 
 	mu sync.Mutex
-	// leftAt are when the store took that an upstream leaves or has ended.
+	// leftAt is when each upstream that is leaving or gone was first written as such.
 	leftAt map[member.UpstreamID]time.Time
-	// lastWrites is the newest value of each key, and when it was written.
+	// lastWrites is the last write to each key; the store may have lost it.
 	lastWrites map[string]drillEvent
-	// exemptUntil is until when each host isn't held to bounds.
+	// exemptUntil is until when bounds don't apply to each host.
 	exemptUntil map[member.HostID]time.Time
-	// storeStableAt is since when the store is undisturbed.
+	// storeStableAt is when the store counts as undisturbed again.
 	storeStableAt    time.Time
 	upstreamsStarted int
 	version          Version
-	// knownLeaving are the upstreams that each host has known to leave.
+	// knownLeaving contains the upstreams that each host has known to be leaving.
 	knownLeaving map[*Forwarder]map[member.UpstreamID]bool
 }
 
-// writeWhenAvailable makes a change as soon as the store is there, and remembers it.
+// writeWhenAvailable waits until the store is available, writes a change, and remembers it.
 func (d *randomDrill) writeWhenAvailable(e drillEvent) {
 	for {
 		d.store.mu.Lock()
@@ -71,6 +73,8 @@
 	d.lastWrites[e.key] = e
 }
 
+// writeUpstream writes an upstream, or that it is gone, and records when it first was leaving or
+// gone.
 func (d *randomDrill) writeUpstream(u Upstream, gone bool) {
 	d.writeWhenAvailable(drillEvent{key: "upstream/" + string(u.ID), upstream: &Change{Upstream: u, Gone: gone}})
 	d.mu.Lock()
@@ -80,6 +84,7 @@
 	}
 }
 
+// startUpstream adds an upstream with a new ID.
 func (d *randomDrill) startUpstream() {
 	d.mu.Lock()
 	d.upstreamsStarted++
@@ -88,7 +93,8 @@
 	d.writeUpstream(plainUpstream(id), false)
 }
 
-// pickLivingUpstream is one of the upstreams that live.
+// pickLivingUpstream returns a random upstream that is neither leaving nor gone, unless fewer
+// than four are left.
 func (d *randomDrill) pickLivingUpstream() (member.UpstreamID, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -104,6 +110,8 @@
 	return ids[d.random.IntN(len(ids))], true
 }
 
+// exemptHosts exempts hosts from bounds for the duration of a disturbance, and for
+// drillSettleTime after it.
 func (d *randomDrill) exemptHosts(duration time.Duration, hosts ...member.HostID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -112,15 +120,15 @@
 	}
 }
 
-// restoreStore has the store go away and come back without its last changes, and those be
-// written again.
+// restoreStore makes the store unavailable for a while, restores it without its last changes, and
+// then writes the lost ones again.
 func (d *randomDrill) restoreStore() {
 	outage := time.Duration(100+d.random.IntN(3000)) * time.Millisecond
 	lostTime := time.Duration(d.random.IntN(5000)) * time.Millisecond
 	d.store.mu.Lock()
 	backupRevision := history.Revision(0)
 	for _, e := range d.store.events {
-		if time.Since(e.at) >= lostTime {
+		if time.Since(e.writtenAt) >= lostTime {
 			backupRevision = e.revision
 		}
 	}
@@ -144,8 +152,10 @@
 	}
 }
 
-// checkHosts looks at all hosts: those that are held to bounds now give no work to what left while the
-// store was stable, or since it is again, and none ever does to what it knew to leave.
+// checkHosts checks two rules at all hosts:
+//   - a host never gives work to an upstream that it has known to be leaving;
+//   - a host to which bounds apply gives no work to an upstream that left more than
+//     maxLeavingDelay ago, counted from when the store became stable if that is later.
 func (d *randomDrill) checkHosts(reported map[string]bool) {
 	now := time.Now()
 	d.mu.Lock()
@@ -155,18 +165,18 @@
 		isBound := !now.Before(d.exemptUntil[host]) && !now.Before(d.storeStableAt)
 		for _, u := range f.fleet.Available(f.now(), "app") {
 			left, key := d.leftAt[u.ID], string(host)+string(u.ID)
-			exposed := now.Sub(laterOf(left, d.storeStableAt))
-			late := isBound && !left.IsZero() && exposed > maxLeavingDelay
+			sinceLeft := now.Sub(laterOf(left, d.storeStableAt))
+			late := isBound && !left.IsZero() && sinceLeft > maxLeavingDelay
 			if knew := d.knownLeaving[f][u.ID]; (late || knew) && !reported[key] {
 				reported[key] = true
-				d.addFinding("%s gives work to %s, %v after it left, known before %v", host, u.ID, now.Sub(left), knew)
+				d.addFinding("host %s gives work to upstream %s, %v after it left; the host knew that it was leaving: %v", host, u.ID, now.Sub(left), knew)
 			}
 		}
 		d.recordKnownLeaving(f)
 	}
 }
 
-// recordKnownLeaving remembers which upstreams a host knows to leave. The mutex is held.
+// recordKnownLeaving records which upstreams a host knows to be leaving. The mutex is held.
 func (d *randomDrill) recordKnownLeaving(f *Forwarder) {
 	if d.knownLeaving[f] == nil {
 		d.knownLeaving[f] = map[member.UpstreamID]bool{}
@@ -180,7 +190,8 @@
 	}
 }
 
-// checkConvergence has nothing happen any more, and then all hosts know what is so.
+// checkConvergence waits without further events, and then checks that all hosts have the same,
+// current state.
 func (d *randomDrill) checkConvergence() {
 	time.Sleep(max(entryLapseGrace, relistGrace) + drillSettleTime + 2*time.Second)
 	for _, f := range d.sortedHosts() {
@@ -188,17 +199,18 @@
 		for n := range d.upstreamsStarted {
 			id := member.UpstreamID(fmt.Sprint("up", n+1))
 			if lives := d.leftAt[id].IsZero(); lives != givesWork(id)(f) {
-				d.addFinding("%s at the end: %s lives %v", f.settings.Self.ID, id, lives)
+				d.addFinding("host %s at the end: it is wrong about upstream %s, which is living: %v", f.settings.Self.ID, id, lives)
 			}
 		}
 		if v := f.versionInForce(); v != d.version {
-			d.addFinding("%s at the end: version %d in force, %d is the newest", f.settings.Self.ID, v, d.version)
+			d.addFinding("host %s at the end: configuration version %d is in force, expected %d", f.settings.Self.ID, v, d.version)
 		}
 		d.mu.Unlock()
 	}
 }
 
-// checkStoreCalls checks how often each host and all together called the store.
+// checkStoreCalls checks how often each host, and all hosts together, called the store in any
+// second.
 func (d *randomDrill) checkStoreCalls(t *testing.T) {
 	maxOfHost, maxOfAll := 0, 0
 	for from := d.startedAt; from.Before(time.Now()); from = from.Add(time.Second) {
@@ -207,21 +219,22 @@
 			sum += n
 			maxOfHost = max(maxOfHost, n)
 			if n > 3*maxHostCallsPerSecond {
-				d.addFinding("%s called the store %d times in a second", host, n)
+				d.addFinding("host %s called the store %d times in one second, at most %d are allowed", host, n, 3*maxHostCallsPerSecond)
 			}
 		}
 		maxOfAll = max(maxOfAll, sum)
 	}
-	t.Logf("the most calls in a second: %d of a host, %d of all", maxOfHost, maxOfAll)
+	t.Logf("most calls to the store in one second: %d by one host, %d by all hosts", maxOfHost, maxOfAll)
 	if maxOfAll > maxStoreCallsPerSecond {
-		d.addFinding("%d calls of all hosts in a second", maxOfAll)
+		d.addFinding("all hosts called the store %d times in one second, at most %d are allowed", maxOfAll, maxStoreCallsPerSecond)
 	}
 }
 
-// maxStoreCallsPerSecond is what the store takes from all hosts together.
+// maxStoreCallsPerSecond is how many calls per second the store handles from all hosts together.
 const maxStoreCallsPerSecond = 2000
 
-// TestRandomDrill has hosts keep to what leaves, and agree in the end, while the store is restored again and again.
+// TestRandomDrill checks that hosts give no work to leaving upstreams, and converge in the end,
+// while the store is restored several times.
 func TestRandomDrill(t *testing.T) {
 	for _, hosts := range drillSiteSizes(t) {
 		t.Run(strconv.Itoa(hosts), func(t *testing.T) {
@@ -248,7 +261,7 @@
 	}
 }
 
-// run has all series go on beside each other.
+// run runs all series of events concurrently until randomDrillDuration is over.
 func (d *randomDrill) run() {
 	until := time.Now().Add(randomDrillDuration)
 	var series sync.WaitGroup
@@ -267,8 +280,8 @@
 	pickHost := func() *Forwarder { return hosts[d.random.IntN(len(hosts))] }
 	every(5*time.Second, 4*time.Second, func(int) { d.restoreStore() })
 	every(300*time.Millisecond, time.Second, func(n int) {
-		id, reported := d.pickLivingUpstream()
-		if !reported {
+		id, ok := d.pickLivingUpstream()
+		if !ok {
 			return
 		}
 		d.startUpstream()
@@ -300,12 +313,12 @@
 		d.withoutStore(false, self.ID)
 	})
 	every(200*time.Millisecond, 600*time.Millisecond, func(int) { d.store.touch() })
-	found := map[string]bool{}
-	every(50*time.Millisecond, 50*time.Millisecond, func(int) { d.checkHosts(found) })
+	reported := map[string]bool{}
+	every(50*time.Millisecond, 50*time.Millisecond, func(int) { d.checkHosts(reported) })
 	series.Wait()
 }
 
-// lockedSource is a source that the series draw from side by side.
+// lockedSource is a random source that is safe for concurrent use by the series.
 type lockedSource struct {
 	mu     sync.Mutex
 	source rand.Source
--- a/forward/restoredrill_test.go
+++ b/forward/restoredrill_test.go
@@ -16,24 +16,25 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// Bounds of the stated rules.
+// Bounds that hosts must keep.
 const (
-	// maxLeavingDelay is how soon after the store took an upstream's word that it leaves no
-	// host may send to it.
+	// maxLeavingDelay is the time after which no host may send to an upstream once the store has
+	// accepted that it is leaving.
 	maxLeavingDelay = 2 * time.Second
-	// maxConfigDelay is how soon a configuration is in force.
+	// maxConfigDelay is how soon a written configuration must be in force at all hosts.
 	maxConfigDelay = 2 * time.Second
-	// maxZoneOrderDelay is how soon an order about a zone is kept to.
+	// maxZoneOrderDelay is how soon all hosts must follow an order about a zone.
 	maxZoneOrderDelay = 5 * time.Second
-	// maxHostCallsPerSecond are the calls of a store that takes 2,000 a second from 300 hosts.
+	// maxHostCallsPerSecond is one host's share, rounded down, of the 2,000 calls per second that
+	// a store handles from 300 hosts.
 	maxHostCallsPerSecond = 6
 )
 
-// drillLostRevisions is how many of the last revisions the copy lacks.
+// drillLostRevisions is how many of the last revisions the backup lacks.
 const drillLostRevisions = 3
 
-// runDrill has hosts run for a while, the store go away for 2.5 s, come back from a copy that
-// lacks the last revisions, and something happen.
+// runDrill starts a site, takes a backup, and calls before. It then makes the store unavailable
+// for 2.5 s, restores it from the backup, which lacks the last revisions, and calls after.
 func runDrill(t *testing.T, zones, hostsPerZone int, before, after func(d *drill)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -58,7 +59,8 @@
 	})
 }
 
-// TestUpstreamLeavesAtARevisionGivenOutAgain: hosts that knew a higher revision must hear it.
+// TestUpstreamLeavesAtARevisionGivenOutAgain checks that hosts learn that an upstream is leaving
+// if they knew a higher revision before the restore.
 func TestUpstreamLeavesAtARevisionGivenOutAgain(t *testing.T) {
 	for name, pause := range map[string]time.Duration{"at once": 0, "three seconds later": 3 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -71,8 +73,10 @@
 	}
 }
 
-// TestUpstreamLeavesBeforeHostsAskAgain: no watch gets 410 when the revisions have caught up.
-func TestUpstreamLeavesBeforeHostsAskAgain(t *testing.T) {
+// TestUpstreamLeavesBeforeHostsWatchAgain checks that hosts learn that an upstream is leaving if
+// the restored store passes their revision before they watch again. Then no watch fails with
+// status 410.
+func TestUpstreamLeavesBeforeHostsWatchAgain(t *testing.T) {
 	runDrill(t, 3, 3, nil, func(d *drill) {
 		d.store.listUpstream(leavingUpstream("app1"))
 		for range 3 * drillLostRevisions {
@@ -82,7 +86,8 @@
 	})
 }
 
-// TestRestoredStoreIsNotPolledInALoop: a watch from a revision that the copy lacks gets 410.
+// TestRestoredStoreIsNotPolledInALoop checks that hosts don't call a restored store in a loop. A
+// watch from a revision that the backup lacks fails with status 410.
 func TestRestoredStoreIsNotPolledInALoop(t *testing.T) {
 	for _, hosts := range drillSiteSizes(t) {
 		t.Run(strconv.Itoa(hosts), func(t *testing.T) {
@@ -102,21 +107,21 @@
 					highest = max(highest, totalCalls(calls))
 					for host, n := range calls {
 						if n > maxHostCallsPerSecond {
-							d.addFinding("%s called %d times in a second", host, n)
+							d.addFinding("host %s called the store %d times in one second, at most %d are allowed", host, n, maxHostCallsPerSecond)
 						}
 					}
 				}
-				t.Logf("%d hosts made %d calls in 10 quiet seconds, %d in the 10 s after the restore, %d of them in one second",
+				t.Logf("%d hosts made %d calls in 10 s before the outage and %d in the 10 s after the restore, at most %d of them in one second",
 					hosts, quietCalls, totalCalls(d.store.callsBetween(restoredAt, time.Now())), highest)
 				if highest > maxStoreCallsPerSecond {
-					d.addFinding("%d calls in a second", highest)
+					d.addFinding("all hosts called the store %d times in one second, at most %d are allowed", highest, maxStoreCallsPerSecond)
 				}
 			})
 		})
 	}
 }
 
-// drillSiteSizes are the sizes of sites that the flag names.
+// drillSiteSizes returns the numbers of hosts that the flag names.
 func drillSiteSizes(t *testing.T) (hosts []int) {
 	t.Helper()
 	for _, size := range strings.Split(*drillSizes, ",") {
@@ -129,6 +134,7 @@
 	return hosts
 }
 
+// totalCalls returns the sum of all hosts' calls.
 func totalCalls(calls map[member.HostID]int) (n int) {
 	for _, hostCalls := range calls {
 		n += hostCalls
@@ -136,7 +142,8 @@
 	return n
 }
 
-// TestConfigurationAtARevisionGivenOutAgain: a configuration must come into force at all hosts.
+// TestConfigurationAtARevisionGivenOutAgain checks that a configuration comes into force at all
+// hosts even though they knew its revision before the restore.
 func TestConfigurationAtARevisionGivenOutAgain(t *testing.T) {
 	runDrill(t, 3, 3, nil, func(d *drill) {
 		time.Sleep(3 * time.Second)
@@ -145,7 +152,8 @@
 	})
 }
 
-// TestZoneOrderAtARevisionGivenOutAgain: an order about a zone must be kept to by all hosts.
+// TestZoneOrderAtARevisionGivenOutAgain checks that all hosts follow an order about a zone even
+// though they knew its revision before the restore.
 func TestZoneOrderAtARevisionGivenOutAgain(t *testing.T) {
 	before := func(d *drill) {
 		d.store.orderZone("z1", true)
@@ -160,8 +168,9 @@
 	})
 }
 
-// TestLeavingThatTheCopyLost: what has said that it leaves leaves, whatever the copy says.
-func TestLeavingThatTheCopyLost(t *testing.T) {
+// TestLeavingThatTheBackupLacks checks that an upstream which announced that it is leaving stays out
+// of use, even if the backup lists it as available.
+func TestLeavingThatTheBackupLacks(t *testing.T) {
 	before := func(d *drill) { d.store.listUpstream(leavingUpstream("app1")) }
 	runDrill(t, 3, 3, before, func(d *drill) {
 		d.checkHolds("app1 gets nothing", 0, 4*time.Second, givesNoWork("app1"))
@@ -170,8 +179,9 @@
 	})
 }
 
-// TestUpstreamThatTheCopyLacks: what lives and isn't listed yet gets work, and stays.
-func TestUpstreamThatTheCopyLacks(t *testing.T) {
+// TestUpstreamThatTheBackupLacks checks that a living upstream which the backup lacks gets work,
+// and still does after it is listed again.
+func TestUpstreamThatTheBackupLacks(t *testing.T) {
 	before := func(d *drill) { d.store.listUpstream(plainUpstream("app5")) }
 	runDrill(t, 3, 3, before, func(d *drill) {
 		d.checkHolds("app5 gets work", 0, 2*time.Second, givesWork("app5"))
@@ -180,8 +190,9 @@
 	})
 }
 
-// TestUpstreamThatEndedAndTheCopyHas: it gets nothing, and its entry lapses.
-func TestUpstreamThatEndedAndTheCopyHas(t *testing.T) {
+// TestEndedUpstreamThatTheBackupHas checks that an upstream which has ended but is in the backup
+// gets no work, before and after its entry is dropped again. Hosts let such an entry lapse.
+func TestEndedUpstreamThatTheBackupHas(t *testing.T) {
 	before := func(d *drill) { d.store.dropUpstream("app4") }
 	runDrill(t, 3, 3, before, func(d *drill) {
 		d.checkHolds("app4 gets nothing", 0, 3600*time.Millisecond, givesNoWork("app4"))
@@ -190,8 +201,9 @@
 	})
 }
 
-// TestZoneOrderThatTheCopyLost: the newest order that was acknowledged binds until it is given again.
-func TestZoneOrderThatTheCopyLost(t *testing.T) {
+// TestZoneOrderThatTheBackupLacks checks that the newest acknowledged order about a zone stays in
+// force although the backup lacks it, until it is given again.
+func TestZoneOrderThatTheBackupLacks(t *testing.T) {
 	before := func(d *drill) { d.store.orderZone("z1", true) }
 	runDrill(t, 3, 3, before, func(d *drill) {
 		isOut := func(f *Forwarder) bool { return !f.fleet.InService("z1") }
@@ -203,8 +215,9 @@
 	})
 }
 
-// TestConfigurationThatTheCopyLost: the newest that was acknowledged stays in force.
-func TestConfigurationThatTheCopyLost(t *testing.T) {
+// TestConfigurationThatTheBackupLacks checks that the newest acknowledged configuration stays in
+// force although the backup lacks it.
+func TestConfigurationThatTheBackupLacks(t *testing.T) {
 	before := func(d *drill) { d.store.configure(2) }
 	runDrill(t, 3, 3, before, func(d *drill) {
 		d.checkHolds("version 2 is in force", 0, 4*time.Second, func(f *Forwarder) bool { return f.versionInForce() == 2 })
@@ -214,7 +227,8 @@
 	})
 }
 
-// TestStoreRestoredTwice: the era goes up again before all hosts have seen it.
+// TestStoreRestoredTwice checks that hosts learn that upstreams are leaving if the store is
+// restored a second time before all hosts have seen the era of the first restore.
 func TestStoreRestoredTwice(t *testing.T) {
 	runDrill(t, 3, 3, nil, func(d *drill) {
 		backupRevision := d.store.revision()
@@ -228,7 +242,8 @@
 	})
 }
 
-// TestHostBehindSendsThePreviousEra: a host that was cut off over the restore comes back.
+// TestHostBehindSendsThePreviousEra checks that a host which was cut off during the restore, and
+// comes back with the state of the previous era, doesn't override the state of the new one.
 func TestHostBehindSendsThePreviousEra(t *testing.T) {
 	const isolated = "10.1.0.2:1"
 	before := func(d *drill) {
@@ -250,7 +265,8 @@
 	})
 }
 
-// TestHostStartsOverARestore: what it takes from a peer and from the store are of two eras.
+// TestHostStartsOverARestore checks a host that starts during a restore, and so gets state of the
+// previous era from a peer and of the new era from the store.
 func TestHostStartsOverARestore(t *testing.T) {
 	before := func(d *drill) {
 		d.store.listUpstream(leavingUpstream("app1"))
@@ -268,11 +284,13 @@
 	})
 }
 
-// TestOlderConfigurationTakenForTheNewest: a copy may lack the newest, and a host that knows of it says of no route that it doesn't exist.
+// TestOlderConfigurationTakenForTheNewest checks a host that knows of a newer configuration than
+// the backup has. It must not treat the older one as current, because it would then refuse routes
+// that the newer one adds as unknown.
 func TestOlderConfigurationTakenForTheNewest(t *testing.T) {
 	runDrill(t, 3, 3, nil, func(d *drill) {
 		restarted := d.restart("10.1.0.1:1")
-		restarted.configOffers.record(restarted.now(), 2) // by a host that has ended since
+		restarted.configOffers.record(restarted.now(), 2) // offered by a host that has ended since
 		d.checkHolds("version 1 isn't taken for the newest", restarted.settings.MaxContactAge, 3*time.Second, func(f *Forwarder) bool {
 			return f != restarted || f.ContactAge(f.now()) > f.settings.MaxContactAge
 		})
@@ -283,8 +301,9 @@
 	})
 }
 
-// TestDirectoryEntryThatTheCopyLost: hosts on the directory write their entries again, and no others do.
-func TestDirectoryEntryThatTheCopyLost(t *testing.T) {
+// TestDirectoryEntryThatTheBackupLacks checks that after a restore the hosts in the directory write
+// their entries again, once, and that no other hosts do.
+func TestDirectoryEntryThatTheBackupLacks(t *testing.T) {
 	runDrill(t, 3, 3, nil, func(d *drill) {
 		before := map[member.HostID]int32{}
 		for host, n := range d.entries {
@@ -293,14 +312,15 @@
 		time.Sleep(maxLeavingDelay + directoryRewriteWindow + directoryCheckInterval)
 		for host, n := range d.entries {
 			if wrote, listed := n.Load()-before[host], before[host] > 0; wrote > 1 || (wrote == 1) != listed {
-				d.addFinding("%s, listed %v, wrote its entry %d times", host, listed, wrote)
+				d.addFinding("host %s (in the directory before: %v) wrote its entry %d times after the restore, expected once if it was in the directory, and never if not", host, listed, wrote)
 			}
 		}
 	})
 }
 
-// TestHeldRequestThatTheCopyLost: it is kept again, for hosts that start when all have ended.
-func TestHeldRequestThatTheCopyLost(t *testing.T) {
+// TestHeldRequestThatTheBackupLacks checks that a held request which the backup lacks is saved
+// again, for hosts that start after all others have ended.
+func TestHeldRequestThatTheBackupLacks(t *testing.T) {
 	identity := quarantine.RequestIdentity{Caller: "counter", Target: "/llm/x", Body: []byte("b")}
 	mark := quarantine.Mark{Request: identity.Fingerprint()}
 	for _, id := range []member.UpstreamID{"i-1", "i-2", "i-3"} {
@@ -314,12 +334,13 @@
 		time.Sleep(3 * time.Second)
 		update, err := drillStoreClient{d.store, "", &d.noStoreMu, d.noStore}.Read(d.ctx, 0)
 		if err != nil || len(update.HeldRequests) != 1 || update.HeldRequests[0].Request != mark.Request {
-			d.addFinding("the store keeps %v, err %v", update.HeldRequests, err)
+			d.addFinding("the store has the held requests %v (error %v), expected just the one of request %v", update.HeldRequests, err, mark.Request)
 		}
 	})
 }
 
-// TestEraFalls: answers of an era before the known one change nothing, and aren't asked for in a loop.
+// TestEraFalls checks that answers of an era before the known one change nothing, and that hosts
+// don't poll the store in a loop because of them.
 func TestEraFalls(t *testing.T) {
 	runDrill(t, 3, 3, nil, func(d *drill) {
 		d.store.listUpstream(leavingUpstream("app1"))
@@ -337,7 +358,7 @@
 		d.checkHolds("app1 leaves, app2 takes work", 0, 5*time.Second, func(f *Forwarder) bool { return givesNoWork("app1")(f) && givesWork("app2")(f) })
 		for host, n := range d.store.callsBetween(from, time.Now()) {
 			if n > 5*maxHostCallsPerSecond {
-				d.addFinding("%s called the store %d times in 5 s", host, n)
+				d.addFinding("host %s called the store %d times in 5 s, at most %d are allowed", host, n, 5*maxHostCallsPerSecond)
 			}
 		}
 		setEra(1)
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -21,18 +21,20 @@
 	"github.com/shedpath/shedpath/roster"
 )
 
-// What one host costs at different sizes of the fleet, counted in virtual time. What grows with the
-// fleet at one host doesn't hold at twice its size.
+// These tests count, in virtual time, the messages of one host at different sizes of the fleet. Load
+// on one host that grows with the fleet limits the size of the fleet.
 
-// countingSite is a site of which the calls are counted by host.
+// countingSite is a site that counts the calls between hosts.
 type countingSite struct {
 	*site
-	mu                sync.Mutex
+	mu sync.Mutex
+	// isCounting enables the counters, which mu guards.
 	isCounting        bool
 	callsIn, callsOut map[member.HostID]int
-	completeReplies   map[member.HostID]int
-	followersOf       map[member.HostID]map[member.HostID]bool
-	sharesReceived    map[member.HostID]int
+	// completeReplies counts the Follow calls that a host answered with its complete list.
+	completeReplies map[member.HostID]int
+	followersOf     map[member.HostID]map[member.HostID]bool
+	sharesReceived  map[member.HostID]int
 }
 
 func (s *countingSite) recordCall(from, to member.HostID, isFollow bool) {
@@ -53,7 +55,7 @@
 	s.followersOf[to][from] = true
 }
 
-// countingPort counts a host's calls.
+// countingPort counts the calls of one host.
 type countingPort struct {
 	sitePort
 	counter *countingSite
@@ -75,7 +77,7 @@
 	return reply, err
 }
 
-// directoryOrigin is the origin with the hosts that are on the directory.
+// directoryOrigin is an origin whose directory lists the given hosts.
 type directoryOrigin struct {
 	*siteOrigin
 	hosts      []Peer
@@ -87,8 +89,9 @@
 	return o.hosts, nil
 }
 
-// zonesForFleet is how many zones a fleet of some hosts has: the smallest divided zones have 49 hosts, and
-// the race detector is slow with hundreds.
+// zonesForFleet returns the number of zones for a fleet of the given size. A zone is divided into
+// cells from 49 hosts on, and the race detector is slow with hundreds of hosts; with two zones, a
+// fleet of about a hundred hosts has divided zones.
 func zonesForFleet(hosts int) int {
 	if hosts < 240 {
 		return 2
@@ -96,7 +99,7 @@
 	return 5
 }
 
-// newCountingSite starts a site with ten engines a host.
+// newCountingSite starts a site with ten engines per host.
 func newCountingSite(ctx context.Context, hosts int) *countingSite {
 	zones := zonesForFleet(hosts)
 	s := &countingSite{
@@ -113,7 +116,7 @@
 	for n := range hosts {
 		f := s.nth(n)
 		self := &f.settings.Self
-		// The first ten of each zone carry ten times as much.
+		// The first ten hosts of each zone have ten times the capacity.
 		self.Capacity = 20
 		if n/zones < 10 {
 			self.Capacity = 200
@@ -129,7 +132,8 @@
 	return s
 }
 
-// ratesPerSecond is the middle and the highest of some counts, by the second.
+// ratesPerSecond returns the median and the highest of the hosts' counts, per second. Hosts
+// without a count have zero.
 func ratesPerSecond(counts map[member.HostID]int, hosts int, d time.Duration) (median, highest float64) {
 	all := make([]int, 0, hosts)
 	for _, n := range counts {
@@ -142,11 +146,13 @@
 	return float64(all[len(all)/2]) / d.Seconds(), float64(all[len(all)-1]) / d.Seconds()
 }
 
-// undividedZoneMessages are what a host of the largest undivided zone gets and answers in a second: two of
-// each of the 47 others, and some of other zones.
+// undividedZoneMessages is how many messages per second a host of the largest undivided zone
+// receives and answers: two from each of the 47 other hosts of its zone, and some from other
+// zones.
 const undividedZoneMessages = 2 * (47 + 8)
 
-// TestMessagesPerHost has the messages of a host be bounded whatever the size of the fleet.
+// TestMessagesPerHost checks that the number of messages per host is bounded at any size of the
+// fleet.
 func TestMessagesPerHost(t *testing.T) {
 	const settleTime, countTime = 6 * time.Second, 3 * time.Second
 	var medians []float64
@@ -170,7 +176,7 @@
 				watches := s.origin.watches.Load()
 				time.Sleep(countTime)
 				watches = s.origin.watches.Load() - watches
-				// How long a change takes to all hosts.
+				// Measure how long a change takes to reach all hosts.
 				published := time.Now()
 				u, _ := s.first().fleet.Upstream(s.origin.list[0].ID)
 				u.Leaving, u.Revision = true, rev(90)
@@ -201,17 +207,17 @@
 					known = max(known, f.peers.count(func(*peerState) bool { return true }))
 					entries += int(s.entries[f.settings.Self.ID].Load())
 				}
-				t.Logf("%d hosts, %d up: in %.1f, %.1f at the busiest; out %.1f, %.1f; followers %d at most; whole lists %d at most; hosts known %d; readings of the origin %d, watches %.1f a second; entries %d; a change at all after %v",
+				t.Logf("%d hosts, %d up to date; messages per second received: median %.1f, highest %.1f; sent: median %.1f, highest %.1f; most followers of a host %d; most complete replies by a host %d; most peers known to a host %d; origin reads %d, origin watches per second %.1f; directory entries %d; a change reached all hosts after %v",
 					hosts, ready, inMedian, inHighest, outMedian, outHighest, followers, completeReplies, known, reads, float64(watches)/countTime.Seconds(), entries, propagation)
 				medians = append(medians, inMedian)
 				if ready < hosts {
-					t.Errorf("%d of %d hosts are up to date", ready, hosts)
+					t.Errorf("%d of %d hosts are up to date, expected all", ready, hosts)
 				}
 				if s.first().peers.zonesDivided() && followers > 5*maxFollowers {
-					t.Errorf("%d follow one host", followers)
+					t.Errorf("one host has %d followers, at most %d are allowed", followers, 5*maxFollowers)
 				}
 				if propagation > time.Second {
-					t.Errorf("a change reached all after %v", propagation)
+					t.Errorf("a change reached all hosts after %v, at most %v is allowed", propagation, time.Second)
 				}
 				cancel()
 			})
@@ -221,14 +227,14 @@
 	const maxMedian = undividedZoneMessages
 	for i, in := range medians {
 		if in > maxMedian {
-			t.Errorf("%.0f messages a second at a host in the middle, %.0f allowed (size %d)", in, float64(maxMedian), i)
+			t.Errorf("the median host received %.0f messages per second, at most %.0f are allowed (fleet size with index %d)", in, float64(maxMedian), i)
 		}
 	}
 }
 
-var scaleSizesFlag = flag.String("scale.sizes", "20,104", "sizes of the fleets whose messages are counted")
+var scaleSizesFlag = flag.String("scale.sizes", "20,104", "sizes of the fleets whose messages are counted, in hosts")
 
-// scaleSizes are the sizes that are played.
+// scaleSizes returns the fleet sizes that the flag names.
 func scaleSizes(t *testing.T) (sizes []int) {
 	t.Helper()
 	for _, size := range strings.Split(*scaleSizesFlag, ",") {
@@ -241,8 +247,9 @@
 	return sizes
 }
 
-// TestAllHostsRestartAtOnce has a fleet of divided zones be up again within seconds, and few of its
-// hosts read the store, whether or not the addresses that hosts are given at their start are right.
+// TestAllHostsRestartAtOnce checks that a fleet with divided zones recovers within seconds after
+// all hosts restart at once, and that few of its hosts read the store. This must also hold if the
+// seed addresses that hosts start with no longer exist.
 func TestAllHostsRestartAtOnce(t *testing.T) {
 	for name, seedsGone := range map[string]bool{"the first hosts are there": false, "the first hosts are gone": true} {
 		t.Run(name, func(t *testing.T) {
@@ -292,12 +299,12 @@
 					}
 				}
 				took, read := time.Since(began), s.origin.reads.Load()-reads
-				t.Logf("%d of %d up after %v; %d readings of the store, %d of its directory", ready, len(restarted), took, read, origin.hostsReads.Load())
+				t.Logf("%d of %d hosts ready after %v; %d reads of the store, %d of its directory", ready, len(restarted), took, read, origin.hostsReads.Load())
 				if ready < len(restarted) || took > maxRestartTime {
-					t.Errorf("%d of %d up after %v", ready, len(restarted), took)
+					t.Errorf("%d of %d hosts ready after %v, expected all within %v", ready, len(restarted), took, maxRestartTime)
 				}
 				if read > hosts/10 {
-					t.Errorf("%d readings of the store", read)
+					t.Errorf("%d reads of the store, at most %d are allowed", read, hosts/10)
 				}
 				cancel()
 			})
@@ -305,9 +312,10 @@
 	}
 }
 
-// TestLeavingSignalReachesItsCell has an upstream's word that it leaves, which one host of another
-// zone heard, reach the hosts that place on it at once, and all within the period in which each host
-// is spoken to.
+// TestLeavingSignalReachesItsCell checks how an upstream's signal that it is leaving spreads if
+// only one host, in another zone, received it. It must reach the hosts of the upstream's cell,
+// which place work there, at once, and all others within the period in which each host is
+// contacted.
 func TestLeavingSignalReachesItsCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts = 104
@@ -349,19 +357,19 @@
 		s.mu.Lock()
 		_, highest := ratesPerSecond(s.callsIn, hosts, time.Second)
 		s.mu.Unlock()
-		t.Logf("its cell knows after %v, all hosts after %v; %.0f messages at the busiest host until its cell knew", cellDelay, allDelay, highest)
+		t.Logf("the signal reached the upstream's cell after %v and all hosts after %v; a host received at most %.0f messages until it had reached the cell", cellDelay, allDelay, highest)
 		if cellDelay == 0 || cellDelay > maxLeavingDelay/4 {
-			t.Errorf("its cell knows after %v", cellDelay)
+			t.Errorf("the signal reached the upstream's cell after %v (0 means never), at most %v is allowed", cellDelay, maxLeavingDelay/4)
 		}
 		if allDelay == 0 {
-			t.Error("not all hosts know")
+			t.Error("the signal did not reach all hosts within 20 s")
 		}
 		cancel()
 	})
 }
 
-// TestMarksOfAZoneAreBounded has what a host tells of a zone that is cold, or that it can't reach, not
-// grow with the zone.
+// TestMarksOfAZoneAreBounded checks that the number of marks that a host sends about cold
+// upstreams, or about a zone that it can't reach, doesn't grow with the zone.
 func TestMarksOfAZoneAreBounded(t *testing.T) {
 	f := newForwarder(t, &fakeTransport{})
 	now := time.Now()
@@ -388,10 +396,10 @@
 		}
 	}
 	if len(cold) > maxMarksPerKind || len(f.fleet.FailingMarks(now)) > maxMarksPerKind {
-		t.Errorf("%d cold, %d failing", len(cold), len(f.fleet.FailingMarks(now)))
+		t.Errorf("%d cold marks and %d failing marks, at most %d of each are allowed", len(cold), len(f.fleet.FailingMarks(now)), maxMarksPerKind)
 	}
 	inCell := slices.DeleteFunc(f.fleet.AvailableInCell(now, "llm", own), func(u Upstream) bool { return !f.fleet.IsCold(now, u.ID) })
 	if ownCold < len(inCell) {
-		t.Errorf("%d of its own cell's, which has %d", ownCold, len(inCell))
+		t.Errorf("%d cold marks of the host's own cell, which has %d cold upstreams", ownCold, len(inCell))
 	}
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quarantine judges requests by the upstreams that ended under them. A request may
-// crash each upstream that begins to run it; its caller sends it again, with another id
-// and to another host, and each time it takes an upstream for seconds and all that ran
-// beside it.
+// Package quarantine detects requests that crash upstreams, and decides whether such a request
+// may still be sent. A request may crash each upstream that begins to run it. Its caller retries
+// it with another request ID and at another host, and each attempt takes an upstream down for
+// seconds, with everything that runs there.
 //
-// It tells requests apart by what they ask, keeps the ends that hosts have seen under
-// each, and holds a request back when several different upstreams have ended under it. It
-// is pure: no I/O, no goroutine, and the present time is an argument.
+// The package identifies requests by their content, records per request which upstreams ended
+// while they ran it, and holds a request back once several different upstreams have. It does no
+// I/O and starts no goroutine; the current time is an argument.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -11,32 +11,33 @@
 	"io"
 )
 
-// Fingerprint tells requests apart by what they ask. Two that ask the same of the same
-// account have the same one, whatever their ids, the hosts that they come to and the
-// headers that differ from try to try.
+// Fingerprint identifies a request by its content. Two requests of the same account with the same
+// content have the same fingerprint, whatever their request IDs, the hosts that receive them, and
+// the headers that differ between retries.
 type Fingerprint struct {
-	// Head is of everything but the body's bytes: it tells cheaply that a request isn't
-	// one of those that are known.
+	// Head covers everything but the bytes of the body. It is a cheap way to see that a request
+	// isn't among the known ones.
 	Head HeadDigest
-	// Body is of the body.
+	// Body is the digest of the body.
 	Body [16]byte
 }
 
-// HeadDigest is the part of a Fingerprint that takes no reading of the body.
+// HeadDigest is the part of a Fingerprint that can be computed without reading the body.
 type HeadDigest [8]byte
 
-// RequestIdentity is what makes two requests the same.
+// RequestIdentity holds the properties by which two requests count as the same.
 type RequestIdentity struct {
-	// Caller is the account, or the key where there is no account.
+	// Caller is the account, or the API key if there is no account.
 	Caller string
 	Method string
-	// Host is the one that the caller named, and Target the path and query as sent.
+	// Host is the host name that the caller sent, and Target the path and query as sent.
 	Host, Target string
 	Body         []byte
 }
 
-// HeadDigest digests everything but the body's bytes. The digest isn't keyed, but is one for
-// which nobody can make a second request that has another's.
+// HeadDigest returns the digest of everything but the bytes of the body; their number is
+// included. The digest isn't keyed, but it resists attempts to make another request with the same
+// digest.
 func (a *RequestIdentity) HeadDigest() HeadDigest {
 	digest := sha256.New()
 	for _, part := range []string{a.Caller, a.Method, a.Host, a.Target} {
@@ -50,8 +51,8 @@
 	return head
 }
 
-// writePart writes a part with its length, so that two parts can't be taken for others
-// with the same bytes. A digest's Write returns no error.
+// writePart writes a part preceded by its length, so that the same bytes divided into other parts
+// give another digest. The Write method of a digest returns no error.
 func writePart(digest io.Writer, part string) {
 	var size [8]byte
 	binary.LittleEndian.PutUint64(size[:], uint64(len(part)))
@@ -59,7 +60,7 @@
 	_, _ = io.WriteString(digest, part)
 }
 
-// Fingerprint digests all of it.
+// Fingerprint returns the digests of the whole request.
 func (a *RequestIdentity) Fingerprint() Fingerprint {
 	f := Fingerprint{Head: a.HeadDigest()}
 	body := sha256.Sum256(a.Body)
@@ -67,7 +68,7 @@
 	return f
 }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the output of Fingerprint.String.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	var f Fingerprint
 	text, err := hex.DecodeString(s)
@@ -78,7 +79,7 @@
 	return f, nil
 }
 
-// String is the fingerprint as logs and operators write it.
+// String returns the fingerprint in hexadecimal, as logs and operators write it.
 func (f Fingerprint) String() string {
 	return hex.EncodeToString(f.Head[:]) + hex.EncodeToString(f.Body[:])
 }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -12,7 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// TestFingerprint has two requests be the same only if all that is asked is.
+// TestFingerprint checks that two requests have the same fingerprint only if all their properties
+// are the same.
 func TestFingerprint(t *testing.T) {
 	identity := RequestIdentity{Caller: "counter", Method: "POST", Host: "shop.example", Target: "/llm/x?a=1", Body: []byte("draft a quote")}
 	for name, change := range map[string]func(a *RequestIdentity){
@@ -41,8 +42,8 @@
 	})
 }
 
-// FuzzParseFingerprint has a fingerprint be read back as it was written, and nothing else
-// be taken for one.
+// FuzzParseFingerprint checks that a fingerprint is parsed as it was written, and that no other
+// text is accepted.
 func FuzzParseFingerprint(f *testing.F) {
 	identity := RequestIdentity{Caller: "counter", Target: "/x"}
 	f.Add(identity.Fingerprint().String())
@@ -51,13 +52,13 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		parsed, err := ParseFingerprint(s)
 		if err == nil && parsed.String() != strings.ToLower(s) {
-			t.Errorf("%q was read as %v", s, parsed)
+			t.Errorf("ParseFingerprint(%q) = %v, expected the same digits", s, parsed)
 		}
 	})
 }
 
-// BenchmarkFingerprint is what telling a request apart costs. The head alone, which is
-// all that most requests need while any is known, costs the same for every body.
+// BenchmarkFingerprint measures computing a fingerprint. Most requests need only the head digest,
+// and only while any request is on the list; it costs the same for every body.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, size := range []int{0, 3 << 10, 4 << 20} {
 		identity := RequestIdentity{Caller: "counter", Method: "POST", Host: "shop.example", Target: "/llm/x", Body: make([]byte, size)}
--- a/quarantine/list.go
+++ b/quarantine/list.go
@@ -9,30 +9,31 @@
 	"time"
 )
 
-// maxRequests bounds the requests that are remembered, some 400 bytes each.
+// maxRequests bounds the requests on a list; each takes some 400 bytes.
 const maxRequests = 1024
 
-// List is what a host knows of requests under which upstreams ended. The zero value knows
-// none and works. It is for one goroutine at a time.
+// List holds what a host knows of requests that crash upstreams. The zero value is an empty list
+// that is ready to use. It isn't safe for concurrent use.
 type List struct {
-	// HoldThreshold is how many upstreams have to end under a request for it to be held;
-	// zero takes the default.
+	// HoldThreshold is how many crashes it takes to hold a request; zero means
+	// DefaultHoldThreshold.
 	HoldThreshold int
 
 	records map[Fingerprint]*record
-	// recordsPerHead counts the records with each head.
+	// recordsPerHead counts the records with each head digest.
 	recordsPerHead map[HeadDigest]int
-	// requestsByUpstream are the requests that each upstream ended requestsByUpstream.
+	// requestsByUpstream lists the requests that each upstream was running when it ended.
 	requestsByUpstream map[Upstream][]Fingerprint
-	// lastChange numbers the lastChange, and lastLocalChange is the last one that this host saw itself.
+	// lastChange is the number of the last change of the list, and lastLocalChange that of the
+	// last change that this host observed itself.
 	lastChange, lastLocalChange uint64
 }
 
-// Evidence is what a request's standing rests on.
+// Evidence is the standing of a request and the crashes that it follows from.
 type Evidence struct {
 	Standing Standing
-	// UpstreamsEnded is how many upstreams have ended under it, and Last how long ago the last
-	// one did.
+	// UpstreamsEnded is how many crashes count against the request, and SinceLastEnd the time
+	// since the latest of them.
 	UpstreamsEnded int
 	SinceLastEnd   time.Duration
 }
@@ -44,13 +45,14 @@
 	return DefaultHoldThreshold
 }
 
-// MayContain reports whether a request with this head may be on the list; if not, it is Clear.
+// MayContain reports whether a request with this head digest may be on the list. If it isn't, its
+// standing is Clear.
 func (l *List) MayContain(h HeadDigest) bool { return l.recordsPerHead[h] > 0 }
 
-// Len is how many requests are on the list.
+// Len returns the number of requests on the list.
 func (l *List) Len() int { return len(l.records) }
 
-// Evaluate tells how a request stands.
+// Evaluate returns the evidence against a request.
 func (l *List) Evaluate(now time.Time, f Fingerprint) Evidence {
 	r := l.records[f]
 	if r == nil {
@@ -77,9 +79,9 @@
 	return e
 }
 
-// explainedByOther reports whether an upstream's end under a request is another's doing: of one
-// under which enough have ended to be held, and more than under this one. Requests that
-// only ran beside such a one are served again as soon as that is known.
+// explainedByOther reports whether an upstream's end is blamed on another request that it was
+// running: one that has reached the hold threshold and has more crashes than this one. Requests
+// that only ran beside such a request are served again as soon as that is known.
 func (l *List) explainedByOther(f Fingerprint, r *record, u Upstream) bool {
 	return slices.ContainsFunc(l.requestsByUpstream[u], func(other Fingerprint) bool {
 		otherCrashes := len(l.records[other].crashes)
@@ -87,7 +89,7 @@
 	})
 }
 
-// addCrash takes in an end under a request, and reports whether it is new.
+// addCrash adds a crash to a request's record, and reports whether it was new.
 func (l *List) addCrash(f Fingerprint, r *record, c Crash) bool {
 	added, dropped := r.addCrash(c)
 	if !added {
@@ -100,13 +102,14 @@
 	return true
 }
 
-// clearCrash has an end under a request not count, and reports whether that is new.
+// clearCrash makes an upstream's crash no longer count against a request, and reports whether it
+// wasn't cleared already.
 func (l *List) clearCrash(now time.Time, f Fingerprint, r *record, u Upstream) bool {
 	l.unindexCrash(f, u)
 	return r.clearCrash(now, u)
 }
 
-// unindexCrash has an upstream's end not be under a request.
+// unindexCrash removes a request from those that an upstream was running when it ended.
 func (l *List) unindexCrash(f Fingerprint, u Upstream) {
 	left := slices.DeleteFunc(l.requestsByUpstream[u], func(other Fingerprint) bool { return other == f })
 	if len(left) == 0 {
@@ -116,8 +119,8 @@
 	l.requestsByUpstream[u] = left
 }
 
-// RecordCrash takes in that this host saw an upstream end under a request, and returns how
-// that stands now.
+// RecordCrash records that this host saw an upstream end while it ran a request, and returns the
+// evidence against the request, that crash included.
 func (l *List) RecordCrash(now time.Time, f Fingerprint, o Origin, u Upstream) Evidence {
 	r := l.ensureRecord(now, f)
 	r.Origin = o
@@ -127,8 +130,8 @@
 	return l.Evaluate(now, f)
 }
 
-// BeginTrial reports whether a request that is to be tried once more may be sent now by this
-// host, and counts it: not while an earlier try may still tell.
+// BeginTrial reports whether this host may send a request whose trial is due, and records the
+// start of the trial. It refuses while the outcome of this host's last trial may still be open.
 func (l *List) BeginTrial(now time.Time, f Fingerprint) bool {
 	r := l.records[f]
 	if r == nil || !r.lastTrialAt.IsZero() && now.Sub(r.lastTrialAt) < trialInterval {
@@ -138,8 +141,8 @@
 	return true
 }
 
-// ClearCrashes takes in that an upstream has run a request and gone on, or that an operator lets
-// it through. It reports whether there was anything against it.
+// ClearCrashes clears all crashes of a request, because an upstream has run it without a crash or
+// because an operator releases it. It reports whether there were any.
 func (l *List) ClearCrashes(now time.Time, f Fingerprint) bool {
 	r := l.records[f]
 	if r == nil || len(r.crashes) == 0 {
@@ -152,6 +155,8 @@
 	return true
 }
 
+// ensureRecord returns the record of a request, and creates it if there is none. On a full list,
+// that evicts another.
 func (l *List) ensureRecord(now time.Time, f Fingerprint) *record {
 	if r := l.records[f]; r != nil {
 		return r
@@ -171,6 +176,8 @@
 	return r
 }
 
+// numberChange gives a changed record the next change number. local says that this host observed
+// the change itself.
 func (l *List) numberChange(r *record, local bool) {
 	l.lastChange++
 	r.lastChange = l.lastChange
@@ -189,7 +196,7 @@
 	}
 }
 
-// PruneExpired drops what says nothing any more. It is to be called from time to time.
+// PruneExpired removes expired records. Call it from time to time.
 func (l *List) PruneExpired(now time.Time) {
 	for f, r := range l.records {
 		if r.isExpired(now) {
@@ -198,9 +205,11 @@
 	}
 }
 
-// evictRecord drops one record: of the caller that has the most, for one caller may send any
-// number of different requests; of those the ones with the fewest ends first, and of these
-// the one whose last end is longest ago.
+// evictRecord removes one record. The criteria, in order of precedence:
+//   - a record of the caller with the most records, because one caller may send any number of
+//     different requests;
+//   - the one with the fewest crashes, where crashes beyond the hold threshold don't count;
+//   - the one whose last crash is the oldest.
 func (l *List) evictRecord() {
 	recordsPerCaller := map[string]int{}
 	for _, r := range l.records {
@@ -222,27 +231,29 @@
 	l.removeRecord(evictedKey)
 }
 
-// Mark is what one host tells another of a request. Hosts' clocks differ, so it tells ages.
+// Mark is a host's report to a peer about one request. It contains ages instead of times, because
+// the hosts' clocks differ.
 type Mark struct {
 	Request Fingerprint
 	Origin  Origin
 	Crashes []CrashAge
-	// Cleared are upstreams whose ends don't count any more.
+	// Cleared are the upstreams whose crashes no longer count.
 	Cleared []Upstream
 }
 
-// CrashAge is a Crash with how long ago it was.
+// CrashAge is a Crash with its age instead of its time.
 type CrashAge struct {
 	Upstream
 	Age time.Duration
 }
 
-// LastChanges is the number of the last change, and seen that of the last one that this host
-// saw itself: others hear of these from nobody else.
+// LastChanges returns the number of the last change, and that of the last change that this host
+// observed itself: peers may learn of it from no other host.
 func (l *List) LastChanges() (last, local uint64) { return l.lastChange, l.lastLocalChange }
 
-// MarksSince returns what has changed after a change, some at most, and the number of the
-// change up to which that tells everything.
+// MarksSince returns the marks of the requests that changed after the given change, oldest change
+// first and at most maxMarks of them. It also returns the number of the last change that they
+// cover: all changes up to it are included.
 func (l *List) MarksSince(now time.Time, afterChange uint64, maxMarks int) ([]Mark, uint64) {
 	if afterChange >= l.lastChange {
 		return nil, l.lastChange
@@ -278,7 +289,8 @@
 	return m
 }
 
-// Receive takes in what another host tells, and returns the requests that are held since.
+// Receive merges a peer's marks into the list, and returns the requests that they caused to be
+// held.
 func (l *List) Receive(now time.Time, marks []Mark) []Fingerprint {
 	var held []Fingerprint
 	for _, m := range marks {
@@ -289,10 +301,11 @@
 	return held
 }
 
-// receiveMark takes in one mark, and reports whether the request is held since.
+// receiveMark merges one mark into the list, and reports whether it caused the request to be
+// held.
 func (l *List) receiveMark(now time.Time, m Mark) bool {
 	if l.records[m.Request] == nil && len(l.records) >= maxRequests && len(m.Crashes) < l.holdThreshold() {
-		// Full hosts would push out each other's suspects for ever.
+		// Otherwise full hosts would evict each other's suspects forever.
 		return false
 	}
 	r := l.ensureRecord(now, m.Request)
@@ -312,14 +325,14 @@
 	return before != Held && l.Evaluate(now, m.Request).Standing == Held
 }
 
-// Entry is a request on the list as operators see it.
+// Entry is a request on the list, as shown to operators.
 type Entry struct {
 	Request Fingerprint
 	Origin
 	Evidence
 }
 
-// Entries lists what has something against it, what is held first.
+// Entries returns the requests whose standing isn't Clear, held ones first.
 func (l *List) Entries(now time.Time) []Entry {
 	var entries []Entry
 	for f, r := range l.records {
--- a/quarantine/list_test.go
+++ b/quarantine/list_test.go
@@ -17,6 +17,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// fingerprintOf returns the fingerprint of the nth test request.
 func fingerprintOf(n int) Fingerprint {
 	a := RequestIdentity{Caller: "counter", Target: fmt.Sprint(n)}
 	return a.Fingerprint()
@@ -24,8 +25,8 @@
 
 func testUpstream(n int) Upstream { return Upstream{ID: member.UpstreamID(fmt.Sprint("e", n))} }
 
-// TestEvaluate has a request stand by how many different upstreams ended under it since it
-// last ran well, and how long ago.
+// TestEvaluate checks that a request's standing depends on how many different upstreams it
+// crashed since it last ran without a crash, and how long ago.
 func TestEvaluate(t *testing.T) {
 	crash := func(n int) func(*List, time.Time) {
 		return func(l *List, now time.Time) { l.RecordCrash(now, fingerprintOf(1), Origin{}, testUpstream(n)) }
@@ -71,12 +72,13 @@
 	}
 }
 
-// TestExplainedCrashes has the ends that a request shares with one that surely brings upstreams
-// down not count against it.
+// TestExplainedCrashes checks that a crash doesn't count against a request if the upstream was
+// also running a request that demonstrably crashes upstreams.
 func TestExplainedCrashes(t *testing.T) {
 	guilty, bystander := fingerprintOf(1), fingerprintOf(2)
 	for name, c := range map[string]struct {
-		// alone are the ends under the guilty one, and shared those under both.
+		// alone is the number of upstreams that ran only the guilty request when they ended, and
+		// shared the number that ran both.
 		alone, shared int
 		want          Standing
 	}{
@@ -103,9 +105,9 @@
 	}
 }
 
-// TestTrials has a request that was held be tried once by a host, and by that host again only
-// when the try must have told; what ends of it holds it for longer each time, three times in
-// an hour and a half.
+// TestTrials checks that a host tries a held request once, and again only when the outcome of
+// that trial must be known. Each failed trial extends the hold time, which leaves three trials in
+// 90 minutes.
 func TestTrials(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -123,11 +125,11 @@
 		l.RecordCrash(now, fingerprintOf(1), Origin{}, testUpstream(3+tries))
 	}
 	is.Equal(tries, 3)
-	is.True(!l.BeginTrial(now, fingerprintOf(2))) // nothing is known of it
+	is.True(!l.BeginTrial(now, fingerprintOf(2))) // not on the list
 }
 
-// TestHostsAgree has hosts that hear each other's marks in any order, late, twice or only
-// through others judge every request alike in the end.
+// TestHostsAgree checks that hosts which receive each other's marks in any order, late, twice or
+// only through others end up with the same standing for every request.
 func TestHostsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := make([]List, 3)
@@ -161,7 +163,7 @@
 			for host := range hosts {
 				got, want := hosts[host].Evaluate(now, fingerprintOf(n)), hosts[0].Evaluate(now, fingerprintOf(n))
 				if got.Standing != want.Standing || got.UpstreamsEnded != want.UpstreamsEnded {
-					t.Fatalf("request %d: host %d has %v, host 0 %v", n, host, got, want)
+					t.Fatalf("request %d: evidence at host %d is %v, at host 0 %v, expected the same", n, host, got, want)
 				}
 			}
 		}
@@ -169,15 +171,15 @@
 			last, _ := hosts[from].LastChanges()
 			for to := range hosts {
 				if sentUpTo[[2]int{from, to}] != last {
-					t.Fatalf("hosts %d and %d never come to an end", from, to)
+					t.Fatalf("host %d was sent changes up to %d by host %d, whose last change is %d", to, sentUpTo[[2]int{from, to}], from, last)
 				}
 			}
 		}
 	})
 }
 
-// TestManyRequestsOfOneCaller has a caller that sends any number of different requests
-// push out its own first, and those that are held last.
+// TestManyRequestsOfOneCaller checks that a caller which sends any number of different requests
+// evicts its own records first, and those of held requests last.
 func TestManyRequestsOfOneCaller(t *testing.T) {
 	is := is.New(t)
 	var l List
@@ -197,7 +199,8 @@
 	is.Equal(l.Evaluate(now, fingerprintOf(0)).Standing, Clear)
 }
 
-// TestMarksSinceIsBounded has what is told at once be bounded, and nothing be left out.
+// TestMarksSinceIsBounded checks that the number of marks per call is bounded, and that further
+// calls return the rest.
 func TestMarksSinceIsBounded(t *testing.T) {
 	is := is.New(t)
 	var l, other List
@@ -217,8 +220,8 @@
 	is.Equal(len(marks), 0)
 }
 
-// TestFullListsConverge has two full lists not push each other's suspects out for ever,
-// and still hear of what is held.
+// TestFullListsConverge checks that two full lists don't evict each other's suspects forever, but
+// still learn of held requests.
 func TestFullListsConverge(t *testing.T) {
 	is := is.New(t)
 	var a, b List
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -10,80 +10,86 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Upstream is one start of an upstream: a request brings each of them down at most once,
-// however many hosts or copies of the request saw that.
+// Upstream is one incarnation of an upstream. A request crashes each incarnation at most once,
+// however many hosts see that and however many copies of the request run there.
 type Upstream struct {
 	ID member.UpstreamID
-	// Incarnation tells the starts under one id apart; zero where that isn't known.
+	// Incarnation tells the starts under one ID apart; zero if it isn't known.
 	Incarnation int64
 }
 
-// Crash is an upstream's end under a request.
+// Crash records that an upstream ended while it ran a request.
 type Crash struct {
 	Upstream
 	At time.Time
 }
 
-// Origin says where a request comes from, for operators.
+// Origin tells operators where a request comes from.
 type Origin struct{ Caller, Route string }
 
-// Standing is what is thought of a request.
+// Standing says whether a request is suspected of crashing upstreams, and whether it may be sent.
 type Standing int
 
-// The standings.
+// The standings of a request, in ascending order of severity.
 const (
-	// Clear: no upstream has ended under it since it last ran well.
+	// Clear: no crash counts against the request.
 	Clear Standing = iota
-	// Suspect: some have. Most requests that were beside one that crashes upstreams are.
+	// Suspect: some crashes count against the request, but fewer than the hold threshold. Most
+	// requests that ran beside one that crashes upstreams are suspects.
 	Suspect
-	// TrialDue: so many have that it would be held, but none for so long that one host may
-	// send it once more: its upstreams may have been mended, or it was only beside.
+	// TrialDue: the hold threshold is reached, but the hold time since the last crash is over, so
+	// one host may send the request once more. The upstreams may have been fixed, or the request
+	// may only have run beside the one that crashed them.
 	TrialDue
-	// Held: so many have that it isn't to be sent any more.
+	// Held: the hold threshold is reached and the hold time isn't over, so the request must not
+	// be sent.
 	Held
 )
 
 const (
-	// DefaultHoldThreshold is how many upstreams have to end under a request for it to be held.
-	// Fewer would hold requests that only ran beside another.
+	// DefaultHoldThreshold is how many crashes it takes to hold a request. A lower threshold
+	// would hold requests that only ran beside another.
 	DefaultHoldThreshold = 3
-	// initialHoldTime is how long after the last end a request is held until it is tried once
-	// more; with each upstream that ends of that, it is heldMore times as long. One that
-	// many send, and that was held by mistake, is served again after that, and one that
-	// isn't takes three more upstreams in half an hour, and the next two hours later.
+	// initialHoldTime is how long after the last crash a request is held before a trial. Each
+	// further crash multiplies the hold time by holdTimeMultiplier. A popular request that was
+	// held by mistake is served again after the first hold time. One that does crash upstreams
+	// takes three more of them in half an hour, and the next two hours later.
 	initialHoldTime    = time.Minute
 	holdTimeMultiplier = 5
-	// trialInterval is within how long it shows whether an upstream bears a request.
+	// trialInterval is the least time between two trials of a request by one host. After it the
+	// outcome of a trial is known.
 	trialInterval = 30 * time.Second
-	// crashRetention is how long after the last end all of it is forgotten.
+	// crashRetention is how long after the last crash the record of a request is kept.
 	crashRetention = 24 * time.Hour
-	// clearedRetention is how long it is known which ends don't count any more, so that hosts
-	// which hear of them later don't count them either.
+	// clearedRetention is how long a record without crashes keeps its cleared upstreams, so that
+	// hosts which learn of those crashes later don't count them either.
 	clearedRetention = 5 * time.Minute
-	// maxCrashes and mostCleared are kept of one request; further ones replace the oldest.
+	// maxCrashes and maxCleared bound the crashes and cleared upstreams kept per request; a
+	// further one replaces the oldest.
 	maxCrashes = 8
 	maxCleared = 16
 )
 
-// record is what is known of one request. Hosts that hear the same things in any order, and
-// any number of times, have the same crashes: each upstream ends once, and what was taken
-// back of it stays taken back.
+// record is what is known of one request. Hosts that receive the same reports, in any order and
+// any number of times, end up with the same crashes: each incarnation of an upstream crashes
+// once, and a crash that was cleared stays cleared.
 type record struct {
 	Origin
-	// crashes count, and cleared are upstreams whose ends don't any more: the request has
-	// run well since, or was let through. No upstream is among both.
+	// crashes are the crashes that count. cleared are the upstreams whose crashes no longer
+	// count, because the request has since run without a crash or an operator released it. No
+	// upstream is in both.
 	crashes []Crash
 	cleared []Upstream
-	// clearedAt is when the last of them was cleared here.
+	// clearedAt is when this host last added to cleared.
 	clearedAt time.Time
-	// lastTrialAt is when this host last sent the request once more although it was held.
+	// lastTrialAt is when this host last began a trial of the request.
 	lastTrialAt time.Time
-	// lastChange numbers the last change among the list's.
+	// lastChange is the number of the last change of this record, among all changes of the list.
 	lastChange uint64
 }
 
-// addCrash takes in an end, and reports whether it is new. dropped is the one that had to make
-// room for it; zero for none.
+// addCrash adds a crash and reports whether it was new. dropped is the upstream of the crash that
+// was removed to make room, or the zero value.
 func (r *record) addCrash(c Crash) (added bool, dropped Upstream) {
 	if slices.Contains(r.cleared, c.Upstream) || r.hasCrash(c.Upstream) {
 		return false, Upstream{}
@@ -96,7 +102,8 @@
 	return true, dropped
 }
 
-// clearCrash has an upstream's end not count, and reports whether that is new.
+// clearCrash makes an upstream's crash no longer count, and reports whether it wasn't cleared
+// already.
 func (r *record) clearCrash(now time.Time, u Upstream) bool {
 	if slices.Contains(r.cleared, u) {
 		return false
@@ -109,7 +116,7 @@
 	return true
 }
 
-// lastCrashAt is when an upstream lastCrashAt ended under the request; zero when none did.
+// lastCrashAt returns the time of the latest crash, or zero if there is none.
 func (r *record) lastCrashAt() time.Time {
 	var last time.Time
 	for _, c := range r.crashes {
@@ -124,7 +131,8 @@
 	return slices.ContainsFunc(r.crashes, func(c Crash) bool { return c.Upstream == u })
 }
 
-// holdTime is how long a request is held after so many ends more than it takes for that.
+// holdTime returns how long a request is held after the last crash, if its crashes exceed the
+// hold threshold by excess.
 func holdTime(excess int) time.Duration {
 	hold := initialHoldTime
 	for range min(excess, 4) {
@@ -133,7 +141,7 @@
 	return hold
 }
 
-// isExpired reports whether the record says nothing any more.
+// isExpired reports whether the record is too old to matter.
 func (r *record) isExpired(now time.Time) bool {
 	if len(r.crashes) == 0 {
 		return now.Sub(r.clearedAt) > clearedRetention
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -13,34 +13,35 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// maxMarksPerMessage bounds what is told at once, some 100 bytes each.
+// maxMarksPerMessage bounds the marks in one message; each takes some 100 bytes.
 const maxMarksPerMessage = 64
 
-// Register is a List that several goroutines use, with what each peer has been told of it.
-// The zero value works.
+// Register is a List that is safe for concurrent use, and records which changes have been sent to
+// each peer. The zero value is ready to use.
 type Register struct {
 	mu           sync.Mutex
 	list         List
 	peerProgress map[member.HostID]sentProgress
-	// lastPruneAt is when it was last looked for what can be forgotten.
+	// lastPruneAt is when the last pruning began.
 	lastPruneAt time.Time
-	// nonEmpty says that the list isn't empty, which is all that most requests have to know.
+	// nonEmpty says that the list may not be empty. Most requests need to know no more.
 	nonEmpty atomic.Bool
 }
 
-// sentProgress is up to which change a process of a peer has been told everything.
+// sentProgress is the number of the last change up to which a process of a peer, identified by
+// its epoch, has been sent everything.
 type sentProgress struct{ epoch, lastSentChange uint64 }
 
-// SetHoldThreshold changes how many upstreams have to end under a request for it to be held.
+// SetHoldThreshold sets how many crashes it takes to hold a request.
 func (r *Register) SetHoldThreshold(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.list.HoldThreshold = n
 }
 
-// Evaluate tells how a request stands. Nothing is known against most, and finding that out
-// takes no look at their bodies. The fingerprint is given once it had to be worked out, or
-// taken where it was before.
+// Evaluate returns the evidence against a request. For most requests there is none, which is
+// found out without reading their bodies. known is the request's fingerprint if it was computed
+// before; Evaluate returns it, or the one that it had to compute, or nil.
 func (r *Register) Evaluate(now time.Time, a RequestIdentity, known *Fingerprint) (Evidence, *Fingerprint) {
 	if !r.nonEmpty.Load() {
 		return Evidence{}, known
@@ -63,7 +64,7 @@
 	return r.list.MayContain(h)
 }
 
-// RecordCrash is List.RecordCrash.
+// RecordCrash calls List.RecordCrash.
 func (r *Register) RecordCrash(now time.Time, f Fingerprint, o Origin, u Upstream) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,21 +72,21 @@
 	return r.list.RecordCrash(now, f, o, u)
 }
 
-// BeginTrial is List.BeginTrial.
+// BeginTrial calls List.BeginTrial.
 func (r *Register) BeginTrial(now time.Time, f Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list.BeginTrial(now, f)
 }
 
-// ClearCrashes is List.ClearCrashes.
+// ClearCrashes calls List.ClearCrashes.
 func (r *Register) ClearCrashes(now time.Time, f Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list.ClearCrashes(now, f)
 }
 
-// Receive is List.Receive.
+// Receive calls List.Receive.
 func (r *Register) Receive(now time.Time, marks []Mark) []Fingerprint {
 	if len(marks) == 0 {
 		return nil
@@ -96,14 +97,14 @@
 	return r.list.Receive(now, marks)
 }
 
-// Entries is List.Entries.
+// Entries calls List.Entries.
 func (r *Register) Entries(now time.Time) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list.Entries(now)
 }
 
-// Mark is all that is known of a request.
+// Mark returns the mark of a request, and whether the request is on the list.
 func (r *Register) Mark(now time.Time, f Fingerprint) (Mark, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +115,8 @@
 	return known.toMark(now, f), true
 }
 
-// UnsentMarks returns what a peer hasn't been told yet, and the change up to which that is all.
+// UnsentMarks returns marks of the changes that a peer hasn't been sent, and the number of the
+// last change that they cover.
 func (r *Register) UnsentMarks(now time.Time, peer member.HostID) ([]Mark, uint64) {
 	if !r.nonEmpty.Load() {
 		return nil, 0
@@ -124,8 +126,8 @@
 	return r.list.MarksSince(now, r.peerProgress[peer].lastSentChange, maxMarksPerMessage)
 }
 
-// PeerSeen takes in that a process of a peer was heard of, by an epoch of its own: one that has
-// started again knows nothing of what its last process was told.
+// PeerSeen records that a process of a peer with this epoch is running. After a restart a peer
+// lacks everything that its previous process was sent.
 func (r *Register) PeerSeen(peer member.HostID, epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,7 +140,7 @@
 	r.peerProgress[peer] = sentProgress{epoch: epoch}
 }
 
-// MarksSent takes in that a process of a peer has been told everything up to a change.
+// MarksSent records that a process of a peer has been sent all changes up to lastChange.
 func (r *Register) MarksSent(peer member.HostID, epoch, lastChange uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,8 +149,8 @@
 	}
 }
 
-// LacksLocalChanges reports whether a peer hasn't been told of all that this host saw itself, which it
-// may hear from nobody else.
+// LacksLocalChanges reports whether a peer hasn't been sent all changes that this host observed
+// itself. The peer may learn of those from no other host.
 func (r *Register) LacksLocalChanges(peer member.HostID) bool {
 	if !r.nonEmpty.Load() {
 		return false
@@ -159,11 +161,10 @@
 	return r.peerProgress[peer].lastSentChange < lastLocal
 }
 
-// pruneInterval is the least time between two looks for what can be forgotten, which is all
-// kept for minutes.
+// pruneInterval is the least time between two prunings. All that is pruned is kept for minutes.
 const pruneInterval = 10 * time.Second
 
-// beginPruneIfDue reports whether it is time to look for that, and notes it.
+// beginPruneIfDue reports whether pruning is due, and if so records that it begins.
 func (r *Register) beginPruneIfDue(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,13 +175,13 @@
 	return true
 }
 
-// Prune drops what says nothing any more, and what was told to peers that aren't known. It
-// may be called often.
+// Prune removes expired records, and the progress of unknown peers. It may be called often.
 func (r *Register) Prune(now time.Time, isKnown func(member.HostID) bool) {
 	if !r.beginPruneIfDue(now) {
 		return
 	}
-	// Whoever knows the peers may ask what they were told under a lock of its own.
+	// isKnown is called without r.mu, because it may take a lock under which its owner calls
+	// methods of the register.
 	gone := slices.DeleteFunc(r.knownPeers(), isKnown)
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quarantine/register_test.go
+++ b/quarantine/register_test.go
@@ -12,13 +12,13 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// TestRegisterSendsMarks has each process of a peer be told everything once, and one that starts
-// again all of it anew.
+// TestRegisterSendsMarks checks that each process of a peer is sent every change once, and a
+// restarted peer all of them again.
 func TestRegisterSendsMarks(t *testing.T) {
 	is := is.New(t)
 	var r Register
 	r.PeerSeen("h2", 1)
-	is.True(!r.LacksLocalChanges("h2")) // nothing is known
+	is.True(!r.LacksLocalChanges("h2")) // the list is empty
 	identity := RequestIdentity{Caller: "counter", Target: "/x"}
 	r.RecordCrash(start, identity.Fingerprint(), Origin{}, testUpstream(1))
 	is.True(r.LacksLocalChanges("h2"))
@@ -28,21 +28,21 @@
 	is.True(!r.LacksLocalChanges("h2"))
 	marks, _ = r.UnsentMarks(start, "h2")
 	is.Equal(len(marks), 0)
-	r.PeerSeen("h2", 2)        // its process has started again
-	r.MarksSent("h2", 1, upTo) // late word of the one before
+	r.PeerSeen("h2", 2)        // the peer has restarted
+	r.MarksSent("h2", 1, upTo) // late acknowledgment of the previous process
 	is.True(r.LacksLocalChanges("h2"))
 	marks, _ = r.UnsentMarks(start, "h2")
 	is.Equal(len(marks), 1)
 	var other Register
 	other.Receive(start, marks)
 	other.PeerSeen("h1", 1)
-	is.True(!other.LacksLocalChanges("h1")) // what was only heard goes with the usual shares
+	is.True(!other.LacksLocalChanges("h1")) // changes received from peers go with the usual shares
 	marks, _ = other.UnsentMarks(start, "h1")
 	is.Equal(len(marks), 1)
 }
 
-// TestRegisterPrunes has what was told to peers that are gone be forgotten, and what is
-// kept still be known.
+// TestRegisterPrunes checks that the progress of unknown peers is pruned, and that records are
+// kept until they expire.
 func TestRegisterPrunes(t *testing.T) {
 	is := is.New(t)
 	var r Register
@@ -59,5 +59,5 @@
 	is.Equal(len(r.Entries(later)), 0)
 	e, fingerprint := r.Evaluate(later, identity, nil)
 	is.Equal(e, Evidence{})
-	is.Equal(fingerprint, nil) // nothing had to be worked out
+	is.Equal(fingerprint, nil) // no fingerprint was computed
 }
