--- a/forward/drillstore_test.go
+++ b/forward/drillstore_test.go
@@ -169,7 +169,7 @@
 func (s *drillStore) changesAfter(after history.Revision, fullRead bool) (OriginUpdate, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	update := OriginUpdate{Revision: history.At(s.era, s.lastRevision)}
+	update := OriginUpdate{Revision: history.NewPoint(s.era, s.lastRevision)}
 	newestOfKey := map[string]history.Revision{}
 	for _, e := range s.events {
 		newestOfKey[e.key] = e.revision
@@ -188,11 +188,11 @@
 	switch {
 	case e.upstream != nil && !(fullRead && e.upstream.Gone):
 		c := *e.upstream
-		c.Revision = history.At(era, e.revision)
+		c.Revision = history.NewPoint(era, e.revision)
 		update.Changes = append(update.Changes, c)
 	case e.zone != nil && !(fullRead && !e.zone.OutOfService):
 		o := *e.zone
-		o.Revision = history.At(era, e.revision)
+		o.Revision = history.NewPoint(era, e.revision)
 		update.ZoneOrders = append(update.ZoneOrders, o)
 	case e.config != nil:
 		update.Config = e.config
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -235,7 +235,7 @@
 func (f *Forwarder) Run(ctx context.Context) {
 	tick := time.NewTicker(poolRefreshInterval)
 	defer tick.Stop()
-	suspended := f.settings.Clock.Slept()
+	suspended := f.settings.Clock.TotalSuspended()
 	for {
 		suspended = f.reportSuspension(suspended)
 		changed := f.fleet.Changed()
@@ -254,7 +254,7 @@
 		case <-tick.C:
 			f.crashes.Prune(f.now(), f.peers.isKnown)
 			f.forgetLimits(f.now())
-			f.backoffs.Forget(f.now())
+			f.backoffs.RemoveExpired(f.now())
 			for _, c := range f.fleet.Settle(f.now()) {
 				if !c.Gone {
 					f.journal.HostEvent("upstream back", "upstream", c.ID, "why", "still on the restored list")
@@ -276,7 +276,7 @@
 // last call, and returns the present total. After a suspension it notifies all peers at once,
 // so that they learn that this host is back, and it learns what they know.
 func (f *Forwarder) reportSuspension(reported time.Duration) time.Duration {
-	suspended := f.settings.Clock.Slept()
+	suspended := f.settings.Clock.TotalSuspended()
 	if suspended > reported {
 		f.journal.HostEvent("was suspended", "for", suspended-reported)
 		f.observer.Suspended(suspended - reported)
@@ -308,7 +308,7 @@
 		return f.candidates(now, service)
 	}
 	takers := f.fleet.AvailableInCell(now, service, own)
-	if f.backoffs.Any() {
+	if f.backoffs.HasUpstreams() {
 		takers = slices.DeleteFunc(takers, func(u Upstream) bool { return f.backoffs.Remaining(now, u.ID) > 0 })
 	}
 	if len(takers) == 0 {
