--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -99,7 +99,7 @@
 		return nil
 	}
 	_ = level.Warn(e.logger).Log("msg", "held back", "asks", print, "upstreams_ended", evidence.UpstreamsEnded, "last_ended_ago", evidence.SinceLastEnd)
-	return fail(CodeQuarantined, NotRun, "%d upstreams ended while this request began to run on them; it is not sent to another", evidence.UpstreamsEnded)
+	return newFailure(CodeQuarantined, NotRun, "%d upstreams ended while this request began to run on them; it is not sent to another", evidence.UpstreamsEnded)
 }
 
 // broke looks whether an upstream ended when the link to it broke, and if so counts that
--- a/forward/crashload_test.go
+++ b/forward/crashload_test.go
@@ -69,7 +69,7 @@
 		if isUnique {
 			t.wronglyHeldUnique++
 		}
-	case lost(s):
+	case lostWithEngine(s):
 		t.lost++
 	case s.refused != nil:
 		t.refused++
@@ -123,7 +123,7 @@
 				sink := &fakeSink{}
 				s.anyHost(draw(hosts), l).Serve(ctx, crashCall("/llm/", body, n), sink)
 				tally.record(sink, tries > 1)
-				if !lost(sink) {
+				if !lostWithEngine(sink) {
 					return
 				}
 				time.Sleep(200 * time.Millisecond)
--- a/forward/restoredrill_test.go
+++ b/forward/restoredrill_test.go
@@ -328,7 +328,7 @@
 	}
 	before := func(d *drill) {
 		f := d.sortedHosts()[4]
-		f.receiveCrashes(f.now(), []quarantine.Mark{mark})
+		f.receivePeerCrashes(f.now(), []quarantine.Mark{mark})
 	}
 	runDrill(t, 3, 3, before, func(d *drill) {
 		time.Sleep(3 * time.Second)
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -114,7 +114,7 @@
 		})
 	}
 	for n := range hosts {
-		f := s.nth(n)
+		f := s.nthHost(n)
 		self := &f.settings.Self
 		// The first ten hosts of each zone have ten times the capacity.
 		self.Capacity = 20
@@ -178,7 +178,7 @@
 				watches = s.origin.watches.Load() - watches
 				// Measure how long a change takes to reach all hosts.
 				published := time.Now()
-				u, _ := s.first().fleet.Upstream(s.origin.list[0].ID)
+				u, _ := s.firstHost().fleet.Upstream(s.origin.list[0].ID)
 				u.Leaving, u.Revision = true, rev(90)
 				s.origin.publish(Change{Upstream: u})
 				var propagation time.Duration
@@ -213,7 +213,7 @@
 				if ready < hosts {
 					t.Errorf("%d of %d hosts are up to date, expected all", ready, hosts)
 				}
-				if s.first().peers.zonesDivided() && followers > 5*maxFollowers {
+				if s.firstHost().peers.zonesDivided() && followers > 5*maxFollowers {
 					t.Errorf("one host has %d followers, at most %d are allowed", followers, 5*maxFollowers)
 				}
 				if propagation > time.Second {
@@ -271,7 +271,7 @@
 					}
 				}
 				for n := range hosts {
-					old := s.nth(n)
+					old := s.nthHost(n)
 					settings := old.settings
 					settings.FirstStart = false
 					f := New(settings, old.transport, silentJournal{}, silentObserver{})
@@ -323,14 +323,14 @@
 		defer cancel()
 		s := newCountingSite(ctx, hosts)
 		time.Sleep(5 * time.Second)
-		receiver := s.nth(1) // of the second zone
+		receiver := s.nthHost(1) // of the second zone
 		u, _ := receiver.fleet.Upstream(s.origin.list[0].ID)
 		upstreamCell := receiver.peers.upstreamCell(u)
 		s.mu.Lock()
 		s.isCounting = true
 		s.mu.Unlock()
 		receivedAt := time.Now()
-		receiver.takeSignals(receivedAt, u, answerToRequest, Signals{Leaving: true})
+		receiver.applySignals(receivedAt, u, answerToRequest, Signals{Leaving: true})
 		var cellDelay, allDelay time.Duration
 		for allDelay == 0 && time.Since(receivedAt) < 20*time.Second {
 			time.Sleep(5 * time.Millisecond)
