--- a/eligibility/eligibility.go
+++ b/eligibility/eligibility.go
@@ -19,12 +19,12 @@
 	Leaving Reason = "leaving"
 	// Unusable: its entry on the list can't be used.
 	Unusable Reason = "unusable"
-	// ZoneOut: its zone is out of service.
-	ZoneOut Reason = "zone_out"
-	// Region: its zone is of no region in which the request may be served.
-	Region Reason = "region"
-	// Version: its version may not get the request while a rollout is decided, or any more.
-	Version Reason = "version"
+	// ZoneOutOfService: its zone is out of service.
+	ZoneOutOfService Reason = "zone_out"
+	// RegionBarred: its zone is of no region in which the request may be served.
+	RegionBarred Reason = "region"
+	// VersionBarred: its version may not get the request while a rollout is decided, or any more.
+	VersionBarred Reason = "version"
 	// Quarantined: upstreams ended under the same request.
 	Quarantined Reason = "quarantined"
 	// Backoff: it wants nothing from this host for a while.
@@ -50,17 +50,17 @@
 
 // State is what a host believes of an upstream and of the request that is to be sent.
 type State struct {
-	// Unknown, Leaving, Unusable, ZoneOut and Quarantined are true where the reason of
+	// Unknown, Leaving, Unusable, ZoneOutOfService and Quarantined are true where the reason of
 	// that name holds.
-	Unknown, Leaving, Unusable, ZoneOut, Quarantined bool
+	Unknown, Leaving, Unusable, ZoneOutOfService, Quarantined bool
 	// RegionBarred says that the request may not be served in the upstream's region.
 	RegionBarred bool
 	// VersionBarred says that the upstream's version may not get the request.
 	VersionBarred bool
 	// ZoneClosed says that runs on their way to the zone may no longer go on there either.
 	ZoneClosed bool
-	// Backoff and Limit are how long each still keeps requests away; zero where it doesn't.
-	Backoff, Limit time.Duration
+	// Backoff and LimitWait are how long each still keeps requests away; zero where it doesn't.
+	Backoff, LimitWait time.Duration
 }
 
 // Verdict is the answer. The zero value allows.
@@ -69,8 +69,8 @@
 	Reason Reason
 	// Wait is how long it is until it may; zero where that isn't known.
 	Wait time.Duration
-	// Despite is why it wouldn't be allowed if it could be left; empty mostly.
-	Despite Reason
+	// Overridden is why it wouldn't be allowed if it could be left; empty mostly.
+	Overridden Reason
 }
 
 // OK reports whether it may be sent.
@@ -83,45 +83,45 @@
 	return fmt.Sprintf("%s (wait %v)", v.Reason, v.Wait)
 }
 
-// Judge decides about one upstream. What can't be waited for goes before what can.
-func Judge(s State, p Purpose) Verdict {
+// Check decides about one upstream. What can't be waited for goes before what can.
+func Check(s State, p Purpose) Verdict {
 	switch p {
 	case Control:
 		// The run is lost otherwise.
-		return Verdict{Despite: s.reason()}
+		return Verdict{Overridden: s.firstReason()}
 	case Continuation:
-		return s.judgeContinuation()
+		return s.checkContinuation()
 	}
 	if p == Probe {
 		s.Quarantined = false
 	}
-	reason := s.reason()
+	reason := s.firstReason()
 	if reason == Backoff || reason == Limited {
-		return Verdict{Reason: reason, Wait: max(s.Backoff, s.Limit)}
+		return Verdict{Reason: reason, Wait: max(s.Backoff, s.LimitWait)}
 	}
 	return Verdict{Reason: reason}
 }
 
-// judgeContinuation allows what its run would be lost without, but for what harms others.
-func (s *State) judgeContinuation() Verdict {
+// checkContinuation allows what its run would be lost without, but for what harms others.
+func (s *State) checkContinuation() Verdict {
 	switch {
 	case s.RegionBarred:
-		return Verdict{Reason: Region}
+		return Verdict{Reason: RegionBarred}
 	case s.Quarantined:
 		return Verdict{Reason: Quarantined}
 	case s.ZoneClosed:
-		return Verdict{Reason: ZoneOut}
+		return Verdict{Reason: ZoneOutOfService}
 	}
-	return Verdict{Despite: s.reason()}
+	return Verdict{Overridden: s.firstReason()}
 }
 
-// reason is the first reason that holds; empty where none does.
-func (s *State) reason() Reason {
+// firstReason is the first firstReason that holds; empty where none does.
+func (s *State) firstReason() Reason {
 	switch {
 	case s.RegionBarred:
-		return Region
+		return RegionBarred
 	case s.VersionBarred:
-		return Version
+		return VersionBarred
 	case s.Quarantined:
 		return Quarantined
 	case s.Unknown:
@@ -130,11 +130,11 @@
 		return Leaving
 	case s.Unusable:
 		return Unusable
-	case s.ZoneOut:
-		return ZoneOut
-	case s.Backoff > 0 && s.Backoff >= s.Limit:
+	case s.ZoneOutOfService:
+		return ZoneOutOfService
+	case s.Backoff > 0 && s.Backoff >= s.LimitWait:
 		return Backoff
-	case s.Limit > 0:
+	case s.LimitWait > 0:
 		return Limited
 	}
 	return ""
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -329,7 +329,7 @@
 	// Rollouts are applied before the revision of the list rises, because followers aren't sent
 	// again what came before that revision.
 	if w.needsFullRead {
-		w.takeRollouts(now, w.rollouts.Missing(update.Rollouts, update.Revision))
+		w.takeRollouts(now, w.rollouts.ImpliedWithdrawals(update.Rollouts, update.Revision))
 	}
 	w.takeRollouts(now, update.Rollouts)
 	w.takeRolloutRecords(update.RolloutRecords)
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -145,8 +145,8 @@
 	return rollout.Status{}, errGone
 }
 
-func (p *fakeFollowedPeer) Permit(context.Context, Peer, permit.Ask) (permit.Reply, error) {
-	return permit.Reply{}, errGone
+func (p *fakeFollowedPeer) Permit(context.Context, Peer, permit.GrantRequest) (permit.GrantReply, error) {
+	return permit.GrantReply{}, errGone
 }
 func (p *fakeFollowedPeer) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
 func (p *fakeFollowedPeer) Ask(context.Context, Peer, PlacementRequest) (PlacementGrant, error) {
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -136,7 +136,7 @@
 	// rollouts holds the moves of services to other versions, rolloutObservations what this
 	// host has observed of them, and rolloutDecider what it needs to decide about them for all
 	// hosts.
-	rollouts            rollout.Book
+	rollouts            rollout.Tracker
 	rolloutObservations rollout.Observations
 	rolloutDecider      rolloutDesk
 	// answerBudget bounds the memory that answers take.
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -92,7 +92,7 @@
 		f.journal.HostEvent("upstream started again", "upstream", id, "life", u.Incarnation)
 		f.engines.resetEngine(id)
 		f.plainChooser.reset(id)
-		f.limiter.Renew(id)
+		f.limiter.Reset(id)
 		f.backoffs.Renew(id)
 	}
 }
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -29,11 +29,11 @@
 		}
 		return
 	}
-	if !l.Named && !f.limiter.Words.Any() {
+	if !l.Named && !f.limiter.NamedLimits.Any() {
 		return
 	}
 	word := ratelimit.Word{Named: l.Named, Rate: l.Rate, Since: sent, At: now}
-	f.noteLimit(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
+	f.noteLimit(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.NamedLimits.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
 }
 
 // receiveLimitMark takes in a peer's word of an upstream's limit.
@@ -41,7 +41,7 @@
 	if !f.fleet.ReceiveIncarnation(m.Upstream, Incarnation(m.Life)) {
 		return
 	}
-	f.noteLimit(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceiveMark(now, from, m))
+	f.noteLimit(now, m.Upstream, from, m.Rate, m.Age, f.limiter.NamedLimits.ReceiveMark(now, from, m))
 }
 
 // noteLimit tells of a change of an upstream's limit.
@@ -50,7 +50,7 @@
 		return
 	}
 	if c == ratelimit.Ended {
-		f.limiter.Raised(id)
+		f.limiter.LimitRaised(id)
 	}
 	if f.limitLogLimiter.allow(now, id) {
 		f.journal.HostEvent(c.String(), "upstream", id, "per_second", rate, "from", from, "age", age)
@@ -63,17 +63,19 @@
 		_, found := f.fleet.Upstream(id)
 		return found
 	}
-	for _, id := range f.limiter.Words.Forget(now, isKnown) {
+	for _, id := range f.limiter.NamedLimits.Forget(now, isKnown) {
 		f.journal.HostEvent(ratelimit.Ended.String(), "upstream", id, "why", "no answer confirmed it")
 	}
 	f.limitLogLimiter.prune(now)
 	f.signalLogLimiter.prune(now)
 	f.backoffNoticeLimiter.prune(now)
-	f.limiter.Forget(now, func(id member.UpstreamID) bool {
-		_, named := f.limiter.Words.Bound(now, id)
+	f.limiter.Prune(now, func(id member.UpstreamID) bool {
+		_, named := f.limiter.NamedLimits.Bound(now, id)
 		return named || f.fleet.IsCold(now, id)
 	})
 }
 
 // LimitedUpstreams lists the upstreams that name a limit, or return after they did.
-func (f *Forwarder) LimitedUpstreams() []ratelimit.Entry { return f.limiter.Words.Entries(f.now()) }
+func (f *Forwarder) LimitedUpstreams() []ratelimit.Entry {
+	return f.limiter.NamedLimits.Entries(f.now())
+}
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -76,7 +76,7 @@
 	// Ask asks a peer to place a run on one of the engines of its zone.
 	Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error)
 	// Permit asks a peer for permission to send to an upstream.
-	Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error)
+	Permit(ctx context.Context, to Peer, a permit.GrantRequest) (permit.GrantReply, error)
 	// Rollout reports what this host observed of a rollout to the peer that decides about it, and
 	// returns the rollout's status there.
 	Rollout(ctx context.Context, to Peer, r rollout.Report) (rollout.Status, error)
@@ -212,7 +212,7 @@
 		From: f.peers.self, AnnouncementCount: count, AnnouncementAge: age, Version: f.versionInForce(), ConfigAge: f.ContactAge(now), OriginAge: f.OriginAge(now), Stopping: f.Stopping(),
 		Leaving: f.fleet.Marks(now),
 		Failing: f.fleet.FailingMarks(now), Cold: f.fleet.ColdMarks(now), List: f.fleet.Revision(), Zones: f.fleet.ZoneOrdersSince(history.Point{}, true), Epoch: f.peers.epoch,
-		Limits: f.limiter.Words.Marks(now), Backoffs: f.backoffs.Marks(now),
+		Limits: f.limiter.NamedLimits.Marks(now), Backoffs: f.backoffs.Marks(now),
 	}
 }
 
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -18,7 +18,7 @@
 // bound is what an upstream is given at most by all hosts together; false says that nothing
 // bounds it.
 func (f *Forwarder) bound(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
-	named, isNamed := f.limiter.Words.Bound(now, u.ID)
+	named, isNamed := f.limiter.NamedLimits.Bound(now, u.ID)
 	cold, isCold := f.coldRateLimit(now, s, u)
 	switch {
 	case !isNamed:
@@ -31,7 +31,7 @@
 
 // anyBound reports whether some upstream of a service may be bounded.
 func (f *Forwarder) anyBound(now time.Time, s *Service) bool {
-	return f.backoffs.Any() || f.limiter.Words.Any() || s.ColdRate > 0 && f.fleet.AnyCold(now)
+	return f.backoffs.Any() || f.limiter.NamedLimits.Any() || s.ColdRate > 0 && f.fleet.AnyCold(now)
 }
 
 // permitRequest is something to be sent to an upstream.
@@ -54,7 +54,7 @@
 		return 0, true
 	}
 	asked := f.limiter.Wait(now, r.upstream.ID) == 0
-	v := f.limiter.Take(ctx, permit.Request{Upstream: r.upstream.ID, Rate: rate, Rank: r.rank, Repeat: r.repeat, Must: r.must})
+	v := f.limiter.Acquire(ctx, permit.Request{Upstream: r.upstream.ID, Rate: rate, Rank: r.rank, Repeat: r.repeat, Must: r.must})
 	if !r.must {
 		f.observer.Permit(v.Outcome)
 	}
@@ -65,7 +65,9 @@
 }
 
 // OnPermit serves a host that asks for leave to send to an upstream.
-func (f *Forwarder) OnPermit(a permit.Ask) permit.Reply { return f.limiter.OnAsk(a) }
+func (f *Forwarder) OnPermit(a permit.GrantRequest) permit.GrantReply {
+	return f.limiter.HandleGrantRequest(a)
+}
 
 // keptBack is how long it is until this host may send to an upstream, or may ask for leave
 // to; zero when it may now.
@@ -87,17 +89,17 @@
 	return p.peers.responsibleHost(now, string(id), p.peers.upstreamCell(u))
 }
 
-func (p permitSite) Hosts(now time.Time) (heard, known int) {
+func (p permitSite) HostCounts(now time.Time) (heard, known int) {
 	return p.peers.liveHosts(now), p.peers.recentMaxHosts(now)
 }
 
-// Heard counts the hosts of all zones where these aren't divided: an upstream's limit is given out by
+// CellHostCounts counts the hosts of all zones where these aren't divided: an upstream's limit is given out by
 // a host of its cell, and the others of that are there or not.
-func (p permitSite) Heard(now time.Time) (heard, known int) {
+func (p permitSite) CellHostCounts(now time.Time) (heard, known int) {
 	if p.peers.zonesDivided() {
 		return p.peers.cellHostCounts(now)
 	}
-	return p.Hosts(now)
+	return p.HostCounts(now)
 }
 
 func (p permitSite) Zone(id member.UpstreamID) (member.Zone, bool) {
@@ -105,17 +107,17 @@
 	return u.Zone, known
 }
 
-func (p permitSite) ReceiveWord(now time.Time, from member.HostID, m ratelimit.Mark) {
+func (p permitSite) ReceiveLimitMark(now time.Time, from member.HostID, m ratelimit.Mark) {
 	p.receiveLimitMark(now, from, m)
 }
 
 // errNoPeers says that this host has no way to the others yet.
 var errNoPeers = errors.New("no way to other hosts yet")
 
-func (p permitSite) AskPeer(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
+func (p permitSite) AskPeer(ctx context.Context, to Peer, a permit.GrantRequest) (permit.GrantReply, error) {
 	peers := p.loadPeerPort()
 	if peers == nil {
-		return permit.Reply{}, errNoPeers
+		return permit.GrantReply{}, errNoPeers
 	}
 	bounded, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
--- a/forward/regions.go
+++ b/forward/regions.go
@@ -48,7 +48,7 @@
 
 // filterUpstreams returns the upstreams whose zone and version may serve the request.
 func (x *exchange) filterUpstreams(upstreams []Upstream) []Upstream {
-	if x.zones == nil && x.versions.get() == (rollout.Bound{}) {
+	if x.zones == nil && x.versions.get() == (rollout.VersionFilter{}) {
 		return upstreams
 	}
 	return slices.DeleteFunc(slices.Clone(upstreams), func(u Upstream) bool {
--- a/forward/remoteplacement.go
+++ b/forward/remoteplacement.go
@@ -199,7 +199,7 @@
 	if !known {
 		return Upstream{}, false
 	}
-	r.OnlyGroup, r.ButGroup = string(x.versions.get().Only), string(x.versions.get().But)
+	r.OnlyGroup, r.ButGroup = string(x.versions.get().Only), string(x.versions.get().Except)
 	anyUnreachable := false
 	for _, zone := range zones {
 		if zone == ownZone {
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -48,7 +48,7 @@
 // rolloutDesk is what a host needs to decide about rollouts. The zero value works.
 type rolloutDesk struct {
 	mu     sync.Mutex
-	judges map[ServiceName]*rollout.Judge
+	judges map[ServiceName]*rollout.Decider
 }
 
 // take takes in a report.
@@ -56,24 +56,24 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.judges == nil {
-		d.judges = map[ServiceName]*rollout.Judge{}
+		d.judges = map[ServiceName]*rollout.Decider{}
 	}
 	j := d.judges[r.Service]
 	if j == nil {
-		j = &rollout.Judge{}
+		j = &rollout.Decider{}
 		d.judges[r.Service] = j
 	}
-	j.Take(now, r)
+	j.ReceiveReport(now, r)
 }
 
-func (d *rolloutDesk) decide(now time.Time, s rollout.Status, f rollout.Fleet) (rollout.Phase, float64) {
+func (d *rolloutDesk) decide(now time.Time, s rollout.Status, f rollout.FleetState) (rollout.Phase, float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	j := d.judges[s.Service]
 	if j == nil {
 		return s.Phase, 0
 	}
-	return j.Decide(now, s, f), j.Against()
+	return j.Decide(now, s, f), j.EvidenceAgainst()
 }
 
 // takeRollouts takes in what the origin or a peer says of rollouts.
@@ -83,7 +83,7 @@
 			continue
 		}
 		f.rolloutObservations.Begin(s)
-		f.journal.HostEvent("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.Given, "age", s.Age)
+		f.journal.HostEvent("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.GivenAt, "age", s.Age)
 		f.fleet.WakeWaiters()
 	}
 }
@@ -91,7 +91,7 @@
 // takeRolloutRecords takes in how far the origin says that rollouts are.
 func (f *Forwarder) takeRolloutRecords(records []rollout.Status) {
 	for _, r := range records {
-		if f.rollouts.Record(r) {
+		if f.rollouts.ReceiveRecord(r) {
 			f.journal.HostEvent("rollout", "service", r.Service, "target", r.Target, "phase", r.Phase, "recorded", r.Recorded)
 			f.fleet.WakeWaiters()
 		}
@@ -99,24 +99,26 @@
 }
 
 // versionBound holds which versions a request may go to. Tries of one request run beside each other.
-type versionBound struct{ bound atomic.Pointer[rollout.Bound] }
+type versionBound struct {
+	bound atomic.Pointer[rollout.VersionFilter]
+}
 
-func (v *versionBound) get() rollout.Bound {
+func (v *versionBound) get() rollout.VersionFilter {
 	if b := v.bound.Load(); b != nil {
 		return *b
 	}
-	return rollout.Bound{}
+	return rollout.VersionFilter{}
 }
 
-func (v *versionBound) set(b rollout.Bound) {
-	if b != (rollout.Bound{}) || v.bound.Load() != nil {
+func (v *versionBound) set(b rollout.VersionFilter) {
+	if b != (rollout.VersionFilter{}) || v.bound.Load() != nil {
 		v.bound.Store(&b)
 	}
 }
 
 // drawVersions draws which versions a new request may go to.
-func (x *exchange) drawVersions(now time.Time) rollout.Bound {
-	return x.rollouts.Bound(x.service.Name, x.settings.RolloutLimits, func(target rollout.Version) (hasTarget, hasOthers bool) {
+func (x *exchange) drawVersions(now time.Time) rollout.VersionFilter {
+	return x.rollouts.DrawFilter(x.service.Name, x.settings.RolloutLimits, func(target rollout.Version) (hasTarget, hasOthers bool) {
 		return x.hasVersion(now, x.service.Name, target)
 	})
 }
@@ -164,7 +166,7 @@
 	}
 	for _, s := range x.rollouts.Statuses(now) {
 		if s.Service == u.Service {
-			x.rolloutObservations.Answer(u.Service, rollout.Subject{Route: x.route.Name, Measure: m}, u.Version == s.Target, failed, took)
+			x.rolloutObservations.RecordAnswer(u.Service, rollout.Comparison{Route: x.route.Name, Measure: m}, u.Version == s.Target, failed, took)
 		}
 	}
 }
@@ -175,7 +177,7 @@
 	case kept, errors.Is(t.err, ErrNotSent), ctx.Err() != nil:
 	case t.err == nil && (t.response.WrongInstance || t.response.NotRun || t.response.Signals.RetryAfter > 0):
 	default:
-		p.noteAnswer(now, u, rollout.Whole, !t.succeeded(), t.elapsed)
+		p.noteAnswer(now, u, rollout.ResponseTime, !t.succeeded(), t.elapsed)
 	}
 }
 
@@ -213,10 +215,10 @@
 }
 
 func (f *Forwarder) rolloutReport(s rollout.Status) (rollout.Report, uint64) {
-	evidence, count := f.rolloutObservations.Report(s.Service)
-	r := rollout.Report{From: f.peers.self.ID, Service: s.Service, Given: s.Given, Phase: s.Phase, Age: s.Age, Epoch: f.peers.epoch, Evidence: evidence}
+	evidence, count := f.rolloutObservations.Evidence(s.Service)
+	r := rollout.Report{From: f.peers.self.ID, Service: s.Service, GivenAt: s.GivenAt, Phase: s.Phase, Age: s.Age, Epoch: f.peers.epoch, Evidence: evidence}
 	if s.Phase >= rollout.Full {
-		r.Running = f.runningRetired(s.Service)
+		r.RunningRetired = f.runningRetired(s.Service)
 	}
 	return r, count
 }
@@ -243,7 +245,7 @@
 		return
 	}
 	r, count := f.rolloutReport(s)
-	next := rolloutTold{now, to.ID, count, s.Phase, s.Given, r.Running}
+	next := rolloutTold{now, to.ID, count, s.Phase, s.GivenAt, r.RunningRetired}
 	again := now.Sub(before.at) >= reportAgain*pause && !s.Phase.Ended()
 	before.at = now
 	if next == before && !again {
@@ -267,7 +269,7 @@
 func (f *Forwarder) OnRollout(r rollout.Report) rollout.Status {
 	now := f.now()
 	f.rolloutDecider.take(now, r)
-	f.rollouts.Aged(now, r.Service, r.Given, r.Age)
+	f.rollouts.ReceiveAge(now, r.Service, r.GivenAt, r.Age)
 	for _, s := range f.rollouts.Statuses(now) {
 		if s.Service == r.Service {
 			return s
@@ -280,14 +282,14 @@
 func (f *Forwarder) decideRollout(ctx context.Context, now time.Time, s rollout.Status, records RolloutRecords) {
 	r, _ := f.rolloutReport(s)
 	f.rolloutDecider.take(now, r)
-	fleet := rollout.Fleet{}
+	fleet := rollout.FleetState{}
 	if !f.peers.zonesDivided() {
 		fleet.Hosts = f.peers.liveIDs(now)
 	}
-	fleet.HasTarget, _ = f.hasVersion(now, s.Service, s.Target)
+	fleet.TargetAvailable, _ = f.hasVersion(now, s.Service, s.Target)
 	phase, against := f.rolloutDecider.decide(now, s, fleet)
 	if phase > s.Phase {
-		f.journal.HostEvent("rollout decided", "service", s.Service, "target", s.Target, "phase", phase, "after", s.Age, "of", s.Lasts, "evidence_against", against)
+		f.journal.HostEvent("rollout decided", "service", s.Service, "target", s.Target, "phase", phase, "after", s.Age, "of", s.Duration, "evidence_against", against)
 	}
 	s.Phase = phase
 	if phase == rollout.RolledBack {
@@ -306,7 +308,7 @@
 	}
 	f.takeRollouts(f.now(), []rollout.Status{s})
 	// The origin's news tell where it was recorded; until then it isn't written again.
-	f.rollouts.Written(s.Service, s.Given, s.Phase)
+	f.rollouts.MarkRecorded(s.Service, s.GivenAt, s.Phase)
 }
 
 // Rollouts lists what this host knows of rollouts, with the evidence against each target that was
@@ -315,8 +317,8 @@
 	now := f.now()
 	var all []RolloutEntry
 	for _, s := range f.rollouts.Statuses(now) {
-		_, against := f.rolloutDecider.decide(now, s, rollout.Fleet{})
-		evidence, _ := f.rolloutObservations.Report(s.Service)
+		_, against := f.rolloutDecider.decide(now, s, rollout.FleetState{})
+		evidence, _ := f.rolloutObservations.Evidence(s.Service)
 		all = append(all, RolloutEntry{Status: s, Decides: f.peers.firstHost(now).ID, Against: against, Evidence: evidence})
 	}
 	return all
--- a/forward/rollouts_test.go
+++ b/forward/rollouts_test.go
@@ -52,7 +52,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.next++
-	s.Given = rev(int(o.next))
+	s.GivenAt = rev(int(o.next))
 	o.publishRollouts([]rollout.Status{s}, nil)
 	return s
 }
@@ -229,7 +229,7 @@
 		tally.mu.Lock()
 		given = time.Now()
 		tally.mu.Unlock()
-		o.give(rollout.Status{Order: rollout.Order{Service: d.service, Target: "v2", Lasts: rolloutLasts}})
+		o.give(rollout.Status{Order: rollout.Order{Service: d.service, Target: "v2", Duration: rolloutLasts}})
 	}
 	start := time.Now()
 	for n := 0; time.Since(start) < rolloutLasts+2*time.Second; n++ {
--- a/forward/send.go
+++ b/forward/send.go
@@ -48,7 +48,7 @@
 	zone := f.zones[k.Zone]
 	return eligibility.State{
 		Leaving: k.Leaving, Unusable: k.unusable,
-		ZoneOut: zone.OutOfService, ZoneClosed: zone.OutOfService && now.Sub(zone.learnedAt) > handoverGrace,
+		ZoneOutOfService: zone.OutOfService, ZoneClosed: zone.OutOfService && now.Sub(zone.learnedAt) > handoverGrace,
 	}
 }
 
@@ -66,7 +66,7 @@
 	s := x.eligibilityState(now, u)
 	s.Quarantined, s.RegionBarred = x.held(now), !x.zoneAllowed(u.Zone)
 	s.VersionBarred = !x.versions.get().Allows(u.Version) || x.rollouts.Retired(u.Service, u.Version)
-	return eligibility.Judge(s, p)
+	return eligibility.Check(s, p)
 }
 
 // authorizeSend decides whether the request may be sent to an upstream now, and obtains the permit
@@ -85,7 +85,7 @@
 	if ok {
 		return eligibility.Verdict{}
 	}
-	return eligibility.Judge(eligibility.State{Limit: max(wait, 1)}, eligibility.Request)
+	return eligibility.Check(eligibility.State{LimitWait: max(wait, 1)}, eligibility.Request)
 }
 
 // countForcedSend counts a send to a rate-limited upstream that happens with or without a permit.
@@ -105,7 +105,7 @@
 	var ticket backoff.Ticket
 	if v.OK() {
 		var wait time.Duration
-		if ticket, wait = x.backoffs.Begin(sent, u.ID, v.Despite != ""); wait > 0 {
+		if ticket, wait = x.backoffs.Begin(sent, u.ID, v.Overridden != ""); wait > 0 {
 			v = eligibility.Verdict{Reason: eligibility.Backoff, Wait: wait}
 		}
 	}
@@ -130,8 +130,8 @@
 	switch {
 	case !v.OK():
 		x.journal.Request(x.call.ID, "not sent", "upstream", u.ID, "why", v.Reason, "wait", v.Wait)
-	case v.Despite != "":
-		x.journal.Request(x.call.ID, "sent all the same", "upstream", u.ID, "despite", v.Despite)
+	case v.Overridden != "":
+		x.journal.Request(x.call.ID, "sent all the same", "upstream", u.ID, "despite", v.Overridden)
 	default:
 		return
 	}
@@ -160,7 +160,7 @@
 // limit forbids other requests.
 func (x *exchange) countControlCall(ctx context.Context, u Upstream) {
 	x.countForcedSend(ctx, u)
-	if v := eligibility.Judge(x.eligibilityState(x.now(), u), eligibility.Control); v.Despite != "" {
+	if v := eligibility.Check(x.eligibilityState(x.now(), u), eligibility.Control); v.Overridden != "" {
 		x.observer.Send(v)
 	}
 }
@@ -168,7 +168,7 @@
 // checkHealth asks an upstream for its health, unless nothing may be sent to it now.
 func (f *Forwarder) checkHealth(ctx context.Context, s *Service, u Upstream) (Health, error) {
 	sent := f.now()
-	v := eligibility.Judge(f.eligibilityState(sent, u), eligibility.Probe)
+	v := eligibility.Check(f.eligibilityState(sent, u), eligibility.Probe)
 	if v.OK() {
 		// If permits are scarce, requests go before health checks.
 		v = f.permitVerdict(ctx, permitRequest{service: s, upstream: u, rank: int(LeastUrgent), repeat: true})
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -118,7 +118,7 @@
 	}
 	news.Revision = history.Latest(news.Revision, o.rolloutsAt)
 	for _, s := range o.rollouts {
-		if s.Given.After(after) {
+		if s.GivenAt.After(after) {
 			news.Rollouts = append(news.Rollouts, s)
 		}
 	}
@@ -356,12 +356,12 @@
 	return PlacementGrant{}, errGone
 }
 
-func (s sitePort) Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
+func (s sitePort) Permit(ctx context.Context, to Peer, a permit.GrantRequest) (permit.GrantReply, error) {
 	s.permits.Add(1)
 	if f := s.reached(ctx, s.address, to); f != nil {
 		return f.OnPermit(a), nil
 	}
-	return permit.Reply{}, errGone
+	return permit.GrantReply{}, errGone
 }
 
 func (s sitePort) Rollout(ctx context.Context, to Peer, r rollout.Report) (rollout.Status, error) {
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -95,7 +95,7 @@
 			return
 		}
 		if ctx.Err() == nil && err != nil && !errors.Is(err, ErrNotSent) {
-			s.noteAnswer(s.now(), u, rollout.First, true, 0)
+			s.noteAnswer(s.now(), u, rollout.TimeToFirstEvent, true, 0)
 		}
 		s.releasePlace(false)
 		last = s.classifyFailure(ctx, u, answer, err)
@@ -170,7 +170,7 @@
 func (s *streamExchange) place(ctx context.Context) (Upstream, Refusal, bool) {
 	now := s.now()
 	if s.attempts > 0 {
-		s.versions.set(s.rollouts.Repeat(s.service.Name))
+		s.versions.set(s.rollouts.RetryFilter(s.service.Name))
 	}
 	if !s.hasUntriedEngine(now) {
 		takers := s.acceptingUpstreams(now)
@@ -192,7 +192,7 @@
 		Priority: int(LeastUrgent - s.urgency),
 		Prompt:   max(p.Tokens, 1), Limit: p.MaxOutputTokens, Prefix: p.PrefixHash, PrefixTokens: p.PrefixTokens,
 		Bytes: len(s.call.Body), Objective: s.route.Objective, AvoidAlso: s.excluded, Zones: s.zones,
-		OnlyGroup: string(s.versions.get().Only), ButGroup: string(s.versions.get().But),
+		OnlyGroup: string(s.versions.get().Only), ButGroup: string(s.versions.get().Except),
 		Arrived: s.call.Arrived, Deadline: s.call.Arrived.Add(s.route.Objective),
 	}
 	if s.service.Engine == nil {
--- a/forward/throttledselection.go
+++ b/forward/throttledselection.go
@@ -22,7 +22,7 @@
 func (x *exchange) selectUpstream(ctx context.Context, tried []member.UpstreamID, isRetry bool) (Upstream, Refusal, bool) {
 	now := x.now()
 	if isRetry {
-		x.versions.set(x.rollouts.Repeat(x.service.Name))
+		x.versions.set(x.rollouts.RetryFilter(x.service.Name))
 	}
 	accepting := x.candidates(now, x.service.Name)
 	if len(accepting) == 0 {
@@ -95,7 +95,7 @@
 // If the send isn't allowed, the run's place stays on its present engine.
 func (x *exchange) relocate(ctx context.Context, now time.Time, run *ownRun, avoid []member.UpstreamID) (Upstream, bool) {
 	throttled := x.throttledEngines(now)
-	x.versions.set(x.rollouts.Repeat(x.service.Name))
+	x.versions.set(x.rollouts.RetryFilter(x.service.Name))
 	from := run.engine
 	u, found := x.findMoveTarget(ctx, now, run, slices.Concat(avoid, throttled.sameZone), throttled.otherZones)
 	if !found {
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -219,7 +219,7 @@
 		want  eligibility.Reason
 	}{
 		"just now": {500 * time.Millisecond, ""},
-		"long ago": {2 * time.Second, eligibility.ZoneOut},
+		"long ago": {2 * time.Second, eligibility.ZoneOutOfService},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -82,7 +82,7 @@
 		if r.Withdrawn {
 			phase = "withdrawn"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%.1f\t%s\n", r.Service, r.Target, phase, r.Age.Round(time.Millisecond), r.Lasts, r.Against, r.Decides)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%.1f\t%s\n", r.Service, r.Target, phase, r.Age.Round(time.Millisecond), r.Duration, r.Against, r.Decides)
 	}
 	return w.Flush()
 }
@@ -91,7 +91,7 @@
 	if err := writeRollouts(out, []forward.RolloutEntry{r}); err != nil {
 		return err
 	}
-	measures := map[rollout.Measure]string{rollout.Whole: "answer", rollout.First: "first event", rollout.Pace: "between events"}
+	measures := map[rollout.Measure]string{rollout.ResponseTime: "answer", rollout.TimeToFirstEvent: "first event", rollout.TimeBetweenEvents: "between events"}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nROUTE\tMEASURE\tVERSION\tGOOD\tFAILED\tMEDIAN")
 	for _, e := range r.Evidence {
@@ -99,7 +99,7 @@
 		if e.Target {
 			version = string(r.Target)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%v\n", e.Route, measures[e.Measure], version, e.Good, e.Failed, e.Median().Round(time.Millisecond))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%v\n", e.Route, measures[e.Measure], version, e.Succeeded, e.Failed, e.Median().Round(time.Millisecond))
 	}
 	return w.Flush()
 }
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -24,7 +24,7 @@
 	OnFollow(ctx context.Context, r forward.FollowRequest) forward.FollowReply
 	OnConfig(have forward.Version) forward.ConfigReply
 	OnAsk(a forward.PlacementRequest) forward.PlacementGrant
-	OnPermit(a permit.Ask) permit.Reply
+	OnPermit(a permit.GrantRequest) permit.GrantReply
 	OnRollout(r rollout.Report) rollout.Status
 	Rollouts() []forward.RolloutEntry
 	OnTurn(ctx context.Context, r forward.TurnRequest) error
--- a/internal/peer/permits.go
+++ b/internal/peer/permits.go
@@ -60,23 +60,23 @@
 	Word           []wireLimit
 }
 
-func toWirePermit(a permit.Ask) wirePermit {
+func toWirePermit(a permit.GrantRequest) wirePermit {
 	w := wirePermit{
 		From: string(a.From), Upstream: string(a.Upstream), Rate: float64(a.Rate), Rank: a.Rank, Repeat: a.Repeat, Must: a.Must,
 	}
-	if a.HasWord {
-		w.Word = []wireLimit{toWireLimit(a.Word)}
+	if a.HasLimitMark {
+		w.Word = []wireLimit{toWireLimit(a.LimitMark)}
 	}
 	return w
 }
 
-func (w wirePermit) ask() permit.Ask {
-	a := permit.Ask{
+func (w wirePermit) ask() permit.GrantRequest {
+	a := permit.GrantRequest{
 		Upstream: member.UpstreamID(w.Upstream),
 		Ask:      ratelimit.Ask{From: member.HostID(w.From), Rate: ratelimit.Rate(w.Rate).Sane(), Rank: w.Rank, Repeat: w.Repeat, Must: w.Must},
 	}
 	if len(w.Word) > 0 {
-		a.Word, a.HasWord = w.Word[0].mark(), true
+		a.LimitMark, a.HasLimitMark = w.Word[0].mark(), true
 	}
 	return a
 }
@@ -91,34 +91,34 @@
 	Word              []wireLimit
 }
 
-func toWirePermitted(r permit.Reply) wirePermitted {
+func toWirePermitted(r permit.GrantReply) wirePermitted {
 	w := wirePermitted{
-		Granted: r.Granted, Passed: r.Passed, Wait: r.Wait.Milliseconds(), Unknown: r.Unknown,
+		Granted: r.Granted, Passed: r.Passed, Wait: r.Wait.Milliseconds(), Unknown: r.UnknownUpstream,
 		ID: string(r.Granter.ID), Zone: string(r.Granter.Zone), Address: r.Granter.PeerAddress,
 	}
-	if r.HasWord {
-		w.Word = []wireLimit{toWireLimit(r.Word)}
+	if r.HasLimitMark {
+		w.Word = []wireLimit{toWireLimit(r.LimitMark)}
 	}
 	return w
 }
 
-func (w wirePermitted) reply() permit.Reply {
-	r := permit.Reply{
-		Grant:   ratelimit.Grant{Granted: w.Granted, Passed: w.Passed, Wait: time.Duration(w.Wait) * time.Millisecond},
-		Granter: forward.Peer{ID: member.HostID(w.ID), Zone: member.Zone(w.Zone), PeerAddress: w.Address},
-		Unknown: w.Unknown,
+func (w wirePermitted) reply() permit.GrantReply {
+	r := permit.GrantReply{
+		Grant:           ratelimit.Grant{Granted: w.Granted, Passed: w.Passed, Wait: time.Duration(w.Wait) * time.Millisecond},
+		Granter:         forward.Peer{ID: member.HostID(w.ID), Zone: member.Zone(w.Zone), PeerAddress: w.Address},
+		UnknownUpstream: w.Unknown,
 	}
 	if len(w.Word) > 0 {
-		r.Word, r.HasWord = w.Word[0].mark(), true
+		r.LimitMark, r.HasLimitMark = w.Word[0].mark(), true
 	}
 	return r
 }
 
 // Permit asks a peer for leave to send to an upstream.
-func (m *Mesh) Permit(ctx context.Context, to forward.Peer, a permit.Ask) (permit.Reply, error) {
+func (m *Mesh) Permit(ctx context.Context, to forward.Peer, a permit.GrantRequest) (permit.GrantReply, error) {
 	var answer wirePermitted
 	if err := m.call(ctx, to.PeerAddress, kindPermit, toWirePermit(a), &answer); err != nil {
-		return permit.Reply{}, err
+		return permit.GrantReply{}, err
 	}
 	return answer.reply(), nil
 }
--- a/internal/peer/permits_test.go
+++ b/internal/peer/permits_test.go
@@ -24,14 +24,14 @@
 func TestPermitsOnTheWire(t *testing.T) {
 	is := is.New(t)
 	mark := ratelimit.Mark{Upstream: "u", Life: 3, Named: true, Rate: 2.8, Age: 40 * time.Millisecond}
-	ask := permit.Ask{
-		Upstream: "u", Ask: ratelimit.Ask{From: "h", Rate: 2.8, Rank: 4, Repeat: true, Must: true}, HasWord: true, Word: mark,
+	ask := permit.GrantRequest{
+		Upstream: "u", Ask: ratelimit.Ask{From: "h", Rate: 2.8, Rank: 4, Repeat: true, Must: true}, HasLimitMark: true, LimitMark: mark,
 	}
 	is.Equal(toWirePermit(ask).ask(), ask)
-	is.Equal(toWirePermit(permit.Ask{Upstream: "u"}).ask(), permit.Ask{Upstream: "u"})
-	reply := permit.Reply{
+	is.Equal(toWirePermit(permit.GrantRequest{Upstream: "u"}).ask(), permit.GrantRequest{Upstream: "u"})
+	reply := permit.GrantReply{
 		Grant: ratelimit.Grant{Granted: true, Passed: true, Wait: 250 * time.Millisecond}, Granter: forward.Peer{ID: "g", Zone: "z", PeerAddress: "10.0.0.1:1"},
-		Unknown: true, HasWord: true, Word: mark,
+		UnknownUpstream: true, HasLimitMark: true, LimitMark: mark,
 	}
 	is.Equal(toWirePermitted(reply).reply(), reply)
 	share := forward.Share{Limits: []ratelimit.Mark{mark}}
@@ -60,7 +60,7 @@
 	go func() { _ = server.ServeForward(ctx, listener, asked, ignore) }()
 	to := forward.Peer{ID: "g", Zone: "z", PeerAddress: listener.Addr().String()}
 	for b.Loop() {
-		if _, err := caller.Permit(ctx, to, permit.Ask{Upstream: "u", Ask: ratelimit.Ask{From: "h", Rate: 4}}); err != nil {
+		if _, err := caller.Permit(ctx, to, permit.GrantRequest{Upstream: "u", Ask: ratelimit.Ask{From: "h", Rate: 4}}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -28,10 +28,10 @@
 
 func toWireRollout(s rollout.Status) wireRollout {
 	w := wireRollout{
-		Service: string(s.Service), Target: string(s.Target), Lasts: s.Lasts.Milliseconds(), Age: s.Age.Milliseconds(),
+		Service: string(s.Service), Target: string(s.Target), Lasts: s.Duration.Milliseconds(), Age: s.Age.Milliseconds(),
 		Withdrawn: s.Withdrawn, Phase: int(s.Phase), RecordedPhase: int(s.RecordedPhase),
 	}
-	w.GivenEra, w.Given = numbers(s.Given)
+	w.GivenEra, w.Given = numbers(s.GivenAt)
 	w.RecordedEra, w.Record = numbers(s.Recorded)
 	return w
 }
@@ -47,8 +47,8 @@
 func (w wireRollout) status() rollout.Status {
 	s := rollout.Status{
 		Order: rollout.Order{
-			Service: resource.Name(w.Service), Target: rollout.Version(w.Target), Lasts: time.Duration(w.Lasts) * time.Millisecond,
-			Given: point(w.GivenEra, w.Given), Withdrawn: w.Withdrawn,
+			Service: resource.Name(w.Service), Target: rollout.Version(w.Target), Duration: time.Duration(w.Lasts) * time.Millisecond,
+			GivenAt: point(w.GivenEra, w.Given), Withdrawn: w.Withdrawn,
 		},
 		Age: time.Duration(w.Age) * time.Millisecond, Recorded: point(w.RecordedEra, w.Record),
 		RecordedPhase: rollout.Phase(w.RecordedPhase),
@@ -87,10 +87,10 @@
 }
 
 func toWireRolloutReport(r rollout.Report) wireRolloutReport {
-	w := wireRolloutReport{From: string(r.From), Service: string(r.Service), Phase: int(r.Phase), Running: r.Running, Age: r.Age.Milliseconds(), Epoch: r.Epoch}
-	w.GivenEra, w.Given = numbers(r.Given)
+	w := wireRolloutReport{From: string(r.From), Service: string(r.Service), Phase: int(r.Phase), Running: r.RunningRetired, Age: r.Age.Milliseconds(), Epoch: r.Epoch}
+	w.GivenEra, w.Given = numbers(r.GivenAt)
 	for _, e := range r.Evidence {
-		evidence := wireEvidence{Route: e.Route, Measure: int(e.Measure), Target: e.Target, Good: e.Good, Failed: e.Failed}
+		evidence := wireEvidence{Route: e.Route, Measure: int(e.Measure), Target: e.Target, Good: e.Succeeded, Failed: e.Failed}
 		for bucket, n := range e.Times {
 			if n > 0 {
 				evidence.Times = append(evidence.Times, uint32(bucket), n)
@@ -103,12 +103,12 @@
 
 func (w wireRolloutReport) report() rollout.Report {
 	r := rollout.Report{
-		From: member.HostID(w.From), Service: resource.Name(w.Service), Given: point(w.GivenEra, w.Given),
-		Phase: rollout.Phase(w.Phase), Running: w.Running, Age: time.Duration(max(w.Age, 0)) * time.Millisecond, Epoch: w.Epoch,
+		From: member.HostID(w.From), Service: resource.Name(w.Service), GivenAt: point(w.GivenEra, w.Given),
+		Phase: rollout.Phase(w.Phase), RunningRetired: w.Running, Age: time.Duration(max(w.Age, 0)) * time.Millisecond, Epoch: w.Epoch,
 	}
 	for _, e := range w.Evidence {
-		evidence := rollout.Evidence{Subject: rollout.Subject{Route: e.Route, Measure: rollout.Measure(e.Measure)}, Target: e.Target}
-		evidence.Good, evidence.Failed = e.Good, e.Failed
+		evidence := rollout.Evidence{Comparison: rollout.Comparison{Route: e.Route, Measure: rollout.Measure(e.Measure)}, Target: e.Target}
+		evidence.Succeeded, evidence.Failed = e.Good, e.Failed
 		for i := 0; i+1 < len(e.Times); i += 2 {
 			if bucket := int(e.Times[i]); bucket < len(evidence.Times) {
 				evidence.Times[bucket] = e.Times[i+1]
--- a/internal/telemetry/forward.go
+++ b/internal/telemetry/forward.go
@@ -151,7 +151,7 @@
 		f.keptBack.WithLabelValues(string(v.Reason)).Inc()
 		return
 	}
-	f.sentAnyway.WithLabelValues(string(v.Despite)).Inc()
+	f.sentAnyway.WithLabelValues(string(v.Overridden)).Inc()
 }
 
 // WatchSignals has the metrics tell which upstreams leave, by who told first, and how many want
--- a/permit/limiter.go
+++ b/permit/limiter.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	// lasts is how long after it was asked for a permit may be used: a host that was
+	// permitTTL is how long after it was asked for a permit may be used: a host that was
 	// suspended meanwhile has no claim to what was given out then.
-	lasts = 250 * time.Millisecond
-	// unansweredFor is how long a host that didn't answer isn't asked: each time would
+	permitTTL = 250 * time.Millisecond
+	// unansweredRetryDelay is how long a host that didn't answer isn't asked: each time would
 	// cost a request the time for which an answer is waited.
-	unansweredFor = time.Second
-	// cutPart is how much more than their part of all hosts those of the upstream's zone
+	unansweredRetryDelay = time.Second
+	// partitionShareMultiplier is how much more than their part of all hosts those of the upstream's zone
 	// get that hear each other: half as much again, together, as an upstream names is what
 	// it is to bear at most, and without it the loss of a third of the hosts would leave a
 	// third of the limit unused for as long as they are remembered. Hosts of other zones
 	// that hear none of that zone get their part alone: its hosts may still hear them.
-	cutPart = 1.5
+	partitionShareMultiplier = 1.5
 )
 
 // Site is what a Limiter has to know of the hosts and upstreams, and how it asks others.
 type Site interface {
 	// Granter is the host that gives out what an upstream takes, as far as this one knows.
 	Granter(now time.Time, id member.UpstreamID) member.Entry
-	// Hosts is how many hosts are heard, and how many were known at once lately, heard or
+	// HostCounts is how many hosts are heard, and how many were known at once lately, heard or
 	// not; both with this one.
-	Hosts(now time.Time) (heard, known int)
-	// Heard is how many hosts of this one's cell are heard, and how many there are; both with this
+	HostCounts(now time.Time) (live, known int)
+	// CellHostCounts is how many hosts of this one's cell are heard, and how many there are; both with this
 	// one.
-	Heard(now time.Time) (heard, known int)
+	CellHostCounts(now time.Time) (live, known int)
 	// Zone is an upstream's; false for one that isn't known.
 	Zone(id member.UpstreamID) (member.Zone, bool)
 	// AskPeer asks another host. It waits for an answer for a bounded time.
-	AskPeer(ctx context.Context, to member.Entry, a Ask) (Reply, error)
-	// ReceiveWord takes in another host's word of an upstream's limit.
-	ReceiveWord(now time.Time, from member.HostID, m ratelimit.Mark)
+	AskPeer(ctx context.Context, to member.Entry, request GrantRequest) (GrantReply, error)
+	// ReceiveLimitMark takes in another host's word of an upstream's limit.
+	ReceiveLimitMark(now time.Time, from member.HostID, m ratelimit.Mark)
 }
 
 // Request is something that is to be sent to a bounded upstream.
@@ -70,8 +70,8 @@
 // Limiter gets a host leave to send to bounded upstreams, and gives out, for those for which
 // it is this host's duty, what they take. Use New. It is safe for use by several goroutines.
 type Limiter struct {
-	// Words are the newest words of the limits that upstreams name.
-	Words ratelimit.Words
+	// NamedLimits are the newest words of the limits that upstreams name.
+	NamedLimits ratelimit.Words
 
 	self member.Entry
 	site Site
@@ -80,10 +80,10 @@
 	// one may send without asking.
 	granter ratelimit.Granter
 	turns   ratelimit.Turns
-	// asksAgain is when this host asks again for leave to send to each upstream, and
+	// nextRequest is when this host asks again for leave to send to each upstream, and
 	// unanswered when it asks each host again that didn't answer.
-	asksAgain  waits[member.UpstreamID]
-	unanswered waits[member.HostID]
+	nextRequest  retryTimes[member.UpstreamID]
+	unresponsive retryTimes[member.HostID]
 }
 
 // New returns the limiter of a host. now tells the present moment.
@@ -91,60 +91,60 @@
 	return &Limiter{self: self, site: s, now: now, turns: ratelimit.Turns{Self: self.ID}}
 }
 
-// Take asks for leave to send a request. It is called just before it is sent.
-func (l *Limiter) Take(ctx context.Context, r Request) Verdict {
+// Acquire asks for leave to send a request. It is called just before it is sent.
+func (l *Limiter) Acquire(ctx context.Context, r Request) Verdict {
 	now := l.now()
 	if r.Must {
 		// It goes in any case, and doesn't wait for the answer.
-		go l.ask(context.WithoutCancel(ctx), now, r)
+		go l.requestPermit(context.WithoutCancel(ctx), now, r)
 		return Verdict{Outcome: Granted}
 	}
-	if wait := l.asksAgain.left(now, r.Upstream); wait > 0 {
-		return Verdict{Outcome: KeptBack, Wait: wait}
+	if wait := l.nextRequest.remaining(now, r.Upstream); wait > 0 {
+		return Verdict{Outcome: Deferred, Wait: wait}
 	}
-	grant, outcome := l.ask(ctx, now, r)
-	late := l.now().Sub(now) > lasts
+	grant, outcome := l.requestPermit(ctx, now, r)
+	late := l.now().Sub(now) > permitTTL
 	if grant.Granted && !late {
 		return Verdict{Outcome: outcome}
 	}
 	if outcome != NoTurn {
-		outcome = KeptBack
+		outcome = Deferred
 	}
 	wait := grant.Wait
-	if holds, returning := l.Words.Returning(now, r.Upstream); returning {
+	if boundHolds, returning := l.NamedLimits.Returning(now, r.Upstream); returning {
 		// The wait follows from a bound that will have doubled by then.
-		wait = min(wait, holds)
+		wait = min(wait, boundHolds)
 	}
 	if !grant.Passed {
-		l.asksAgain.extend(r.Upstream, l.now().Add(wait))
+		l.nextRequest.extend(r.Upstream, l.now().Add(wait))
 	}
 	return Verdict{Outcome: outcome, Wait: wait, Late: late}
 }
 
-// Raised takes in that an upstream takes more than before: how long this host was told to wait
+// LimitRaised takes in that an upstream takes more than before: how long this host was told to wait
 // follows from the lower limit.
-func (l *Limiter) Raised(id member.UpstreamID) { l.asksAgain.end(id) }
+func (l *Limiter) LimitRaised(id member.UpstreamID) { l.nextRequest.remove(id) }
 
 // Wait is how long it is until this host asks again for leave to send to an upstream; zero
 // when it may now.
 func (l *Limiter) Wait(now time.Time, id member.UpstreamID) time.Duration {
-	return l.asksAgain.left(now, id)
+	return l.nextRequest.remaining(now, id)
 }
 
-// ask asks the host that grants, or takes a turn of this host's own.
-func (l *Limiter) ask(ctx context.Context, now time.Time, r Request) (ratelimit.Grant, Outcome) {
-	a := Ask{
+// requestPermit asks the host that grants, or takes a turn of this host's own.
+func (l *Limiter) requestPermit(ctx context.Context, now time.Time, r Request) (ratelimit.Grant, Outcome) {
+	request := GrantRequest{
 		Upstream: r.Upstream,
 		Ask:      ratelimit.Ask{From: l.self.ID, Rate: r.Rate, Rank: r.Rank, Repeat: r.Repeat, Must: r.Must},
 	}
-	a.Word, a.HasWord = l.Words.Mark(now, r.Upstream)
+	request.LimitMark, request.HasLimitMark = l.NamedLimits.Mark(now, r.Upstream)
 	to := l.site.Granter(now, r.Upstream)
 	// A host of another zone may not have heard yet who grants; the one that it asks knows.
 	for range 2 {
 		if to.ID == l.self.ID {
-			return l.give(now, a), Granted
+			return l.grant(now, request), Granted
 		}
-		reply, err := l.askPeer(ctx, now, to, a)
+		reply, err := l.requestFromPeer(ctx, now, to, request)
 		if err != nil {
 			break
 		}
@@ -153,11 +153,11 @@
 		}
 		to = reply.Granter
 	}
-	_, known := l.site.Hosts(now)
+	_, known := l.site.HostCounts(now)
 	wait, ok := l.turns.Take(l.now(), r.Upstream, ratelimit.TurnPeriod(r.Rate, known))
 	if !ok {
 		// By then the host that grants may answer again.
-		return ratelimit.Grant{Wait: min(wait, unansweredFor)}, NoTurn
+		return ratelimit.Grant{Wait: min(wait, unansweredRetryDelay)}, NoTurn
 	}
 	return ratelimit.Grant{Granted: true}, OwnTurn
 }
@@ -165,72 +165,72 @@
 // errNoGranter says that the host that grants can't be asked, or doesn't know the upstream.
 var errNoGranter = errors.New("no host to ask for a permit")
 
-// askPeer asks another host, if it has answered lately.
-func (l *Limiter) askPeer(ctx context.Context, now time.Time, to member.Entry, a Ask) (Reply, error) {
-	if l.unanswered.left(now, to.ID) > 0 {
-		return Reply{}, errNoGranter
+// requestFromPeer asks another host, if it has answered lately.
+func (l *Limiter) requestFromPeer(ctx context.Context, now time.Time, to member.Entry, request GrantRequest) (GrantReply, error) {
+	if l.unresponsive.remaining(now, to.ID) > 0 {
+		return GrantReply{}, errNoGranter
 	}
-	reply, err := l.site.AskPeer(ctx, to, a)
+	reply, err := l.site.AskPeer(ctx, to, request)
 	if err != nil {
 		if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			l.unanswered.extend(to.ID, l.now().Add(unansweredFor))
+			l.unresponsive.extend(to.ID, l.now().Add(unansweredRetryDelay))
 		}
-		return Reply{}, err
+		return GrantReply{}, err
 	}
-	if reply.HasWord {
-		l.site.ReceiveWord(l.now(), to.ID, reply.Word)
+	if reply.HasLimitMark {
+		l.site.ReceiveLimitMark(l.now(), to.ID, reply.LimitMark)
 	}
-	if reply.Unknown {
-		return Reply{}, errNoGranter
+	if reply.UnknownUpstream {
+		return GrantReply{}, errNoGranter
 	}
 	return reply, nil
 }
 
-// OnAsk serves a host that asks for leave to send to an upstream.
-func (l *Limiter) OnAsk(a Ask) Reply {
+// HandleGrantRequest serves a host that asks for leave to send to an upstream.
+func (l *Limiter) HandleGrantRequest(request GrantRequest) GrantReply {
 	now := l.now()
-	if a.HasWord {
-		l.site.ReceiveWord(now, a.From, a.Word)
+	if request.HasLimitMark {
+		l.site.ReceiveLimitMark(now, request.From, request.LimitMark)
 	}
-	if _, known := l.site.Zone(a.Upstream); !known {
-		return Reply{Unknown: true}
+	if _, known := l.site.Zone(request.Upstream); !known {
+		return GrantReply{UnknownUpstream: true}
 	}
-	var reply Reply
-	if granter := l.site.Granter(now, a.Upstream); granter.ID != l.self.ID {
+	var reply GrantReply
+	if granter := l.site.Granter(now, request.Upstream); granter.ID != l.self.ID {
 		reply.Granter = granter
 	} else {
-		reply.Grant = l.give(now, a)
+		reply.Grant = l.grant(now, request)
 	}
-	reply.Word, reply.HasWord = l.Words.Mark(now, a.Upstream)
+	reply.LimitMark, reply.HasLimitMark = l.NamedLimits.Mark(now, request.Upstream)
 	return reply
 }
 
-// give answers an ask as the host that grants. It gives out the part of the hosts that it
+// grant answers an ask as the host that grants. It gives out the part of the hosts that it
 // hears; others may be there still, behind a cut.
-func (l *Limiter) give(now time.Time, a Ask) ratelimit.Grant {
-	if own, bounded := l.Words.Bound(now, a.Upstream); bounded {
-		a.Rate = min(a.Rate, own)
+func (l *Limiter) grant(now time.Time, request GrantRequest) ratelimit.Grant {
+	if named, bounded := l.NamedLimits.Bound(now, request.Upstream); bounded {
+		request.Rate = min(request.Rate, named)
 	}
-	heard, known := l.site.Heard(now)
-	part := float64(heard) / float64(known)
+	live, known := l.site.CellHostCounts(now)
+	share := float64(live) / float64(known)
 	// One that isn't known is of no zone, and gets the smaller part.
-	if zone, _ := l.site.Zone(a.Upstream); zone == l.self.Zone {
-		part *= cutPart
+	if zone, _ := l.site.Zone(request.Upstream); zone == l.self.Zone {
+		share *= partitionShareMultiplier
 	}
-	a.Rate *= ratelimit.Rate(min(part, 1))
-	return l.granter.Give(now, a.Upstream, a.Ask)
+	request.Rate *= ratelimit.Rate(min(share, 1))
+	return l.granter.Give(now, request.Upstream, request.Ask)
 }
 
-// Renew forgets what is known of an upstream that has started again.
-func (l *Limiter) Renew(id member.UpstreamID) {
-	l.Words.Renew(id)
+// Reset forgets what is known of an upstream that has started again.
+func (l *Limiter) Reset(id member.UpstreamID) {
+	l.NamedLimits.Renew(id)
 	l.granter.Renew(id)
-	l.asksAgain.end(id)
+	l.nextRequest.remove(id)
 }
 
-// Forget drops what is over, and the turns at upstreams that aren't bounded any more.
-func (l *Limiter) Forget(now time.Time, isBounded func(member.UpstreamID) bool) {
-	l.asksAgain.forget(now)
-	l.unanswered.forget(now)
+// Prune drops what is over, and the turns at upstreams that aren't bounded any more.
+func (l *Limiter) Prune(now time.Time, isBounded func(member.UpstreamID) bool) {
+	l.nextRequest.removeExpired(now)
+	l.unresponsive.removeExpired(now)
 	l.turns.Forget(isBounded)
 }
--- a/permit/messages.go
+++ b/permit/messages.go
@@ -8,26 +8,26 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// Ask asks the host that grants for leave to send one request to an upstream.
-type Ask struct {
+// GrantRequest asks the host that grants for leave to send one request to an upstream.
+type GrantRequest struct {
 	Upstream member.UpstreamID
 	ratelimit.Ask
-	// Word is the asker's newest one of the upstream's limit; HasWord says that there is
+	// Word is the asker's newest one of the upstream's limit; HasLimitMark says that there is
 	// one.
-	HasWord bool
-	Word    ratelimit.Mark
+	HasLimitMark bool
+	LimitMark    ratelimit.Mark
 }
 
-// Reply is the answer to an Ask.
-type Reply struct {
+// GrantReply is the answer to an Ask.
+type GrantReply struct {
 	ratelimit.Grant
 	// Granter is who grants, if that isn't the host that was asked.
 	Granter member.Entry
-	// Unknown says that the host doesn't know the upstream.
-	Unknown bool
-	// Word is the host's newest one of the limit; HasWord says that there is one.
-	HasWord bool
-	Word    ratelimit.Mark
+	// UnknownUpstream says that the host doesn't know the upstream.
+	UnknownUpstream bool
+	// Word is the host's newest one of the limit; HasLimitMark says that there is one.
+	HasLimitMark bool
+	LimitMark    ratelimit.Mark
 }
 
 // Outcome says how something got leave to be sent, or why not.
@@ -37,8 +37,8 @@
 const (
 	// Granted by the host that gives out.
 	Granted Outcome = "granted"
-	// KeptBack by it, or by this host, which is to ask again later.
-	KeptBack Outcome = "kept_back"
+	// Deferred by it, or by this host, which is to ask again later.
+	Deferred Outcome = "kept_back"
 	// OwnTurn is leave from this host's own turns.
 	OwnTurn Outcome = "own_turn"
 	// NoTurn says that nobody could be asked, and this host has no turn.
--- a/permit/retrytimes.go
+++ b/permit/retrytimes.go
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// waits are moments before which something isn't tried again, by what it is about. The zero
+// retryTimes are moments before which something isn't tried again, by what it is about. The zero
 // value has none. It is safe for use by several goroutines.
-type waits[K comparable] struct {
-	mu    sync.Mutex
-	until map[K]time.Time
+type retryTimes[K comparable] struct {
+	mu        sync.Mutex
+	notBefore map[K]time.Time
 }
 
-// left is how long it is until it is tried again.
-func (w *waits[K]) left(now time.Time, k K) time.Duration {
+// remaining is how long it is until it is tried again.
+func (w *retryTimes[K]) remaining(now time.Time, k K) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return max(w.until[k].Sub(now), 0)
+	return max(w.notBefore[k].Sub(now), 0)
 }
 
 // extend has it not be tried before a moment, nor before one that was set already.
-func (w *waits[K]) extend(k K, until time.Time) {
+func (w *retryTimes[K]) extend(k K, until time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.until == nil {
-		w.until = map[K]time.Time{}
+	if w.notBefore == nil {
+		w.notBefore = map[K]time.Time{}
 	}
-	if until.After(w.until[k]) {
-		w.until[k] = until
+	if until.After(w.notBefore[k]) {
+		w.notBefore[k] = until
 	}
 }
 
-// end has it be tried at once.
-func (w *waits[K]) end(k K) {
+// remove has it be tried at once.
+func (w *retryTimes[K]) remove(k K) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.until, k)
+	delete(w.notBefore, k)
 }
 
-// forget drops what is over.
-func (w *waits[K]) forget(now time.Time) {
+// removeExpired drops what is over.
+func (w *retryTimes[K]) removeExpired(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for k, until := range w.until {
+	for k, until := range w.notBefore {
 		if now.After(until) {
-			delete(w.until, k)
+			delete(w.notBefore, k)
 		}
 	}
 }
--- a/rollout/decider_test.go
+++ b/rollout/decider_test.go
@@ -17,96 +17,96 @@
 
 var trialsFlag = flag.Int("rollout.trials", 20, "how many seeds each version on trial is judged with")
 
-// version is how a version's upstreams answer.
-type version struct {
-	// fails is the part that fails, and slow the part that takes several times as long.
-	fails, slow, times float64
-	// from is from which part of the order's time on it does so.
-	from float64
+// targetBehavior is how a targetBehavior's upstreams answer.
+type targetBehavior struct {
+	// failRate is the part that failRate, and slowRate the part that takes several slowFactor as long.
+	failRate, slowRate, slowFactor float64
+	// startFraction is startFraction which part of the order's time on it does so.
+	startFraction float64
 	// route is the only one on which it does so; empty for all.
 	route string
 }
 
 // trial is a rollout as hosts see it, without a network.
 type trial struct {
-	hosts     int
-	perSecond float64
-	routes    []string
-	// fails is the part that fails of the version in service.
-	fails  float64
-	target version
+	hosts             int
+	requestsPerSecond float64
+	routes            []string
+	// baselineFailRate is the part that baselineFailRate of the version in service.
+	baselineFailRate float64
+	target           targetBehavior
 }
 
 // outcome is what came of it.
 type outcome struct {
 	phase Phase
-	// exposed is how many requests went to the target, of all.
-	exposed, all int
-	// bad is how many of these were answered badly.
-	bad int
+	// exposed is how many requests went to the target, of total.
+	exposed, total int
+	// badAnswers is how many of these were answered badly.
+	badAnswers int
 }
 
-const lasts = 12 * time.Second
+const orderDuration = 12 * time.Second
 
 var limits = Limits{Share: 0.1, Slack: 50}
 
-func (c trial) play(seed uint64) outcome {
+func (c trial) simulate(seed uint64) outcome {
 	random := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1000, 0)
 	given := history.At(1, 7)
-	status := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: given}}
-	books, seen := make([]Book, c.hosts), make([]Observations, c.hosts)
-	for i := range books {
-		books[i].Draw = random.Float64
-		books[i].Receive(start, status, limits, c.hosts)
-		seen[i].Begin(status)
+	status := Status{Order: Order{Service: "s", Target: "v2", Duration: orderDuration, GivenAt: given}}
+	trackers, observations := make([]Tracker, c.hosts), make([]Observations, c.hosts)
+	for i := range trackers {
+		trackers[i].Random = random.Float64
+		trackers[i].Receive(start, status, limits, c.hosts)
+		observations[i].Begin(status)
 	}
-	var judge Judge
-	var o outcome
+	var decider Decider
+	var result outcome
 	next := start
 	const tick = 100 * time.Millisecond
 	ids := make([]member.HostID, c.hosts)
 	for i := range ids {
 		ids[i] = member.HostID(fmt.Sprint("h", i))
 	}
-	for now := start; now.Sub(start) < lasts; now = now.Add(tick) {
-		for ; next.Before(now.Add(tick)); next = next.Add(time.Duration(-math.Log(1-random.Float64()) / c.perSecond * float64(time.Second))) {
+	for now := start; now.Sub(start) < orderDuration; now = now.Add(tick) {
+		for ; next.Before(now.Add(tick)); next = next.Add(time.Duration(-math.Log(1-random.Float64()) / c.requestsPerSecond * float64(time.Second))) {
 			i := random.IntN(c.hosts)
 			route := c.routes[random.IntN(len(c.routes))]
-			b := books[i].Bound("s", limits, func(Version) (bool, bool) { return true, true })
-			target := b.Only == "v2" || b == (Bound{}) && status.Phase == Full
-			o.all++
-			fails, slow, times := c.fails, 0.0, 1.0
+			filter := trackers[i].DrawFilter("s", limits, func(Version) (bool, bool) { return true, true })
+			target := filter.Only == "v2" || filter == (VersionFilter{}) && status.Phase == Full
+			result.total++
+			failRate, slowRate, slowFactor := c.baselineFailRate, 0.0, 1.0
 			if v := c.target; target {
-				o.exposed++
-				if float64(now.Sub(start)) >= v.from*float64(lasts) && (v.route == "" || v.route == route) {
-					fails, slow, times = max(v.fails, c.fails), v.slow, v.times
+				result.exposed++
+				if float64(now.Sub(start)) >= v.startFraction*float64(orderDuration) && (v.route == "" || v.route == route) {
+					failRate, slowRate, slowFactor = max(v.failRate, c.baselineFailRate), v.slowRate, v.slowFactor
 				}
 			}
 			took := time.Duration(float64(30*time.Millisecond) * math.Exp(0.5*random.NormFloat64()))
-			isSlow, failed := random.Float64() < slow, random.Float64() < fails
+			isSlow, failed := random.Float64() < slowRate, random.Float64() < failRate
 			if isSlow {
-				took = time.Duration(float64(took) * times)
+				took = time.Duration(float64(took) * slowFactor)
 			}
 			if target && (isSlow || failed) {
-				o.bad++
+				result.badAnswers++
 			}
-			seen[i].Answer("s", Subject{Route: route}, target, failed, took)
+			observations[i].RecordAnswer("s", Comparison{Route: route}, target, failed, took)
 		}
 		for i, id := range ids {
-			evidence, _ := seen[i].Report("s")
-			judge.Take(now, Report{From: id, Service: "s", Given: given, Phase: status.Phase, Evidence: evidence})
+			evidence, _ := observations[i].Evidence("s")
+			decider.ReceiveReport(now, Report{From: id, Service: "s", GivenAt: given, Phase: status.Phase, Evidence: evidence})
 		}
 		status.Age = now.Sub(start)
-		if p := judge.Decide(now, status, Fleet{HasTarget: true, Hosts: ids}); p > status.Phase {
+		if p := decider.Decide(now, status, FleetState{TargetAvailable: true, Hosts: ids}); p > status.Phase {
 			status.Phase = p
-			for i := range books {
-				books[i].Receive(now, status, limits, c.hosts)
+			for i := range trackers {
+				trackers[i].Receive(now, status, limits, c.hosts)
 			}
 		}
 	}
-	o.phase = status.Phase
-	return o
+	result.phase = status.Phase
+	return result
 }
 
 // TestVersionsOnTrial has good versions completed and bad ones rolled back by the deadline, and
@@ -115,39 +115,39 @@
 	two := []string{"a", "b"}
 	for name, c := range map[string]struct {
 		trial
-		good bool
-		// wrong is how large a part may be judged wrongly.
-		wrong float64
+		completes bool
+		// maxWrongRate is how large a part may be judged wrongly.
+		maxWrongRate float64
 	}{
-		"good":                            {trial{hosts: 9, perSecond: 50, routes: two, fails: 0.01}, true, 0.05},
-		"good, fails often":               {trial{hosts: 9, perSecond: 50, routes: two, fails: 0.14}, true, 0.05},
-		"good, many hosts":                {trial{hosts: 100, perSecond: 50, routes: two, fails: 0.01}, true, 0.05},
-		"good, thin traffic":              {trial{hosts: 9, perSecond: 3, routes: two, fails: 0.01}, true, 0.05},
-		"fails, at once":                  {trial{9, 50, two, 0.01, version{fails: 0.4}}, false, 0.05},
-		"fails, thin traffic":             {trial{9, 3, two, 0.01, version{fails: 0.5}}, false, 0.15},
-		"fails, many hosts":               {trial{100, 50, two, 0.01, version{fails: 0.4}}, false, 0.05},
-		"fails, where some fail":          {trial{9, 120, two, 0.14, version{fails: 0.5}}, false, 0.05},
-		"fails later":                     {trial{9, 50, two, 0.01, version{fails: 0.4, from: 0.4}}, false, 0.05},
-		"fails once all traffic is there": {trial{9, 50, two, 0.01, version{fails: 0.4, from: 0.76}}, false, 0.05},
-		"fails on one route":              {trial{9, 50, two, 0.01, version{fails: 0.5, route: "a"}}, false, 0.05},
-		"a part is slow":                  {trial{9, 50, two, 0.01, version{slow: 0.5, times: 5}}, false, 0.05},
-		"slow, many hosts":                {trial{100, 120, two, 0.01, version{slow: 0.5, times: 5}}, false, 0.05},
+		"good":                            {trial{hosts: 9, requestsPerSecond: 50, routes: two, baselineFailRate: 0.01}, true, 0.05},
+		"good, fails often":               {trial{hosts: 9, requestsPerSecond: 50, routes: two, baselineFailRate: 0.14}, true, 0.05},
+		"good, many hosts":                {trial{hosts: 100, requestsPerSecond: 50, routes: two, baselineFailRate: 0.01}, true, 0.05},
+		"good, thin traffic":              {trial{hosts: 9, requestsPerSecond: 3, routes: two, baselineFailRate: 0.01}, true, 0.05},
+		"fails, at once":                  {trial{9, 50, two, 0.01, targetBehavior{failRate: 0.4}}, false, 0.05},
+		"fails, thin traffic":             {trial{9, 3, two, 0.01, targetBehavior{failRate: 0.5}}, false, 0.15},
+		"fails, many hosts":               {trial{100, 50, two, 0.01, targetBehavior{failRate: 0.4}}, false, 0.05},
+		"fails, where some fail":          {trial{9, 120, two, 0.14, targetBehavior{failRate: 0.5}}, false, 0.05},
+		"fails later":                     {trial{9, 50, two, 0.01, targetBehavior{failRate: 0.4, startFraction: 0.4}}, false, 0.05},
+		"fails once all traffic is there": {trial{9, 50, two, 0.01, targetBehavior{failRate: 0.4, startFraction: 0.76}}, false, 0.05},
+		"fails on one route":              {trial{9, 50, two, 0.01, targetBehavior{failRate: 0.5, route: "a"}}, false, 0.05},
+		"a part is slow":                  {trial{9, 50, two, 0.01, targetBehavior{slowRate: 0.5, slowFactor: 5}}, false, 0.05},
+		"slow, many hosts":                {trial{100, 120, two, 0.01, targetBehavior{slowRate: 0.5, slowFactor: 5}}, false, 0.05},
 	} {
 		t.Run(name, func(t *testing.T) {
-			wrong, most, over, bad := 0, 0, 0, 0
+			wrong, maxExposed, overExposed, maxBadAnswers := 0, 0, 0, 0
 			for seed := range *trialsFlag {
-				o := c.play(uint64(seed))
-				if (o.phase == Completed) != c.good || (o.phase == RolledBack) == c.good {
+				result := c.simulate(uint64(seed))
+				if (result.phase == Completed) != c.completes || (result.phase == RolledBack) == c.completes {
 					wrong++
 				}
-				if allowed := limits.Share*float64(o.all) + limits.Slack; !c.good && float64(o.exposed) > allowed {
-					over++
+				if allowed := limits.Share*float64(result.total) + limits.Slack; !c.completes && float64(result.exposed) > allowed {
+					overExposed++
 				}
-				most, bad = max(most, o.exposed), max(bad, o.bad)
+				maxExposed, maxBadAnswers = max(maxExposed, result.exposed), max(maxBadAnswers, result.badAnswers)
 			}
-			t.Logf("judged wrongly %d of %d; exposed %d at most, beyond the bound %d times; bad answers %d at most", wrong, *trialsFlag, most, over, bad)
-			if float64(wrong) > c.wrong*float64(*trialsFlag) || over > 0 {
-				t.Errorf("judged wrongly %d of %d, exposed too often %d", wrong, *trialsFlag, over)
+			t.Logf("judged wrongly %d of %d; exposed %d at most, beyond the bound %d times; bad answers %d at most", wrong, *trialsFlag, maxExposed, overExposed, maxBadAnswers)
+			if float64(wrong) > c.maxWrongRate*float64(*trialsFlag) || overExposed > 0 {
+				t.Errorf("judged wrongly %d of %d, exposed too often %d", wrong, *trialsFlag, overExposed)
 			}
 		})
 	}
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -13,8 +13,8 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Subject is what answers are compared of: a route's, and what was measured of them.
-type Subject struct {
+// Comparison is what answers are compared of: a route's, and what was measured of them.
+type Comparison struct {
 	Route   string
 	Measure Measure
 }
@@ -24,60 +24,60 @@
 
 // The measures.
 const (
-	// Whole is a whole answer's time.
-	Whole Measure = iota
-	// First is the time to the first event of a stream.
-	First
-	// Pace is the mean time between the events of a stream.
-	Pace
+	// ResponseTime is a whole answer's time.
+	ResponseTime Measure = iota
+	// TimeToFirstEvent is the time to the first event of a stream.
+	TimeToFirstEvent
+	// TimeBetweenEvents is the mean time between the events of a stream.
+	TimeBetweenEvents
 )
 
 const (
 	// bucketsPerDoubling is how finely times are told apart.
 	bucketsPerDoubling = 4
 	bucketCount        = 80
-	leastTime          = time.Millisecond
+	minBucketTime      = time.Millisecond
 )
 
 // Tally counts answers of one version.
 type Tally struct {
-	Good, Failed uint32
+	Succeeded, Failed uint32
 	// Times counts the good answers by how long they took, each bucket a fourth of a doubling.
 	Times [bucketCount]uint32
 }
 
-func bucket(d time.Duration) int {
-	if d <= leastTime {
+func timeBucket(d time.Duration) int {
+	if d <= minBucketTime {
 		return 0
 	}
-	at := int(bucketsPerDoubling * math.Log2(float64(d)/float64(leastTime)))
-	return min(max(at, 0), bucketCount-1)
+	index := int(bucketsPerDoubling * math.Log2(float64(d)/float64(minBucketTime)))
+	return min(max(index, 0), bucketCount-1)
 }
 
 func (t *Tally) add(o *Tally) {
-	t.Good, t.Failed = t.Good+o.Good, t.Failed+o.Failed
+	t.Succeeded, t.Failed = t.Succeeded+o.Succeeded, t.Failed+o.Failed
 	for i := range o.Times {
 		t.Times[i] += o.Times[i]
 	}
 }
 
-// since is what was counted after an earlier state of the same tally.
-func (t *Tally) since(before *Tally) Tally {
-	if before == nil || before.Good > t.Good || before.Failed > t.Failed {
+// countedSince is what was counted after an earlier state of the same tally.
+func (t *Tally) countedSince(before *Tally) Tally {
+	if before == nil || before.Succeeded > t.Succeeded || before.Failed > t.Failed {
 		return *t
 	}
-	d := Tally{Good: t.Good - before.Good, Failed: t.Failed - before.Failed}
+	diff := Tally{Succeeded: t.Succeeded - before.Succeeded, Failed: t.Failed - before.Failed}
 	for i := range t.Times {
-		d.Times[i] = t.Times[i] - before.Times[i]
+		diff.Times[i] = t.Times[i] - before.Times[i]
 	}
-	return d
+	return diff
 }
 
-// median is the bucket in which half of the good answers are reached.
-func (t *Tally) median() int {
+// medianBucket is the bucket in which half of the good answers are reached.
+func (t *Tally) medianBucket() int {
 	n := uint32(0)
 	for i, count := range t.Times {
-		if n += count; 2*n >= t.Good {
+		if n += count; 2*n >= t.Succeeded {
 			return i
 		}
 	}
@@ -86,16 +86,16 @@
 
 // Median is about how long half of the good answers took at most.
 func (t *Tally) Median() time.Duration {
-	if t.Good == 0 {
+	if t.Succeeded == 0 {
 		return 0
 	}
-	return time.Duration(float64(leastTime) * math.Exp2(float64(t.median()+1)/bucketsPerDoubling))
+	return time.Duration(float64(minBucketTime) * math.Exp2(float64(t.medianBucket()+1)/bucketsPerDoubling))
 }
 
-// slower counts the good answers above a bucket.
-func (t *Tally) slower(than int) uint32 {
+// countSlower counts the good answers above a bucket.
+func (t *Tally) countSlower(limit int) uint32 {
 	n := uint32(0)
-	for _, count := range t.Times[min(than+1, bucketCount):] {
+	for _, count := range t.Times[min(limit+1, bucketCount):] {
 		n += count
 	}
 	return n
@@ -103,7 +103,7 @@
 
 // Evidence is what one host has seen of a rollout's versions.
 type Evidence struct {
-	Subject
+	Comparison
 	// Target says that it is of the target version.
 	Target bool
 	Tally
@@ -113,12 +113,12 @@
 type Report struct {
 	From    member.HostID
 	Service resource.Name
-	Given   history.Point
+	GivenAt history.Point
 	// Phase is the one that the host keeps to, and Age how long ago the order was known there.
 	Phase Phase
 	Age   time.Duration
-	// Running is how many of its requests run on versions that are to be left.
-	Running int
+	// RunningRetired is how many of its requests run on versions that are to be left.
+	RunningRetired int
 	// Epoch tells this process of the host from an earlier one.
 	Epoch uint64
 	// Evidence is all that the host has seen since the order.
@@ -129,18 +129,18 @@
 // works. It is safe for use by several goroutines.
 type Observations struct {
 	mu       sync.Mutex
-	services map[resource.Name]*observed
+	services map[resource.Name]*serviceObservations
 }
 
-type observed struct {
-	given   history.Point
-	tallies map[side]*Tally
+type serviceObservations struct {
+	givenAt history.Point
+	tallies map[tallyKey]*Tally
 	// count rises with each observation.
 	count uint64
 }
 
-type side struct {
-	Subject
+type tallyKey struct {
+	Comparison
 	target bool
 }
 
@@ -149,47 +149,47 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.services == nil {
-		o.services = map[resource.Name]*observed{}
+		o.services = map[resource.Name]*serviceObservations{}
 	}
-	if seen := o.services[s.Service]; seen == nil || seen.given != s.Given {
-		o.services[s.Service] = &observed{given: s.Given, tallies: map[side]*Tally{}}
+	if observations := o.services[s.Service]; observations == nil || observations.givenAt != s.GivenAt {
+		o.services[s.Service] = &serviceObservations{givenAt: s.GivenAt, tallies: map[tallyKey]*Tally{}}
 	}
 }
 
-// Answer takes in one answer, or the lack of one.
-func (o *Observations) Answer(service resource.Name, subject Subject, target, failed bool, took time.Duration) {
+// RecordAnswer takes in one answer, or the lack of one.
+func (o *Observations) RecordAnswer(service resource.Name, comparison Comparison, target, failed bool, took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen := o.services[service]
-	if seen == nil {
+	observations := o.services[service]
+	if observations == nil {
 		return
 	}
-	seen.count++
-	at := side{subject, target}
-	t := seen.tallies[at]
+	observations.count++
+	key := tallyKey{comparison, target}
+	t := observations.tallies[key]
 	if t == nil {
 		t = &Tally{}
-		seen.tallies[at] = t
+		observations.tallies[key] = t
 	}
 	if failed {
 		t.Failed++
 		return
 	}
-	t.Good++
-	t.Times[bucket(took)]++
+	t.Succeeded++
+	t.Times[timeBucket(took)]++
 }
 
-// Report returns what was seen since the order, and a count that rises with each observation.
-func (o *Observations) Report(service resource.Name) ([]Evidence, uint64) {
+// Evidence returns what was seen since the order, and a count that rises with each observation.
+func (o *Observations) Evidence(service resource.Name) ([]Evidence, uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen := o.services[service]
-	if seen == nil {
+	observations := o.services[service]
+	if observations == nil {
 		return nil, 0
 	}
-	all := make([]Evidence, 0, len(seen.tallies))
-	for at, t := range seen.tallies {
-		all = append(all, Evidence{Subject: at.Subject, Target: at.target, Tally: *t})
+	all := make([]Evidence, 0, len(observations.tallies))
+	for key, t := range observations.tallies {
+		all = append(all, Evidence{Comparison: key.Comparison, Target: key.target, Tally: *t})
 	}
-	return all, seen.count
+	return all, observations.count
 }
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -17,10 +17,10 @@
 type Order struct {
 	Service resource.Name
 	Target  Version
-	// Lasts is how long the move may take.
-	Lasts time.Duration
-	// Given is where in the origin's history the order was given, or taken back.
-	Given history.Point
+	// Duration is how long the move may take.
+	Duration time.Duration
+	// GivenAt is where in the origin's history the order was given, or taken back.
+	GivenAt history.Point
 	// Withdrawn says that there is no order any more.
 	Withdrawn bool
 }
@@ -80,8 +80,8 @@
 	RecordedPhase Phase
 }
 
-// retires tells of which versions nothing takes new work: of the target, or of all others.
-func (s *Status) retires() (target, others bool) {
+// retiredVersions tells of which versions nothing takes new work: of the target, or of all others.
+func (s *Status) retiredVersions() (targetRetired, othersRetired bool) {
 	switch {
 	case s.Withdrawn:
 		return s.Phase != Completed, false
@@ -93,13 +93,13 @@
 	return false, false
 }
 
-// Bound is which upstreams of a service a request may go to. The zero value sets no bound.
-type Bound struct {
-	// Only is the one version that it may go to, and But the one that it may not.
-	Only, But Version
+// VersionFilter is which upstreams of a service a request may go to. The zero value sets no bound.
+type VersionFilter struct {
+	// Only is the one version that it may go to, and Except the one that it may not.
+	Only, Except Version
 }
 
 // Allows reports whether a request with the bound may go to an upstream of a version.
-func (b Bound) Allows(v Version) bool {
-	return (b.Only == "" || v == b.Only) && (b.But == "" || v != b.But)
+func (f VersionFilter) Allows(v Version) bool {
+	return (f.Only == "" || v == f.Only) && (f.Except == "" || v != f.Except)
 }
--- a/rollout/tracker.go
+++ b/rollout/tracker.go
@@ -22,28 +22,28 @@
 }
 
 const (
-	// trialPart of the allowed share goes to a version on trial. The rest is for what comes
+	// trialShareFraction of the allowed share goes to a version on trial. The rest is for what comes
 	// between the move of all traffic and the moment at which a version that turns bad late is
 	// found out.
-	trialPart = 0.4
-	// slackPart of the slack is given out during the trial, so that a version is seen at all
+	trialShareFraction = 0.4
+	// trialSlackFraction of the slack is given out during the trial, so that a version is seen at all
 	// where few requests come.
-	slackPart = 0.3
-	// rampPart of the requests goes to the target version in the second phase.
-	rampPart = 0.12
-	// mostSaved bounds what a host may send at once after a time in which the target version
+	trialSlackFraction = 0.3
+	// rampShare of the requests goes to the target version in the second phase.
+	rampShare = 0.12
+	// maxCredit bounds what a host may send at once after a time in which the target version
 	// had no upstream.
-	mostSaved = 2
+	maxCredit = 2
 )
 
-// Book is what a host knows of the rollouts. The zero value knows none and works. It is safe for
+// Tracker is what a host knows of the rollouts. The zero value knows none and works. It is safe for
 // use by several goroutines.
-type Book struct {
-	// Draw returns a number from 0 to 1; nil draws at random.
-	Draw func() float64
+type Tracker struct {
+	// Random returns a number from 0 to 1; nil draws at random.
+	Random func() float64
 
-	// some says that there is a rollout, which is all that most requests ask.
-	some atomic.Bool
+	// hasEntries says that there is a rollout, which is all that most requests ask.
+	hasEntries atomic.Bool
 
 	mu      sync.Mutex
 	entries map[resource.Name]*entry
@@ -52,23 +52,23 @@
 // entry is one service's rollout.
 type entry struct {
 	Status
-	// since is when the order was first known of.
-	since time.Time
-	// saved is how many requests this host may send to the target version now.
-	saved float64
-	// hadOthers says that upstreams of other versions were there since the order was given.
-	hadOthers bool
+	// knownSince is when the order was first known of.
+	knownSince time.Time
+	// credit is how many requests this host may send to the target version now.
+	credit float64
+	// hadOtherVersions says that upstreams of other versions were there since the order was given.
+	hadOtherVersions bool
 }
 
 // Any reports whether there is a rollout of some service.
-func (b *Book) Any() bool { return b.some.Load() }
+func (t *Tracker) Any() bool { return t.hasEntries.Load() }
 
 // Receive takes in what the origin or a peer says of a rollout. hosts is how many hosts share the
 // slack. It reports whether that is news.
-func (b *Book) Receive(now time.Time, s Status, l Limits, hosts int) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.entries[s.Service]
+func (t *Tracker) Receive(now time.Time, s Status, limits Limits, hosts int) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.entries[s.Service]
 	switch {
 	case e == nil || e.supersededBy(&s):
 		if e == nil && s.Withdrawn {
@@ -78,29 +78,29 @@
 			s.RecordedPhase = noPhase
 		}
 		if s.Withdrawn {
-			s.Target, s.Phase, s.Lasts = e.Target, e.Phase, e.Lasts
+			s.Target, s.Phase, s.Duration = e.Target, e.Phase, e.Duration
 		}
-		fresh := &entry{Status: s, since: now.Add(-s.Age)}
+		newEntry := &entry{Status: s, knownSince: now.Add(-s.Age)}
 		if e != nil && !s.Recorded.After(e.Recorded) {
-			fresh.Recorded, fresh.RecordedPhase = e.Recorded, noPhase
+			newEntry.Recorded, newEntry.RecordedPhase = e.Recorded, noPhase
 		}
 		// Rounded at random, so that the hosts' parts add up to the whole however small each is.
-		draw := b.Draw
+		draw := t.Random
 		if draw == nil {
 			draw = rand.Float64
 		}
-		fresh.saved = draw() + slackPart*l.Slack/float64(max(hosts, 1))
-		if b.entries == nil {
-			b.entries = map[resource.Name]*entry{}
+		newEntry.credit = draw() + trialSlackFraction*limits.Slack/float64(max(hosts, 1))
+		if t.entries == nil {
+			t.entries = map[resource.Name]*entry{}
 		}
-		b.entries[s.Service] = fresh
-		b.some.Store(true)
+		t.entries[s.Service] = newEntry
+		t.hasEntries.Store(true)
 		return true
-	case s.Given != e.Given || s.Withdrawn != e.Withdrawn:
+	case s.GivenAt != e.GivenAt || s.Withdrawn != e.Withdrawn:
 		return false
 	}
-	e.since = earlier(e.since, now.Add(-s.Age))
-	e.note(s.Recorded, s.RecordedPhase)
+	e.knownSince = earlier(e.knownSince, now.Add(-s.Age))
+	e.updateRecorded(s.Recorded, s.RecordedPhase)
 	if s.Phase <= e.Phase {
 		return false
 	}
@@ -111,55 +111,55 @@
 // noPhase stands for a phase that wasn't recorded.
 const noPhase Phase = -1
 
-// note takes in what the origin has recorded.
-func (e *entry) note(at history.Point, p Phase) {
+// updateRecorded takes in what the origin has recorded.
+func (e *entry) updateRecorded(at history.Point, p Phase) {
 	if at.After(e.Recorded) {
 		e.Recorded, e.RecordedPhase = at, p
 	}
 }
 
-// Record takes in what the origin has recorded of a service. It reports whether a phase is news.
-func (b *Book) Record(r Status) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.entries[r.Service]
+// ReceiveRecord takes in what the origin has recorded of a service. It reports whether a phase is news.
+func (t *Tracker) ReceiveRecord(record Status) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.entries[record.Service]
 	if e == nil {
 		// Its order was taken back.
-		r.Withdrawn, r.RecordedPhase = true, r.Phase
-		if b.entries == nil {
-			b.entries = map[resource.Name]*entry{}
+		record.Withdrawn, record.RecordedPhase = true, record.Phase
+		if t.entries == nil {
+			t.entries = map[resource.Name]*entry{}
 		}
-		b.entries[r.Service] = &entry{Status: r}
-		b.some.Store(true)
+		t.entries[record.Service] = &entry{Status: record}
+		t.hasEntries.Store(true)
 		return true
 	}
-	if r.Target != e.Target || r.Given.Revision() != e.Given.Revision() {
-		e.note(r.Recorded, noPhase)
+	if record.Target != e.Target || record.GivenAt.Revision() != e.GivenAt.Revision() {
+		e.updateRecorded(record.Recorded, noPhase)
 		return false
 	}
-	e.note(r.Recorded, r.Phase)
-	if r.Phase <= e.Phase {
+	e.updateRecorded(record.Recorded, record.Phase)
+	if record.Phase <= e.Phase {
 		return false
 	}
-	e.Phase = r.Phase
+	e.Phase = record.Phase
 	return true
 }
 
-// Aged takes in that an order was known to some host for a while: one that starts in the midst of
+// ReceiveAge takes in that an order was known to some host for a while: one that starts in the midst of
 // a rollout reads the order, but not when it was given.
-func (b *Book) Aged(now time.Time, service resource.Name, given history.Point, age time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e := b.entries[service]; e != nil && e.Given == given {
-		e.since = earlier(e.since, now.Add(-age))
+func (t *Tracker) ReceiveAge(now time.Time, service resource.Name, givenAt history.Point, age time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if e := t.entries[service]; e != nil && e.GivenAt == givenAt {
+		e.knownSince = earlier(e.knownSince, now.Add(-age))
 	}
 }
 
-// Written takes in that a phase was recorded, at a point that isn't known yet.
-func (b *Book) Written(service resource.Name, given history.Point, p Phase) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e := b.entries[service]; e != nil && e.Given == given {
+// MarkRecorded takes in that a phase was recorded, at a point that isn't known yet.
+func (t *Tracker) MarkRecorded(service resource.Name, givenAt history.Point, p Phase) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if e := t.entries[service]; e != nil && e.GivenAt == givenAt {
 		e.RecordedPhase = max(e.RecordedPhase, p)
 	}
 }
@@ -167,11 +167,11 @@
 // supersededBy reports whether another status is of a later order. A store that was restored may
 // tell the same order at another point.
 func (e *entry) supersededBy(s *Status) bool {
-	if !s.Given.After(e.Given) {
+	if !s.GivenAt.After(e.GivenAt) {
 		return false
 	}
-	same := s.Target == e.Target && s.Lasts == e.Lasts && s.Given.Revision() == e.Given.Revision()
-	return !same || s.Withdrawn != e.Withdrawn
+	sameOrder := s.Target == e.Target && s.Duration == e.Duration && s.GivenAt.Revision() == e.GivenAt.Revision()
+	return !sameOrder || s.Withdrawn != e.Withdrawn
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -181,105 +181,105 @@
 	return a
 }
 
-// Bound draws which upstreams of a service a new request may go to. hasTarget and hasOthers tell
+// DrawFilter draws which upstreams of a service a new request may go to. hasTarget and hasOthers tell
 // whether upstreams of the target version and of others take work.
-func (b *Book) Bound(service resource.Name, l Limits, has func(target Version) (hasTarget, hasOthers bool)) Bound {
-	if !b.some.Load() {
-		return Bound{}
+func (t *Tracker) DrawFilter(service resource.Name, limits Limits, available func(target Version) (targetAvailable, othersAvailable bool)) VersionFilter {
+	if !t.hasEntries.Load() {
+		return VersionFilter{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.entries[service]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.entries[service]
 	if e == nil {
-		return Bound{}
+		return VersionFilter{}
 	}
-	if target, others := e.retires(); target {
-		return Bound{But: e.Target}
-	} else if others {
-		return Bound{}
+	if targetRetired, othersRetired := e.retiredVersions(); targetRetired {
+		return VersionFilter{Except: e.Target}
+	} else if othersRetired {
+		return VersionFilter{}
 	}
-	hasTarget, hasOthers := has(e.Target)
-	e.hadOthers = e.hadOthers || hasOthers
-	if !e.hadOthers {
+	targetAvailable, othersAvailable := available(e.Target)
+	e.hadOtherVersions = e.hadOtherVersions || othersAvailable
+	if !e.hadOtherVersions {
 		// The version was in service before the order.
-		return Bound{}
+		return VersionFilter{}
 	}
-	if e.take(l) && hasTarget {
-		e.saved--
-		return Bound{Only: e.Target}
+	if e.accrueCredit(limits) && targetAvailable {
+		e.credit--
+		return VersionFilter{Only: e.Target}
 	}
-	return Bound{But: e.Target}
+	return VersionFilter{Except: e.Target}
 }
 
-// take counts a request, and reports whether it may go to the target version.
-func (e *entry) take(l Limits) bool {
-	part := trialPart * l.Share
+// accrueCredit counts a request, and reports whether it may go to the target version.
+func (e *entry) accrueCredit(limits Limits) bool {
+	share := trialShareFraction * limits.Share
 	if e.Phase == Ramp {
-		part = rampPart
+		share = rampShare
 	}
-	e.saved = min(e.saved+part, max(e.saved, mostSaved))
-	return e.saved >= 1
+	e.credit = min(e.credit+share, max(e.credit, maxCredit))
+	return e.credit >= 1
 }
 
-// Repeat is which upstreams a request may go to that another upstream has had, or that moves.
-func (b *Book) Repeat(service resource.Name) Bound {
-	if !b.some.Load() {
-		return Bound{}
+// RetryFilter is which upstreams a request may go to that another upstream has had, or that moves.
+func (t *Tracker) RetryFilter(service resource.Name) VersionFilter {
+	if !t.hasEntries.Load() {
+		return VersionFilter{}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.entries[service]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.entries[service]
 	if e == nil {
-		return Bound{}
+		return VersionFilter{}
 	}
-	if _, others := e.retires(); others || !e.hadOthers && e.Phase < RolledBack {
-		return Bound{}
+	if _, othersRetired := e.retiredVersions(); othersRetired || !e.hadOtherVersions && e.Phase < RolledBack {
+		return VersionFilter{}
 	}
-	return Bound{But: e.Target}
+	return VersionFilter{Except: e.Target}
 }
 
 // Retired reports whether nothing new goes to a service's upstreams of a version, and what runs
 // there is to leave.
-func (b *Book) Retired(service resource.Name, v Version) bool {
-	if !b.some.Load() {
+func (t *Tracker) Retired(service resource.Name, v Version) bool {
+	if !t.hasEntries.Load() {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.entries[service]
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.entries[service]
 	if e == nil {
 		return false
 	}
-	target, others := e.retires()
-	return target && v == e.Target || others && v != e.Target
+	targetRetired, othersRetired := e.retiredVersions()
+	return targetRetired && v == e.Target || othersRetired && v != e.Target
 }
 
 // Statuses lists the rollouts by their services.
-func (b *Book) Statuses(now time.Time) []Status {
-	if !b.some.Load() {
+func (t *Tracker) Statuses(now time.Time) []Status {
+	if !t.hasEntries.Load() {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	all := make([]Status, 0, len(b.entries))
-	for _, e := range b.entries {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	all := make([]Status, 0, len(t.entries))
+	for _, e := range t.entries {
 		s := e.Status
-		s.Age = now.Sub(e.since)
+		s.Age = now.Sub(e.knownSince)
 		all = append(all, s)
 	}
-	slices.SortFunc(all, func(a, b Status) int { return cmp.Compare(a.Service, b.Service) })
+	slices.SortFunc(all, func(a, t Status) int { return cmp.Compare(a.Service, t.Service) })
 	return all
 }
 
-// Missing lists the services of rollouts that a whole reading of the origin as of a point doesn't
+// ImpliedWithdrawals lists the services of rollouts that a whole reading of the origin as of a point doesn't
 // have.
-func (b *Book) Missing(read []Status, at history.Point) []Status {
-	var missing []Status
-	for _, s := range b.Statuses(time.Time{}) {
-		listed := slices.ContainsFunc(read, func(r Status) bool { return r.Service == s.Service })
-		if !listed && !s.Withdrawn && at.After(s.Given) {
-			missing = append(missing, Status{Order: Order{Service: s.Service, Given: at, Withdrawn: true}})
+func (t *Tracker) ImpliedWithdrawals(listed []Status, asOf history.Point) []Status {
+	var withdrawals []Status
+	for _, s := range t.Statuses(time.Time{}) {
+		listed := slices.ContainsFunc(listed, func(r Status) bool { return r.Service == s.Service })
+		if !listed && !s.Withdrawn && asOf.After(s.GivenAt) {
+			withdrawals = append(withdrawals, Status{Order: Order{Service: s.Service, GivenAt: asOf, Withdrawn: true}})
 		}
 	}
-	return missing
+	return withdrawals
 }
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -16,7 +16,7 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-func both(Version) (hasTarget, hasOthers bool) { return true, true }
+func bothAvailable(Version) (targetAvailable, othersAvailable bool) { return true, true }
 
 // TestExposureOfAllHosts has hosts of any number, that start again at any time, send no more to a
 // version on trial than is allowed to all of them.
@@ -25,80 +25,80 @@
 		for _, perHost := range []int{1, 6, 120} {
 			t.Run(fmt.Sprintf("%d hosts, %d requests each", hosts, perHost), func(t *testing.T) {
 				now := time.Unix(1000, 0)
-				order := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: history.At(1, 7)}}
+				order := Status{Order: Order{Service: "s", Target: "v2", Duration: orderDuration, GivenAt: history.At(1, 7)}}
 				random := rand.New(rand.NewPCG(uint64(hosts), uint64(perHost)))
-				sent, all := 0, 0
+				sent, total := 0, 0
 				for range hosts {
-					b := &Book{Draw: random.Float64}
-					b.Receive(now, order, limits, hosts)
+					tracker := &Tracker{Random: random.Float64}
+					tracker.Receive(now, order, limits, hosts)
 					for n := range perHost {
 						if n == perHost/2 {
-							b = &Book{Draw: random.Float64} // it has started again
-							b.Receive(now, order, limits, hosts)
+							tracker = &Tracker{Random: random.Float64} // it has started again
+							tracker.Receive(now, order, limits, hosts)
 						}
-						all++
-						if b.Bound("s", limits, both).Only == "v2" {
+						total++
+						if tracker.DrawFilter("s", limits, bothAvailable).Only == "v2" {
 							sent++
 						}
 					}
 				}
-				allowed := limits.Share*float64(all) + limits.Slack
-				t.Logf("%d of %d, %.0f allowed", sent, all, allowed)
+				allowed := limits.Share*float64(total) + limits.Slack
+				t.Logf("%d of %d, %.0f allowed", sent, total, allowed)
 				if float64(sent) > allowed {
-					t.Errorf("%d of %d, %.0f allowed", sent, all, allowed)
+					t.Errorf("%d of %d, %.0f allowed", sent, total, allowed)
 				}
 			})
 		}
 	}
 }
 
-// TestBound has requests go to the versions that the phase allows.
-func TestBound(t *testing.T) {
+// TestDrawFilter has requests go to the versions that the phase allows.
+func TestDrawFilter(t *testing.T) {
 	for name, c := range map[string]struct {
 		phase     Phase
 		withdrawn bool
-		has       func(Version) (bool, bool)
-		want      []Bound
+		available func(Version) (bool, bool)
+		want      []VersionFilter
 	}{
-		"full":            {Full, false, both, []Bound{{}}},
-		"completed":       {Completed, false, both, []Bound{{}}},
-		"rolled back":     {RolledBack, false, both, []Bound{{But: "v2"}}},
-		"withdrawn":       {Trial, true, both, []Bound{{But: "v2"}}},
-		"on trial":        {Trial, false, both, []Bound{{But: "v2"}, {Only: "v2"}}},
-		"no target yet":   {Trial, false, func(Version) (bool, bool) { return false, true }, []Bound{{But: "v2"}}},
-		"no other before": {Trial, false, func(Version) (bool, bool) { return true, false }, []Bound{{}}},
+		"full":            {Full, false, bothAvailable, []VersionFilter{{}}},
+		"completed":       {Completed, false, bothAvailable, []VersionFilter{{}}},
+		"rolled back":     {RolledBack, false, bothAvailable, []VersionFilter{{Except: "v2"}}},
+		"withdrawn":       {Trial, true, bothAvailable, []VersionFilter{{Except: "v2"}}},
+		"on trial":        {Trial, false, bothAvailable, []VersionFilter{{Except: "v2"}, {Only: "v2"}}},
+		"no target yet":   {Trial, false, func(Version) (bool, bool) { return false, true }, []VersionFilter{{Except: "v2"}}},
+		"no other before": {Trial, false, func(Version) (bool, bool) { return true, false }, []VersionFilter{{}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			now, b := time.Unix(1000, 0), &Book{}
-			s := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: history.At(1, 7)}, Phase: c.phase}
-			is.True(b.Receive(now, s, limits, 1))
+			now, tracker := time.Unix(1000, 0), &Tracker{}
+			s := Status{Order: Order{Service: "s", Target: "v2", Duration: orderDuration, GivenAt: history.At(1, 7)}, Phase: c.phase}
+			is.True(tracker.Receive(now, s, limits, 1))
 			if c.withdrawn {
-				is.True(b.Receive(now, Status{Order: Order{Service: "s", Given: history.At(1, 8), Withdrawn: true}}, limits, 1))
+				is.True(tracker.Receive(now, Status{Order: Order{Service: "s", GivenAt: history.At(1, 8), Withdrawn: true}}, limits, 1))
 			}
-			got := map[Bound]bool{}
+			drawn := map[VersionFilter]bool{}
 			for range 200 {
-				got[b.Bound("s", limits, c.has)] = true
+				drawn[tracker.DrawFilter("s", limits, c.available)] = true
 			}
-			is.Equal(len(got), len(c.want))
+			is.Equal(len(drawn), len(c.want))
 			for _, w := range c.want {
-				is.True(got[w])
+				is.True(drawn[w])
 			}
-			is.Equal(b.Bound("another", limits, c.has), Bound{})
+			is.Equal(tracker.DrawFilter("another", limits, c.available), VersionFilter{})
 		})
 	}
 }
 
-// TestLastOfOthersLeaves has a version on trial get no more than its part although upstreams of
+// TestExposureWhenOtherVersionsLeave has a version on trial get no more than its part although upstreams of
 // no other version are left.
-func TestLastOfOthersLeaves(t *testing.T) {
+func TestExposureWhenOtherVersionsLeave(t *testing.T) {
 	is := is.New(t)
-	b, has := &Book{}, true
-	b.Receive(time.Unix(1000, 0), Status{Order: Order{Service: "s", Target: "v2", Given: history.At(1, 7)}}, limits, 100)
+	tracker, othersAvailable := &Tracker{}, true
+	tracker.Receive(time.Unix(1000, 0), Status{Order: Order{Service: "s", Target: "v2", GivenAt: history.At(1, 7)}}, limits, 100)
 	n := 0
 	for i := range 1000 {
-		has = i < 10
-		if b.Bound("s", limits, func(Version) (bool, bool) { return true, has }).Only != "" {
+		othersAvailable = i < 10
+		if tracker.DrawFilter("s", limits, func(Version) (bool, bool) { return true, othersAvailable }).Only != "" {
 			n++
 		}
 	}
@@ -110,27 +110,27 @@
 func TestHostsAgreeOnRollouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		var told []Status
+		var messages []Status
 		for n := range rapid.IntRange(1, 6).Draw(t, "words") {
 			given := history.At(1, history.Revision(n/2+1))
-			s := Status{Order: Order{Service: resource.Name("s"), Target: Version(fmt.Sprint("v", n/2)), Lasts: lasts, Given: given}}
+			s := Status{Order: Order{Service: resource.Name("s"), Target: Version(fmt.Sprint("v", n/2)), Duration: orderDuration, GivenAt: given}}
 			s.Phase = Phase(rapid.IntRange(int(Trial), int(RolledBack)).Draw(t, "phase"))
-			told = append(told, s)
+			messages = append(messages, s)
 		}
 		var first Status
 		for host := range 2 {
-			var b Book
-			for _, i := range rapid.Permutation(indices(len(told))).Draw(t, "order") {
-				before := b.Statuses(now)
-				b.Receive(now, told[i], limits, 2)
-				b.Receive(now, told[i], limits, 2)
-				if after := b.Statuses(now); len(before) > 0 && after[0].Given == before[0].Given && after[0].Phase < before[0].Phase {
+			var tracker Tracker
+			for _, i := range rapid.Permutation(indices(len(messages))).Draw(t, "order") {
+				before := tracker.Statuses(now)
+				tracker.Receive(now, messages[i], limits, 2)
+				tracker.Receive(now, messages[i], limits, 2)
+				if after := tracker.Statuses(now); len(before) > 0 && after[0].GivenAt == before[0].GivenAt && after[0].Phase < before[0].Phase {
 					t.Fatalf("went back from %v to %v", before[0].Phase, after[0].Phase)
 				}
 			}
-			s := b.Statuses(now)[0]
-			if host == 1 && (s.Given != first.Given || s.Phase != first.Phase) {
-				t.Fatalf("one has %v at %v, the other %v at %v", first.Phase, first.Given, s.Phase, s.Given)
+			s := tracker.Statuses(now)[0]
+			if host == 1 && (s.GivenAt != first.GivenAt || s.Phase != first.Phase) {
+				t.Fatalf("one has %v at %v, the other %v at %v", first.Phase, first.GivenAt, s.Phase, s.GivenAt)
 			}
 			first = s
 		}
@@ -145,16 +145,16 @@
 	return all
 }
 
-// TestOrderOfARestoredStore has an order that a restored store tells again go on where it was.
-func TestOrderOfARestoredStore(t *testing.T) {
+// TestOrderFromRestoredStore has an order that a restored store tells again go on where it was.
+func TestOrderFromRestoredStore(t *testing.T) {
 	is := is.New(t)
-	now, b := time.Unix(1000, 0), &Book{}
-	s := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: history.At(1, 7)}, Phase: RolledBack}
-	b.Receive(now, s, limits, 1)
-	s.Given, s.Phase = history.At(2, 7), Trial
-	is.True(!b.Receive(now, s, limits, 1))
-	is.Equal(b.Statuses(now)[0].Phase, RolledBack)
-	s.Given = history.At(2, 9) // written anew
-	is.True(b.Receive(now, s, limits, 1))
-	is.Equal(b.Statuses(now)[0].Phase, Trial)
+	now, tracker := time.Unix(1000, 0), &Tracker{}
+	s := Status{Order: Order{Service: "s", Target: "v2", Duration: orderDuration, GivenAt: history.At(1, 7)}, Phase: RolledBack}
+	tracker.Receive(now, s, limits, 1)
+	s.GivenAt, s.Phase = history.At(2, 7), Trial
+	is.True(!tracker.Receive(now, s, limits, 1))
+	is.Equal(tracker.Statuses(now)[0].Phase, RolledBack)
+	s.GivenAt = history.At(2, 9) // written anew
+	is.True(tracker.Receive(now, s, limits, 1))
+	is.Equal(tracker.Statuses(now)[0].Phase, Trial)
 }
