--- a/eligibility/doc.go
+++ b/eligibility/doc.go
@@ -2,6 +2,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package eligibility decides whether a host may send something to an upstream now, and if
-// not, why and until when. Every way of sending asks it. It is pure: no I/O, no goroutine,
-// and no clock.
+// not, why not and how long to wait. Everything that is sent to an upstream is checked here
+// first. The package is pure: it does no I/O, starts no goroutine and reads no clock.
 package eligibility
--- a/eligibility/eligibility.go
+++ b/eligibility/eligibility.go
@@ -8,39 +8,40 @@
 	"time"
 )
 
-// Reason says why something may not be sent.
+// Reason says why something may not be sent to an upstream.
 type Reason string
 
 // The reasons.
 const (
-	// Unknown: the host has no such upstream on its list, or not any more.
+	// Unknown: the upstream is not, or no longer, on the host's list.
 	Unknown Reason = "unknown"
-	// Leaving: the upstream leaves.
+	// Leaving: the upstream is leaving.
 	Leaving Reason = "leaving"
-	// Unusable: its entry on the list can't be used.
+	// Unusable: the upstream's entry on the list can't be used.
 	Unusable Reason = "unusable"
-	// ZoneOutOfService: its zone is out of service.
+	// ZoneOutOfService: the upstream's zone is out of service.
 	ZoneOutOfService Reason = "zone_out"
-	// RegionBarred: its zone is of no region in which the request may be served.
+	// RegionBarred: the request may not be served in the region of the upstream's zone.
 	RegionBarred Reason = "region"
-	// VersionBarred: its version may not get the request while a rollout is decided, or any more.
+	// VersionBarred: a rollout withholds the request from the upstream's version, or has retired
+	// that version.
 	VersionBarred Reason = "version"
-	// Quarantined: upstreams ended under the same request.
+	// Quarantined: other upstreams ended while they processed the same request.
 	Quarantined Reason = "quarantined"
-	// Backoff: it wants nothing from this host for a while.
+	// Backoff: the upstream asked for a pause in the requests of this host.
 	Backoff Reason = "backoff"
-	// Limited: it gets no more at present from all hosts together.
+	// Limited: the rate limit of the upstream for all hosts together is reached.
 	Limited Reason = "limited"
 )
 
-// Purpose is what is to be sent.
+// Purpose says what is to be sent.
 type Purpose int
 
 // The purposes.
 const (
-	// Request is a caller's request, sent for the first time or once more.
+	// Request is a caller's request, sent for the first time or repeated.
 	Request Purpose = iota
-	// Continuation is a run that is taken up from the copy that the upstream holds.
+	// Continuation resumes a run from the copy that the upstream holds.
 	Continuation
 	// Probe is a health check.
 	Probe
@@ -48,34 +49,38 @@
 	Control
 )
 
-// State is what a host believes of an upstream and of the request that is to be sent.
+// State is what a host knows of an upstream and of the request that is to be sent.
 type State struct {
-	// Unknown, Leaving, Unusable, ZoneOutOfService and Quarantined are true where the reason of
+	// Unknown, Leaving, Unusable, ZoneOutOfService and Quarantined are true if the Reason of
 	// that name holds.
 	Unknown, Leaving, Unusable, ZoneOutOfService, Quarantined bool
 	// RegionBarred says that the request may not be served in the upstream's region.
 	RegionBarred bool
 	// VersionBarred says that the upstream's version may not get the request.
 	VersionBarred bool
-	// ZoneClosed says that runs on their way to the zone may no longer go on there either.
+	// ZoneClosed says that continuations may no longer be sent to the zone, either. It is set some
+	// time after the zone went out of service.
 	ZoneClosed bool
-	// Backoff and LimitWait are how long each still keeps requests away; zero where it doesn't.
+	// Backoff and LimitWait are how long the backoff and the rate limit still forbid requests;
+	// zero if they don't.
 	Backoff, LimitWait time.Duration
 }
 
-// Verdict is the answer. The zero value allows.
+// Verdict is the result of Check. The zero value allows the send.
 type Verdict struct {
-	// Reason is why not; empty where it may be sent.
+	// Reason is why the send is denied; empty if it is allowed.
 	Reason Reason
-	// Wait is how long it is until it may; zero where that isn't known.
+	// Wait is how long it is until the send may be allowed; zero if that isn't known.
 	Wait time.Duration
-	// Overridden is why it wouldn't be allowed if it could be left; empty mostly.
+	// Overridden is a reason against a send that is allowed all the same, because its run would
+	// be lost without it; empty if there is none.
 	Overridden Reason
 }
 
-// OK reports whether it may be sent.
+// OK reports whether the send is allowed.
 func (v Verdict) OK() bool { return v.Reason == "" }
 
+// String returns "allowed", or the reason and the wait.
 func (v Verdict) String() string {
 	if v.OK() {
 		return "allowed"
@@ -83,11 +88,12 @@
 	return fmt.Sprintf("%s (wait %v)", v.Reason, v.Wait)
 }
 
-// Check decides about one upstream. What can't be waited for goes before what can.
+// Check decides whether something may be sent to an upstream. If several reasons hold, it reports
+// those that waiting doesn't resolve before those that it does.
 func Check(s State, p Purpose) Verdict {
 	switch p {
 	case Control:
-		// The run is lost otherwise.
+		// Without the call, the run would be lost.
 		return Verdict{Overridden: s.firstReason()}
 	case Continuation:
 		return s.checkContinuation()
@@ -102,7 +108,8 @@
 	return Verdict{Reason: reason}
 }
 
-// checkContinuation allows what its run would be lost without, but for what harms others.
+// checkContinuation allows a continuation, because its run would be lost without it, except for
+// reasons that protect others than the run.
 func (s *State) checkContinuation() Verdict {
 	switch {
 	case s.RegionBarred:
@@ -115,7 +122,7 @@
 	return Verdict{Overridden: s.firstReason()}
 }
 
-// firstReason is the first firstReason that holds; empty where none does.
+// firstReason returns the first reason that holds; empty if none does.
 func (s *State) firstReason() Reason {
 	switch {
 	case s.RegionBarred:
--- a/eligibility/eligibility_test.go
+++ b/eligibility/eligibility_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 )
 
+// TestCheck checks the verdicts on single reasons and some combinations, by purpose.
 func TestCheck(t *testing.T) {
 	for name, c := range map[string]struct {
 		state State
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestCheckProperties has no reason more ever allow what is denied, and each denial name a
-// reason that holds, and a wait only where waiting helps.
+// TestCheckProperties checks that an additional reason never allows a send that was denied, that a
+// verdict names only reasons that hold, and that it has a wait only if waiting helps.
 func TestCheckProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		flag := func(name string) bool { return rapid.Bool().Draw(t, name) }
@@ -66,7 +67,7 @@
 		p := Purpose(rapid.IntRange(int(Request), int(Control)).Draw(t, "purpose"))
 		fewer, more := Check(a, p), Check(b, p)
 		if !fewer.OK() && more.OK() {
-			t.Fatalf("%+v denies and %+v allows", a, b)
+			t.Fatalf("purpose %d: denied in state %+v, but allowed with more reasons in state %+v", p, a, b)
 		}
 		reasonHolds := map[Reason]bool{
 			Unknown: a.Unknown, Leaving: a.Leaving, Unusable: a.Unusable, ZoneOutOfService: a.ZoneOutOfService, Quarantined: a.Quarantined,
@@ -74,16 +75,16 @@
 		}
 		for _, reason := range []Reason{fewer.Reason, fewer.Overridden} {
 			if reason != "" && !reasonHolds[reason] {
-				t.Fatalf("%+v: %v", a, fewer)
+				t.Fatalf("purpose %d, state %+v: verdict %v with overridden reason %q names reason %q, which does not hold", p, a, fewer, fewer.Overridden, reason)
 			}
 		}
 		waitable := fewer.Reason == Backoff || fewer.Reason == Limited
 		if waitable != (fewer.Wait > 0) || waitable && (fewer.Wait < a.Backoff || fewer.Wait < a.LimitWait) {
-			t.Fatalf("%+v: %v", a, fewer)
+			t.Fatalf("purpose %d, state %+v: verdict %v has a wrong wait", p, a, fewer)
 		}
 		anyReason := a.Unknown || a.Leaving || a.Unusable || a.ZoneOutOfService || a.Quarantined || a.Backoff > 0 || a.LimitWait > 0
 		if p == Request && fewer.OK() == anyReason {
-			t.Fatalf("a request with %+v: %v", a, fewer)
+			t.Fatalf("state %+v: verdict on a request is %v, want it allowed exactly if no reason holds", a, fewer)
 		}
 	})
 }
--- a/permit/doc.go
+++ b/permit/doc.go
@@ -1,13 +1,14 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package permit gets a host leave to send to upstreams that take only so many requests a
-// second from all hosts together: those that name a limit, and cold ones.
+// Package permit obtains permits to send to upstreams that accept only a limited number of
+// requests per second from all hosts together: those that name a limit, and cold ones.
 //
-// One host gives out what an upstream takes: the first, by rank, of those of the upstream's
-// zone, for whoever reaches an upstream mostly reaches its zone's hosts, too. Every host asks
-// it just before it sends, whatever it sends. A host that can't reach it has a small part of
-// its own, in turns.
+// For each upstream one host, the granting host, grants the permits: the first, by rank, of the
+// hosts in the upstream's zone, because a host that reaches an upstream usually reaches the hosts
+// of its zone, too. Every host requests a permit from it just before it sends anything to the
+// upstream. A host that can't reach the granting host may send a small share of the limit on its
+// own, one request per turn.
 //
-// What is counted, and how, is package ratelimit's.
+// Package ratelimit does the counting.
 package permit
--- a/permit/limiter.go
+++ b/permit/limiter.go
@@ -13,44 +13,45 @@
 )
 
 const (
-	// permitTTL is how long after it was asked for a permit may be used: a host that was
-	// suspended meanwhile has no claim to what was given out then.
+	// permitTTL is how long after its request a permit may be used. A host that was suspended
+	// in between must not use a permit that was granted long ago.
 	permitTTL = 250 * time.Millisecond
-	// unansweredRetryDelay is how long a host that didn't answer isn't asked: each time would
-	// cost a request the time for which an answer is waited.
+	// unansweredRetryDelay is how long a host that didn't answer is not asked again, because each
+	// attempt delays a request by the time limit for an answer.
 	unansweredRetryDelay = time.Second
-	// partitionShareMultiplier is how much more than their part of all hosts those of the upstream's zone
-	// get that hear each other: half as much again, together, as an upstream names is what
-	// it is to bear at most, and without it the loss of a third of the hosts would leave a
-	// third of the limit unused for as long as they are remembered. Hosts of other zones
-	// that hear none of that zone get their part alone: its hosts may still hear them.
+	// partitionShareMultiplier multiplies the share of the limit that the live hosts get if the
+	// granting host is in the upstream's zone. An upstream has to bear at most one and a half times
+	// the limit that it names. Without the multiplier, the loss of a third of the hosts would leave
+	// a third of the limit unused for as long as those hosts are remembered. Hosts of another
+	// zone that hear from no host of the upstream's zone get their plain share, because the hosts
+	// of that zone may still hear from them.
 	partitionShareMultiplier = 1.5
 )
 
-// Site is what a Limiter has to know of the hosts and upstreams, and how it asks others.
+// Site tells a Limiter about the hosts and upstreams, and lets it ask other hosts.
 type Site interface {
-	// Granter is the host that gives out what an upstream takes, as far as this one knows.
+	// Granter returns the granting host of an upstream, as far as this host knows.
 	Granter(now time.Time, id member.UpstreamID) member.Entry
-	// HostCounts is how many hosts are heard, and how many were known at once lately, heard or
-	// not; both with this one.
+	// HostCounts returns how many hosts are live, and how many were known at once lately, live or
+	// not. Both include this host.
 	HostCounts(now time.Time) (live, known int)
-	// CellHostCounts is how many hosts of this one's cell are heard, and how many there are; both with this
-	// one.
+	// CellHostCounts returns how many hosts of this host's cell are live, and how many there are.
+	// Both include this host.
 	CellHostCounts(now time.Time) (live, known int)
-	// Zone is an upstream's; false for one that isn't known.
+	// Zone returns the zone of an upstream; false if the upstream is not known.
 	Zone(id member.UpstreamID) (member.Zone, bool)
-	// AskPeer asks another host. It waits for an answer for a bounded time.
+	// AskPeer sends a request to another host. It waits for the answer for a bounded time.
 	AskPeer(ctx context.Context, to member.Entry, request GrantRequest) (GrantReply, error)
-	// ReceiveLimitMark takes in another host's word of an upstream's limit.
+	// ReceiveLimitMark applies another host's report of an upstream's limit.
 	ReceiveLimitMark(now time.Time, from member.HostID, m ratelimit.Mark)
 }
 
-// Request is something that is to be sent to a bounded upstream.
+// Request describes something that is to be sent to a rate-limited upstream.
 type Request struct {
 	Upstream member.UpstreamID
-	// Rate is what the upstream is given at most by all hosts together.
+	// Rate is the most that the upstream may get from all hosts together.
 	Rate ratelimit.Rate
-	// Rank, Repeat and Must are those of a ratelimit.Ask.
+	// Rank, Repeat and Must are passed on in the GrantRequest.
 	Rank         int
 	Repeat, Must bool
 }
@@ -58,44 +59,44 @@
 // Verdict answers a Request.
 type Verdict struct {
 	Outcome Outcome
-	// Wait is how long it is until leave may be asked for again; zero where there is leave.
+	// Wait is how long it is until a permit may be requested again; zero if the request may be
+	// sent.
 	Wait time.Duration
-	// Late says that leave came too late to be used.
+	// Late says that the answer came too late for its permit to be used.
 	Late bool
 }
 
 // OK reports whether the request may be sent now.
 func (v Verdict) OK() bool { return v.Outcome == Granted || v.Outcome == OwnTurn }
 
-// Limiter gets a host leave to send to bounded upstreams, and gives out, for those for which
-// it is this host's duty, what they take. Use New. It is safe for use by several goroutines.
+// Limiter obtains permits to send to rate-limited upstreams, and grants permits for the upstreams of
+// which this host is the granting host. Create it with New. It is safe for concurrent use.
 type Limiter struct {
-	// NamedLimits are the newest words of the limits that upstreams name.
+	// NamedLimits holds the newest limit that each upstream named.
 	NamedLimits ratelimit.Words
 
 	self member.Entry
 	site Site
 	now  func() time.Time
-	// granter gives out what bounded upstreams take, for all hosts; turns are what this
-	// one may send without asking.
+	// granter grants permits to all hosts. turns are what this host may send without a grant.
 	granter ratelimit.Granter
 	turns   ratelimit.Turns
-	// nextRequest is when this host asks again for leave to send to each upstream, and
-	// unanswered when it asks each host again that didn't answer.
+	// nextRequest is when this host may request a permit for an upstream again. unresponsive is
+	// when it may ask a host again that didn't answer.
 	nextRequest  retryTimes[member.UpstreamID]
 	unresponsive retryTimes[member.HostID]
 }
 
-// New returns the limiter of a host. now tells the present moment.
+// New returns the limiter of the host self. now returns the current time.
 func New(self member.Entry, s Site, now func() time.Time) *Limiter {
 	return &Limiter{self: self, site: s, now: now, turns: ratelimit.Turns{Self: self.ID}}
 }
 
-// Acquire asks for leave to send a request. It is called just before it is sent.
+// Acquire requests a permit. It is called just before the request is sent.
 func (l *Limiter) Acquire(ctx context.Context, r Request) Verdict {
 	now := l.now()
 	if r.Must {
-		// It goes in any case, and doesn't wait for the answer.
+		// The request is sent in any case and is only counted, so it doesn't wait for the answer.
 		go l.requestPermit(context.WithoutCancel(ctx), now, r)
 		return Verdict{Outcome: Granted}
 	}
@@ -112,7 +113,7 @@
 	}
 	wait := grant.Wait
 	if boundHolds, returning := l.NamedLimits.Returning(now, r.Upstream); returning {
-		// The wait follows from a bound that will have doubled by then.
+		// The granting host computed the wait from a bound that will have doubled after boundHolds.
 		wait = min(wait, boundHolds)
 	}
 	if !grant.Passed {
@@ -121,17 +122,18 @@
 	return Verdict{Outcome: outcome, Wait: wait, Late: late}
 }
 
-// LimitRaised takes in that an upstream takes more than before: how long this host was told to wait
-// follows from the lower limit.
+// LimitRaised notes that the limit of an upstream was raised. It lets this host request a permit at
+// once, because the wait that it was given follows from the lower limit.
 func (l *Limiter) LimitRaised(id member.UpstreamID) { l.nextRequest.remove(id) }
 
-// Wait is how long it is until this host asks again for leave to send to an upstream; zero
-// when it may now.
+// Wait returns how long it is until this host may request a permit for an upstream again; zero if it
+// may now.
 func (l *Limiter) Wait(now time.Time, id member.UpstreamID) time.Duration {
 	return l.nextRequest.remaining(now, id)
 }
 
-// requestPermit asks the host that grants, or takes a turn of this host's own.
+// requestPermit requests a permit from the granting host, or uses one of this host's own turns if no
+// granting host can be asked.
 func (l *Limiter) requestPermit(ctx context.Context, now time.Time, r Request) (ratelimit.Grant, Outcome) {
 	request := GrantRequest{
 		Upstream: r.Upstream,
@@ -139,7 +141,8 @@
 	}
 	request.LimitMark, request.HasLimitMark = l.NamedLimits.Mark(now, r.Upstream)
 	to := l.site.Granter(now, r.Upstream)
-	// A host of another zone may not have heard yet who grants; the one that it asks knows.
+	// A host of another zone may not know the present granting host yet, but the host that it asks
+	// does.
 	for range 2 {
 		if to.ID == l.self.ID {
 			return l.grant(now, request), Granted
@@ -156,16 +159,17 @@
 	_, known := l.site.HostCounts(now)
 	wait, ok := l.turns.Take(l.now(), r.Upstream, ratelimit.TurnPeriod(r.Rate, known))
 	if !ok {
-		// By then the host that grants may answer again.
+		// The granting host may answer again after unansweredRetryDelay.
 		return ratelimit.Grant{Wait: min(wait, unansweredRetryDelay)}, NoTurn
 	}
 	return ratelimit.Grant{Granted: true}, OwnTurn
 }
 
-// errNoGranter says that the host that grants can't be asked, or doesn't know the upstream.
+// errNoGranter says that the granting host is not asked because it didn't answer lately, or that it
+// doesn't know the upstream.
 var errNoGranter = errors.New("no host to ask for a permit")
 
-// requestFromPeer asks another host, if it has answered lately.
+// requestFromPeer sends a request to another host, unless that host didn't answer lately.
 func (l *Limiter) requestFromPeer(ctx context.Context, now time.Time, to member.Entry, request GrantRequest) (GrantReply, error) {
 	if l.unresponsive.remaining(now, to.ID) > 0 {
 		return GrantReply{}, errNoGranter
@@ -186,7 +190,8 @@
 	return reply, nil
 }
 
-// HandleGrantRequest serves a host that asks for leave to send to an upstream.
+// HandleGrantRequest answers another host's request for a permit. If this host is not the granting
+// host, the reply names the one that is.
 func (l *Limiter) HandleGrantRequest(request GrantRequest) GrantReply {
 	now := l.now()
 	if request.HasLimitMark {
@@ -205,15 +210,15 @@
 	return reply
 }
 
-// grant answers an ask as the host that grants. It gives out the part of the hosts that it
-// hears; others may be there still, behind a cut.
+// grant answers a request as the granting host. It grants only the share of the live hosts, because
+// the others may still send on the other side of a network partition.
 func (l *Limiter) grant(now time.Time, request GrantRequest) ratelimit.Grant {
 	if named, bounded := l.NamedLimits.Bound(now, request.Upstream); bounded {
 		request.Rate = min(request.Rate, named)
 	}
 	live, known := l.site.CellHostCounts(now)
 	share := float64(live) / float64(known)
-	// One that isn't known is of no zone, and gets the smaller part.
+	// An unknown upstream has no zone, and gets the smaller share.
 	if zone, _ := l.site.Zone(request.Upstream); zone == l.self.Zone {
 		share *= partitionShareMultiplier
 	}
@@ -221,14 +226,14 @@
 	return l.granter.Give(now, request.Upstream, request.Ask)
 }
 
-// Reset forgets what is known of an upstream that has started again.
+// Reset discards what is known of an upstream that restarted.
 func (l *Limiter) Reset(id member.UpstreamID) {
 	l.NamedLimits.Renew(id)
 	l.granter.Renew(id)
 	l.nextRequest.remove(id)
 }
 
-// Prune drops what is over, and the turns at upstreams that aren't bounded any more.
+// Prune removes waits that are over, and the turns for upstreams that are no longer rate-limited.
 func (l *Limiter) Prune(now time.Time, isBounded func(member.UpstreamID) bool) {
 	l.nextRequest.removeExpired(now)
 	l.unresponsive.removeExpired(now)
--- a/permit/limiter_test.go
+++ b/permit/limiter_test.go
@@ -20,7 +20,7 @@
 	otherHost = member.Entry{ID: "h2", Zone: "z2"}
 )
 
-// fakeSite is a site of which another host says what it is told to.
+// fakeSite is a Site with fixed host counts, on which answerPeer answers for the other host.
 type fakeSite struct {
 	granter     member.Entry
 	live, known int
@@ -50,13 +50,13 @@
 
 var errUnreachable = errors.New("away")
 
-// grantAlways is a host that gives out all that is asked for.
+// grantAlways answers as a host that grants every request.
 func grantAlways(GrantRequest) (GrantReply, error) {
 	return GrantReply{Grant: ratelimit.Grant{Granted: true}}, nil
 }
 
-// TestAcquire has a host get leave from whoever gives out, and from its own turns where that
-// one can't be asked.
+// TestAcquire checks that a host gets permits from the granting host, and from its own turns if that
+// host can't be asked.
 func TestAcquire(t *testing.T) {
 	for name, c := range map[string]struct {
 		site  *fakeSite
@@ -96,7 +96,7 @@
 			r := Request{Upstream: "u", Rate: 4, Rank: 2}
 			v := l.Acquire(t.Context(), r)
 			for n := 0; v.Outcome == NoTurn && n < 10; n++ {
-				// Its first turn is still to come.
+				// The host's first turn is still to come.
 				now = now.Add(v.Wait)
 				v = l.Acquire(t.Context(), r)
 			}
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestWaitAfterRefusal has a host that was refused not ask again before the time that it was told, for
-// that upstream alone.
+// TestWaitAfterRefusal checks that a refused host doesn't request a permit for the same upstream
+// before the wait that it was given is over.
 func TestWaitAfterRefusal(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -133,8 +133,8 @@
 	is.Equal(len(l.nextRequest.notBefore), 0)
 }
 
-// TestUnresponsiveHost has a host that didn't answer not be asked for a second: each question costs
-// a request the wait for its answer.
+// TestUnresponsiveHost checks that a host that didn't answer is not asked for a second, because each
+// attempt delays a request until the time limit for an answer.
 func TestUnresponsiveHost(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -149,7 +149,8 @@
 	is.Equal(len(s.peerRequests), 2)
 }
 
-// TestHandleGrantRequest has a host that is asked give out what it is to, and send the others on.
+// TestHandleGrantRequest checks that a host grants permits if it is the granting host, and otherwise
+// names the granting host in its reply.
 func TestHandleGrantRequest(t *testing.T) {
 	word := ratelimit.Mark{Upstream: "u", Named: true, Rate: 4}
 	ask := GrantRequest{Upstream: "u", Ask: ratelimit.Ask{From: "h9", Rate: 4}, HasLimitMark: true, LimitMark: word}
@@ -171,8 +172,8 @@
 	}
 }
 
-// TestGrantsShareOfLiveHosts has a host that hears few of those that were known give out their part,
-// and half as much again, and never more than the limit.
+// TestGrantsShareOfLiveHosts checks that a granting host that finds only some of the known hosts
+// live grants one and a half times their share of the limit, but never more than the limit.
 func TestGrantsShareOfLiveHosts(t *testing.T) {
 	const rate, duration = 10, 40 * time.Second
 	for name, c := range map[string]struct {
@@ -190,15 +191,15 @@
 				}
 			}
 			want := c.want * rate * duration.Seconds()
-			t.Logf("%d given out of %.0f", granted, want)
+			t.Logf("granted %d permits, expected %.0f", granted, want)
 			is.True(float64(granted) <= want+1)
 			is.True(float64(granted) >= 0.9*want)
 		})
 	}
 }
 
-// TestWaitAfterLimitEnds has a host that was refused at a low limit ask again as soon as
-// that has ended, and as often as the bound of an upstream that returns rises.
+// TestWaitAfterLimitEnds checks that a host that was refused at a low limit requests a permit again
+// as soon as the limit has ended, and then waits no longer than until the rising bound has doubled.
 func TestWaitAfterLimitEnds(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/permit/messages.go
+++ b/permit/messages.go
@@ -8,39 +8,42 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// GrantRequest asks the host that grants for leave to send one request to an upstream.
+// GrantRequest asks the granting host for a permit to send one request to an upstream.
 type GrantRequest struct {
 	Upstream member.UpstreamID
 	ratelimit.Ask
-	// Word is the asker's newest one of the upstream's limit; HasLimitMark says that there is
-	// one.
+	// LimitMark is the newest report of the upstream's limit that the requesting host knows, if
+	// HasLimitMark is set.
 	HasLimitMark bool
 	LimitMark    ratelimit.Mark
 }
 
-// GrantReply is the answer to an Ask.
+// GrantReply answers a GrantRequest.
 type GrantReply struct {
 	ratelimit.Grant
-	// Granter is who grants, if that isn't the host that was asked.
+	// Granter is the granting host if that is not the host that was asked; zero if it is.
 	Granter member.Entry
 	// UnknownUpstream says that the host doesn't know the upstream.
 	UnknownUpstream bool
-	// Word is the host's newest one of the limit; HasLimitMark says that there is one.
+	// LimitMark is the newest report of the upstream's limit that the replying host knows, if
+	// HasLimitMark is set.
 	HasLimitMark bool
 	LimitMark    ratelimit.Mark
 }
 
-// Outcome says how something got leave to be sent, or why not.
+// Outcome says how a permit was obtained, or why not.
 type Outcome string
 
 // The outcomes.
 const (
-	// Granted by the host that gives out.
+	// Granted says that the granting host granted the permit.
 	Granted Outcome = "granted"
-	// Deferred by it, or by this host, which is to ask again later.
+	// Deferred says that the granting host refused, or that this host still waits after an earlier
+	// refusal. A permit may be requested again later.
 	Deferred Outcome = "kept_back"
-	// OwnTurn is leave from this host's own turns.
+	// OwnTurn says that this host used one of its own turns, because no granting host could be
+	// asked.
 	OwnTurn Outcome = "own_turn"
-	// NoTurn says that nobody could be asked, and this host has no turn.
+	// NoTurn says that no granting host could be asked, and this host has no turn now.
 	NoTurn Outcome = "no_turn"
 )
--- a/permit/retrytimes.go
+++ b/permit/retrytimes.go
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// retryTimes are moments before which something isn't tried again, by what it is about. The zero
-// value has none. It is safe for use by several goroutines.
+// retryTimes holds, by key, the time before which something is not tried again. The zero value is
+// ready for use. It is safe for concurrent use.
 type retryTimes[K comparable] struct {
 	mu        sync.Mutex
 	notBefore map[K]time.Time
 }
 
-// remaining is how long it is until it is tried again.
-func (w *retryTimes[K]) remaining(now time.Time, k K) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return max(w.notBefore[k].Sub(now), 0)
+// remaining returns how long it is until k may be tried again; zero if it may now.
+func (r *retryTimes[K]) remaining(now time.Time, k K) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return max(r.notBefore[k].Sub(now), 0)
 }
 
-// extend has it not be tried before a moment, nor before one that was set already.
-func (w *retryTimes[K]) extend(k K, until time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.notBefore == nil {
-		w.notBefore = map[K]time.Time{}
+// extend sets the time before which k is not tried again, unless a later one is set.
+func (r *retryTimes[K]) extend(k K, until time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.notBefore == nil {
+		r.notBefore = map[K]time.Time{}
 	}
-	if until.After(w.notBefore[k]) {
-		w.notBefore[k] = until
+	if until.After(r.notBefore[k]) {
+		r.notBefore[k] = until
 	}
 }
 
-// remove has it be tried at once.
-func (w *retryTimes[K]) remove(k K) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.notBefore, k)
+// remove lets k be tried at once.
+func (r *retryTimes[K]) remove(k K) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.notBefore, k)
 }
 
-// removeExpired drops what is over.
-func (w *retryTimes[K]) removeExpired(now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for k, until := range w.notBefore {
+// removeExpired removes the times that have passed.
+func (r *retryTimes[K]) removeExpired(now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for k, until := range r.notBefore {
 		if now.After(until) {
-			delete(w.notBefore, k)
+			delete(r.notBefore, k)
 		}
 	}
 }
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -12,50 +12,55 @@
 )
 
 const (
-	// slowBucketOffset above the median of the version in service an answer counts as bad: two and
-	// a half times as long.
+	// slowBucketOffset is how many buckets above the median of the versions in service an answer
+	// may be before it counts as bad: about two and a half times the median.
 	slowBucketOffset = 5
-	// minAnswersForMedian is how many answers of the version in service a median takes.
+	// minAnswersForMedian is how many successful answers of the versions in service are needed to
+	// compute a median.
 	minAnswersForMedian = 8
-	// badRateIncrease is by how much larger the part of bad answers is that is looked for.
+	// badRateIncrease is the increase of the rate of bad answers that the test looks for.
 	badRateIncrease = 0.25
-	// What is taken of a version in service before anything was seen of it.
+	// priorBadAnswers and priorAnswers are the counts assumed for the versions in service before
+	// any answer was observed.
 	priorBadAnswers, priorAnswers = 0.6, 20.0
 	minBadRate, maxBadRate        = 0.01, 0.6
-	// provenEvidence is the evidence at which a version counts as bad: e to this power to one that its
-	// answers come from a worse one. Suspected holds the rollout where it is.
+	// provenEvidence is the evidence, as a logarithm of a likelihood ratio, at which the target
+	// version counts as bad. From suspicionEvidence on, the rollout stays in its phase.
 	provenEvidence    = 9.0
 	suspicionEvidence = provenEvidence / 2
 )
 
-// When each phase begins, as a part of the time that the order gives.
+// Times in a rollout. Those that are plain numbers are fractions of the order's duration.
 const (
 	rampStart = 0.55
 	fullStart = 0.75
-	// earliestCompletion is when a rollout ends at the earliest: a version that turns bad before can still
-	// be left.
+	// earliestCompletion is when a rollout completes at the earliest. A target version that turns
+	// bad before that can still be rolled back.
 	earliestCompletion = 0.9
-	// suspicionDeadline is when a version under suspicion is rolled back.
+	// suspicionDeadline is from when on a version under suspicion is rolled back.
 	suspicionDeadline = 0.9
-	// minFullDuration is for how long all traffic goes to the target before the rollout ends: a
-	// version may turn bad under load.
+	// minFullDuration is how long all traffic goes to the target before the rollout completes,
+	// because a version may turn bad only under full load.
 	minFullDuration = 400 * time.Millisecond
 )
 
-// Decider decides about one rollout by what all hosts have seen. The zero value works for any.
+// Decider decides on the phases of one service's rollout, from the reports of all hosts. The zero
+// value is ready for use. It is not safe for concurrent use.
 type Decider struct {
 	givenAt history.Point
 	hosts   map[member.HostID]*hostReport
-	// baseline and worse are, by subject, what was seen of the versions in service, and the evidence
-	// that the target is worse; all is the evidence of all subjects together.
+	// baseline counts the answers of the versions in service, by comparison. evidence is the
+	// evidence that the target version is worse, by comparison, and totalEvidence that of all
+	// comparisons together.
 	baseline      map[Comparison]*Tally
 	evidence      map[Comparison]float64
 	totalEvidence float64
-	// fullSince is when the phase was first seen to be Full.
+	// fullSince is when Decide first found the rollout in phase Full, with the target version
+	// available and not under suspicion.
 	fullSince time.Time
 }
 
-// hostReport is what a host hostReport last.
+// hostReport is the last report of a host.
 type hostReport struct {
 	epoch          uint64
 	receivedAt     time.Time
@@ -64,7 +69,8 @@
 	tallies        map[tallyKey]Tally
 }
 
-// ReceiveReport takes in a host's report. One of another order starts anew.
+// ReceiveReport adds a host's report. The report of a later order discards everything known of the
+// earlier one; reports of earlier orders are ignored.
 func (d *Decider) ReceiveReport(now time.Time, r Report) {
 	if d.hosts == nil || r.GivenAt.After(d.givenAt) {
 		*d = Decider{givenAt: r.GivenAt, hosts: map[member.HostID]*hostReport{}, baseline: map[Comparison]*Tally{}, evidence: map[Comparison]float64{}}
@@ -78,7 +84,7 @@
 		d.hosts[r.From] = h
 	}
 	h.receivedAt, h.phase, h.runningRetired = now, r.Phase, r.RunningRetired
-	// The versions in service first: the target is measured against them.
+	// The versions in service come first, because the target is compared with them.
 	for _, target := range []bool{false, true} {
 		for _, e := range r.Evidence {
 			if e.Target != target {
@@ -96,6 +102,8 @@
 	}
 }
 
+// addEvidence adds newly counted answers to the baseline, or for the target version to the evidence
+// against it.
 func (d *Decider) addEvidence(key tallyKey, added *Tally) {
 	if !key.target {
 		if d.baseline[key.Comparison] == nil {
@@ -108,15 +116,16 @@
 	bad := float64(added.Failed + added.countSlower(limit))
 	good := float64(added.Succeeded+added.Failed) - bad
 	worseRate := min(baselineRate+badRateIncrease, 0.95)
-	// A sequential test (CUSUM): each answer weighs by how much likelier it is from the worse
-	// version, and evidence for the better one isn't saved up against later answers.
+	// A sequential test (CUSUM): each answer counts with the logarithm of how much likelier it is
+	// from a worse version. The sum never drops below zero, so that good answers don't offset
+	// later bad ones.
 	weight := bad*math.Log(worseRate/baselineRate) + good*math.Log((1-worseRate)/(1-baselineRate))
 	d.evidence[key.Comparison] = max(d.evidence[key.Comparison]+weight, 0)
 	d.totalEvidence = max(d.totalEvidence+weight, 0)
 }
 
-// baselineBadRate is which part of the answers of the versions in service is bad, and the highest bucket of
-// a time that isn't.
+// baselineBadRate returns the rate of bad answers of the versions in service, and the highest bucket
+// whose answers don't count as bad for being slow.
 func (d *Decider) baselineBadRate(key Comparison) (rate float64, limit int) {
 	baseline := d.baseline[key]
 	if baseline == nil {
@@ -129,12 +138,13 @@
 	bad := float64(baseline.Failed + baseline.countSlower(limit))
 	answers := float64(baseline.Succeeded+baseline.Failed) + priorAnswers
 	rate = (bad + priorBadAnswers) / answers
-	// A standard deviation more: few answers may have shown too small a part.
+	// Add a standard deviation, because the rate of a few answers may be too low.
 	rate += math.Sqrt(rate * (1 - rate) / answers)
 	return min(max(rate, minBadRate), maxBadRate), limit
 }
 
-// EvidenceAgainst is the evidence that the target version is worse; at proven it counts as bad.
+// EvidenceAgainst returns the greatest evidence that the target version is worse than those in
+// service, of any comparison or of all together. At provenEvidence the version counts as bad.
 func (d *Decider) EvidenceAgainst() float64 {
 	maxEvidence := d.totalEvidence
 	for _, evidence := range d.evidence {
@@ -143,16 +153,16 @@
 	return maxEvidence
 }
 
-// FleetState is what a host that decides sees of the upstreams and hosts.
+// FleetState is what the deciding host knows of the upstreams and hosts.
 type FleetState struct {
-	// TargetAvailable says that upstreams of the target version take work.
+	// TargetAvailable says that upstreams of the target version are available for new requests.
 	TargetAvailable bool
-	// Hosts are those that are heard, with this one; nil for all that report, where no host hears
-	// all others.
+	// Hosts are the live hosts, including the deciding one. If no host is in contact with all
+	// others, Hosts is nil and stands for all hosts that reported lately.
 	Hosts []member.HostID
 }
 
-// Decide returns the phase that the rollout should be in.
+// Decide returns the phase that the rollout should be in, which is the phase of s or a later one.
 func (d *Decider) Decide(now time.Time, s Status, f FleetState) Phase {
 	evidence := d.EvidenceAgainst()
 	if d.givenAt != s.GivenAt {
@@ -192,12 +202,13 @@
 	return s.Phase
 }
 
-// reportMaxAge is how long a host counts that has reported.
+// reportMaxAge is how long after its last report a host is still waited for if FleetState.Hosts is nil.
 const reportMaxAge = 15 * time.Second
 
-// oldVersionsDrained reports whether every host has said that nothing of its runs on the versions to be oldVersionsDrained.
-func (d *Decider) oldVersionsDrained(now time.Time, given history.Point, hosts []member.HostID) bool {
-	if d.givenAt != given {
+// oldVersionsDrained reports whether every host has reported that it applies phase Full or a later
+// one and that none of its requests runs on a retired version.
+func (d *Decider) oldVersionsDrained(now time.Time, givenAt history.Point, hosts []member.HostID) bool {
+	if d.givenAt != givenAt {
 		return false
 	}
 	if hosts == nil {
--- a/rollout/decider_test.go
+++ b/rollout/decider_test.go
@@ -15,34 +15,36 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-var trialsFlag = flag.Int("rollout.trials", 20, "how many seeds each version on trial is judged with")
+var trialsFlag = flag.Int("rollout.trials", 20, "number of seeds to run each trial with")
 
-// targetBehavior is how a targetBehavior's upstreams answer.
+// targetBehavior is how the upstreams of the target version answer.
 type targetBehavior struct {
-	// failRate is the part that failRate, and slowRate the part that takes several slowFactor as long.
+	// failRate is the share of answers that fail, and slowRate the share that take slowFactor
+	// times as long.
 	failRate, slowRate, slowFactor float64
-	// startFraction is startFraction which part of the order's time on it does so.
+	// startFraction is the fraction of the order's duration after which the version starts to
+	// behave so.
 	startFraction float64
-	// route is the only one on which it does so; empty for all.
+	// route is the only route on which the version behaves so; empty for all.
 	route string
 }
 
-// trial is a rollout as hosts see it, without a network.
+// trial is a rollout on simulated hosts, without a network.
 type trial struct {
 	hosts             int
 	requestsPerSecond float64
 	routes            []string
-	// baselineFailRate is the part that baselineFailRate of the version in service.
+	// baselineFailRate is the share of answers of the version in service that fail.
 	baselineFailRate float64
 	target           targetBehavior
 }
 
-// outcome is what came of it.
+// outcome is the result of a trial.
 type outcome struct {
 	phase Phase
-	// exposed is how many requests went to the target, of total.
+	// exposed is how many of the total requests went to the target version.
 	exposed, total int
-	// badAnswers is how many of these were answered badly.
+	// badAnswers is how many of the exposed requests failed or were slow.
 	badAnswers int
 }
 
@@ -50,6 +52,7 @@
 
 var limits = Limits{Share: 0.1, Slack: 50}
 
+// simulate runs the trial until the order's deadline and returns its outcome.
 func (c trial) simulate(seed uint64) outcome {
 	random := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1000, 0)
@@ -109,14 +112,15 @@
 	return result
 }
 
-// TestVersionsOnTrial has good versions completed and bad ones rolled back by the deadline, and
-// bad ones get no more than the exposure that is allowed.
+// TestVersionsOnTrial checks that rollouts of good versions are completed and those of bad ones are
+// rolled back by the deadline, and that bad versions get no more requests than Limits allows.
 func TestVersionsOnTrial(t *testing.T) {
 	two := []string{"a", "b"}
 	for name, c := range map[string]struct {
 		trial
+		// completes says that the rollout should complete, rather than be rolled back.
 		completes bool
-		// maxWrongRate is how large a part may be judged wrongly.
+		// maxWrongRate is the share of seeds that may have the wrong result.
 		maxWrongRate float64
 	}{
 		"good":                            {trial{hosts: 9, requestsPerSecond: 50, routes: two, baselineFailRate: 0.01}, true, 0.05},
@@ -145,9 +149,9 @@
 				}
 				maxExposed, maxBadAnswers = max(maxExposed, result.exposed), max(maxBadAnswers, result.badAnswers)
 			}
-			t.Logf("judged wrongly %d of %d; exposed %d at most, beyond the bound %d times; bad answers %d at most", wrong, *trialsFlag, maxExposed, overExposed, maxBadAnswers)
+			t.Logf("%d of %d trials had the wrong result; at most %d requests to the target version, above the limit in %d trials; at most %d bad answers", wrong, *trialsFlag, maxExposed, overExposed, maxBadAnswers)
 			if float64(wrong) > c.maxWrongRate*float64(*trialsFlag) || overExposed > 0 {
-				t.Errorf("judged wrongly %d of %d, exposed too often %d", wrong, *trialsFlag, overExposed)
+				t.Errorf("%d of %d trials had the wrong result, %d sent too many requests to the target version", wrong, *trialsFlag, overExposed)
 			}
 		})
 	}
--- a/rollout/doc.go
+++ b/rollout/doc.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rollout moves a service's traffic to upstreams of another version, and back if that
-// version does worse than the one in service.
+// Package rollout moves a service's traffic to upstreams of a target version, and back if that
+// version does worse than the versions in service.
 //
-// Every host bounds by itself how many of its requests go to a version on trial, so that the
-// bound on all of them holds whichever hosts are cut off or start again. One host at a time
-// collects what all have seen of both versions and decides what comes next. The package is pure:
-// no I/O, no goroutine, and no clock.
+// Every host limits on its own how many of its requests go to a version on trial, so that the
+// limit on all hosts together holds even if hosts are partitioned or restart. One host at a time
+// collects the observations of all hosts and decides on the next phase. The package is pure: it
+// does no I/O, starts no goroutine and reads no clock.
 package rollout
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -13,18 +13,18 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Comparison is what answers are compared of: a route's, and what was measured of them.
+// Comparison identifies one comparison between versions: one measure on one route.
 type Comparison struct {
 	Route   string
 	Measure Measure
 }
 
-// Measure says what of an answer was measured.
+// Measure says which time of an answer was measured.
 type Measure int
 
 // The measures.
 const (
-	// ResponseTime is a whole answer's time.
+	// ResponseTime is the time to the end of a plain answer.
 	ResponseTime Measure = iota
 	// TimeToFirstEvent is the time to the first event of a stream.
 	TimeToFirstEvent
@@ -33,19 +33,23 @@
 )
 
 const (
-	// bucketsPerDoubling is how finely times are told apart.
+	// bucketsPerDoubling is the resolution of Tally.Times: each doubling of the time spans this
+	// many buckets.
 	bucketsPerDoubling = 4
 	bucketCount        = 80
-	minBucketTime      = time.Millisecond
+	// minBucketTime is where the first bucket starts. It counts shorter times, too.
+	minBucketTime = time.Millisecond
 )
 
-// Tally counts answers of one version.
+// Tally counts the answers of one version for one Comparison.
 type Tally struct {
 	Succeeded, Failed uint32
-	// Times counts the good answers by how long they took, each bucket a fourth of a doubling.
+	// Times is a histogram of the times of the successful answers. Its buckets grow
+	// exponentially, with bucketsPerDoubling buckets for each doubling of the time.
 	Times [bucketCount]uint32
 }
 
+// timeBucket returns the index in Tally.Times of the bucket for d.
 func timeBucket(d time.Duration) int {
 	if d <= minBucketTime {
 		return 0
@@ -61,7 +65,8 @@
 	}
 }
 
-// countedSince is what was counted after an earlier state of the same tally.
+// countedSince returns what was counted after before, an earlier state of the same tally. It
+// returns all of t if before is nil or has greater counts than t, which then isn't its successor.
 func (t *Tally) countedSince(before *Tally) Tally {
 	if before == nil || before.Succeeded > t.Succeeded || before.Failed > t.Failed {
 		return *t
@@ -73,7 +78,8 @@
 	return diff
 }
 
-// medianBucket is the bucket in which half of the good answers are reached.
+// medianBucket returns the index of the bucket that holds the median time of the successful
+// answers.
 func (t *Tally) medianBucket() int {
 	n := uint32(0)
 	for i, count := range t.Times {
@@ -84,7 +90,8 @@
 	return bucketCount - 1
 }
 
-// Median is about how long half of the good answers took at most.
+// Median returns the approximate median time of the successful answers, rounded up to the end of
+// its bucket; zero if there are none.
 func (t *Tally) Median() time.Duration {
 	if t.Succeeded == 0 {
 		return 0
@@ -92,7 +99,7 @@
 	return time.Duration(float64(minBucketTime) * math.Exp2(float64(t.medianBucket()+1)/bucketsPerDoubling))
 }
 
-// countSlower counts the good answers above a bucket.
+// countSlower returns how many successful answers are in buckets above limit.
 func (t *Tally) countSlower(limit int) uint32 {
 	n := uint32(0)
 	for _, count := range t.Times[min(limit+1, bucketCount):] {
@@ -101,50 +108,56 @@
 	return n
 }
 
-// Evidence is what one host has seen of a rollout's versions.
+// Evidence is what one host has observed of the target version, or of all others, for one
+// Comparison.
 type Evidence struct {
 	Comparison
-	// Target says that it is of the target version.
+	// Target says that the tally counts answers of the target version.
 	Target bool
 	Tally
 }
 
-// Report is what a host has seen of a rollout, for the one that decides.
+// Report is what a host reports of a rollout to the host that decides on it.
 type Report struct {
 	From    member.HostID
 	Service resource.Name
 	GivenAt history.Point
-	// Phase is the one that the host keeps to, and Age how long ago the order was known there.
+	// Phase is the phase that the reporting host applies, and Age how long the order has been
+	// known there.
 	Phase Phase
 	Age   time.Duration
-	// RunningRetired is how many of its requests run on versions that are to be left.
+	// RunningRetired is how many of the host's requests still run on retired versions.
 	RunningRetired int
-	// Epoch tells this process of the host from an earlier one.
+	// Epoch distinguishes this process of the host from earlier ones, whose counts started at
+	// zero, too.
 	Epoch uint64
-	// Evidence is all that the host has seen since the order.
+	// Evidence holds the totals of everything observed since the order was given.
 	Evidence []Evidence
 }
 
-// Observations are what a host sees of the versions of services with a rollout. The zero value
-// works. It is safe for use by several goroutines.
+// Observations collects what a host observes of the versions of services with a rollout. The zero
+// value is ready for use. It is safe for concurrent use.
 type Observations struct {
 	mu       sync.Mutex
 	services map[resource.Name]*serviceObservations
 }
 
+// serviceObservations are the observations since the last order for one service.
 type serviceObservations struct {
 	givenAt history.Point
 	tallies map[tallyKey]*Tally
-	// count rises with each observation.
+	// count is the number of observations so far.
 	count uint64
 }
 
+// tallyKey identifies a tally: a comparison, and whether it counts answers of the target version or
+// of others.
 type tallyKey struct {
 	Comparison
 	target bool
 }
 
-// Begin forgets what was seen before an order.
+// Begin starts collecting for the order of s, and discards what was observed before that order.
 func (o *Observations) Begin(s Status) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -156,7 +169,8 @@
 	}
 }
 
-// RecordAnswer takes in one answer, or the lack of one.
+// RecordAnswer counts one answer, or one failure to answer. It ignores services for which Begin was
+// not called.
 func (o *Observations) RecordAnswer(service resource.Name, comparison Comparison, target, failed bool, took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -179,7 +193,7 @@
 	t.Times[timeBucket(took)]++
 }
 
-// Evidence returns what was seen since the order, and a count that rises with each observation.
+// Evidence returns what was observed since the order was given, and the number of observations.
 func (o *Observations) Evidence(service resource.Name) ([]Evidence, uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/rollout/status.go
+++ b/rollout/status.go
@@ -10,41 +10,43 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Version names the software of an upstream.
+// Version is the version of an upstream's software; empty if the upstream reports none.
 type Version string
 
-// Order asks to move a service's traffic to upstreams of a version.
+// Order is an operator's order to move a service's traffic to upstreams of a target version.
 type Order struct {
 	Service resource.Name
 	Target  Version
-	// Duration is how long the move may take.
+	// Duration is how long the rollout may take.
 	Duration time.Duration
-	// GivenAt is where in the origin's history the order was given, or taken back.
+	// GivenAt is the point in the origin's history at which the order was given or withdrawn.
 	GivenAt history.Point
-	// Withdrawn says that there is no order any more.
+	// Withdrawn says that the order was withdrawn.
 	Withdrawn bool
 }
 
-// Phase is how far a rollout is. The zero value is the first phase. Phases of one order never go
-// back; a later one is the newer word.
+// Phase is the progress of a rollout. The zero value is the first phase. The phase of an order never
+// decreases, so the greater of two reported phases is the newer one.
 type Phase int
 
 // The phases.
 const (
-	// Trial has a small part of the requests go to the target version.
+	// Trial sends a small share of the new requests to the target version.
 	Trial Phase = iota
-	// Ramp has a larger part go there.
+	// Ramp sends a larger share of the new requests to the target version.
 	Ramp
-	// Full has every new request go there, and what runs elsewhere is moved.
+	// Full sends every new request to the target version and moves requests that run on other
+	// versions.
 	Full
-	// Completed says that nothing runs on other versions any more.
+	// Completed says that no request runs on other versions any longer.
 	Completed
-	// RolledBack has nothing go to the target version any more.
+	// RolledBack sends no request to the target version any longer.
 	RolledBack
 )
 
 var phaseNames = [...]string{"trial", "ramp", "full", "completed", "rolled_back"}
 
+// String returns the name of the phase, or "unknown" for a phase that is not Valid.
 func (p Phase) String() string {
 	if !p.Valid() {
 		return "unknown"
@@ -52,10 +54,10 @@
 	return phaseNames[p]
 }
 
-// Valid reports whether the phase is one of those above.
+// Valid reports whether p is one of the defined phases.
 func (p Phase) Valid() bool { return p >= Trial && p <= RolledBack }
 
-// ParsePhase reads what String writes.
+// ParsePhase returns the phase with a name as written by Phase.String, and whether there is one.
 func ParsePhase(s string) (Phase, bool) {
 	for p, name := range phaseNames {
 		if name == s {
@@ -65,22 +67,24 @@
 	return 0, false
 }
 
-// Ended reports whether nothing more comes.
+// Ended reports whether the phase is final, that is Completed or RolledBack.
 func (p Phase) Ended() bool { return p >= Completed }
 
-// Status is an order and how far it is.
+// Status is an order and the progress of its rollout.
 type Status struct {
 	Order
 	Phase Phase
-	// Age is how long ago the order was first known of.
+	// Age is how long ago a host first learnt of the order.
 	Age time.Duration
-	// Recorded is where in the origin's history a phase of the service was written last, and
-	// RecordedPhase that phase if it was of this order; zero and -1 for none.
+	// Recorded is the point in the origin's history at which a phase of the service was last
+	// written; zero if none was. RecordedPhase is that phase if it belongs to this order, or
+	// else -1.
 	Recorded      history.Point
 	RecordedPhase Phase
 }
 
-// retiredVersions tells of which versions nothing takes new work: of the target, or of all others.
+// retiredVersions reports whether the target version is retired, and whether all other versions
+// are. Upstreams of a retired version get no new requests.
 func (s *Status) retiredVersions() (targetRetired, othersRetired bool) {
 	switch {
 	case s.Withdrawn:
@@ -93,13 +97,15 @@
 	return false, false
 }
 
-// VersionFilter is which upstreams of a service a request may go to. The zero value sets no bound.
+// VersionFilter restricts the versions of the upstreams that a request may go to. The zero value
+// allows every version.
 type VersionFilter struct {
-	// Only is the one version that it may go to, and Except the one that it may not.
+	// Only is the only version that is allowed, and Except the one that is not; empty for no
+	// restriction.
 	Only, Except Version
 }
 
-// Allows reports whether a request with the bound may go to an upstream of a version.
+// Allows reports whether the filter lets a request go to an upstream of version v.
 func (f VersionFilter) Allows(v Version) bool {
 	return (f.Only == "" || v == f.Only) && (f.Except == "" || v != f.Except)
 }
--- a/rollout/tracker.go
+++ b/rollout/tracker.go
@@ -15,56 +15,60 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Limits bound how many requests go to a version on trial, from all hosts together.
+// Limits bounds how many requests of all hosts together go to a version on trial.
 type Limits struct {
-	// Share is the part of the service's requests, and Slack how many more.
+	// Share is the allowed share of the service's requests, from 0 to 1. Slack is a number of
+	// requests that is allowed in addition.
 	Share, Slack float64
 }
 
 const (
-	// trialShareFraction of the allowed share goes to a version on trial. The rest is for what comes
-	// between the move of all traffic and the moment at which a version that turns bad late is
-	// found out.
+	// trialShareFraction is the fraction of the allowed share that phase Trial uses. The rest is
+	// reserved for the requests between the move of all traffic and the detection of a version that
+	// turns bad late.
 	trialShareFraction = 0.4
-	// trialSlackFraction of the slack is given out during the trial, so that a version is seen at all
-	// where few requests come.
+	// trialSlackFraction is the fraction of the slack that is used from the start, so that the
+	// target version gets requests even if a service has few.
 	trialSlackFraction = 0.3
-	// rampShare of the requests goes to the target version in the second phase.
+	// rampShare is the share of the requests that goes to the target version in phase Ramp.
 	rampShare = 0.12
-	// maxCredit bounds what a host may send at once after a time in which the target version
-	// had no upstream.
+	// maxCredit bounds how many requests a host may send at once after a time in which no upstream
+	// of the target version was available.
 	maxCredit = 2
 )
 
-// Tracker is what a host knows of the rollouts. The zero value knows none and works. It is safe for
-// use by several goroutines.
+// Tracker holds what a host knows of the rollouts. The zero value knows none and is ready for use. It
+// is safe for concurrent use.
 type Tracker struct {
-	// Random returns a number from 0 to 1; nil draws at random.
+	// Random returns a random number in [0, 1); nil stands for rand.Float64.
 	Random func() float64
 
-	// hasEntries says that there is a rollout, which is all that most requests ask.
+	// hasEntries says that there is a rollout of some service. Most requests need only this and
+	// don't lock mu.
 	hasEntries atomic.Bool
 
 	mu      sync.Mutex
 	entries map[resource.Name]*entry
 }
 
-// entry is one service's rollout.
+// entry is the rollout of one service.
 type entry struct {
 	Status
-	// knownSince is when the order was first known of.
+	// knownSince is when any host first learnt of the order, as far as known here.
 	knownSince time.Time
 	// credit is how many requests this host may send to the target version now.
 	credit float64
-	// hadOtherVersions says that upstreams of other versions were there since the order was given.
+	// hadOtherVersions says that upstreams of other versions were available at some time since
+	// the order was given.
 	hadOtherVersions bool
 }
 
-// Any reports whether there is a rollout of some service.
+// Any reports whether a rollout of some service is known.
 func (t *Tracker) Any() bool { return t.hasEntries.Load() }
 
-// Receive takes in what the origin or a peer says of a rollout. hosts is how many hosts share the
-// slack. It reports whether that is news.
+// Receive applies the status of a rollout that the origin or a peer reported. hosts is the number of
+// hosts that share the slack. Receive reports whether the status has a new order, a withdrawal or a
+// later phase.
 func (t *Tracker) Receive(now time.Time, s Status, limits Limits, hosts int) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -84,7 +88,8 @@
 		if e != nil && !s.Recorded.After(e.Recorded) {
 			newEntry.Recorded, newEntry.RecordedPhase = e.Recorded, noPhase
 		}
-		// Rounded at random, so that the hosts' parts add up to the whole however small each is.
+		// Random rounding, so that the hosts' parts of the slack add up to the whole even if each
+		// is much less than one request.
 		draw := t.Random
 		if draw == nil {
 			draw = rand.Float64
@@ -108,23 +113,24 @@
 	return true
 }
 
-// noPhase stands for a phase that wasn't recorded.
+// noPhase is the RecordedPhase of an order without a recorded phase.
 const noPhase Phase = -1
 
-// updateRecorded takes in what the origin has recorded.
+// updateRecorded applies a phase that the origin recorded at a point, unless a newer one is known.
 func (e *entry) updateRecorded(at history.Point, p Phase) {
 	if at.After(e.Recorded) {
 		e.Recorded, e.RecordedPhase = at, p
 	}
 }
 
-// ReceiveRecord takes in what the origin has recorded of a service. It reports whether a phase is news.
+// ReceiveRecord applies the phase that the origin has recorded for a service. It reports whether the
+// phase changed or the record is of an unknown rollout.
 func (t *Tracker) ReceiveRecord(record Status) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.entries[record.Service]
 	if e == nil {
-		// Its order was taken back.
+		// The origin has no order for the service, so the order was withdrawn.
 		record.Withdrawn, record.RecordedPhase = true, record.Phase
 		if t.entries == nil {
 			t.entries = map[resource.Name]*entry{}
@@ -145,8 +151,8 @@
 	return true
 }
 
-// ReceiveAge takes in that an order was known to some host for a while: one that starts in the midst of
-// a rollout reads the order, but not when it was given.
+// ReceiveAge applies how long another host has known an order. A host that starts during a rollout
+// reads the order from the origin, but not the time at which it was given.
 func (t *Tracker) ReceiveAge(now time.Time, service resource.Name, givenAt history.Point, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -155,7 +161,7 @@
 	}
 }
 
-// MarkRecorded takes in that a phase was recorded, at a point that isn't known yet.
+// MarkRecorded notes that a phase was recorded at a point which is not known yet.
 func (t *Tracker) MarkRecorded(service resource.Name, givenAt history.Point, p Phase) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -164,8 +170,8 @@
 	}
 }
 
-// supersededBy reports whether another status is of a later order. A store that was restored may
-// tell the same order at another point.
+// supersededBy reports whether s is of a later order. A store that was restored may return the same
+// order at another point of its history; that order doesn't supersede e.
 func (e *entry) supersededBy(s *Status) bool {
 	if !s.GivenAt.After(e.GivenAt) {
 		return false
@@ -174,6 +180,7 @@
 	return !sameOrder || s.Withdrawn != e.Withdrawn
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
@@ -181,8 +188,9 @@
 	return a
 }
 
-// DrawFilter draws which upstreams of a service a new request may go to. hasTarget and hasOthers tell
-// whether upstreams of the target version and of others take work.
+// DrawFilter returns which versions a new request for a service may go to, and counts the request.
+// available reports whether upstreams of the target version, and of other versions, are available for
+// new requests.
 func (t *Tracker) DrawFilter(service resource.Name, limits Limits, available func(target Version) (targetAvailable, othersAvailable bool)) VersionFilter {
 	if !t.hasEntries.Load() {
 		return VersionFilter{}
@@ -201,7 +209,8 @@
 	targetAvailable, othersAvailable := available(e.Target)
 	e.hadOtherVersions = e.hadOtherVersions || othersAvailable
 	if !e.hadOtherVersions {
-		// The version was in service before the order.
+		// No other version was available since the order was given, so the target version was in
+		// service already.
 		return VersionFilter{}
 	}
 	if e.accrueCredit(limits) && targetAvailable {
@@ -211,7 +220,8 @@
 	return VersionFilter{Except: e.Target}
 }
 
-// accrueCredit counts a request, and reports whether it may go to the target version.
+// accrueCredit adds the credit for one new request, and reports whether the credit suffices to send
+// it to the target version.
 func (e *entry) accrueCredit(limits Limits) bool {
 	share := trialShareFraction * limits.Share
 	if e.Phase == Ramp {
@@ -221,7 +231,8 @@
 	return e.credit >= 1
 }
 
-// RetryFilter is which upstreams a request may go to that another upstream has had, or that moves.
+// RetryFilter returns which versions a request may go to if it was sent to another upstream before,
+// or moves.
 func (t *Tracker) RetryFilter(service resource.Name) VersionFilter {
 	if !t.hasEntries.Load() {
 		return VersionFilter{}
@@ -238,8 +249,8 @@
 	return VersionFilter{Except: e.Target}
 }
 
-// Retired reports whether nothing new goes to a service's upstreams of a version, and what runs
-// there is to leave.
+// Retired reports whether a service's upstreams of a version get no new requests, and the requests
+// that run there are to be moved.
 func (t *Tracker) Retired(service resource.Name, v Version) bool {
 	if !t.hasEntries.Load() {
 		return false
@@ -254,7 +265,7 @@
 	return targetRetired && v == e.Target || othersRetired && v != e.Target
 }
 
-// Statuses lists the rollouts by their services.
+// Statuses returns the known rollouts, sorted by service.
 func (t *Tracker) Statuses(now time.Time) []Status {
 	if !t.hasEntries.Load() {
 		return nil
@@ -267,16 +278,16 @@
 		s.Age = now.Sub(e.knownSince)
 		all = append(all, s)
 	}
-	slices.SortFunc(all, func(a, t Status) int { return cmp.Compare(a.Service, t.Service) })
+	slices.SortFunc(all, func(a, b Status) int { return cmp.Compare(a.Service, b.Service) })
 	return all
 }
 
-// ImpliedWithdrawals lists the services of rollouts that a whole reading of the origin as of a point doesn't
-// have.
-func (t *Tracker) ImpliedWithdrawals(listed []Status, asOf history.Point) []Status {
+// ImpliedWithdrawals returns a withdrawal for each known rollout that is not in originStatuses, the
+// complete list that the origin had at the point asOf. Orders that were given later are left out.
+func (t *Tracker) ImpliedWithdrawals(originStatuses []Status, asOf history.Point) []Status {
 	var withdrawals []Status
 	for _, s := range t.Statuses(time.Time{}) {
-		listed := slices.ContainsFunc(listed, func(r Status) bool { return r.Service == s.Service })
+		listed := slices.ContainsFunc(originStatuses, func(r Status) bool { return r.Service == s.Service })
 		if !listed && !s.Withdrawn && asOf.After(s.GivenAt) {
 			withdrawals = append(withdrawals, Status{Order: Order{Service: s.Service, GivenAt: asOf, Withdrawn: true}})
 		}
--- a/rollout/tracker_test.go
+++ b/rollout/tracker_test.go
@@ -16,10 +16,11 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
+// bothAvailable reports that upstreams of the target version and of others are available.
 func bothAvailable(Version) (targetAvailable, othersAvailable bool) { return true, true }
 
-// TestExposureOfAllHosts has hosts of any number, that start again at any time, send no more to a
-// version on trial than is allowed to all of them.
+// TestExposureOfAllHosts checks that all hosts together, whatever their number and although each
+// restarts once, send no more requests to a version on trial than Limits allows.
 func TestExposureOfAllHosts(t *testing.T) {
 	for _, hosts := range []int{1, 9, 86, 985} {
 		for _, perHost := range []int{1, 6, 120} {
@@ -33,7 +34,7 @@
 					tracker.Receive(now, order, limits, hosts)
 					for n := range perHost {
 						if n == perHost/2 {
-							tracker = &Tracker{Random: random.Float64} // it has started again
+							tracker = &Tracker{Random: random.Float64} // the host restarts
 							tracker.Receive(now, order, limits, hosts)
 						}
 						total++
@@ -43,16 +44,16 @@
 					}
 				}
 				allowed := limits.Share*float64(total) + limits.Slack
-				t.Logf("%d of %d, %.0f allowed", sent, total, allowed)
+				t.Logf("%d of %d requests sent to the target version, %.0f allowed", sent, total, allowed)
 				if float64(sent) > allowed {
-					t.Errorf("%d of %d, %.0f allowed", sent, total, allowed)
+					t.Errorf("%d of %d requests sent to the target version, want at most %.0f", sent, total, allowed)
 				}
 			})
 		}
 	}
 }
 
-// TestDrawFilter has requests go to the versions that the phase allows.
+// TestDrawFilter checks which versions new requests may go to, by phase and available upstreams.
 func TestDrawFilter(t *testing.T) {
 	for name, c := range map[string]struct {
 		phase     Phase
@@ -89,8 +90,8 @@
 	}
 }
 
-// TestExposureWhenOtherVersionsLeave has a version on trial get no more than its part although upstreams of
-// no other version are left.
+// TestExposureWhenOtherVersionsLeave checks that a version on trial gets no more than its share of
+// the requests when no upstreams of other versions are left.
 func TestExposureWhenOtherVersionsLeave(t *testing.T) {
 	is := is.New(t)
 	tracker, othersAvailable := &Tracker{}, true
@@ -105,8 +106,8 @@
 	is.True(n <= 50)
 }
 
-// TestHostsAgreeOnRollouts has hosts that hear of orders, phases and withdrawals in any order, some
-// several times, come to know the same.
+// TestHostsAgreeOnRollouts checks that hosts that receive the same orders and phases in any order,
+// each of them twice, end with the same order and phase.
 func TestHostsAgreeOnRollouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -125,12 +126,12 @@
 				tracker.Receive(now, messages[i], limits, 2)
 				tracker.Receive(now, messages[i], limits, 2)
 				if after := tracker.Statuses(now); len(before) > 0 && after[0].GivenAt == before[0].GivenAt && after[0].Phase < before[0].Phase {
-					t.Fatalf("went back from %v to %v", before[0].Phase, after[0].Phase)
+					t.Fatalf("phase of an order went back from %v to %v", before[0].Phase, after[0].Phase)
 				}
 			}
 			s := tracker.Statuses(now)[0]
 			if host == 1 && (s.GivenAt != first.GivenAt || s.Phase != first.Phase) {
-				t.Fatalf("one has %v at %v, the other %v at %v", first.Phase, first.GivenAt, s.Phase, s.GivenAt)
+				t.Fatalf("first host has phase %v of the order given at %v, second host has phase %v of the order given at %v", first.Phase, first.GivenAt, s.Phase, s.GivenAt)
 			}
 			first = s
 		}
@@ -145,7 +146,8 @@
 	return all
 }
 
-// TestOrderFromRestoredStore has an order that a restored store tells again go on where it was.
+// TestOrderFromRestoredStore checks that an order which a restored store returns again
+// keeps its phase, and that an order which is written again starts from Trial.
 func TestOrderFromRestoredStore(t *testing.T) {
 	is := is.New(t)
 	now, tracker := time.Unix(1000, 0), &Tracker{}
@@ -154,7 +156,7 @@
 	s.GivenAt, s.Phase = history.At(2, 7), Trial
 	is.True(!tracker.Receive(now, s, limits, 1))
 	is.Equal(tracker.Statuses(now)[0].Phase, RolledBack)
-	s.GivenAt = history.At(2, 9) // written anew
+	s.GivenAt = history.At(2, 9) // the order was written again
 	is.True(tracker.Receive(now, s, limits, 1))
 	is.Equal(tracker.Statuses(now)[0].Phase, Trial)
 }
