--- a/backoff/parse_test.go
+++ b/backoff/parse_test.go
@@ -12,15 +12,15 @@
 
 func TestParse(t *testing.T) {
 	for text, c := range map[string]struct {
-		want time.Duration
-		bad  bool
+		want    time.Duration
+		wantErr bool
 	}{
 		"3":                             {3 * time.Second, false},
 		"0.25":                          {250 * time.Millisecond, false},
 		"0":                             {0, false},
 		"3600":                          {time.Hour, false},
-		"1e12":                          {Longest, false},
-		"Inf":                           {Longest, false},
+		"1e12":                          {MaxDuration, false},
+		"Inf":                           {MaxDuration, false},
 		"-1":                            {0, true},
 		"NaN":                           {0, true},
 		"":                              {0, true},
@@ -31,7 +31,7 @@
 		t.Run(text, func(t *testing.T) {
 			is := is.New(t)
 			got, err := Parse(text)
-			is.Equal(err != nil, c.bad)
+			is.Equal(err != nil, c.wantErr)
 			is.Equal(got, c.want)
 		})
 	}
@@ -42,7 +42,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		if d, err := Parse(text); err != nil && d != 0 || d < 0 || d > Longest {
+		if d, err := Parse(text); err != nil && d != 0 || d < 0 || d > MaxDuration {
 			t.Errorf("%q: %v, %v", text, d, err)
 		}
 	})
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -186,7 +186,7 @@
 // followMembers brings every pool up to date with the members and the
 // configuration.
 func (p *placement) followMembers(now time.Time) {
-	p.entry.backoffs.Forget(now)
+	p.entry.backoffs.RemoveExpired(now)
 	for _, name := range p.entry.config.Catalog().PoolNames() {
 		p.followPool(now, p.state(name))
 	}
