--- a/backoff/doc.go
+++ b/backoff/doc.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package backoff keeps until when upstreams want no requests from this host.
+// Package backoff records how long this host must not send requests to upstreams.
 //
-// An upstream that turns a request away may say for how long to stay away. It is pure: no
-// I/O, no goroutine, and the present time is an argument.
+// An upstream that rejects a request may say how long the host should wait before it sends
+// another one. The package is pure: it does no I/O, starts no goroutines and takes the current
+// time as an argument.
 package backoff
--- a/backoff/parse.go
+++ b/backoff/parse.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// MaxDuration is the longest time that is kept to; an upstream that wants more is asked again
-// after it.
+// MaxDuration is the longest backoff that is honored. An upstream that asks for more gets
+// requests again after MaxDuration.
 const MaxDuration = time.Hour
 
-// Parse reads the value of a Retry-After header in seconds, which may have a fraction. A
-// date is refused: the times of day of two machines may differ by more than the time asked
-// for.
+// Parse parses the value of a Retry-After header as a number of seconds, which may have a
+// fraction. Values above MaxDuration are reduced to it. Dates are rejected: the clocks of two
+// machines may differ by more than the requested backoff.
 func Parse(text string) (time.Duration, error) {
 	if _, err := http.ParseTime(text); err == nil {
-		return 0, fmt.Errorf("%q is a date", text)
+		return 0, fmt.Errorf("%q is a date, expected a number of seconds", text)
 	}
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		return 0, err
 	}
 	if math.IsNaN(seconds) || seconds < 0 {
-		return 0, fmt.Errorf("%q isn't a duration", text)
+		return 0, fmt.Errorf("%q is not a duration, expected a number of seconds that is not negative", text)
 	}
 	return time.Duration(min(seconds, MaxDuration.Seconds()) * float64(time.Second)), nil
 }
--- a/backoff/parse_test.go
+++ b/backoff/parse_test.go
@@ -43,7 +43,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		if d, err := Parse(text); err != nil && d != 0 || d < 0 || d > MaxDuration {
-			t.Errorf("%q: %v, %v", text, d, err)
+			t.Errorf("Parse(%q) = %v, %v; want a duration from 0 to %v, and 0 with an error", text, d, err, MaxDuration)
 		}
 	})
 }
--- a/backoff/table.go
+++ b/backoff/table.go
@@ -12,72 +12,83 @@
 )
 
 const (
-	// unlimitedWindow is the window at which an upstream is no longer bounded.
+	// unlimitedWindow is the window from which on the requests in flight to an upstream are no
+	// longer limited.
 	unlimitedWindow = 16
-	// maxSlowStart bounds how long an upstream stays bounded after its backoff, whatever its
-	// answers: one that gets little traffic would stay so for long.
+	// maxSlowStart bounds the slow start after a backoff regardless of the upstream's answers.
+	// Without it, an upstream that gets little traffic would stay limited for a long time.
 	maxSlowStart = 5 * time.Second
-	// fullWindowDelay is when to look again at an upstream whose window is full.
+	// fullWindowDelay is how long a request is delayed when the window of its upstream is full.
 	fullWindowDelay = 50 * time.Millisecond
 )
 
-// Table keeps the upstreams that asked hosts for backoff. One that asked this host gets
-// nothing from it until the end, and neither does one that asked two other hosts: it isn't
-// these that send too much. Afterwards each gets as many requests at once as its window
-// allows: one, and twice as many with each good answer. The zero value is ready to use. It
-// is safe for use by several goroutines.
+// Table records the backoffs that upstreams asked hosts for. This host sends nothing to an
+// upstream
+//   - until the backoff ends that the upstream asked this host for, and
+//   - while the upstream has asked at least two hosts for backoff, because then the overload
+//     isn't caused by a single host.
+//
+// After a backoff the upstream goes through a slow start: a window limits its requests in flight,
+// starts at one and doubles with each successful answer.
+//
+// The zero value is an empty table that is ready for use. It is safe for concurrent use.
 type Table struct {
-	// nonEmpty says that the table isn't empty, which is all that most requests ask.
+	// nonEmpty says that upstreams isn't empty. Most requests need to know only that and don't
+	// take the lock.
 	nonEmpty atomic.Bool
 
 	mu        sync.Mutex
 	upstreams map[member.UpstreamID]*upstreamState
 }
 
-// upstreamState is one upstream's.
+// upstreamState is what the table records about one upstream.
 type upstreamState struct {
 	incarnation int64
-	// ownUntil is when the backoff ends that this host was asked for, and peers when those end
-	// that others were.
+	// ownUntil is when the backoff of this host ends, and peersUntil when the backoff of each
+	// peer ends.
 	ownUntil   time.Time
 	peersUntil map[member.HostID]time.Time
-	// peerJitter is added to what peers were asked for.
+	// peerJitter is added to sharedUntil, so that hosts which learn of the backoffs together
+	// don't return together.
 	peerJitter time.Duration
-	// noSendUntil is when this host may send again.
+	// noSendUntil is when this host may send requests again.
 	noSendUntil time.Time
-	// window is how many requests may be under way then, and inFlight how many are.
+	// window is how many requests may be in flight during the slow start, and inFlight how many
+	// are.
 	window, inFlight int
 }
 
-// Mark tells a peer that an upstream asked this host for backoff.
+// Mark tells peers that an upstream asked this host for backoff.
 type Mark struct {
 	Upstream member.UpstreamID
-	// Incarnation tells this start of the upstream from others under its id.
+	// Incarnation tells this start of the upstream from others under the same ID.
 	Incarnation int64
-	// Remaining is how much longer it wants nothing from the host.
+	// Remaining is how much longer the backoff lasts.
 	Remaining time.Duration
 }
 
-// Status is how an upstream stands, for operators.
+// Status is the state of one upstream, for operators.
 type Status struct {
 	Upstream member.UpstreamID
-	// Remaining is how much longer it gets nothing from this host; zero while it returns.
+	// Remaining is how much longer this host sends nothing to the upstream; zero once the backoff
+	// has ended.
 	Remaining time.Duration
-	// Hosts is how many hosts it wants nothing from, as far as is known.
+	// Hosts is the number of hosts that are known to be in a backoff from the upstream.
 	Hosts int
-	// Window is how many requests it may have at once while it returns.
+	// Window is how many requests this host may have in flight to the upstream during the slow
+	// start.
 	Window int
 }
 
-// Record takes in that an upstream asked this host for backoff. spread is added to it, so that
-// hosts which were asked together return one after another. It reports whether the upstream
-// wanted nothing from this host before, either.
+// Record records that an upstream asked this host for a backoff of d. jitter is added to d, so
+// that hosts that were asked together don't return together. Record reports whether a backoff of
+// this host was already active.
 func (t *Table) Record(now time.Time, id member.UpstreamID, incarnation int64, d, jitter time.Duration) (active bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.getOrAdd(id, incarnation)
 	active = now.Before(s.ownUntil)
-	// Each answer binds until its own end: a shorter one later doesn't take it back.
+	// A later, shorter backoff doesn't end an earlier one.
 	if until := now.Add(min(d, MaxDuration) + jitter); until.After(s.ownUntil) {
 		s.ownUntil = until
 	}
@@ -85,8 +96,9 @@
 	return active
 }
 
-// RecordPeer takes in that an upstream asked a peer for backoff. spread is Ask's. It reports
-// whether the upstream gets nothing from this host for a longer time because of it.
+// RecordPeer records that an upstream asked a peer for backoff. jitter is added to the time for
+// which several hosts are in a backoff; only the jitter of the first mark about an upstream
+// counts. RecordPeer reports whether this host has to wait longer because of the mark.
 func (t *Table) RecordPeer(now time.Time, from member.HostID, m Mark, jitter time.Duration) (extended bool) {
 	if m.Remaining <= 0 {
 		return false
@@ -101,8 +113,8 @@
 	return s.extend()
 }
 
-// extend works out anew until when this host sends nothing. It reports whether that is later
-// than before.
+// extend recomputes noSendUntil, which never moves back. It reports whether noSendUntil moved;
+// the window then starts at one again.
 func (s *upstreamState) extend() (extended bool) {
 	until := s.ownUntil
 	if shared := s.sharedUntil(); !shared.IsZero() && shared.Add(s.peerJitter).After(until) {
@@ -115,7 +127,8 @@
 	return true
 }
 
-// sharedUntil is until when at least two hosts are to send nothing; zero for never.
+// sharedUntil returns until when at least two hosts, which may include this one, are in a
+// backoff; zero if fewer than two backoffs are known.
 func (s *upstreamState) sharedUntil() time.Time {
 	latest, secondLatest := s.ownUntil, time.Time{}
 	for _, until := range s.peersUntil {
@@ -129,6 +142,8 @@
 	return secondLatest
 }
 
+// getOrAdd returns the state of an incarnation of an upstream. The state of another incarnation
+// is replaced by an empty one.
 func (t *Table) getOrAdd(id member.UpstreamID, incarnation int64) *upstreamState {
 	s := t.upstreams[id]
 	if s == nil || s.incarnation != incarnation {
@@ -142,10 +157,12 @@
 	return s
 }
 
-// HasUpstreams reports whether some upstream may be in the table.
+// HasUpstreams reports whether the table holds any upstream, including those whose backoff has
+// expired.
 func (t *Table) HasUpstreams() bool { return t.nonEmpty.Load() }
 
-// Remaining is how much longer an upstream wants nothing from this host.
+// Remaining returns how much longer this host sends nothing to an upstream. It ignores the slow
+// start.
 func (t *Table) Remaining(now time.Time, id member.UpstreamID) time.Duration {
 	if !t.nonEmpty.Load() {
 		return 0
@@ -158,7 +175,8 @@
 	return 0
 }
 
-// Delay is how long it is until something may be sent to an upstream; zero when it may now.
+// Delay returns how long it is until a request may be sent to an upstream; zero if one may be
+// sent now. Unlike Remaining, it covers the slow start.
 func (t *Table) Delay(now time.Time, id member.UpstreamID) time.Duration {
 	if !t.nonEmpty.Load() {
 		return 0
@@ -181,16 +199,18 @@
 	return 0
 }
 
-// inSlowStart reports whether the window applies.
+// inSlowStart reports whether the window limits the requests in flight, which is the case until
+// it has grown to unlimitedWindow or maxSlowStart has passed.
 func (s *upstreamState) inSlowStart(now time.Time) bool {
 	return s.window > 0 && s.window < unlimitedWindow && now.Before(s.noSendUntil.Add(maxSlowStart))
 }
 
-// Ticket counts one request as under way at an upstream. The zero value counts nothing.
+// Ticket counts one request as in flight to an upstream. The zero value counts nothing.
 type Ticket struct{ state *upstreamState }
 
-// Begin counts a request as under way if it may be sent now; else it returns how long it is
-// until it may. must counts it in any case.
+// Begin counts a request as in flight if it may be sent now, and returns the ticket for End.
+// Otherwise it returns how long to wait. With force, the request is counted even if it may not be
+// sent. Nothing is counted for upstreams that aren't in the table.
 func (t *Table) Begin(now time.Time, id member.UpstreamID, force bool) (Ticket, time.Duration) {
 	if !t.nonEmpty.Load() {
 		return Ticket{}, 0
@@ -208,7 +228,8 @@
 	return Ticket{s}, 0
 }
 
-// End takes in the end of what was begun. good says that the upstream has served it.
+// End records that the request of a ticket has ended. success says that the upstream processed
+// it; outside a backoff this doubles the window.
 func (t *Table) End(now time.Time, id member.UpstreamID, ticket Ticket, success bool) {
 	if !t.nonEmpty.Load() {
 		return
@@ -225,7 +246,7 @@
 	}
 }
 
-// Remove forgets an upstream that has started again.
+// Remove removes an upstream, because it has started again.
 func (t *Table) Remove(id member.UpstreamID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -233,7 +254,7 @@
 	t.nonEmpty.Store(len(t.upstreams) > 0)
 }
 
-// countHosts counts the countHosts that are to send nothing.
+// countHosts returns how many hosts are in a backoff from the upstream.
 func (s *upstreamState) countHosts(now time.Time) int {
 	n := 0
 	if now.Before(s.ownUntil) {
@@ -247,8 +268,7 @@
 	return n
 }
 
-// RemainingOnAnyHost is how long it is until the upstream takes requests from every host again, as
-// far as is known.
+// RemainingOnAnyHost returns how long it is until no known host is in a backoff from an upstream.
 func (t *Table) RemainingOnAnyHost(now time.Time, id member.UpstreamID) time.Duration {
 	if !t.nonEmpty.Load() {
 		return 0
@@ -268,8 +288,8 @@
 	return max(latest.Sub(now), 0)
 }
 
-// OnlyThisHost reports whether an upstream wants nothing from this host, and no other is known of
-// which it doesn't want anything either.
+// OnlyThisHost reports whether this host is in a backoff from an upstream and no other host is
+// known to be.
 func (t *Table) OnlyThisHost(now time.Time, id member.UpstreamID) bool {
 	if !t.nonEmpty.Load() {
 		return false
@@ -280,7 +300,8 @@
 	return s != nil && now.Before(s.ownUntil) && s.countHosts(now) == 1
 }
 
-// RemoveExpired drops the upstreams that are no longer bounded.
+// RemoveExpired removes the upstreams that are neither in a backoff, on any host, nor in a slow
+// start.
 func (t *Table) RemoveExpired(now time.Time) {
 	if !t.nonEmpty.Load() {
 		return
@@ -300,7 +321,7 @@
 	t.nonEmpty.Store(len(t.upstreams) > 0)
 }
 
-// Marks tells which upstreams want nothing from this host.
+// Marks returns the marks for the active backoffs of this host, without those of peers.
 func (t *Table) Marks(now time.Time) []Mark {
 	if !t.nonEmpty.Load() {
 		return nil
@@ -316,7 +337,7 @@
 	return marks
 }
 
-// Statuses lists the upstreams in the table.
+// Statuses returns the state of each upstream in the table.
 func (t *Table) Statuses(now time.Time) []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/backoff/table_test.go
+++ b/backoff/table_test.go
@@ -56,7 +56,7 @@
 		}
 		is.Equal(len(tickets), want)
 		for i, ticket := range tickets {
-			table.End(now, testUpstream, ticket, i == 0) // the others bring no good answer
+			table.End(now, testUpstream, ticket, i == 0) // only the first request succeeds
 		}
 	}
 	for range 100 {
@@ -74,11 +74,11 @@
 	now := time.Now()
 	mark := func(d time.Duration) Mark { return Mark{Upstream: testUpstream, Incarnation: 1, Remaining: d} }
 	is.True(!table.RecordPeer(now, "h2", mark(3*time.Second), time.Millisecond))
-	is.Equal(table.Delay(now, testUpstream), time.Duration(0)) // only h2 may have sent too much
+	is.Equal(table.Delay(now, testUpstream), time.Duration(0)) // h2 alone may have caused the overload
 	is.True(table.RecordPeer(now, "h3", mark(2*time.Second), time.Second))
-	is.Equal(table.Delay(now, testUpstream), 2*time.Second+time.Millisecond) // until one is left
+	is.Equal(table.Delay(now, testUpstream), 2*time.Second+time.Millisecond) // then only h2 is in a backoff
 	is.True(!table.RecordPeer(now, "h3", mark(2*time.Second), 0))
-	is.Equal(len(table.Marks(now)), 0) // nothing asked this host itself
+	is.Equal(len(table.Marks(now)), 0) // the upstream did not ask this host
 	is.True(!table.OnlyThisHost(now, testUpstream))
 	table.Record(now, testUpstream, 1, time.Second, 0)
 	is.Equal(table.Marks(now), []Mark{mark(time.Second)})
@@ -111,8 +111,8 @@
 	is.Equal(table.Delay(now, testUpstream), time.Second)
 }
 
-// TestNoRequestBeginsDuringBackoff has no series of asks, words of peers and answers let a
-// request begin before the end of each backoff that was asked for.
+// TestNoRequestBeginsDuringBackoff checks that, whatever the sequence of backoffs, marks of peers
+// and answers, no request begins before the end of each backoff that this host was asked for.
 func TestNoRequestBeginsDuringBackoff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
@@ -140,7 +140,7 @@
 			default:
 				ticket, wait := table.Begin(now, testUpstream, false)
 				if wait == 0 && now.Before(backoffEnd) {
-					t.Fatalf("began %v before the end", backoffEnd.Sub(now))
+					t.Fatalf("a request began %v before the end of the backoff", backoffEnd.Sub(now))
 				}
 				if wait == 0 {
 					tickets = append(tickets, ticket)
--- a/policy/loadsim_test.go
+++ b/policy/loadsim_test.go
@@ -20,108 +20,114 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// A load is played in virtual time against the decisions of many hosts, each with a
-// pool of its own that knows only what the others have told it. Engines read prompts
-// one after another and decode beside that.
+// The simulation runs a load in virtual time against many hosts. Each host decides with a pool of
+// its own that knows only what the other hosts have shared. Engines read prompts one after another
+// and decode at the same time.
 
-// simRequestKind is one kind of request of a load.
+// simRequestKind describes one kind of request of a simulated load.
 type simRequestKind struct {
 	route resource.Name
-	// meanInterval is the mean time between two of them in one zone.
+	// meanInterval is the mean time between two requests of this kind in one zone.
 	meanInterval time.Duration
 	objective    time.Duration
-	// maxPrompt and maxAnswer are the longest of each; shorter ones are as likely.
+	// maxPrompt and maxAnswer are the longest lengths; lengths are uniform up to them.
 	maxPrompt, maxAnswer Tokens
-	// medianAnswer is the median of the answers' lengths, which then have a long tail up to
-	// out; zero for lengths that are as likely.
+	// medianAnswer is the median answer length of a distribution with a long tail that is cut off
+	// at maxAnswer; zero makes answer lengths uniform.
 	medianAnswer Tokens
-	// priority is the request's among those that wait.
+	// priority is the priority of the requests in the queue.
 	priority int
 }
 
-// simConfig is a site and what its callers ask of it.
+// simConfig describes a simulated site and the requests of its callers.
 type simConfig struct {
-	zones, hostsPerZone, enginesPerZone int // the latter two in each zone
+	zones, hostsPerZone, enginesPerZone int
 	kinds                               []simRequestKind
 	duration                            time.Duration
-	// slowFactor is how much slower every third engine is than the others; zero for not.
+	// slowFactor is how many times longer every third engine takes to read prompts; zero makes
+	// all engines equal.
 	slowFactor float64
-	// replaceInterval is how often an engine of each zone leaves, its runs move off it, and
-	// an empty one takes its place; zero for never.
+	// replaceInterval is how often an engine of each zone leaves. Its runs are moved and an empty
+	// engine replaces it. Zero disables replacements.
 	replaceInterval time.Duration
-	// addEngineAfter is when an empty engine is added in each zone; zero for never.
+	// addEngineAfter is when an empty engine is added in each zone; zero adds none.
 	addEngineAfter time.Duration
-	// otherZoneCost is what an engine of another zone costs a new run.
+	// otherZoneCost is the additional cost of an engine in another zone than the request.
 	otherZoneCost float64
-	// askOtherZones has hosts ask those of other zones for a place where their own has no room.
+	// askOtherZones has hosts ask those of other zones for a place if their own zone has no room.
 	askOtherZones bool
-	// trafficAmplitude is how far the traffic swings about its mean; zero for not.
+	// trafficAmplitude is how far the request rate oscillates around its mean, as a share of the
+	// mean; zero makes it constant.
 	trafficAmplitude float64
 	seed             uint64
 }
 
 const (
-	// trafficPeriod is the time from one crest of the traffic to the next.
+	// trafficPeriod is the time from one peak of the traffic to the next.
 	trafficPeriod = 11 * time.Second
-	// answerLogStdDev is the standard deviation of the logarithm of lengths with a tail.
+	// answerLogStdDev is the standard deviation of the logarithm of answer lengths with a long
+	// tail.
 	answerLogStdDev = 1.3
 )
 
 const (
-	simReadRate     = 7300 // tokens that an engine reads in a second beside decoding
+	simReadRate     = 7300 // prompt tokens that an engine reads per second while decoding
 	simStepTime     = 9 * time.Millisecond
 	simEngineMemory = Tokens(34_000)
-	// simNotifyDelay is how late the hosts of a zone hear of a run on one of its engines,
-	// and everyone of one that a host of another zone placed.
+	// simNotifyDelay is how long it takes the hosts of a zone to learn of a new run on one of its
+	// engines, and all hosts to learn of one that was placed by a host of another zone.
 	simNotifyDelay = 5 * time.Millisecond
-	// simShareInterval is the period in which a host tells its zone, and tellFar hosts of other
-	// zones in turn, of all its runs.
+	// Every simShareInterval a host shares all its runs with the hosts of its zone and, in turn,
+	// with simOtherZoneShares hosts of other zones.
 	simShareInterval   = 500 * time.Millisecond
 	simOtherZoneShares = 3
-	// simUpdateInterval is how often a host looks at all engines.
+	// simUpdateInterval is how often a host updates its pool with the state of all engines.
 	simUpdateInterval = 100 * time.Millisecond
 )
 
-// simResult is what the callers of one kind got.
+// simResult counts the outcomes of requests of one kind.
 type simResult struct {
 	requests, inTime, late, refused int
 	timesToFirstToken               []time.Duration
-	// placements are when each engine got its requests.
+	// placements holds the times since the start at which each engine got requests.
 	placements map[EngineID][]time.Duration
 }
 
+// timeToFirstToken returns a quantile of the times to the first token.
 func (r *simResult) timeToFirstToken(share float64) time.Duration {
 	slices.Sort(r.timesToFirstToken)
 	return r.timesToFirstToken[int(share*float64(len(r.timesToFirstToken)-1))]
 }
 
-// simHost is one host with what it knows.
+// simHost is a host with its pool and what it knows of the runs of other hosts.
 type simHost struct {
 	zone int
 	pool *Pool
-	// ownRuns are its runs; theirs those that each other host told of.
-	ownRuns           map[RunID]*simRun
-	peerRuns          map[*simHost]map[RunID]bool
+	// ownRuns are the runs that this host placed, and peerRuns those that each other host shared.
+	ownRuns  map[RunID]*simRun
+	peerRuns map[*simHost]map[RunID]bool
+	// nextOtherZoneHost rotates through the hosts of other zones, to which the runs are shared.
 	nextOtherZoneHost int
-	// queued are its requests that wait for a place, with their answers' lengths.
+	// queued are the requests that wait for a place here.
 	queued map[RunID]simQueuedRequest
 }
 
-// simQueuedRequest is a request that waits.
+// simQueuedRequest is a request that waits for a place, with the length of its answer.
 type simQueuedRequest struct {
 	request      Request
 	answerLength Tokens
 }
 
+// simRun is a run that a host has placed.
 type simRun struct {
 	request      Request
 	engine       EngineID
 	firstTokenAt time.Time
-	// memoryRun is the run on an engine whose memory is memoryRun; nil where it isn't.
+	// memoryRun is the run on an engine whose memory is simulated; nil if memory isn't simulated.
 	memoryRun *memoryRun
 }
 
-// generated is how many tokens the run has.
+// generated returns how many tokens the run has made.
 func (r *simRun) generated(now time.Time) Tokens {
 	if r.memoryRun != nil {
 		return r.memoryRun.generated
@@ -132,7 +138,7 @@
 	return min(Tokens(now.Sub(r.firstTokenAt)/simStepTime)+1, r.request.Limit)
 }
 
-// firstTokenSeen is when its first token came; zero while it has none.
+// firstTokenSeen returns when the first token came; zero if none has come by now.
 func (r *simRun) firstTokenSeen(now time.Time) time.Time {
 	if r.firstTokenAt.IsZero() || now.Before(r.firstTokenAt) {
 		return time.Time{}
@@ -140,7 +146,7 @@
 	return r.firstTokenAt
 }
 
-// simulation plays a plan.
+// simulation is the state of a running simulation.
 type simulation struct {
 	simConfig
 	requestRand *rand.Rand
@@ -150,21 +156,23 @@
 	engineIDs   []EngineID
 	engineZones map[EngineID]int
 	slowEngines map[EngineID]bool
-	readUntil   map[EngineID]time.Time // when each has read what it got
+	readUntil   map[EngineID]time.Time // when each engine has read its prompts
 	results     map[resource.Name]*simResult
-	seq         int
-	// startOnEngine has an engine whose memory is played take a run of some length; nil where
-	// engines have room for whatever they get.
+	// seq numbers the events. The IDs of engines and runs are made from it, too.
+	seq int
+	// startOnEngine starts a run on an engine whose memory is simulated. Nil means that engines
+	// have memory for every run they get.
 	startOnEngine func(h *simHost, run *simRun, answerLength Tokens)
-	// decisionRand is for what differs between ways of deciding; the callers' requests don't.
+	// decisionRand draws what depends on the hosts' decisions. Requests are drawn from
+	// requestRand, so they are the same whatever the hosts decide.
 	decisionRand *rand.Rand
-	// settings are those of the hosts' pools.
+	// settings are the settings of the hosts' pools.
 	settings Settings
-	// engineMemory is an engine's.
+	// engineMemory is the memory of each engine.
 	engineMemory Tokens
 }
 
-// simEvent is something that happens at a time.
+// simEvent is a function to call at a simulated time. Events of the same time are ordered by seq.
 type simEvent struct {
 	at  time.Time
 	seq int
@@ -195,7 +203,7 @@
 
 func simZone(z int) member.Zone { return member.Zone(fmt.Sprint("z", z)) }
 
-// simulate returns what the callers of each kind got.
+// simulate runs a simulation and returns the results by route.
 func simulate(c simConfig) map[resource.Name]*simResult {
 	s := newSimulation(c)
 	s.run()
@@ -209,7 +217,7 @@
 	}
 }
 
-// run plays the plan to its end.
+// run runs the simulation until its duration has passed.
 func (s *simulation) run() {
 	c := s.simConfig
 	for z := range c.zones {
@@ -261,14 +269,14 @@
 	s.slowEngines[id] = s.simConfig.slowFactor > 0 && len(s.engineZones)%3 == 0
 }
 
-// poolSettings are the settings of a host's pool.
+// poolSettings returns the settings of the pool of a host, which is given by its index.
 func (s *simulation) poolSettings(host int) Settings {
 	settings := s.settings
 	settings.Decider = fmt.Sprint("h", host)
 	return settings
 }
 
-// listEngines tells a host which engines take work.
+// listEngines updates a host's pool with the engines that take work.
 func (s *simulation) listEngines(h *simHost) {
 	h.pool.SetEngines(s.engineIDs)
 	for _, id := range s.engineIDs {
@@ -284,7 +292,7 @@
 	}
 }
 
-// replaceEngine has an engine of a zone leave for an empty one.
+// replaceEngine replaces an engine of a zone by an empty one and moves its runs.
 func (s *simulation) replaceEngine(zone int) {
 	index := slices.IndexFunc(s.engineIDs, func(id EngineID) bool { return s.engineZones[id] == zone })
 	removed := s.engineIDs[index]
@@ -304,14 +312,15 @@
 	s.schedule(s.replaceInterval, func() { s.replaceEngine(zone) })
 }
 
-// sortedRuns are the host's, in an order that doesn't depend on a map.
+// sortedRuns returns the host's runs ordered by ID, so that results don't depend on map order.
 func (h *simHost) sortedRuns() []*simRun {
 	return slices.SortedFunc(maps.Values(h.ownRuns), func(a, b *simRun) int {
 		return cmp.Compare(a.request.Run, b.request.Run)
 	})
 }
 
-// updatePool has a host take in how the engines stand, as it does all the time.
+// updatePool updates a host's pool with the state of the engines and runs, and schedules the next
+// update.
 func (s *simulation) updatePool(h *simHost) {
 	for _, id := range s.engineIDs {
 		h.pool.Report(s.now, Report{Engine: id, Memory: s.engineMemory, Step: simStepTime})
@@ -336,7 +345,7 @@
 	})
 }
 
-// handleArrival has a host place a request, and its engine run it.
+// handleArrival has a host place a new request and an engine run it.
 func (s *simulation) handleArrival(h *simHost, k simRequestKind) {
 	answerLength := 1 + s.requestRand.IntN(int(k.maxAnswer))
 	if k.medianAnswer > 0 {
@@ -390,7 +399,8 @@
 	})
 }
 
-// startRun has an engine whose memory is played take a request.
+// startRun starts a request on the engine of its decision; only for engines whose memory is
+// simulated.
 func (s *simulation) startRun(h *simHost, r Request, d Decision, answerLength Tokens) {
 	run := &simRun{request: r, engine: d.Engine}
 	h.ownRuns[r.Run] = run
@@ -398,7 +408,7 @@
 	s.startOnEngine(h, run, answerLength)
 }
 
-// advance has a host decide about what waits there.
+// advance has a host decide on its queued requests.
 func (s *simulation) advance(h *simHost) {
 	for _, d := range h.pool.Advance(s.now) {
 		q, waits := h.queued[d.Run]
@@ -413,8 +423,8 @@
 	}
 }
 
-// submit has a host place a request: in its own zone, and then by asking a host of
-// another one, if the plan has them ask.
+// submit has a host place a request: first in its own zone and then, with askOtherZones, by
+// asking one host of each other zone.
 func (s *simulation) submit(h *simHost, r Request) Decision {
 	if !s.askOtherZones {
 		return h.pool.Submit(s.now, r)
@@ -432,7 +442,7 @@
 		if !ok {
 			continue
 		}
-		// It tells the host that asked, whose word counts from then on.
+		// The peer drops the run again; from now on the asking host accounts for it.
 		peer.pool.Finish(s.now, Finish{Run: r.Run})
 		if d, ok = h.pool.PlaceAt(s.now, r, d.Engine, d.FirstAfter); ok {
 			return d
@@ -442,7 +452,7 @@
 	return h.pool.Submit(s.now, r)
 }
 
-// notifyPlacement has a host tell others at once of a run that it has placed.
+// notifyPlacement notifies other hosts of a run that a host has placed.
 func (s *simulation) notifyPlacement(h *simHost, engine EngineID) {
 	otherZone := s.engineZones[engine] != h.zone
 	for _, other := range s.hosts {
@@ -452,7 +462,8 @@
 	}
 }
 
-// shareRuns has a host shareRuns its zone, and some hosts of others, of its runs.
+// shareRuns shares a host's runs with its zone and some hosts of other zones, and schedules the
+// next share.
 func (s *simulation) shareRuns(h *simHost) {
 	var otherZoneHosts []*simHost
 	for _, other := range s.hosts {
@@ -470,7 +481,7 @@
 	s.schedule(simShareInterval, func() { s.shareRuns(h) })
 }
 
-// hear replaces what a host knows of another's runs.
+// receiveRuns replaces what a host knows of another host's runs.
 func (s *simulation) receiveRuns(receiver, sender *simHost) {
 	known := receiver.peerRuns[sender]
 	if known == nil {
@@ -495,9 +506,10 @@
 	}
 }
 
-// TestLoadOfManyHosts plays a quiet load on many hosts of three zones: chats, and short
-// answers to long prompts. Hosts hear of other zones' runs late, so short answers that
-// are placed there meet one another on engines that looked idle.
+// TestLoadOfManyHosts simulates a light load of chats, and of short answers to long prompts, on
+// many hosts in three zones. Hosts learn late of the runs of other zones, so short answers that
+// several hosts place in another zone collide on engines that looked idle. A higher cost of other
+// zones must prevent that.
 func TestLoadOfManyHosts(t *testing.T) {
 	config := simConfig{
 		zones: 3, hostsPerZone: 24, enginesPerZone: 12, duration: 15 * time.Second, replaceInterval: 1500 * time.Millisecond, seed: 1,
@@ -511,7 +523,7 @@
 		results := simulate(config)
 		for _, k := range config.kinds {
 			r := results[k.route]
-			t.Logf("cost of another zone %.1f: %s asked %d, in time %d, late %d, refused %d, first token %v (median), %v (99 of 100)",
+			t.Logf("cost of another zone %.1f: %s: %d requests, %d in time, %d late, %d refused, time to first token %v (p50), %v (p99)",
 				otherZoneCost, k.route, r.requests, r.inTime, r.late, r.refused, r.timeToFirstToken(0.5), r.timeToFirstToken(0.99))
 		}
 		return results
@@ -521,16 +533,16 @@
 	for route, r := range highCost {
 		is.True(r.timeToFirstToken(0.5) < lowCost[route].timeToFirstToken(0.5))
 		is.Equal(r.late, 0)
-		is.Equal(r.refused, 0) // there is room
+		is.Equal(r.refused, 0) // the engines have room for all requests
 	}
 	is.True(highCost["digest"].timeToFirstToken(0.99)*10 <= lowCost["digest"].timeToFirstToken(0.99)*9)
 }
 
-// TestLoadOfUnequalEngines plays a load of many prompts on engines of which a third is
-// slower by a half. What is foreseen of these ends too early; without what is seen of
-// their reading they keep a backlog that nobody knows of: 25 of 297 chats and 59 of 621
-// short answers were late, 13 and 23 with what runs without a token tell, 1 and 2 with
-// each engine's own speed learnt as well.
+// TestLoadOfUnequalEngines simulates a load of many prompts on engines of which a third is slower
+// by half. Predictions for slow engines end too early, so these engines build up a backlog that
+// no host knows of, and about every tenth request is late. Two corrections have to prevent that:
+//   - a run without a first token counts as unread, and
+//   - the speed of each engine is learned.
 func TestLoadOfUnequalEngines(t *testing.T) {
 	is := is.New(t)
 	results := simulate(simConfig{
@@ -541,14 +553,14 @@
 		},
 	})
 	for route, r := range results {
-		t.Logf("%s asked %d, in time %d, late %d, refused %d, first token %v (median), %v (99 of 100)",
+		t.Logf("%s: %d requests, %d in time, %d late, %d refused, time to first token %v (p50), %v (p99)",
 			route, r.requests, r.inTime, r.late, r.refused, r.timeToFirstToken(0.5), r.timeToFirstToken(0.99))
 		is.True((r.late+r.refused)*100 <= r.requests)
 	}
 }
 
-// TestLoadReachesNewEngines has an empty engine that is added to a busy zone get at
-// least its share of the requests from its first second on, and not all of them.
+// TestLoadReachesNewEngines checks that an empty engine which is added to a busy zone gets at
+// least about its share of the requests from its first second on, but not all of them.
 func TestLoadReachesNewEngines(t *testing.T) {
 	is := is.New(t)
 	const engines, addAt, interval = 8, 5 * time.Second, 90 * time.Millisecond
@@ -567,7 +579,7 @@
 		return n
 	}
 	expected := float64(time.Second/interval) / (engines + 1)
-	t.Logf("share %.1f a second; got %d in one second, %d in five; late %d of %d", expected, placedWithin(time.Second), placedWithin(5*time.Second), r.late, r.requests)
+	t.Logf("the newest engine's share is %.1f requests per second; it got %d in the first second, %d in five seconds; %d of %d requests were late", expected, placedWithin(time.Second), placedWithin(5*time.Second), r.late, r.requests)
 	is.True(float64(placedWithin(time.Second)) >= 0.8*expected)
 	is.True(float64(placedWithin(time.Second)) <= 4*expected)
 	is.True(float64(placedWithin(5*time.Second)) <= 2*5*expected)
--- a/policy/memorysim_test.go
+++ b/policy/memorysim_test.go
@@ -13,68 +13,77 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// A load that fills the engines' memory while engines come and go is played on engines
-// that keep account of it: prompts are read in pieces between the tokens of other runs,
-// what doesn't fit waits, and when memory runs out the newest of the least urgent runs is
-// thrown back and read anew. A sixth of the engines leaves every few seconds with a short
-// notice, in which their hosts move the runs, and empty ones come some seconds later.
-
-// memorySimConfig is what such a load adds to a plan.
+// This simulation covers the memory of the engines, under a load that fills it while engines are
+// reclaimed and replaced:
+//   - Prompts are read in chunks between the tokens of other runs.
+//   - Runs that don't fit into the memory wait.
+//   - When memory runs out, the newest of the least urgent runs is preempted and read again.
+//   - A sixth of the engines leaves every few seconds, after a short notice in which the hosts move
+//     their runs. Empty engines replace them some seconds later.
+
+// memorySimConfig is a simConfig for engines whose memory is simulated.
 type memorySimConfig struct {
 	simConfig
 	engineMemory Tokens
-	// reclaimInterval is how often reclaimed engines leave, that many at once.
+	// reclaimInterval is how often engines are reclaimed, and reclaimCount how many at once.
 	reclaimInterval time.Duration
 	reclaimCount    int
-	// rank is what an engine is told of a run; lower goes first. Nil has all alike.
+	// rank returns the rank with which a run is sent to its engine; runs of lower ranks go first.
+	// Nil gives all runs the same rank.
 	rank func(r *Request) int
-	// settings are those of the hosts' pools.
+	// settings are the settings of the hosts' pools.
 	settings Settings
 }
 
 const (
-	// simBaseStepTime is a step of an engine with nothing to read, and playedRun's part of it.
+	// simBaseStepTime is the duration of an engine's step without runs and reading, and
+	// simStepTimePerRun what each run adds to it.
 	simBaseStepTime   = 7 * time.Millisecond
 	simStepTimePerRun = 120 * time.Microsecond
-	// simReadChunk is how much of a prompt is read in one step, and playedRead how long
+	// simReadChunk is how much of a prompt is read in one step, and simChunkReadTime how long
 	// that takes.
 	simReadChunk     = Tokens(112)
 	simChunkReadTime = 8 * time.Millisecond
-	// simMinReclaimNotice is the shortest notice of a reclaimed engine; half a second more is as
-	// likely. playedEmpty is when an empty engine comes in its place.
+	// simMinReclaimNotice is the shortest notice that a reclaimed engine gets; notices are
+	// uniform from it to half a second more. simReplacementDelay is the time from the end of a
+	// reclaimed engine until an empty engine replaces it.
 	simMinReclaimNotice = 1500 * time.Millisecond
 	simReplacementDelay = 4 * time.Second
-	// simMoveTimePerToken is how long the memory of a token takes to another engine.
+	// simMoveTimePerToken is how long it takes to copy the memory of one token to another engine.
 	simMoveTimePerToken = 56 * time.Microsecond
-	// simMaxTokenGap is the longest pause between two tokens with which an answer is in time.
+	// simMaxTokenGap is the longest time between two tokens of an answer that counts as in time.
 	simMaxTokenGap = 180 * time.Millisecond
+	// simDefaultRank is the rank of all runs unless the config has a rank function.
+	simDefaultRank = 5
+	// simAnyRank, instead of a rank, lets preempt choose among the runs of all ranks.
+	simAnyRank = 10
 )
 
-// memoryRun is a run on an engine whose memory is played.
+// memoryRun is a run on an engine whose memory is simulated.
 type memoryRun struct {
 	host   *simHost
 	run    *simRun
 	engine *memoryEngine
-	// unread is what the engine has to read still before the next token.
+	// unread is how many tokens the engine still has to read before it makes the next one.
 	unread                  Tokens
 	answerLength, generated Tokens
 	rank                    int
-	// lastTokenAt is when its last token came, longest the longest pause, and since when it
-	// runs there.
+	// lastTokenAt is when the last token came, and longestGap the longest time between two
+	// tokens.
 	lastTokenAt time.Time
 	longestGap  time.Duration
-	// preemptions counts how often it was preemptions back.
+	// preemptions counts how often the run was preempted.
 	preemptions int
 	ended       bool
 }
 
 func (m *memoryRun) memory() Tokens { return m.run.request.Prompt + m.generated }
 
-// memoryEngine is an engine that keeps account of its memory.
+// memoryEngine is an engine whose memory is simulated.
 type memoryEngine struct {
 	id               EngineID
 	running, waiting []*memoryRun
-	// reserved is the memory of copies that are on their way here.
+	// reserved is the memory for runs that are being copied to this engine.
 	reserved Tokens
 	stopped  bool
 	stepping bool
@@ -88,13 +97,13 @@
 	return used
 }
 
-// memorySimResult is what callers of one kind got, besides what loadResult tells.
+// memorySimResult counts the outcomes of requests of one kind, in addition to simResult.
 type memorySimResult struct {
 	inTime, lateFirstToken, longTokenGap, interrupted, preempted int
 	wasted                                                       Tokens
 }
 
-// memorySimulation plays a fullPlan.
+// memorySimulation is the state of a running simulation that covers the engines' memory.
 type memorySimulation struct {
 	*simulation
 	config        memorySimConfig
@@ -102,7 +111,7 @@
 	memoryResults map[string]*memorySimResult
 }
 
-// simulateMemory returns what the callers of each kind got.
+// simulateMemory runs a simulation and returns it and its results by kind of request.
 func simulateMemory(c memorySimConfig) (*memorySimulation, map[string]*memorySimResult) {
 	s := &memorySimulation{simulation: newSimulation(c.simConfig), config: c, engines: map[EngineID]*memoryEngine{}, memoryResults: map[string]*memorySimResult{}}
 	s.engineMemory, s.settings = c.engineMemory, c.settings
@@ -129,9 +138,9 @@
 	return s.memoryResults[kind]
 }
 
-// enqueueRun has an engine enqueueRun a run.
+// enqueueRun sends a run to its engine, where it waits for memory.
 func (s *memorySimulation) enqueueRun(h *simHost, run *simRun, answerLength Tokens) {
-	m := &memoryRun{host: h, run: run, unread: run.request.Prompt, answerLength: answerLength, rank: 5}
+	m := &memoryRun{host: h, run: run, unread: run.request.Prompt, answerLength: answerLength, rank: simDefaultRank}
 	if s.config.rank != nil {
 		m.rank = s.config.rank(&run.request)
 	}
@@ -146,7 +155,7 @@
 	s.ensureStepping(e)
 }
 
-// enqueue puts a run among those that enqueue for memory.
+// enqueue adds a run to those that wait for memory, behind those of the same rank.
 func (e *memoryEngine) enqueue(m *memoryRun) {
 	at := slices.IndexFunc(e.waiting, func(other *memoryRun) bool { return other.rank > m.rank })
 	if at < 0 {
@@ -155,7 +164,7 @@
 	e.waiting = slices.Insert(e.waiting, at, m)
 }
 
-// ensureStepping has an engine step if it doesn't already.
+// ensureStepping starts the steps of an engine that isn't stepping.
 func (s *memorySimulation) ensureStepping(e *memoryEngine) {
 	if !e.stepping && !e.stopped {
 		e.stepping = true
@@ -163,7 +172,8 @@
 	}
 }
 
-// startStep plays one startStep of an engine.
+// startStep starts a step of an engine and schedules its end. The engine stops stepping if it has
+// no run.
 func (s *memorySimulation) startStep(e *memoryEngine) {
 	s.admitWaiting(e)
 	if len(e.running) == 0 {
@@ -185,7 +195,8 @@
 	})
 }
 
-// finishStep is the end of a step in which a piece of one run's prompt may have been read.
+// finishStep ends a step: a chunk of the prompt of the reading run, if any, is read, and each run
+// that has been read makes a token. Runs are preempted if the memory doesn't suffice.
 func (s *memorySimulation) finishStep(e *memoryEngine, reading *memoryRun) {
 	for _, m := range slices.Clone(e.running) {
 		switch {
@@ -200,11 +211,11 @@
 		s.generateToken(m)
 	}
 	for e.usedMemory() > s.engineMemory && len(e.running) > 0 {
-		s.preempt(e, 10)
+		s.preempt(e, simAnyRank)
 	}
 }
 
-// generateToken has a run make a generateToken.
+// generateToken adds a token to a run.
 func (s *memorySimulation) generateToken(m *memoryRun) {
 	m.generated++
 	if m.generated == 1 {
@@ -219,8 +230,8 @@
 	}
 }
 
-// admitWaiting has what waits run as far as there is memory; what is more urgent than what runs
-// throws that back.
+// admitWaiting starts waiting runs as long as there is memory. A waiting run preempts running
+// ones of higher ranks.
 func (s *memorySimulation) admitWaiting(e *memoryEngine) {
 	for len(e.waiting) > 0 {
 		m := e.waiting[0]
@@ -234,12 +245,13 @@
 	}
 }
 
-// preempt throws the newest of the least urgent runs back that is less urgent than some
-// bound.
+// preempt preempts the newest of the runs with the highest rank above the given one; simAnyRank
+// allows all ranks. The run has to be read again from its beginning. preempt returns false if
+// there is no such run.
 func (s *memorySimulation) preempt(e *memoryEngine, rank int) bool {
 	var victim *memoryRun
 	for _, m := range e.running {
-		if rank < 10 && m.rank <= rank {
+		if rank < simAnyRank && m.rank <= rank {
 			continue
 		}
 		if victim == nil || m.rank >= victim.rank {
@@ -259,7 +271,7 @@
 	return true
 }
 
-// endRun takes a run off its engine.
+// endRun removes a run from its engine and counts its outcome.
 func (s *memorySimulation) endRun(m *memoryRun, completed bool) {
 	if m.ended {
 		return
@@ -287,7 +299,8 @@
 	e.waiting = slices.DeleteFunc(e.waiting, same)
 }
 
-// reclaimEngines has some engines leave, and empty ones come for them.
+// reclaimEngines announces the end of some engines, schedules their replacement by empty ones,
+// and schedules the next reclaim.
 func (s *memorySimulation) reclaimEngines() {
 	for range s.config.reclaimCount {
 		at := s.decisionRand.IntN(len(s.engineIDs))
@@ -307,7 +320,7 @@
 	s.schedule(s.config.reclaimInterval, s.reclaimEngines)
 }
 
-// stopEngine ends an engine and what it runs.
+// stopEngine stops an engine and interrupts its runs.
 func (s *memorySimulation) stopEngine(e *memoryEngine) {
 	e.stopped = true
 	for _, m := range slices.Concat(e.running, e.waiting) {
@@ -315,17 +328,25 @@
 	}
 }
 
-// simMoveRetryDelay is when a run that couldn't be moved is tried again.
-const simMoveRetryDelay = 50 * time.Millisecond
+const (
+	// simMoveRetryDelay is how long to wait when no run can be moved.
+	simMoveRetryDelay = 50 * time.Millisecond
+	// Only runs that have more than simMinTokensToMove tokens left are moved.
+	simMinTokensToMove = 40
+	// simMoveHeadroom is the memory that a move reserves for the tokens that the run makes
+	// meanwhile.
+	simMoveHeadroom = 50
+)
 
-// moveNextRun moves the smallest run of an engine that leaves, and then the next.
+// moveNextRun moves the smallest movable run off an engine that is about to stop, and continues
+// with the next one.
 func (s *memorySimulation) moveNextRun(e *memoryEngine) {
 	if e.stopped || len(e.running)+len(e.waiting) == 0 {
 		return
 	}
 	var m *memoryRun
 	for _, other := range e.running {
-		if other.unread == 0 && other.answerLength-other.generated > 40 && (m == nil || other.memory() < m.memory()) {
+		if other.unread == 0 && other.answerLength-other.generated > simMinTokensToMove && (m == nil || other.memory() < m.memory()) {
 			m = other
 		}
 	}
@@ -336,7 +357,7 @@
 	}
 	id, found := m.host.pool.Relocate(s.now, m.run.request.Run, Target{FarCost: s.otherZoneCost})
 	target := s.engine(id)
-	if !found || target.stopped || target.usedMemory()+m.memory()+50 > s.engineMemory {
+	if !found || target.stopped || target.usedMemory()+m.memory()+simMoveHeadroom > s.engineMemory {
 		if found {
 			m.host.pool.Return(s.now, m.run.request.Run, e.id)
 		}
@@ -345,8 +366,8 @@
 	}
 	m.run.engine = id
 	s.notifyPlacement(m.host, id)
-	// The copy holds memory at the target from its beginning; the run goes on meanwhile.
-	reserved := m.memory() + 50
+	// The copy takes memory on the target from the start; the run continues meanwhile.
+	reserved := m.memory() + simMoveHeadroom
 	target.reserved += reserved
 	s.schedule(time.Duration(m.memory())*simMoveTimePerToken, func() {
 		target.reserved -= reserved
@@ -364,7 +385,7 @@
 	})
 }
 
-// memoryLoad is a load whose crests need more memory than there is while a sixth of the
+// memoryLoad returns a load whose peaks need more memory than is left while a sixth of the
 // engines is gone.
 func memoryLoad(seed uint64) memorySimConfig {
 	return memorySimConfig{
@@ -380,13 +401,14 @@
 	}
 }
 
-// memorySimTotals are sums over some seeds.
+// memorySimTotals are sums over several seeds.
 type memorySimTotals struct {
 	memorySimResult
 	requests, refused int
 }
 
-// simulateMemorySeeds plays the load with something changed and sums up what callers got.
+// simulateMemorySeeds simulates the load of memoryLoad, with a change, for several seeds and
+// returns the sums of the results.
 func simulateMemorySeeds(t *testing.T, name string, change func(*memorySimConfig)) map[string]*memorySimTotals {
 	t.Helper()
 	totals := map[string]*memorySimTotals{"chat": {}, "digest": {}}
@@ -404,14 +426,14 @@
 	}
 	for _, kind := range []string{"chat", "digest"} {
 		r := totals[kind]
-		t.Logf("%s: %s asked %d, in time %d, first token late %d, pause late %d, cut %d, refused %d; thrown back %d, %d tokens read for nothing",
+		t.Logf("%s: %s: %d requests, %d in time, %d with a late first token, %d with a long gap between tokens, %d interrupted, %d refused; %d preemptions, %d tokens read for nothing",
 			name, kind, r.requests, r.inTime, r.lateFirstToken, r.longTokenGap, r.interrupted, r.refused, r.preempted, r.wasted)
 	}
 	return totals
 }
 
-// TestFullMemory plays the load as it is decided, and with one decision at a time taken
-// back: each of them serves more callers in time.
+// TestFullMemory simulates the load as it is, and with one design decision at a time reverted.
+// Each reversal must make more requests late and let fewer chats finish in time.
 func TestFullMemory(t *testing.T) {
 	baseline := simulateMemorySeeds(t, "as decided", func(*memorySimConfig) {})
 	late := func(r map[string]*memorySimTotals) int {
@@ -435,8 +457,9 @@
 	}
 }
 
-// TestFullMemoryNewEngines has what waits at many hosts not meet on an engine that has just
-// begun to take work: the hosts hear of it at the same moment.
+// TestFullMemoryNewEngines checks that requests which wait at many hosts don't collide on an
+// engine that has just begun to take work. The hosts learn of the engine at the same moment, so
+// without a stagger all of them use it at once.
 func TestFullMemoryNewEngines(t *testing.T) {
 	manyHosts := func(c *memorySimConfig) {
 		c.hostsPerZone, c.enginesPerZone, c.reclaimCount = 22, 20, 10
@@ -450,7 +473,7 @@
 	})
 	served := func(r map[string]*memorySimTotals) int { return r["chat"].inTime + r["digest"].inTime }
 	is.True(served(staggered) > served(atOnce))
-	// Each long answer is many short ones' work.
+	// A chat takes as much work as many digests, so chats are compared separately, too.
 	is.True(staggered["chat"].inTime > atOnce["chat"].inTime)
 	for _, kind := range []string{"chat", "digest"} {
 		is.True(staggered[kind].lateFirstToken < atOnce[kind].lateFirstToken)
--- a/policy/pool_bench_test.go
+++ b/policy/pool_bench_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// newBusyPool has that many engines with 40 runs each.
+// newBusyPool returns a pool with the given number of engines and 40 runs on each.
 func newBusyPool(engines int) *Pool {
 	p := NewPool(Settings{})
 	var ids []EngineID
@@ -31,7 +31,7 @@
 
 var engineCounts = []int{10, 200, 3000}
 
-// BenchmarkDecision is the choice of an engine.
+// BenchmarkDecision measures the choice of an engine.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -40,14 +40,14 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if p.choose(testStart, &r) == nil {
-					b.Fatal("no room")
+					b.Fatal("no engine has room for the request")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkGrant is a whole grant with its end.
+// BenchmarkGrant measures granting a request and finishing its run.
 func BenchmarkGrant(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -56,7 +56,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if p.Submit(testStart, r).Verdict != Granted {
-					b.Fatal("no room")
+					b.Fatal("no engine has room for the request")
 				}
 				p.Finish(testStart, Finish{Run: r.Run, Made: 50})
 			}
@@ -64,7 +64,7 @@
 	}
 }
 
-// BenchmarkRefresh is one turn in which every engine's memory is foreseen anew.
+// BenchmarkRefresh measures an Advance that recomputes the predicted memory of every engine.
 func BenchmarkRefresh(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -79,9 +79,9 @@
 	}
 }
 
-// BenchmarkUpdateEngines is a host telling its pool which engines there are, where, and how each
-// stands, as it does ten times a second: at 10, 200 and 3,000 engines 1.5 µs, 377 µs and
-// 60 ms with a search for each, 0.4 µs, 12 µs and 0.27 ms with an index.
+// BenchmarkUpdateEngines measures how a host updates its pool with the list of engines, their
+// zones and their reports, which happens ten times a second. A linear search for each engine made
+// this quadratic in the number of engines: 60 ms instead of 0.27 ms for 3,000 engines.
 func BenchmarkUpdateEngines(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// BenchmarkReport is one engine's report.
+// BenchmarkReport measures one report of an engine.
 func BenchmarkReport(b *testing.B) {
 	p := newBusyPool(200)
 	b.ReportAllocs()
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -19,7 +19,7 @@
 
 const testStepTime = 20 * time.Millisecond
 
-// newTestPool has engines of 10,000 tokens that have just reported.
+// newTestPool returns a pool whose engines have 10,000 tokens of memory and have just reported.
 func newTestPool(s Settings, engines ...EngineID) *Pool {
 	p := NewPool(s)
 	p.SetEngines(engines)
@@ -29,7 +29,7 @@
 	return p
 }
 
-// learnLengths makes a route's answers as long as the pool is to expect.
+// learnLengths makes the pool expect these answer lengths from a route.
 func learnLengths(p *Pool, route resource.Name, lengths ...Tokens) {
 	for range 300 {
 		for _, n := range lengths {
@@ -38,6 +38,7 @@
 	}
 }
 
+// newRequest returns a request whose deadline is ten seconds after testStart.
 func newRequest(run string, prompt Tokens) Request {
 	return Request{Run: RunID(run), Route: "r", Account: "a", Prompt: prompt, Bytes: 1, Deadline: testStart.Add(10 * time.Second)}
 }
@@ -52,9 +53,9 @@
 			admitted++
 		}
 	}
-	// 1,500 tokens each at their ends fit six times into 9,600. At the last
-	// horizon before that, 640 tokens on, eight fit; without foresight, nineteen
-	// would be let in.
+	// Each run ends with 1,500 tokens, so six fit into 9,600. At the last horizon before
+	// their ends, 640 tokens ahead, eight fit. Without prediction, nineteen would be
+	// admitted.
 	is.True(admitted >= 6 && admitted <= 8)
 }
 
@@ -63,7 +64,7 @@
 	p := newTestPool(Settings{}, "g1")
 	learnLengths(p, "r", 9000)
 	is.Equal(p.Submit(testStart, newRequest("1", 9900)).Verdict, Granted)
-	is.Equal(p.Submit(testStart, newRequest("2", 1)).Verdict, Refused) // no end in sight
+	is.Equal(p.Submit(testStart, newRequest("2", 1)).Verdict, Refused) // the first run is not expected to end in time
 	refused := p.Submit(testStart, newRequest("3", 10_000))
 	is.Equal(refused.Reason, ReasonTooLong)
 }
@@ -83,7 +84,7 @@
 			admitted++
 		}
 	}
-	is.True(admitted >= 29 && admitted <= 30) // 10 ms and 1 ms a run
+	is.True(admitted >= 29 && admitted <= 30) // a step takes 10 ms plus 1 ms per run
 }
 
 func TestUnreportedAndSuspectEnginesTakeNothing(t *testing.T) {
@@ -101,7 +102,7 @@
 	is.Equal(len(decided), 1)
 	is.Equal(decided[0].Engine, EngineID("g2"))
 	late := testStart.Add(staleAfter + time.Second)
-	is.Equal(p.Submit(late, newRequest("3", 10)).Verdict, Queued) // its report is old
+	is.Equal(p.Submit(late, newRequest("3", 10)).Verdict, Queued) // the reports are too old
 }
 
 func TestAvoidsTheEngineThatFailed(t *testing.T) {
@@ -122,7 +123,7 @@
 	is.Equal(p.Running(), 1)
 	p.Finish(testStart, Finish{Run: "1"})
 	is.Equal(p.Running(), 0)
-	p.Finish(testStart, Finish{Run: "1"}) // told twice
+	p.Finish(testStart, Finish{Run: "1"}) // finished twice
 }
 
 // fillMemory takes all of the engine's memory, so that requests wait.
@@ -154,7 +155,7 @@
 	}
 	is.Equal(order[0], RunID("urgent"))
 	is.Equal(order[1], RunID("flood0"))
-	is.Equal(order[2], RunID("small")) // before the rest of the flood
+	is.Equal(order[2], RunID("small")) // ahead of the remaining requests of the large account
 	is.Equal(len(order), 7)
 }
 
@@ -179,7 +180,7 @@
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
 	learnLengths(p, "r", 50)
-	learnLengths(p, "big", 5000) // 100 s at 20 ms a step
+	learnLengths(p, "big", 5000) // 5,000 steps of 20 ms are 100 s
 	fillMemory(p)
 	refused := p.Submit(testStart, newRequest("1", 100))
 	is.Equal(refused.Verdict, Refused)
@@ -201,8 +202,8 @@
 	is.Equal(p.Waiting(), 0)
 }
 
-// TestLargeRequestIsNotStarved keeps an engine for a large request that
-// small ones would always pass.
+// TestLargeRequestIsNotStarved checks that an engine is kept free for a large request that small
+// ones would otherwise always overtake.
 func TestLargeRequestIsNotStarved(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1", "g2")
@@ -327,15 +328,16 @@
 	c.take(testStart, CacheEvent{Seq: 1, Prefix: 7, Tokens: 50, Added: true})
 	is.Equal(c.reusable(testStart, &r), Tokens(50))
 	is.Equal(c.reusable(testStart.Add(prefixFades+1), &r), Tokens(0))
-	c.take(testStart, CacheEvent{Seq: 1, Prefix: 7, Added: false}) // an old one again
+	c.take(testStart, CacheEvent{Seq: 1, Prefix: 7, Added: false}) // a duplicate of an old event
 	is.Equal(c.reusable(testStart, &r), Tokens(50))
 	c.take(testStart, CacheEvent{Seq: 3, Prefix: 8, Tokens: 10, Added: true})
-	is.Equal(c.reusable(testStart, &r), Tokens(0)) // event 2 is missing: it may have gone
+	is.Equal(c.reusable(testStart, &r), Tokens(0)) // event 2 is missing, so the prefix may have been evicted
 }
 
-// TestEveryRequestIsDecidedOnce drives a pool at random: each request gets one
-// final decision, no engine that isn't named gets work, and what finished
-// leaves nothing behind.
+// TestEveryRequestIsDecidedOnce makes random calls to a pool and checks that
+//   - each request gets exactly one final decision,
+//   - only engines that accept work get runs, and
+//   - no run or request is left after all have finished.
 func TestEveryRequestIsDecidedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestPool(Settings{QueueLimit: 8}, "g1", "g2")
@@ -347,14 +349,14 @@
 				return
 			}
 			if _, already := final[d.Run]; already {
-				t.Fatalf("%s is decided twice", d.Run)
+				t.Fatalf("request %s got a second final decision", d.Run)
 			}
 			final[d.Run] = d.Verdict
 			if d.Verdict == Granted {
 				open[d.Run] = true
 			}
 			if d.Verdict == Granted && p.engine(d.Engine) == nil {
-				t.Fatalf("%s goes to %s, which takes no work", d.Run, d.Engine)
+				t.Fatalf("run %s was placed on engine %s, which is not listed", d.Run, d.Engine)
 			}
 		}
 		for n := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -388,13 +390,13 @@
 			decide(d)
 		}
 		if p.Running() > 0 || p.Waiting() > 0 {
-			t.Fatalf("%d runs and %d requests are left", p.Running(), p.Waiting())
+			t.Fatalf("%d runs and %d waiting requests are left, expected none", p.Running(), p.Waiting())
 		}
 	})
 }
 
-// An engine that is kept from new work for a while comes back with its runs, and a
-// run that wasn't moved off it after all is counted there again.
+// TestUnlistedEngineKeepsItsRuns checks that an engine which takes no new work for a while keeps
+// its runs, and that a run which wasn't moved off it after all is counted on it again.
 func TestUnlistedEngineKeepsItsRuns(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1", "g2")
@@ -409,12 +411,12 @@
 	is.Equal(id, other)
 	is.True(!p.Return(testStart, "1", "unknown"))
 	p.SetEngines([]EngineID{other})
-	is.True(p.Return(testStart, "1", first)) // although it has been away
+	is.True(p.Return(testStart, "1", first)) // although the engine is not listed
 	is.Equal(p.EngineOf("1"), first)
 	for n := range 2 * mostAway {
 		p.SetEngines([]EngineID{EngineID(fmt.Sprint("e", n))})
 	}
-	is.True(len(p.away) <= mostAway+1) // engines come and go
+	is.True(len(p.away) <= mostAway+1) // the unlisted engines that are remembered are bounded
 	is.Equal(p.EngineOf("1"), first)
 
 	p = newTestPool(Settings{}, "g1", "g2")
@@ -428,12 +430,15 @@
 	is.Equal(p.Submit(testStart, newRequest("3", 5000)).Verdict, Queued) // its memory is still taken
 }
 
-// TestZoneWithUnknownRuns has engines of a zone that little is heard of taken for no emptier
-// than those of the own zone, and used when these won't do.
+// TestZoneWithUnknownRuns checks that engines of a zone of whose runs little is known don't count
+// as less loaded than those of the request's own zone, but are used if no engine of the own zone
+// has room.
 func TestZoneWithUnknownRuns(t *testing.T) {
 	for name, c := range map[string]struct {
+		// knownShare is the share of the other zone's hosts that have recently reported their
+		// runs.
 		knownShare float64
-		// promptsPerEngine is how many prompts each engine of the own zone has to read.
+		// promptsPerEngine is how many prompts each engine of the own zone still has to read.
 		promptsPerEngine int
 		want             member.Zone
 	}{
--- a/policy/refusal_test.go
+++ b/policy/refusal_test.go
@@ -11,19 +11,22 @@
 	"github.com/matryer/is"
 )
 
-// newRequestWithObjective is a request whose first token is aimed at within two seconds.
+// newRequestWithObjective returns a request that arrives at the given time and whose objective
+// and deadline for the first token are two seconds.
 func newRequestWithObjective(run string, at time.Time, prompt Tokens) Request {
 	r := newRequest(run, prompt)
 	r.Arrived, r.Objective, r.Deadline = at, 2*time.Second, at.Add(2*time.Second)
 	return r
 }
 
-// TestRefuseLate has a request that no engine would begin in time refused at
-// once, with a time to come back that is when it would be.
+// TestRefuseLate checks that a request is refused at once if no engine is expected to make its
+// first token in time, and that it is granted when it is repeated after RetryAfter. An idle engine
+// takes any request.
 func TestRefuseLate(t *testing.T) {
 	for name, c := range map[string]struct {
 		engines []EngineID
-		// ahead are prompts placed before, at a reading rate of 1,000 a second.
+		// ahead are the prompts that were placed before, at a read rate of 1,000 tokens per
+		// second.
 		ahead   []Tokens
 		prompt  Tokens
 		verdict Verdict
@@ -48,15 +51,15 @@
 				return
 			}
 			is.Equal(d.Reason, ReasonLate)
-			is.Equal(p.Waiting(), 0) // it isn't held
+			is.Equal(p.Waiting(), 0) // it isn't queued
 			retryAt := testStart.Add(d.RetryAfter)
 			is.Equal(p.Submit(retryAt, newRequestWithObjective("r", retryAt, c.prompt)).Verdict, Granted)
 		})
 	}
 }
 
-// TestRetryAfterIsSpread has callers that are refused together told different
-// times, the short prompts earlier.
+// TestRetryAfterIsSpread checks that callers which are refused together get different RetryAfter
+// values, and those with short prompts earlier ones.
 func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{ReadRate: 1000}, "g1")
@@ -68,45 +71,45 @@
 	is.True(len(retryAfters) >= 18)
 	short := p.Submit(testStart, newRequestWithObjective("same", testStart, 500)).RetryAfter
 	long := p.Submit(testStart, newRequestWithObjective("same", testStart, 1500)).RetryAfter
-	is.Equal(long-short, time.Second) // what the longer prompt takes to be read
+	is.Equal(long-short, time.Second) // the time to read the additional 1,000 tokens
 }
 
-// TestRefuseQueuedRequest has a queued request refused as soon as its outlook is
-// hopeless, not when its time is over.
+// TestRefuseQueuedRequest checks that a queued request is refused as soon as it is expected to be
+// late, and not only at its deadline.
 func TestRefuseQueuedRequest(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000, WaitPart: 2}, "g1", "g2")
-	learnLengths(p, "r", 60) // 1.2 s a run, so a place comes every 0.6 s
+	learnLengths(p, "r", 60) // 1.2 s per run, so a place becomes free every 0.6 s
 	for _, run := range []string{"a", "b"} {
 		is.Equal(p.Submit(testStart, newRequest(run, 100)).Verdict, Granted)
 	}
 	is.Equal(p.Submit(testStart, newRequestWithObjective("c", testStart, 100)).Verdict, Queued)
 	is.Equal(len(p.Advance(testStart.Add(100*time.Millisecond))), 0)
 	p.Finish(testStart, Finish{Run: "a"})
-	p.SetEngines([]EngineID{"g2"}) // half of the engines go
+	p.SetEngines([]EngineID{"g2"}) // half of the engines leave
 	for i := range 40 {
 		now := testStart.Add(time.Duration(i) * 50 * time.Millisecond)
 		for _, d := range p.Advance(now) {
 			is.Equal(d.Verdict, Refused)
-			is.True(now.Before(testStart.Add(time.Second))) // long before its two seconds are over
+			is.True(now.Before(testStart.Add(time.Second))) // well before its deadline, two seconds after the start
 			return
 		}
 	}
-	t.Fatal("the request still waits")
+	t.Fatal("request c still waits 1.95 s after its arrival, expected it to be refused before its deadline")
 }
 
-// TestRefuseLongWaits has a request refused at once if its place is foreseen to come after
-// a longer wait than is worth it, and else when it has waited for as long.
+// TestRefuseLongWaits checks that a request is refused at once if its expected wait for a place
+// exceeds the permitted part of its objective, and otherwise once it has waited that long.
 func TestRefuseLongWaits(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000}, "g1", "g2")
 	for _, run := range []string{"a", "b"} {
 		is.Equal(p.Submit(testStart, newRequest(run, 100)).Verdict, Granted)
 	}
-	learnLengths(p, "r", 60)                                                                     // 1.2 s a run, so a place comes every 0.6 s
-	is.Equal(p.Submit(testStart, newRequestWithObjective("c", testStart, 100)).Verdict, Refused) // 0.15 of 2 s is less
+	learnLengths(p, "r", 60)                                                                     // 1.2 s per run, so a place becomes free every 0.6 s
+	is.Equal(p.Submit(testStart, newRequestWithObjective("c", testStart, 100)).Verdict, Refused) // at most 0.15 of 2 s may be spent waiting
 	p.lengths = &Lengths{}
-	learnLengths(p, "r", 20) // 0.4 s a run, so a place comes every 0.2 s
+	learnLengths(p, "r", 20) // 0.4 s per run, so a place becomes free every 0.2 s
 	is.Equal(p.Submit(testStart, newRequestWithObjective("d", testStart, 100)).Verdict, Queued)
 	is.Equal(len(p.Advance(testStart.Add(290*time.Millisecond))), 0)
 	decided := p.Advance(testStart.Add(310 * time.Millisecond))
@@ -115,8 +118,8 @@
 	is.True(decided[0].RetryAfter > 0)
 }
 
-// TestReadRateLearnt has the foreseen first tokens right for engines that are
-// three times faster and slower than was assumed.
+// TestReadRateLearnt checks that the read rate is learned for engines that are three times faster
+// or slower than assumed.
 func TestReadRateLearnt(t *testing.T) {
 	for name, factor := range map[string]float64{"as assumed": 1, "three times faster": 3, "three times slower": 1.0 / 3} {
 		t.Run(name, func(t *testing.T) {
@@ -129,7 +132,7 @@
 				now = now.Add(time.Duration(0.6 / factor * float64(time.Second)))
 				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: testStepTime})
 				p.Begun(now, RunID(run))
-				p.Begun(now.Add(time.Hour), RunID(run)) // later tokens say nothing
+				p.Begun(now.Add(time.Hour), RunID(run)) // later tokens are ignored
 				p.Finish(now, Finish{Run: RunID(run)})
 				now = now.Add(5 * time.Second)
 				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: testStepTime})
