--- a/forward/engineplacer.go
+++ b/forward/engineplacer.go
@@ -346,7 +346,7 @@
 	delete(p.ownRuns, run.request.Run)
 	p.pool.Finish(now, policy.Finish{Run: run.request.Run, Made: generated, Whole: complete})
 	if complete {
-		e.recentlyEnded = append(e.recentlyEnded, EndedRun{Run: run.request.Run, Made: generated, at: now})
+		e.recentlyEnded = append(e.recentlyEnded, EndedRun{Run: run.request.Run, Made: generated, endedAt: now})
 	}
 	p.advance(now)
 }
--- a/forward/engineplacer_test.go
+++ b/forward/engineplacer_test.go
@@ -74,7 +74,7 @@
 	f.fleet.Replace(now, []Upstream{
 		{ID: "near", Service: "llm", Zone: "z1", Revision: rev(2)}, {ID: "far", Service: "llm", Zone: "z2", Revision: rev(2)},
 	}, rev(2))
-	f.listEngines(now, f.Table())
+	f.updatePlacementEngines(now, f.Table())
 	for _, id := range []member.HostID{"a", "b"} {
 		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z2"}})
 	}
@@ -90,13 +90,13 @@
 		"nobody told": {nil, now, 0},
 		"half told":   {[]member.HostID{"a"}, now, 0.5},
 		"all told":    {[]member.HostID{"a", "b"}, now, 1},
-		"long ago":    {[]member.HostID{"a", "b"}, now.Add(reportedLately + time.Millisecond), 0},
+		"long ago":    {[]member.HostID{"a", "b"}, now.Add(maxReportAge + time.Millisecond), 0},
 	} {
 		clear(f.engines.lastReported)
 		for _, id := range c.reporting {
-			f.engines.adopt(now, id, nil, nil)
+			f.engines.replacePeerRuns(now, id, nil, nil)
 		}
-		f.engines.noteKnown(c.at, f.peers.zoneByHost())
+		f.engines.updateKnownParts(c.at, f.peers.zoneByHost())
 		if got := pool.KnownPart("z2"); got != c.want {
 			t.Errorf("%s: known share of zone z2 is %v, expected %v", name, got, c.want)
 		}
@@ -110,11 +110,11 @@
 	now := time.Now()
 	sender, receiver := newForwarder(t, &fakeTransport{}), newForwarder(t, &fakeTransport{})
 	for _, f := range []*Forwarder{sender, receiver} {
-		f.listEngines(now, f.Table())
+		f.updatePlacementEngines(now, f.Table())
 	}
 	share := func() {
 		s := sender.newShare(now)
-		receiver.engines.adopt(now, "h9", s.Runs, s.EndedRuns)
+		receiver.engines.replacePeerRuns(now, "h9", s.Runs, s.EndedRuns)
 	}
 	request := policy.Request{Route: "/llm/", Account: "counter", Prompt: 100}
 	mean := func() policy.Tokens { return receiver.engines.pools["llm"].pool.MeanLength(&request) }
@@ -122,7 +122,7 @@
 	for i := range 200 {
 		r := request
 		r.Run = policy.RunID(fmt.Sprint("r", i))
-		sender.listEngines(now, sender.Table())
+		sender.updatePlacementEngines(now, sender.Table())
 		_, run, _ := sender.engines.place(t.Context(), now, "llm", r)
 		run.generatedTokens.Store(1000)
 		share()
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -59,12 +59,14 @@
 // notice.
 func (f *Forwarder) suspectList(now time.Time) {
 	if !f.listSuspected(now) {
-		f.journal.Belief("list suspect", "for", suspectListFor, "list_revision", f.fleet.Revision())
+		f.journal.HostEvent("list suspect", "for", suspectListFor, "list_revision", f.fleet.Revision())
 	}
-	f.listSuspect.advance(now)
+	f.listSuspectedAt.advance(now)
 }
 
-func (f *Forwarder) listSuspected(now time.Time) bool { return f.listSuspect.age(now) < suspectListFor }
+func (f *Forwarder) listSuspected(now time.Time) bool {
+	return f.listSuspectedAt.age(now) < suspectListFor
+}
 
 // intersect returns the ids that are in both lists.
 func intersect(a, b []member.UpstreamID) []member.UpstreamID {
@@ -118,7 +120,7 @@
 	if health.Healthy || health.Rejected {
 		return
 	}
-	f.journal.Belief("engine says that it leaves", "upstream", u.ID, "origin_age", f.OriginAge(now))
+	f.journal.HostEvent("engine says that it leaves", "upstream", u.ID, "origin_age", f.OriginAge(now))
 	f.fleet.MarkLeaving(now, u.ID, 0, true)
 	f.peers.notifyAll()
 }
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -28,19 +28,19 @@
 
 // fingerprint tells the request apart; it is worked out once, and only where that matters.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
-	if f := x.print.Load(); f != nil {
+	if f := x.cachedFingerprint.Load(); f != nil {
 		return *f
 	}
 	asked := x.requestIdentity()
 	f := asked.Fingerprint()
-	x.print.Store(&f)
+	x.cachedFingerprint.Store(&f)
 	return f
 }
 
 // evidence is what is known against the request.
 func (x *exchange) evidence(now time.Time) quarantine.Evidence {
-	e, f := x.crashes.Judge(now, x.requestIdentity(), x.print.Load())
-	x.print.Store(f)
+	e, f := x.crashes.Judge(now, x.requestIdentity(), x.cachedFingerprint.Load())
+	x.cachedFingerprint.Store(f)
 	return e
 }
 
@@ -59,13 +59,13 @@
 // tries reports whether this request is the one by which a host finds out whether upstreams
 // bear it by now. One host does so for all that reach each other.
 func (x *exchange) tries(now time.Time) bool {
-	x.trying.Lock()
-	defer x.trying.Unlock()
-	if !x.isTry && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
-		x.isTry = true
+	x.quarantineTrialMu.Lock()
+	defer x.quarantineTrialMu.Unlock()
+	if !x.isQuarantineTrial && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
+		x.isQuarantineTrial = true
 		x.journal.Request(x.call.ID, "tried again", "asks", x.fingerprint())
 	}
-	return x.isTry
+	return x.isQuarantineTrial
 }
 
 // heldRefusal is the answer to a request that isn't sent because upstreams ended under it.
@@ -100,7 +100,7 @@
 // receiveCrashes takes in what a peer tells.
 func (f *Forwarder) receiveCrashes(now time.Time, marks []quarantine.Mark) {
 	if held := f.crashes.Receive(now, marks); len(held) > 0 {
-		f.journal.Belief("requests held back", "number", len(held), "one_asks", held[0])
+		f.journal.HostEvent("requests held back", "number", len(held), "one_asks", held[0])
 		f.endHeld(held)
 		for _, print := range held {
 			// Two hosts may each have seen a part of what it is held for.
@@ -117,7 +117,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for x, end := range f.inFlight {
-		print := x.print.Load()
+		print := x.cachedFingerprint.Load()
 		if print == nil || x.delivered.Load() {
 			continue
 		}
@@ -160,7 +160,7 @@
 	now := f.now()
 	if release != nil {
 		if released = f.crashes.RanWell(now, *release); released {
-			f.journal.Belief("let through again", "asks", *release, "by", "operator")
+			f.journal.HostEvent("let through again", "asks", *release, "by", "operator")
 			f.peers.notifyAll()
 			f.queueSave(*release)
 		}
--- a/forward/remoteplacement_test.go
+++ b/forward/remoteplacement_test.go
@@ -58,7 +58,7 @@
 	near.peers.recordShare(now, Share{From: far.peers.self})
 	far.peers.recordShare(now, Share{From: near.peers.self})
 	peer = &remoteZonePeer{remote: far}
-	near.peerPort = peer
+	near.peerTransport = peer
 	return near, far, peer
 }
 
@@ -151,13 +151,13 @@
 				defer cancel()
 				_, _, _ = placeRun(ctx, near, "r")
 				counted := func() bool { return far.engines.pools["llm"].pool.EngineOf("r") == "far2" }
-				far.engines.adopt(time.Now(), "h1", nil, nil) // a share that was sent before the run was placed
+				far.engines.replacePeerRuns(time.Now(), "h1", nil, nil) // a share that was sent before the run was placed
 				is.True(counted())
 				if c.reported {
-					far.engines.adopt(time.Now(), "h1", near.engines.states(time.Now()), nil)
+					far.engines.replacePeerRuns(time.Now(), "h1", near.engines.runStates(time.Now()), nil)
 				}
 				time.Sleep(placementGrantTTL + time.Millisecond)
-				far.listEngines(time.Now(), far.Table())
+				far.updatePlacementEngines(time.Now(), far.Table())
 				is.Equal(counted(), c.want)
 			})
 		})
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -79,11 +79,11 @@
 // takeRollouts takes in what the origin or a peer says of rollouts.
 func (f *Forwarder) takeRollouts(now time.Time, told []rollout.Status) {
 	for _, s := range told {
-		if !f.rollouts.Receive(now, s, f.settings.Rollouts, f.peers.recentMaxHosts(now)) {
+		if !f.rollouts.Receive(now, s, f.settings.RolloutLimits, f.peers.recentMaxHosts(now)) {
 			continue
 		}
-		f.seen.Begin(s)
-		f.journal.Belief("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.Given, "age", s.Age)
+		f.rolloutObservations.Begin(s)
+		f.journal.HostEvent("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.Given, "age", s.Age)
 		f.fleet.WakeWaiters()
 	}
 }
@@ -92,7 +92,7 @@
 func (f *Forwarder) takeRolloutRecords(records []rollout.Status) {
 	for _, r := range records {
 		if f.rollouts.Record(r) {
-			f.journal.Belief("rollout", "service", r.Service, "target", r.Target, "phase", r.Phase, "recorded", r.Recorded)
+			f.journal.HostEvent("rollout", "service", r.Service, "target", r.Target, "phase", r.Phase, "recorded", r.Recorded)
 			f.fleet.WakeWaiters()
 		}
 	}
@@ -116,7 +116,7 @@
 
 // drawVersions draws which versions a new request may go to.
 func (x *exchange) drawVersions(now time.Time) rollout.Bound {
-	return x.rollouts.Bound(x.service.Name, x.settings.Rollouts, func(target rollout.Version) (hasTarget, hasOthers bool) {
+	return x.rollouts.Bound(x.service.Name, x.settings.RolloutLimits, func(target rollout.Version) (hasTarget, hasOthers bool) {
 		return x.hasVersion(now, x.service.Name, target)
 	})
 }
@@ -164,7 +164,7 @@
 	}
 	for _, s := range x.rollouts.Statuses(now) {
 		if s.Service == u.Service {
-			x.seen.Answer(u.Service, rollout.Subject{Route: x.route.Name, Measure: m}, u.Version == s.Target, failed, took)
+			x.rolloutObservations.Answer(u.Service, rollout.Subject{Route: x.route.Name, Measure: m}, u.Version == s.Target, failed, took)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 }
 
 func (f *Forwarder) rolloutReport(s rollout.Status) (rollout.Report, uint64) {
-	evidence, count := f.seen.Report(s.Service)
+	evidence, count := f.rolloutObservations.Report(s.Service)
 	r := rollout.Report{From: f.peers.self.ID, Service: s.Service, Given: s.Given, Phase: s.Phase, Age: s.Age, Epoch: f.peers.epoch, Evidence: evidence}
 	if s.Phase >= rollout.Full {
 		r.Running = f.runningRetired(s.Service)
@@ -230,7 +230,7 @@
 		}
 	}
 	f.engines.countOwn(count)
-	f.plain.countInFlight(count)
+	f.plainChooser.countInFlight(count)
 	return n
 }
 
@@ -255,7 +255,7 @@
 	if err != nil {
 		next.count, next.to = before.count, ""
 		f.peers.markUnreachable(now, to.ID)
-		f.journal.Belief("rollout not reported", "service", s.Service, "peer", to.ID, "err", err)
+		f.journal.HostEvent("rollout not reported", "service", s.Service, "peer", to.ID, "err", err)
 	}
 	told[s.Service] = next
 	if err == nil && reply.Service == s.Service {
@@ -266,7 +266,7 @@
 // OnRollout serves a host that reports what it has seen.
 func (f *Forwarder) OnRollout(r rollout.Report) rollout.Status {
 	now := f.now()
-	f.desk.take(now, r)
+	f.rolloutDecider.take(now, r)
 	f.rollouts.Aged(now, r.Service, r.Given, r.Age)
 	for _, s := range f.rollouts.Statuses(now) {
 		if s.Service == r.Service {
@@ -279,15 +279,15 @@
 // decideRollout decides for all hosts what comes next, and has it recorded.
 func (f *Forwarder) decideRollout(ctx context.Context, now time.Time, s rollout.Status, records RolloutRecords) {
 	r, _ := f.rolloutReport(s)
-	f.desk.take(now, r)
+	f.rolloutDecider.take(now, r)
 	fleet := rollout.Fleet{}
 	if !f.peers.zonesDivided() {
 		fleet.Hosts = f.peers.liveIDs(now)
 	}
 	fleet.HasTarget, _ = f.hasVersion(now, s.Service, s.Target)
-	phase, against := f.desk.decide(now, s, fleet)
+	phase, against := f.rolloutDecider.decide(now, s, fleet)
 	if phase > s.Phase {
-		f.journal.Belief("rollout decided", "service", s.Service, "target", s.Target, "phase", phase, "after", s.Age, "of", s.Lasts, "evidence_against", against)
+		f.journal.HostEvent("rollout decided", "service", s.Service, "target", s.Target, "phase", phase, "after", s.Age, "of", s.Lasts, "evidence_against", against)
 	}
 	s.Phase = phase
 	if phase == rollout.RolledBack {
@@ -301,7 +301,7 @@
 	defer cancel()
 	// What became of a write that fails is told by the next news.
 	if err := records.Record(call, s, s.Recorded); err != nil {
-		f.journal.Belief("rollout not recorded", "service", s.Service, "phase", s.Phase, "err", err)
+		f.journal.HostEvent("rollout not recorded", "service", s.Service, "phase", s.Phase, "err", err)
 		return
 	}
 	f.takeRollouts(f.now(), []rollout.Status{s})
@@ -315,8 +315,8 @@
 	now := f.now()
 	var all []RolloutEntry
 	for _, s := range f.rollouts.Statuses(now) {
-		_, against := f.desk.decide(now, s, rollout.Fleet{})
-		evidence, _ := f.seen.Report(s.Service)
+		_, against := f.rolloutDecider.decide(now, s, rollout.Fleet{})
+		evidence, _ := f.rolloutObservations.Report(s.Service)
 		all = append(all, RolloutEntry{Status: s, Decides: f.peers.firstHost(now).ID, Against: against, Evidence: evidence})
 	}
 	return all
--- a/forward/send.go
+++ b/forward/send.go
@@ -197,7 +197,7 @@
 	f.requestRelist()
 	// Under overload, every upstream asks for backoff again and again. Notices to the peers are
 	// rate-limited; what isn't announced at once goes out with the next periodic share.
-	if f.backoffNotices.allow(now, "") {
+	if f.backoffNoticeLimiter.allow(now, "") {
 		f.peers.notifyAll()
 	}
 	return true
@@ -209,8 +209,8 @@
 		return
 	}
 	f.requestRelist()
-	if f.signalLines.allow(now, mark.Upstream) {
-		f.journal.Belief("upstream asks several hosts for backoff", "upstream", mark.Upstream, "peer", from, "for", mark.Remaining)
+	if f.signalLogLimiter.allow(now, mark.Upstream) {
+		f.journal.HostEvent("upstream asks several hosts for backoff", "upstream", mark.Upstream, "peer", from, "for", mark.Remaining)
 	}
 }
 
@@ -218,7 +218,7 @@
 // engine that no longer does are placed elsewhere.
 func (f *Forwarder) requestRelist() {
 	select {
-	case f.relist <- struct{}{}:
+	case f.relistRequested <- struct{}{}:
 	default:
 	}
 }
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -58,7 +58,7 @@
 	if s.Leaving {
 		f.observer.Signal(SignalLeaving)
 		if f.fleet.SaidLeaving(now, u.ID, u.Incarnation, true) {
-			f.journal.Belief("upstream says that it leaves", "upstream", u.ID, "life", u.Incarnation, "answer_to", to, "asked_ago", now.Sub(sent))
+			f.journal.HostEvent("upstream says that it leaves", "upstream", u.ID, "life", u.Incarnation, "answer_to", to, "asked_ago", now.Sub(sent))
 			f.peers.notifyAll()
 		}
 	}
@@ -79,7 +79,7 @@
 
 // noteSignal writes a line about an upstream's signal, unless there was one just now.
 func (f *Forwarder) noteSignal(now time.Time, u Upstream, event string, keyvals ...any) {
-	if f.signalLines.allow(now, u.ID) {
-		f.journal.Belief(event, append([]any{"upstream", u.ID, "life", u.Incarnation}, keyvals...)...)
+	if f.signalLogLimiter.allow(now, u.ID) {
+		f.journal.HostEvent(event, append([]any{"upstream", u.ID, "life", u.Incarnation}, keyvals...)...)
 	}
 }
--- a/forward/turns_test.go
+++ b/forward/turns_test.go
@@ -79,7 +79,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f, arbiter := newForwarder(t, &fakeTransport{}), newForwarder(t, &fakeTransport{})
-		f.peerPort = &turnPeers{arbiter: arbiter}
+		f.peerTransport = &turnPeers{arbiter: arbiter}
 		f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h2", Zone: "z2", PeerAddress: "10.0.0.2:1"}})
 		at := Upstream{ID: "e", Zone: "z2"}
 		endFirst, err := f.takeTurn(t.Context(), at, TurnRequest{Engine: "e", Run: "first", Worth: 3})
--- a/forward/unserved.go
+++ b/forward/unserved.go
@@ -22,7 +22,7 @@
 // of those may get it that don't now; zero when there are none.
 func (x *exchange) noUpstream(now time.Time, takers []Upstream, wait time.Duration) Refusal {
 	if wait <= 0 {
-		return Refusal{Code: CodeNoUpstream, RetryAfter: retryUnknown}
+		return Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter}
 	}
 	wait = max(wait, x.pickReturnTime(now, takers))
 	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), retryKeptMost) + rand.N(min(wait, retryKeptSpread)+1)}
@@ -58,7 +58,7 @@
 func (x *exchange) rejectedEverywhere(now time.Time) Refusal {
 	takers := x.acceptingUpstreams(now)
 	kept := len(x.throttledAmong(now, takers))
-	r := Refusal{Code: CodeOverloaded, RetryAfter: retryUnknown}
+	r := Refusal{Code: CodeOverloaded, RetryAfter: defaultRetryAfter}
 	switch {
 	case kept > 0 && kept == len(takers):
 		r = x.noUpstream(now, takers, x.shortestWait(now, takers, nil))
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -140,7 +140,7 @@
 	now := time.Now()
 	f.fleet.ApplyZoneOrders(now, orders)
 	f.fleet.Apply(now, nil, orders[len(orders)-1].Revision)
-	f.listEngines(now, f.Table())
+	f.updatePlacementEngines(now, f.Table())
 }
 
 // TestZoneOutOfServiceGetsNothing checks that calls, streams, retries and second attempts go only to
@@ -205,7 +205,7 @@
 		f.applyZoneOrders(outOfService("z1", 4), backInService("z2", 5))
 		f.engines.finish(time.Now(), "llm", run, true)
 		time.Sleep(queueStagger)
-		f.listEngines(time.Now(), f.Table())
+		f.updatePlacementEngines(time.Now(), f.Table())
 		got := <-granted
 		is.Equal(got.Zone, member.Zone("z2"))
 	})
@@ -233,7 +233,7 @@
 				to, _ := f.fleet.Upstream("llm2")
 				source, _ := f.fleet.Upstream("llm3")
 				s := &streamExchange{exchange: &exchange{Forwarder: f, call: call("/llm/")}}
-				_, _, err := s.takeUp(t.Context(), &handover{to: to, source: source, handle: "h"})
+				_, _, err := s.continueRun(t.Context(), &handover{target: to, source: source, handle: "h"})
 				kept, _ := notSentVerdict(err)
 				is.Equal(kept.Reason, c.want)
 				is.Equal(err != nil, c.want != "")
--- a/internal/peer/share.go
+++ b/internal/peer/share.go
@@ -143,7 +143,7 @@
 	for _, r := range s.Runs {
 		w.Runs = append(w.Runs, wireRunState{
 			Run: string(r.Run), Service: string(r.Service), Engine: string(r.Engine), Life: int64(r.Life), Route: string(r.Route), Account: string(r.Account),
-			Prompt: int(r.Prompt), Made: int(r.Made), Limit: int(r.Limit), Begun: r.Begun.Microseconds(),
+			Prompt: int(r.Prompt), Made: int(r.Made), Limit: int(r.Limit), Begun: r.FirstTokenAge.Microseconds(),
 		})
 	}
 	for _, r := range s.EndedRuns {
@@ -178,7 +178,7 @@
 			Run: policy.RunID(r.Run), Service: forward.ServiceName(r.Service), Engine: member.UpstreamID(r.Engine), Life: forward.Incarnation(r.Life),
 			Route: resource.Name(r.Route), Account: resource.Account(r.Account),
 			Prompt: policy.Tokens(r.Prompt), Made: policy.Tokens(r.Made), Limit: policy.Tokens(r.Limit),
-			Begun: time.Duration(r.Begun) * time.Microsecond,
+			FirstTokenAge: time.Duration(r.Begun) * time.Microsecond,
 		})
 	}
 	for _, r := range w.Ended {
--- a/internal/telemetry/forward.go
+++ b/internal/telemetry/forward.go
@@ -92,8 +92,8 @@
 	f.log(append([]any{"msg", event, "request", id}, keyvals...))
 }
 
-// Belief notes a change of what this host believes.
-func (f *Forward) Belief(event string, keyvals ...any) {
+// HostEvent notes a change of what this host believes.
+func (f *Forward) HostEvent(event string, keyvals ...any) {
 	f.log(append([]any{"msg", event}, keyvals...))
 }
 
@@ -112,8 +112,8 @@
 // FirstEvent counts the time to a stream's first event.
 func (f *Forward) FirstEvent(took time.Duration) { f.firstEvent.Observe(took.Seconds()) }
 
-// Gap counts the time between two events.
-func (f *Forward) Gap(d time.Duration) { f.gap.Observe(d.Seconds()) }
+// EventGap counts the time between two events.
+func (f *Forward) EventGap(d time.Duration) { f.gap.Observe(d.Seconds()) }
 
 // Repeated counts a request that was sent once more.
 func (f *Forward) Repeated(why string) { f.repeated.WithLabelValues(why).Inc() }
@@ -124,8 +124,8 @@
 	f.movePause.Observe(pause.Seconds())
 }
 
-// Unread counts entries that couldn't be read or used.
-func (f *Forward) Unread(entries int) { f.unread.Add(float64(entries)) }
+// UnreadableEntries counts entries that couldn't be read or used.
+func (f *Forward) UnreadableEntries(entries int) { f.unread.Add(float64(entries)) }
 
 // Broken counts a connection that an upstream ended before its answer.
 func (f *Forward) Broken(ended bool) {
