--- a/backoff/table.go
+++ b/backoff/table.go
@@ -12,234 +12,255 @@
 )
 
 const (
-	// openAt is the window at which an upstream is no longer bounded.
-	openAt = 16
-	// returnLasts bounds how long an upstream stays bounded after its backoff, whatever its
-	// answers: one that gets little traffic would stay so for long.
-	returnLasts = 5 * time.Second
-	// windowPause is when to look again at an upstream whose window is full.
-	windowPause = 50 * time.Millisecond
+	// unlimitedWindow is the window from which on the requests in flight to an upstream are no
+	// longer limited.
+	unlimitedWindow = 16
+	// maxSlowStart bounds the slow start after a backoff regardless of the upstream's answers.
+	// Without it, an upstream that gets little traffic would stay limited for a long time.
+	maxSlowStart = 5 * time.Second
+	// fullWindowDelay is how long a request is delayed when the window of its upstream is full.
+	fullWindowDelay = 50 * time.Millisecond
 )
 
-// Table keeps the upstreams that asked hosts for backoff. One that asked this host gets
-// nothing from it until the end, and neither does one that asked two other hosts: it isn't
-// these that send too much. Afterwards each gets as many requests at once as its window
-// allows: one, and twice as many with each good answer. The zero value is ready to use. It
-// is safe for use by several goroutines.
+// Table records the backoffs that upstreams asked hosts for. This host sends nothing to an
+// upstream
+//   - until the backoff ends that the upstream asked this host for, and
+//   - while the upstream has asked at least two hosts for backoff, because then the overload
+//     isn't caused by a single host.
+//
+// After a backoff the upstream goes through a slow start: a window limits its requests in flight,
+// starts at one and doubles with each successful answer.
+//
+// The zero value is an empty table that is ready for use. It is safe for concurrent use.
 type Table struct {
-	// some says that the table isn't empty, which is all that most requests ask.
-	some atomic.Bool
+	// nonEmpty says that upstreams isn't empty. Most requests need to know only that and don't
+	// take the lock.
+	nonEmpty atomic.Bool
 
 	mu        sync.Mutex
-	upstreams map[member.UpstreamID]*entry
+	upstreams map[member.UpstreamID]*upstreamState
 }
 
-// entry is one upstream's.
-type entry struct {
-	life int64
-	// own is when the backoff ends that this host was asked for, and peers when those end
-	// that others were.
-	own   time.Time
-	peers map[member.HostID]time.Time
-	// spread is added to what peers were asked for.
-	spread time.Duration
-	// until is when this host may send again.
-	until time.Time
-	// window is how many requests may be under way then, and inFlight how many are.
+// upstreamState is what the table records about one upstream.
+type upstreamState struct {
+	incarnation int64
+	// ownUntil is when the backoff of this host ends, and peersUntil when the backoff of each
+	// peer ends.
+	ownUntil   time.Time
+	peersUntil map[member.HostID]time.Time
+	// peerJitter is added to sharedUntil, so that hosts which learn of the backoffs together
+	// don't return together.
+	peerJitter time.Duration
+	// noSendUntil is when this host may send requests again.
+	noSendUntil time.Time
+	// window is how many requests may be in flight during the slow start, and inFlight how many
+	// are.
 	window, inFlight int
 }
 
-// Mark tells a peer that an upstream asked this host for backoff.
+// Mark tells peers that an upstream asked this host for backoff.
 type Mark struct {
 	Upstream member.UpstreamID
-	// Life tells this start of the upstream from others under its id.
-	Life int64
-	// For is how much longer it wants nothing from the host.
-	For time.Duration
+	// Incarnation tells this start of the upstream from others under the same ID.
+	Incarnation int64
+	// Remaining is how much longer the backoff lasts.
+	Remaining time.Duration
 }
 
-// Entry is how an upstream stands, for operators.
-type Entry struct {
+// Status is the state of one upstream, for operators.
+type Status struct {
 	Upstream member.UpstreamID
-	// Left is how much longer it gets nothing from this host; zero while it returns.
-	Left time.Duration
-	// Hosts is how many hosts it wants nothing from, as far as is known.
+	// Remaining is how much longer this host sends nothing to the upstream; zero once the backoff
+	// has ended.
+	Remaining time.Duration
+	// Hosts is the number of hosts that are known to be in a backoff from the upstream.
 	Hosts int
-	// Window is how many requests it may have at once while it returns.
+	// Window is how many requests this host may have in flight to the upstream during the slow
+	// start.
 	Window int
 }
 
-// Ask takes in that an upstream asked this host for backoff. spread is added to it, so that
-// hosts which were asked together return one after another. It reports whether the upstream
-// wanted nothing from this host before, either.
-func (t *Table) Ask(now time.Time, id member.UpstreamID, life int64, d, spread time.Duration) (again bool) {
+// Record records that an upstream asked this host for a backoff of d. jitter is added to d, so
+// that hosts that were asked together don't return together. Record reports whether a backoff of
+// this host was already active.
+func (t *Table) Record(now time.Time, id member.UpstreamID, incarnation int64, d, jitter time.Duration) (active bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.of(id, life)
-	again = now.Before(e.own)
-	// Each answer binds until its own end: a shorter one later doesn't take it back.
-	if until := now.Add(min(d, Longest) + spread); until.After(e.own) {
-		e.own = until
+	s := t.getOrAdd(id, incarnation)
+	active = now.Before(s.ownUntil)
+	// A later, shorter backoff doesn't end an earlier one.
+	if until := now.Add(min(d, MaxDuration) + jitter); until.After(s.ownUntil) {
+		s.ownUntil = until
 	}
-	e.extend()
-	return again
+	s.extend()
+	return active
 }
 
-// Receive takes in that an upstream asked a peer for backoff. spread is Ask's. It reports
-// whether the upstream gets nothing from this host for a longer time because of it.
-func (t *Table) Receive(now time.Time, from member.HostID, m Mark, spread time.Duration) (longer bool) {
-	if m.For <= 0 {
+// RecordPeer records that an upstream asked a peer for backoff. jitter is added to the time for
+// which several hosts are in a backoff; only the jitter of the first mark about an upstream
+// counts. RecordPeer reports whether this host has to wait longer because of the mark.
+func (t *Table) RecordPeer(now time.Time, from member.HostID, m Mark, jitter time.Duration) (extended bool) {
+	if m.Remaining <= 0 {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.of(m.Upstream, m.Life)
-	if e.peers == nil {
-		e.peers, e.spread = map[member.HostID]time.Time{}, spread
+	s := t.getOrAdd(m.Upstream, m.Incarnation)
+	if s.peersUntil == nil {
+		s.peersUntil, s.peerJitter = map[member.HostID]time.Time{}, jitter
 	}
-	e.peers[from] = now.Add(min(m.For, Longest))
-	return e.extend()
+	s.peersUntil[from] = now.Add(min(m.Remaining, MaxDuration))
+	return s.extend()
 }
 
-// extend works out anew until when this host sends nothing. It reports whether that is later
-// than before.
-func (e *entry) extend() (longer bool) {
-	until := e.own
-	if common := e.common(); !common.IsZero() && common.Add(e.spread).After(until) {
-		until = common.Add(e.spread)
+// extend recomputes noSendUntil, which never moves back. It reports whether noSendUntil moved;
+// the window then starts at one again.
+func (s *upstreamState) extend() (extended bool) {
+	until := s.ownUntil
+	if shared := s.sharedUntil(); !shared.IsZero() && shared.Add(s.peerJitter).After(until) {
+		until = shared.Add(s.peerJitter)
 	}
-	if !until.After(e.until) {
+	if !until.After(s.noSendUntil) {
 		return false
 	}
-	e.until, e.window = until, 1
+	s.noSendUntil, s.window = until, 1
 	return true
 }
 
-// common is until when at least two hosts are to send nothing; zero for never.
-func (e *entry) common() time.Time {
-	first, second := e.own, time.Time{}
-	for _, until := range e.peers {
-		if until.After(first) {
-			first, until = until, first
+// sharedUntil returns until when at least two hosts, which may include this one, are in a
+// backoff; zero if fewer than two backoffs are known.
+func (s *upstreamState) sharedUntil() time.Time {
+	latest, secondLatest := s.ownUntil, time.Time{}
+	for _, until := range s.peersUntil {
+		if until.After(latest) {
+			latest, until = until, latest
 		}
-		if until.After(second) {
-			second = until
+		if until.After(secondLatest) {
+			secondLatest = until
 		}
 	}
-	return second
+	return secondLatest
 }
 
-func (t *Table) of(id member.UpstreamID, life int64) *entry {
-	e := t.upstreams[id]
-	if e == nil || e.life != life {
+// getOrAdd returns the state of an incarnation of an upstream. The state of another incarnation
+// is replaced by an empty one.
+func (t *Table) getOrAdd(id member.UpstreamID, incarnation int64) *upstreamState {
+	s := t.upstreams[id]
+	if s == nil || s.incarnation != incarnation {
 		if t.upstreams == nil {
-			t.upstreams = map[member.UpstreamID]*entry{}
+			t.upstreams = map[member.UpstreamID]*upstreamState{}
 		}
-		e = &entry{life: life}
-		t.upstreams[id] = e
-		t.some.Store(true)
+		s = &upstreamState{incarnation: incarnation}
+		t.upstreams[id] = s
+		t.nonEmpty.Store(true)
 	}
-	return e
+	return s
 }
 
-// Any reports whether some upstream may be in the table.
-func (t *Table) Any() bool { return t.some.Load() }
+// HasUpstreams reports whether the table holds any upstream, including those whose backoff has
+// expired.
+func (t *Table) HasUpstreams() bool { return t.nonEmpty.Load() }
 
-// Remaining is how much longer an upstream wants nothing from this host.
+// Remaining returns how much longer this host sends nothing to an upstream. It ignores the slow
+// start.
 func (t *Table) Remaining(now time.Time, id member.UpstreamID) time.Duration {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.upstreams[id]; e != nil {
-		return max(e.until.Sub(now), 0)
+	if s := t.upstreams[id]; s != nil {
+		return max(s.noSendUntil.Sub(now), 0)
 	}
 	return 0
 }
 
-// Wait is how long it is until something may be sent to an upstream; zero when it may now.
-func (t *Table) Wait(now time.Time, id member.UpstreamID) time.Duration {
-	if !t.some.Load() {
+// Delay returns how long it is until a request may be sent to an upstream; zero if one may be
+// sent now. Unlike Remaining, it covers the slow start.
+func (t *Table) Delay(now time.Time, id member.UpstreamID) time.Duration {
+	if !t.nonEmpty.Load() {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if e := t.upstreams[id]; e != nil {
-		return e.wait(now)
+	if s := t.upstreams[id]; s != nil {
+		return s.delay(now)
 	}
 	return 0
 }
 
-func (e *entry) wait(now time.Time) time.Duration {
+func (s *upstreamState) delay(now time.Time) time.Duration {
 	switch {
-	case now.Before(e.until):
-		return e.until.Sub(now)
-	case e.returning(now) && e.inFlight >= e.window:
-		return windowPause
+	case now.Before(s.noSendUntil):
+		return s.noSendUntil.Sub(now)
+	case s.inSlowStart(now) && s.inFlight >= s.window:
+		return fullWindowDelay
 	}
 	return 0
 }
 
-// returning reports whether the window applies.
-func (e *entry) returning(now time.Time) bool {
-	return e.window > 0 && e.window < openAt && now.Before(e.until.Add(returnLasts))
+// inSlowStart reports whether the window limits the requests in flight, which is the case until
+// it has grown to unlimitedWindow or maxSlowStart has passed.
+func (s *upstreamState) inSlowStart(now time.Time) bool {
+	return s.window > 0 && s.window < unlimitedWindow && now.Before(s.noSendUntil.Add(maxSlowStart))
 }
 
-// Ticket counts one request as under way at an upstream. The zero value counts nothing.
-type Ticket struct{ entry *entry }
+// Ticket counts one request as in flight to an upstream. The zero value counts nothing.
+type Ticket struct{ state *upstreamState }
 
-// Begin counts a request as under way if it may be sent now; else it returns how long it is
-// until it may. must counts it in any case.
-func (t *Table) Begin(now time.Time, id member.UpstreamID, must bool) (Ticket, time.Duration) {
-	if !t.some.Load() {
+// Begin counts a request as in flight if it may be sent now, and returns the ticket for End.
+// Otherwise it returns how long to wait. With force, the request is counted even if it may not be
+// sent. Nothing is counted for upstreams that aren't in the table.
+func (t *Table) Begin(now time.Time, id member.UpstreamID, force bool) (Ticket, time.Duration) {
+	if !t.nonEmpty.Load() {
 		return Ticket{}, 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.upstreams[id]
-	if e == nil {
+	s := t.upstreams[id]
+	if s == nil {
 		return Ticket{}, 0
 	}
-	if wait := e.wait(now); wait > 0 && !must {
+	if wait := s.delay(now); wait > 0 && !force {
 		return Ticket{}, wait
 	}
-	e.inFlight++
-	return Ticket{e}, 0
+	s.inFlight++
+	return Ticket{s}, 0
 }
 
-// End takes in the end of what was begun. good says that the upstream has served it.
-func (t *Table) End(now time.Time, id member.UpstreamID, ticket Ticket, good bool) {
-	if !t.some.Load() {
+// End records that the request of a ticket has ended. success says that the upstream processed
+// it; outside a backoff this doubles the window.
+func (t *Table) End(now time.Time, id member.UpstreamID, ticket Ticket, success bool) {
+	if !t.nonEmpty.Load() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.upstreams[id]
-	if e == nil || ticket.entry != e {
+	s := t.upstreams[id]
+	if s == nil || ticket.state != s {
 		return
 	}
-	e.inFlight--
-	if good && !now.Before(e.until) && e.window < openAt {
-		e.window *= 2
+	s.inFlight--
+	if success && !now.Before(s.noSendUntil) && s.window < unlimitedWindow {
+		s.window *= 2
 	}
 }
 
-// Renew forgets an upstream that has started again.
-func (t *Table) Renew(id member.UpstreamID) {
+// Remove removes an upstream, because it has started again.
+func (t *Table) Remove(id member.UpstreamID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.upstreams, id)
-	t.some.Store(len(t.upstreams) > 0)
+	t.nonEmpty.Store(len(t.upstreams) > 0)
 }
 
-// hosts counts the hosts that are to send nothing.
-func (e *entry) hosts(now time.Time) int {
+// countHosts returns how many hosts are in a backoff from the upstream.
+func (s *upstreamState) countHosts(now time.Time) int {
 	n := 0
-	if now.Before(e.own) {
+	if now.Before(s.ownUntil) {
 		n++
 	}
-	for _, until := range e.peers {
+	for _, until := range s.peersUntil {
 		if now.Before(until) {
 			n++
 		}
@@ -247,82 +268,82 @@
 	return n
 }
 
-// Everywhere is how long it is until the upstream takes requests from every host again, as
-// far as is known.
-func (t *Table) Everywhere(now time.Time, id member.UpstreamID) time.Duration {
-	if !t.some.Load() {
+// RemainingOnAnyHost returns how long it is until no known host is in a backoff from an upstream.
+func (t *Table) RemainingOnAnyHost(now time.Time, id member.UpstreamID) time.Duration {
+	if !t.nonEmpty.Load() {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.upstreams[id]
-	if e == nil {
+	s := t.upstreams[id]
+	if s == nil {
 		return 0
 	}
-	last := e.until
-	for _, until := range e.peers {
-		if until.After(last) {
-			last = until
+	latest := s.noSendUntil
+	for _, until := range s.peersUntil {
+		if until.After(latest) {
+			latest = until
 		}
 	}
-	return max(last.Sub(now), 0)
+	return max(latest.Sub(now), 0)
 }
 
-// Alone reports whether an upstream wants nothing from this host, and no other is known of
-// which it doesn't want anything either.
-func (t *Table) Alone(now time.Time, id member.UpstreamID) bool {
-	if !t.some.Load() {
+// OnlyThisHost reports whether this host is in a backoff from an upstream and no other host is
+// known to be.
+func (t *Table) OnlyThisHost(now time.Time, id member.UpstreamID) bool {
+	if !t.nonEmpty.Load() {
 		return false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.upstreams[id]
-	return e != nil && now.Before(e.own) && e.hosts(now) == 1
+	s := t.upstreams[id]
+	return s != nil && now.Before(s.ownUntil) && s.countHosts(now) == 1
 }
 
-// Forget drops the upstreams that are no longer bounded.
-func (t *Table) Forget(now time.Time) {
-	if !t.some.Load() {
+// RemoveExpired removes the upstreams that are neither in a backoff, on any host, nor in a slow
+// start.
+func (t *Table) RemoveExpired(now time.Time) {
+	if !t.nonEmpty.Load() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for id, e := range t.upstreams {
-		for host, until := range e.peers {
+	for id, s := range t.upstreams {
+		for host, until := range s.peersUntil {
 			if !now.Before(until) {
-				delete(e.peers, host)
+				delete(s.peersUntil, host)
 			}
 		}
-		if len(e.peers) == 0 && !now.Before(e.until.Add(returnLasts)) {
+		if len(s.peersUntil) == 0 && !now.Before(s.noSendUntil.Add(maxSlowStart)) {
 			delete(t.upstreams, id)
 		}
 	}
-	t.some.Store(len(t.upstreams) > 0)
+	t.nonEmpty.Store(len(t.upstreams) > 0)
 }
 
-// Marks tells which upstreams want nothing from this host.
+// Marks returns the marks for the active backoffs of this host, without those of peers.
 func (t *Table) Marks(now time.Time) []Mark {
-	if !t.some.Load() {
+	if !t.nonEmpty.Load() {
 		return nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var marks []Mark
-	for id, e := range t.upstreams {
-		if left := e.own.Sub(now); left > 0 {
-			marks = append(marks, Mark{Upstream: id, Life: e.life, For: left})
+	for id, s := range t.upstreams {
+		if remaining := s.ownUntil.Sub(now); remaining > 0 {
+			marks = append(marks, Mark{Upstream: id, Incarnation: s.incarnation, Remaining: remaining})
 		}
 	}
 	return marks
 }
 
-// Entries lists the upstreams in the table.
-func (t *Table) Entries(now time.Time) []Entry {
+// Statuses returns the state of each upstream in the table.
+func (t *Table) Statuses(now time.Time) []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	entries := make([]Entry, 0, len(t.upstreams))
-	for id, e := range t.upstreams {
-		entries = append(entries, Entry{Upstream: id, Left: max(e.until.Sub(now), 0), Hosts: e.hosts(now), Window: e.window})
+	statuses := make([]Status, 0, len(t.upstreams))
+	for id, s := range t.upstreams {
+		statuses = append(statuses, Status{Upstream: id, Remaining: max(s.noSendUntil.Sub(now), 0), Hosts: s.countHosts(now), Window: s.window})
 	}
-	return entries
+	return statuses
 }
--- a/policy/refusal_test.go
+++ b/policy/refusal_test.go
@@ -11,19 +11,22 @@
 	"github.com/matryer/is"
 )
 
-// askInTime is a request whose first token is aimed at within two seconds.
-func askInTime(run string, at time.Time, prompt Tokens) Request {
-	r := ask(run, prompt)
+// newRequestWithObjective returns a request that arrives at the given time and whose objective
+// and deadline for the first token are two seconds.
+func newRequestWithObjective(run string, at time.Time, prompt Tokens) Request {
+	r := newRequest(run, prompt)
 	r.Arrived, r.Objective, r.Deadline = at, 2*time.Second, at.Add(2*time.Second)
 	return r
 }
 
-// TestRefuseLate has a request that no engine would begin in time refused at
-// once, with a time to come back that is when it would be.
+// TestRefuseLate checks that a request is refused at once if no engine is expected to make its
+// first token in time, and that it is granted when it is repeated after RetryAfter. An idle engine
+// takes any request.
 func TestRefuseLate(t *testing.T) {
 	for name, c := range map[string]struct {
 		engines []EngineID
-		// ahead are prompts placed before, at a reading rate of 1,000 a second.
+		// ahead are the prompts that were placed before, at a read rate of 1,000 tokens per
+		// second.
 		ahead   []Tokens
 		prompt  Tokens
 		verdict Verdict
@@ -40,99 +43,99 @@
 			is := is.New(t)
 			p := newTestPool(Settings{ReadRate: 1000}, c.engines...)
 			for i, prompt := range c.ahead {
-				is.Equal(p.Submit(start, askInTime(fmt.Sprint("ahead", i), start, prompt)).Verdict, Granted)
+				is.Equal(p.Submit(testStart, newRequestWithObjective(fmt.Sprint("ahead", i), testStart, prompt)).Verdict, Granted)
 			}
-			d := p.Submit(start, askInTime("r", start, c.prompt))
+			d := p.Submit(testStart, newRequestWithObjective("r", testStart, c.prompt))
 			is.Equal(d.Verdict, c.verdict)
 			if d.Verdict != Refused {
 				return
 			}
 			is.Equal(d.Reason, ReasonLate)
-			is.Equal(p.Waiting(), 0) // it isn't held
-			back := start.Add(d.RetryAfter)
-			is.Equal(p.Submit(back, askInTime("r", back, c.prompt)).Verdict, Granted)
+			is.Equal(p.Waiting(), 0) // it isn't queued
+			retryAt := testStart.Add(d.RetryAfter)
+			is.Equal(p.Submit(retryAt, newRequestWithObjective("r", retryAt, c.prompt)).Verdict, Granted)
 		})
 	}
 }
 
-// TestRefusedReturnsSpread has callers that are refused together told different
-// times, the short prompts earlier.
-func TestRefusedReturnsSpread(t *testing.T) {
+// TestRetryAfterIsSpread checks that callers which are refused together get different RetryAfter
+// values, and those with short prompts earlier ones.
+func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{ReadRate: 1000}, "g1")
-	p.Submit(start, askInTime("ahead", start, 4000))
-	told := map[time.Duration]bool{}
+	p.Submit(testStart, newRequestWithObjective("ahead", testStart, 4000))
+	retryAfters := map[time.Duration]bool{}
 	for i := range 20 {
-		told[p.Submit(start, askInTime(fmt.Sprint(i), start, 1000)).RetryAfter] = true
+		retryAfters[p.Submit(testStart, newRequestWithObjective(fmt.Sprint(i), testStart, 1000)).RetryAfter] = true
 	}
-	is.True(len(told) >= 18)
-	short := p.Submit(start, askInTime("same", start, 500)).RetryAfter
-	long := p.Submit(start, askInTime("same", start, 1500)).RetryAfter
-	is.Equal(long-short, time.Second) // what the longer prompt takes to be read
+	is.True(len(retryAfters) >= 18)
+	short := p.Submit(testStart, newRequestWithObjective("same", testStart, 500)).RetryAfter
+	long := p.Submit(testStart, newRequestWithObjective("same", testStart, 1500)).RetryAfter
+	is.Equal(long-short, time.Second) // the time to read the additional 1,000 tokens
 }
 
-// TestRefuseWhatWaits has a queued request refused as soon as its outlook is
-// hopeless, not when its time is over.
-func TestRefuseWhatWaits(t *testing.T) {
+// TestRefuseQueuedRequest checks that a queued request is refused as soon as it is expected to be
+// late, and not only at its deadline.
+func TestRefuseQueuedRequest(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000, WaitPart: 2}, "g1", "g2")
-	teach(p, "r", 60) // 1.2 s a run, so a place comes every 0.6 s
+	learnLengths(p, "r", 60) // 1.2 s per run, so a place becomes free every 0.6 s
 	for _, run := range []string{"a", "b"} {
-		is.Equal(p.Submit(start, ask(run, 100)).Verdict, Granted)
+		is.Equal(p.Submit(testStart, newRequest(run, 100)).Verdict, Granted)
 	}
-	is.Equal(p.Submit(start, askInTime("c", start, 100)).Verdict, Queued)
-	is.Equal(len(p.Advance(start.Add(100*time.Millisecond))), 0)
-	p.Finish(start, Finish{Run: "a"})
-	p.SetEngines([]EngineID{"g2"}) // half of the engines go
+	is.Equal(p.Submit(testStart, newRequestWithObjective("c", testStart, 100)).Verdict, Queued)
+	is.Equal(len(p.Advance(testStart.Add(100*time.Millisecond))), 0)
+	p.Finish(testStart, Finish{Run: "a"})
+	p.SetEngines([]EngineID{"g2"}) // half of the engines leave
 	for i := range 40 {
-		now := start.Add(time.Duration(i) * 50 * time.Millisecond)
+		now := testStart.Add(time.Duration(i) * 50 * time.Millisecond)
 		for _, d := range p.Advance(now) {
 			is.Equal(d.Verdict, Refused)
-			is.True(now.Before(start.Add(time.Second))) // long before its two seconds are over
+			is.True(now.Before(testStart.Add(time.Second))) // well before its deadline, two seconds after the start
 			return
 		}
 	}
-	t.Fatal("the request still waits")
+	t.Fatal("request c still waits 1.95 s after its arrival, expected it to be refused before its deadline")
 }
 
-// TestRefuseLongWaits has a request refused at once if its place is foreseen to come after
-// a longer wait than is worth it, and else when it has waited for as long.
+// TestRefuseLongWaits checks that a request is refused at once if its expected wait for a place
+// exceeds the permitted part of its objective, and otherwise once it has waited that long.
 func TestRefuseLongWaits(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000}, "g1", "g2")
 	for _, run := range []string{"a", "b"} {
-		is.Equal(p.Submit(start, ask(run, 100)).Verdict, Granted)
+		is.Equal(p.Submit(testStart, newRequest(run, 100)).Verdict, Granted)
 	}
-	teach(p, "r", 60)                                                      // 1.2 s a run, so a place comes every 0.6 s
-	is.Equal(p.Submit(start, askInTime("c", start, 100)).Verdict, Refused) // 0.15 of 2 s is less
+	learnLengths(p, "r", 60)                                                                     // 1.2 s per run, so a place becomes free every 0.6 s
+	is.Equal(p.Submit(testStart, newRequestWithObjective("c", testStart, 100)).Verdict, Refused) // at most 0.15 of 2 s may be spent waiting
 	p.lengths = &Lengths{}
-	teach(p, "r", 20) // 0.4 s a run, so a place comes every 0.2 s
-	is.Equal(p.Submit(start, askInTime("d", start, 100)).Verdict, Queued)
-	is.Equal(len(p.Advance(start.Add(290*time.Millisecond))), 0)
-	decided := p.Advance(start.Add(310 * time.Millisecond))
+	learnLengths(p, "r", 20) // 0.4 s per run, so a place becomes free every 0.2 s
+	is.Equal(p.Submit(testStart, newRequestWithObjective("d", testStart, 100)).Verdict, Queued)
+	is.Equal(len(p.Advance(testStart.Add(290*time.Millisecond))), 0)
+	decided := p.Advance(testStart.Add(310 * time.Millisecond))
 	is.Equal(len(decided), 1)
 	is.Equal(decided[0].Verdict, Refused)
 	is.True(decided[0].RetryAfter > 0)
 }
 
-// TestReadRateLearnt has the foreseen first tokens right for engines that are
-// three times faster and slower than was assumed.
+// TestReadRateLearnt checks that the read rate is learned for engines that are three times faster
+// or slower than assumed.
 func TestReadRateLearnt(t *testing.T) {
 	for name, factor := range map[string]float64{"as assumed": 1, "three times faster": 3, "three times slower": 1.0 / 3} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			p := newTestPool(Settings{ReadRate: 1000}, "g1")
-			now := start
+			now := testStart
 			for i := range 60 {
 				run := fmt.Sprint(i)
-				p.Submit(now, askInTime(run, now, 600))
+				p.Submit(now, newRequestWithObjective(run, now, 600))
 				now = now.Add(time.Duration(0.6 / factor * float64(time.Second)))
-				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: step})
+				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: testStepTime})
 				p.Begun(now, RunID(run))
-				p.Begun(now.Add(time.Hour), RunID(run)) // later tokens say nothing
+				p.Begun(now.Add(time.Hour), RunID(run)) // later tokens are ignored
 				p.Finish(now, Finish{Run: RunID(run)})
 				now = now.Add(5 * time.Second)
-				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: step})
+				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: testStepTime})
 			}
 			rate, samples := p.ReadRate()
 			is.Equal(samples, uint64(60))
