--- a/forward/move.go
+++ b/forward/move.go
@@ -305,7 +305,7 @@
 	if e.LinkBitsPerSecond <= 0 {
 		return 0
 	}
-	bits := 8 * e.TokenBytes * (float64(run.request.Prompt) + float64(run.generatedTokens.Load()))
+	bits := 8 * e.TokenBytes * (float64(run.request.PromptTokens) + float64(run.generatedTokens.Load()))
 	took := time.Duration(bits / e.LinkBitsPerSecond * float64(time.Second))
 	if to.Zone != m.from.Zone {
 		took *= 2
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -68,7 +68,7 @@
 		for id, run := range p.ownRuns {
 			state := RunState{
 				Run: id, Service: service, Engine: run.engine, Life: run.incarnation, Route: run.request.Route, Account: run.request.Account,
-				Prompt: run.request.Prompt, Made: policy.Tokens(run.generatedTokens.Load()), Limit: run.request.Limit,
+				Prompt: run.request.PromptTokens, Made: policy.Tokens(run.generatedTokens.Load()), Limit: run.request.MaxOutputTokens,
 			}
 			if !run.firstTokenAt.IsZero() {
 				state.Begun = max(now.Sub(run.firstTokenAt), 1)
@@ -115,7 +115,7 @@
 	}
 	for _, p := range e.pools {
 		for zone, n := range hosts {
-			p.pool.SetKnownPart(zone, float64(told[zone])/float64(n))
+			p.pool.SetZoneCoverage(zone, float64(told[zone])/float64(n))
 		}
 	}
 }
@@ -149,7 +149,7 @@
 			}
 			delete(p.peerRuns, id)
 			made, whole := lengths[id]
-			p.pool.Finish(now, policy.Finish{Run: id, Made: made, Whole: whole})
+			p.pool.Finish(now, policy.Finish{Run: id, GeneratedTokens: made, Complete: whole})
 		}
 	}
 	for id, s := range listed {
@@ -160,10 +160,10 @@
 		}
 		if _, known := p.peerRuns[id]; known {
 			p.pool.Progress(now, id, s.Made)
-			p.pool.Reading(now, id, s.first(now))
+			p.pool.UpdatePrefill(now, id, s.first(now))
 			continue
 		}
 		p.peerRuns[id] = host
-		p.pool.Adopt(now, policy.Request{Run: id, Route: s.Route, Account: s.Account, Prompt: s.Prompt, Limit: s.Limit}, s.Engine, s.Made)
+		p.pool.Adopt(now, policy.Request{Run: id, Route: s.Route, Account: s.Account, PromptTokens: s.Prompt, MaxOutputTokens: s.Limit}, s.Engine, s.Made)
 	}
 }
--- a/forward/throttledselection.go
+++ b/forward/throttledselection.go
@@ -72,7 +72,7 @@
 		throttled := s.throttledEngines(now)
 		s.skipped = len(throttled.sameZone) + len(throttled.otherZones)
 		throttled.merge(&refused)
-		r.AvoidAlso = slices.Concat(s.avoid, throttled.sameZone)
+		r.ExcludedEngines = slices.Concat(s.avoid, throttled.sameZone)
 		p := s.findPlacement(ctx, now, r, throttled)
 		if p.decision.Verdict != policy.Granted {
 			return p.upstream, placedRun{}, s.noPlace(ctx, p.decision), false
--- a/policy/cost_bench_test.go
+++ b/policy/cost_bench_test.go
@@ -18,7 +18,7 @@
 	}
 	p.SetEngines(ids)
 	for _, id := range ids {
-		p.Report(start, Report{Engine: id, Memory: 100_000, Step: step})
+		p.Report(start, Report{Engine: id, TotalMemory: 100_000, StepTime: step})
 	}
 	teach(p, "r", 50, 500)
 	for i, id := range ids {
@@ -58,7 +58,7 @@
 				if p.Submit(start, r).Verdict != Granted {
 					b.Fatal("no room")
 				}
-				p.Finish(start, Finish{Run: r.Run, Made: 50})
+				p.Finish(start, Finish{Run: r.Run, GeneratedTokens: 50})
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 			now := start
 			b.ReportAllocs()
 			for b.Loop() {
-				now = now.Add(refreshEvery)
+				now = now.Add(forecastRefreshInterval)
 				p.Advance(now)
 			}
 		})
@@ -95,7 +95,7 @@
 				p.SetEngines(ids)
 				for _, id := range ids {
 					p.SetZone(id, "z")
-					p.Report(start, Report{Engine: id, Memory: 100_000, Step: step})
+					p.Report(start, Report{Engine: id, TotalMemory: 100_000, StepTime: step})
 				}
 			}
 		})
@@ -107,6 +107,6 @@
 	p := busyPool(200)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Report(start.Add(time.Second), Report{Engine: "g7", Memory: 100_000, Used: 20_000, Running: 40, Step: step})
+		p.Report(start.Add(time.Second), Report{Engine: "g7", TotalMemory: 100_000, UsedMemory: 20_000, Running: 40, StepTime: step})
 	}
 }
--- a/policy/fullmemory_test.go
+++ b/policy/fullmemory_test.go
@@ -68,7 +68,7 @@
 	ended  bool
 }
 
-func (p *playedRun) memory() Tokens { return p.run.request.Prompt + p.made }
+func (p *playedRun) memory() Tokens { return p.run.request.PromptTokens + p.made }
 
 // playedEngine is an engine that keeps account of its memory.
 type playedEngine struct {
@@ -131,7 +131,7 @@
 
 // take has an engine take a run.
 func (s *fullSite) take(h *loadHost, run *loadRun, out Tokens) {
-	p := &playedRun{host: h, run: run, unread: run.request.Prompt, out: out, urgency: 5}
+	p := &playedRun{host: h, run: run, unread: run.request.PromptTokens, out: out, urgency: 5}
 	if s.plan.urgency != nil {
 		p.urgency = s.plan.urgency(&run.request)
 	}
@@ -209,7 +209,7 @@
 	p.made++
 	if p.made == 1 {
 		p.run.first = s.now
-		p.host.pool.Begun(s.now, p.run.request.Run)
+		p.host.pool.RecordFirstToken(s.now, p.run.request.Run)
 	} else {
 		p.longest = max(p.longest, s.now.Sub(p.lastAt))
 	}
@@ -270,14 +270,14 @@
 	switch {
 	case !whole:
 		r.cut++
-	case p.run.first.Sub(request.Arrived) > request.Objective:
+	case p.run.first.Sub(request.ArrivedAt) > request.Objective:
 		r.lateFirst++
 	case p.longest > playedPause:
 		r.latePause++
 	default:
 		r.inTime++
 	}
-	p.host.pool.Finish(s.now, Finish{Run: request.Run, Made: p.made, Whole: whole})
+	p.host.pool.Finish(s.now, Finish{Run: request.Run, GeneratedTokens: p.made, Complete: whole})
 	delete(p.host.own, request.Run)
 }
 
@@ -334,11 +334,11 @@
 		retry()
 		return
 	}
-	id, found := p.host.pool.Relocate(s.now, p.run.request.Run, Target{FarCost: s.farCost})
+	id, found := p.host.pool.Relocate(s.now, p.run.request.Run, Target{CrossZoneCost: s.farCost})
 	to := s.engine(id)
 	if !found || to.gone || to.used()+p.memory()+50 > s.memory {
 		if found {
-			p.host.pool.Return(s.now, p.run.request.Run, e.id)
+			p.host.pool.CancelRelocation(s.now, p.run.request.Run, e.id)
 		}
 		retry()
 		return
@@ -368,7 +368,7 @@
 // engines is gone.
 func fullLoad(seed uint64) fullPlan {
 	return fullPlan{
-		settings: Settings{ReadRate: loadReadRate, MaxBatch: 24, Stagger: 100 * time.Millisecond},
+		settings: Settings{InitialPrefillRate: loadReadRate, MaxBatchSize: 24, MaxQueueStagger: 100 * time.Millisecond},
 		memory:   21_873, reclaimEvery: 3300 * time.Millisecond, reclaimed: 5,
 		loadPlan: loadPlan{
 			zones: 3, hosts: 11, engines: 10, lasts: 34 * time.Second, farCost: 0.7, wave: 0.27, seed: seed, asks: true,
@@ -423,7 +423,7 @@
 		},
 		"zones not asked": func(p *fullPlan) { p.asks = false },
 		"waiting for as long as it may be in time": func(p *fullPlan) {
-			p.settings.WaitPart = 2
+			p.settings.MaxWaitFraction = 2
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -446,7 +446,7 @@
 	staggered := playFullSeeds(t, "staggered", manyHosts)
 	atOnce := playFullSeeds(t, "at once", func(p *fullPlan) {
 		manyHosts(p)
-		p.settings.Stagger = 0
+		p.settings.MaxQueueStagger = 0
 	})
 	served := func(r map[string]*fullTotals) int { return r["chat"].inTime + r["digest"].inTime }
 	is.True(served(staggered) > served(atOnce))
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -129,7 +129,7 @@
 	if now.Before(r.first) {
 		return 0
 	}
-	return min(Tokens(now.Sub(r.first)/loadStep)+1, r.request.Limit)
+	return min(Tokens(now.Sub(r.first)/loadStep)+1, r.request.MaxOutputTokens)
 }
 
 // firstBy is when its first token came; zero while it has none.
@@ -204,7 +204,7 @@
 
 func newLoadSite(p loadPlan) *loadSite {
 	return &loadSite{
-		loadPlan: p, memory: loadMemory, settings: Settings{ReadRate: loadReadRate, MaxBatch: 24}, random: rand.New(rand.NewPCG(p.seed, 0)), drawn: rand.New(rand.NewPCG(p.seed, 1)), now: start,
+		loadPlan: p, memory: loadMemory, settings: Settings{InitialPrefillRate: loadReadRate, MaxBatchSize: 24}, random: rand.New(rand.NewPCG(p.seed, 0)), drawn: rand.New(rand.NewPCG(p.seed, 1)), now: start,
 		zoneOf: map[EngineID]int{}, slow: map[EngineID]bool{}, readers: map[EngineID]time.Time{}, results: map[resource.Name]*loadResult{},
 	}
 }
@@ -264,7 +264,7 @@
 // settingsOf are the settings of a host's pool.
 func (s *loadSite) settingsOf(host int) Settings {
 	settings := s.settings
-	settings.Decider = fmt.Sprint("h", host)
+	settings.DeciderID = fmt.Sprint("h", host)
 	return settings
 }
 
@@ -273,7 +273,7 @@
 	h.pool.SetEngines(s.ids)
 	for _, id := range s.ids {
 		h.pool.SetZone(id, loadZone(s.zoneOf[id]))
-		h.pool.Report(s.now, Report{Engine: id, Memory: s.memory, Step: loadStep})
+		h.pool.Report(s.now, Report{Engine: id, TotalMemory: s.memory, StepTime: loadStep})
 	}
 }
 
@@ -296,7 +296,7 @@
 			if run.engine != left {
 				continue
 			}
-			if to, found := h.pool.Relocate(s.now, run.request.Run, Target{FarCost: s.farCost}); found {
+			if to, found := h.pool.Relocate(s.now, run.request.Run, Target{CrossZoneCost: s.farCost}); found {
 				run.engine = to
 			}
 		}
@@ -314,11 +314,11 @@
 // look has a host take in how the engines stand, as it does all the time.
 func (s *loadSite) look(h *loadHost) {
 	for _, id := range s.ids {
-		h.pool.Report(s.now, Report{Engine: id, Memory: s.memory, Step: loadStep})
+		h.pool.Report(s.now, Report{Engine: id, TotalMemory: s.memory, StepTime: loadStep})
 	}
 	for _, run := range h.runs() {
 		h.pool.Progress(s.now, run.request.Run, run.made(s.now))
-		h.pool.Reading(s.now, run.request.Run, run.firstBy(s.now))
+		h.pool.UpdatePrefill(s.now, run.request.Run, run.firstBy(s.now))
 	}
 	s.advance(h)
 	s.after(lookEvery, func() { s.look(h) })
@@ -343,8 +343,8 @@
 		out = min(int(float64(k.typical)*math.Exp(lengthSpread*s.random.NormFloat64()))+1, int(k.out))
 	}
 	r := Request{
-		Run: RunID(fmt.Sprint("r", s.runs)), Route: k.route, Account: "a", Priority: k.priority, Prompt: Tokens(1 + s.random.IntN(int(k.prompt))), Limit: k.out,
-		Zone: loadZone(h.zone), FarCost: s.farCost, Objective: k.objective, Arrived: s.now, Deadline: s.now.Add(k.objective),
+		Run: RunID(fmt.Sprint("r", s.runs)), Route: k.route, Account: "a", Priority: k.priority, PromptTokens: Tokens(1 + s.random.IntN(int(k.prompt))), MaxOutputTokens: k.out,
+		Zone: loadZone(h.zone), CrossZoneCost: s.farCost, Objective: k.objective, ArrivedAt: s.now, Deadline: s.now.Add(k.objective),
 	}
 	result := s.results[k.route]
 	result.asked++
@@ -366,7 +366,7 @@
 	if s.readers[d.Engine].After(read) {
 		read = s.readers[d.Engine]
 	}
-	takes := time.Duration(float64(r.Prompt) / loadReadRate * float64(time.Second))
+	takes := time.Duration(float64(r.PromptTokens) / loadReadRate * float64(time.Second))
 	if s.slow[d.Engine] {
 		takes = time.Duration(float64(takes) * s.loadPlan.slow)
 	}
@@ -383,9 +383,9 @@
 		result.late++
 	}
 	s.spread(h, d.Engine)
-	s.after(took, func() { h.pool.Begun(s.now, r.Run) })
+	s.after(took, func() { h.pool.RecordFirstToken(s.now, r.Run) })
 	s.after(took+time.Duration(out)*loadStep, func() {
-		h.pool.Finish(s.now, Finish{Run: r.Run, Made: Tokens(out), Whole: true})
+		h.pool.Finish(s.now, Finish{Run: r.Run, GeneratedTokens: Tokens(out), Complete: true})
 		delete(h.own, r.Run)
 	})
 }
@@ -419,7 +419,7 @@
 	if !s.asks {
 		return h.pool.Submit(s.now, r)
 	}
-	r.OnlyZone = true
+	r.SameZoneOnly = true
 	if d, ok := h.pool.TryPlace(s.now, r); ok {
 		return d
 	}
@@ -434,11 +434,11 @@
 		}
 		// It tells the host that asked, whose word counts from then on.
 		asked.pool.Finish(s.now, Finish{Run: r.Run})
-		if d, ok = h.pool.PlaceAt(s.now, r, d.Engine, d.FirstAfter); ok {
+		if d, ok = h.pool.PlaceOn(s.now, r, d.Engine, d.TimeToFirstToken); ok {
 			return d
 		}
 	}
-	r.OnlyZone = true
+	r.SameZoneOnly = true
 	return h.pool.Submit(s.now, r)
 }
 
@@ -487,10 +487,10 @@
 		r := run.request
 		if known[r.Run] {
 			to.pool.Progress(s.now, r.Run, run.made(s.now))
-			to.pool.Reading(s.now, r.Run, run.firstBy(s.now))
+			to.pool.UpdatePrefill(s.now, r.Run, run.firstBy(s.now))
 		} else {
 			known[r.Run] = true
-			to.pool.Adopt(s.now, Request{Run: r.Run, Account: r.Account, Prompt: r.Prompt, Limit: r.Limit}, run.engine, run.made(s.now))
+			to.pool.Adopt(s.now, Request{Run: r.Run, Account: r.Account, PromptTokens: r.PromptTokens, MaxOutputTokens: r.MaxOutputTokens}, run.engine, run.made(s.now))
 		}
 	}
 }
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -24,7 +24,7 @@
 	p := NewPool(s)
 	p.SetEngines(engines)
 	for _, id := range engines {
-		p.Report(start, Report{Engine: id, Memory: 10_000, Step: step})
+		p.Report(start, Report{Engine: id, TotalMemory: 10_000, StepTime: step})
 	}
 	return p
 }
@@ -33,13 +33,13 @@
 func teach(p *Pool, route resource.Name, lengths ...Tokens) {
 	for range 300 {
 		for _, n := range lengths {
-			p.Learn(&Request{Route: route, Account: "a"}, n)
+			p.LearnLength(&Request{Route: route, Account: "a"}, n)
 		}
 	}
 }
 
 func ask(run string, prompt Tokens) Request {
-	return Request{Run: RunID(run), Route: "r", Account: "a", Prompt: prompt, Bytes: 1, Deadline: start.Add(10 * time.Second)}
+	return Request{Run: RunID(run), Route: "r", Account: "a", PromptTokens: prompt, QueueBytes: 1, Deadline: start.Add(10 * time.Second)}
 }
 
 func TestAdmissionByForeseenMemory(t *testing.T) {
@@ -70,13 +70,13 @@
 
 func TestStepKeepsToTheTarget(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{BetweenTokens: 40 * time.Millisecond}, "g1")
+	p := newTestPool(Settings{MaxStepTime: 40 * time.Millisecond}, "g1")
 	teach(p, "r", 20)
 	for running := 1; running <= 40; running++ {
 		took := 10*time.Millisecond + time.Duration(running)*time.Millisecond
-		p.Report(start, Report{Engine: "g1", Memory: 1_000_000, Running: running, Step: took})
+		p.Report(start, Report{Engine: "g1", TotalMemory: 1_000_000, Running: running, StepTime: took})
 	}
-	p.Report(start, Report{Engine: "g1", Memory: 1_000_000})
+	p.Report(start, Report{Engine: "g1", TotalMemory: 1_000_000})
 	admitted := 0
 	for i := range 60 {
 		if p.Submit(start, ask(fmt.Sprint(i), 10)).Verdict == Granted {
@@ -92,15 +92,15 @@
 	teach(p, "r", 50)
 	is.Equal(p.Submit(start, ask("0", 10)).Reason, ReasonNoEngine)
 	p.SetEngines([]EngineID{"g1", "g2"})
-	p.Report(start, Report{Engine: "g1", Memory: 1000, Step: step})
+	p.Report(start, Report{Engine: "g1", TotalMemory: 1000, StepTime: step})
 	is.Equal(p.Submit(start, ask("1", 10)).Engine, EngineID("g1"))
 	p.Suspect("g1")
 	is.Equal(p.Submit(start, ask("2", 10)).Verdict, Queued)
-	p.Report(start, Report{Engine: "g2", Memory: 1000, Step: step})
+	p.Report(start, Report{Engine: "g2", TotalMemory: 1000, StepTime: step})
 	decided := p.Advance(start)
 	is.Equal(len(decided), 1)
 	is.Equal(decided[0].Engine, EngineID("g2"))
-	late := start.Add(staleAfter + time.Second)
+	late := start.Add(maxReportAge + time.Second)
 	is.Equal(p.Submit(late, ask("3", 10)).Verdict, Queued) // its report is old
 }
 
@@ -109,7 +109,7 @@
 	p := newTestPool(Settings{}, "g1", "g2")
 	for i := range 10 {
 		r := ask(fmt.Sprint(i), 10)
-		r.Avoid = "g1"
+		r.PreviousEngine = "g1"
 		is.Equal(p.Submit(start, r).Engine, EngineID("g2"))
 	}
 }
@@ -127,7 +127,7 @@
 
 // fill takes all of the engine's memory, so that requests wait.
 func fill(p *Pool) {
-	p.Submit(start, Request{Run: "big", Route: "big", Account: "b", Prompt: 9500, Deadline: start.Add(time.Minute)})
+	p.Submit(start, Request{Run: "big", Route: "big", Account: "b", PromptTokens: 9500, Deadline: start.Add(time.Minute)})
 }
 
 func TestPriorityThenFairness(t *testing.T) {
@@ -147,7 +147,7 @@
 	urgent := ask("urgent", 100)
 	urgent.Account, urgent.Priority = "large", 5
 	is.Equal(p.Submit(start, urgent).Verdict, Queued)
-	p.Finish(start, Finish{Run: "big", Made: 50})
+	p.Finish(start, Finish{Run: "big", GeneratedTokens: 50})
 	var order []RunID
 	for _, d := range p.Advance(start.Add(time.Second)) {
 		order = append(order, d.Run)
@@ -160,12 +160,12 @@
 
 func TestQueueBounds(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{QueueLimit: 3, QueueBytes: 100}, "g1")
+	p := newTestPool(Settings{MaxQueueLength: 3, MaxQueueBytes: 100}, "g1")
 	teach(p, "r", 50)
 	teach(p, "big", 50)
 	fill(p)
 	large := ask("large", 100)
-	large.Bytes = 101
+	large.QueueBytes = 101
 	refused := p.Submit(start, large)
 	is.Equal(refused.Reason, ReasonQueueFull)
 	is.True(refused.RetryAfter > 0)
@@ -229,12 +229,12 @@
 		now = now.Add(100 * time.Millisecond)
 		for run, since := range running {
 			if now.Sub(since) > 2*time.Second {
-				p.Finish(now, Finish{Run: run, Made: 100, Whole: true})
+				p.Finish(now, Finish{Run: run, GeneratedTokens: 100, Complete: true})
 				delete(running, run)
 			}
 		}
 		for _, id := range p.Engines() {
-			p.Report(now, Report{Engine: id, Memory: 10_000, Step: step})
+			p.Report(now, Report{Engine: id, TotalMemory: 10_000, StepTime: step})
 		}
 		submit()
 		for _, d := range p.Advance(now) {
@@ -251,7 +251,7 @@
 	is := is.New(t)
 	count := func(share int) int {
 		p := newTestPool(Settings{}, "g1")
-		p.SetShare(share)
+		p.SetDeciderCount(share)
 		teach(p, "r", 10)
 		admitted := 0
 		for i := range 100 {
@@ -280,7 +280,7 @@
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
 	teach(p, "r", 100)
-	p.Report(start, Report{Engine: "g1", Memory: 10_000, Used: 9000, Running: 20, Step: step})
+	p.Report(start, Report{Engine: "g1", TotalMemory: 10_000, UsedMemory: 9000, Running: 20, StepTime: step})
 	is.Equal(p.Submit(start, ask("1", 1000)).Verdict != Granted, true)
 }
 
@@ -310,12 +310,12 @@
 	p.Finish(start, Finish{Run: "1"})
 	is.Equal(p.Submit(start, prompt("2")).Engine, first)
 	p.Finish(start, Finish{Run: "2"})
-	p.Cache(start, first, CacheEvent{Seq: 1, Prefix: 7, Added: false})
+	p.ApplyCacheEvent(start, first, CacheEvent{Seq: 1, Prefix: 7, Added: false})
 	other := EngineID("g1")
 	if first == other {
 		other = "g2"
 	}
-	p.Cache(start, other, CacheEvent{Seq: 1, Prefix: 7, Tokens: 1900, Added: true})
+	p.ApplyCacheEvent(start, other, CacheEvent{Seq: 1, Prefix: 7, Tokens: 1900, Added: true})
 	is.Equal(p.Submit(start, prompt("3")).Engine, other)
 }
 
@@ -324,13 +324,13 @@
 	r := ask("1", 100)
 	r.Prefix = 7
 	var c prefixCache
-	c.take(start, CacheEvent{Seq: 1, Prefix: 7, Tokens: 50, Added: true})
-	is.Equal(c.reusable(start, &r), Tokens(50))
-	is.Equal(c.reusable(start.Add(prefixFades+1), &r), Tokens(0))
-	c.take(start, CacheEvent{Seq: 1, Prefix: 7, Added: false}) // an old one again
-	is.Equal(c.reusable(start, &r), Tokens(50))
-	c.take(start, CacheEvent{Seq: 3, Prefix: 8, Tokens: 10, Added: true})
-	is.Equal(c.reusable(start, &r), Tokens(0)) // event 2 is missing: it may have gone
+	c.applyEvent(start, CacheEvent{Seq: 1, Prefix: 7, Tokens: 50, Added: true})
+	is.Equal(c.reusableTokens(start, &r), Tokens(50))
+	is.Equal(c.reusableTokens(start.Add(prefixTTL+1), &r), Tokens(0))
+	c.applyEvent(start, CacheEvent{Seq: 1, Prefix: 7, Added: false}) // an old one again
+	is.Equal(c.reusableTokens(start, &r), Tokens(50))
+	c.applyEvent(start, CacheEvent{Seq: 3, Prefix: 8, Tokens: 10, Added: true})
+	is.Equal(c.reusableTokens(start, &r), Tokens(0)) // event 2 is missing: it may have gone
 }
 
 // TestEveryRequestIsDecidedOnce drives a pool at random: each request gets one
@@ -338,7 +338,7 @@
 // leaves nothing behind.
 func TestEveryRequestIsDecidedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newTestPool(Settings{QueueLimit: 8}, "g1", "g2")
+		p := newTestPool(Settings{MaxQueueLength: 8}, "g1", "g2")
 		now := start
 		final := map[RunID]Verdict{}
 		open := map[RunID]bool{}
@@ -353,7 +353,7 @@
 			if d.Verdict == Granted {
 				open[d.Run] = true
 			}
-			if d.Verdict == Granted && p.engine(d.Engine) == nil {
+			if d.Verdict == Granted && p.activeEngine(d.Engine) == nil {
 				t.Fatalf("%s goes to %s, which takes no work", d.Run, d.Engine)
 			}
 		}
@@ -366,7 +366,7 @@
 				decide(p.Submit(now, r))
 			case 2:
 				for run := range open {
-					p.Finish(now, Finish{Run: run, Made: 10, Whole: true})
+					p.Finish(now, Finish{Run: run, GeneratedTokens: 10, Complete: true})
 					delete(open, run)
 					break
 				}
@@ -374,7 +374,7 @@
 				p.SetEngines(rapid.SampledFrom([][]EngineID{{"g1"}, {"g1", "g2"}, {}}).Draw(t, "engines"))
 			case 4:
 				for _, id := range p.Engines() {
-					p.Report(now, Report{Engine: id, Memory: 10_000, Step: step})
+					p.Report(now, Report{Engine: id, TotalMemory: 10_000, StepTime: step})
 				}
 			}
 			for _, d := range p.Advance(now) {
@@ -404,17 +404,17 @@
 		other = "g2"
 	}
 	p.SetEngines([]EngineID{other})
-	id, found := p.Relocate(start, "1", Target{FarCost: 0})
+	id, found := p.Relocate(start, "1", Target{CrossZoneCost: 0})
 	is.True(found)
 	is.Equal(id, other)
-	is.True(!p.Return(start, "1", "unknown"))
+	is.True(!p.CancelRelocation(start, "1", "unknown"))
 	p.SetEngines([]EngineID{other})
-	is.True(p.Return(start, "1", first)) // although it has been away
+	is.True(p.CancelRelocation(start, "1", first)) // although it has been away
 	is.Equal(p.EngineOf("1"), first)
-	for n := range 2 * mostAway {
+	for n := range 2 * maxRemovedEngines {
 		p.SetEngines([]EngineID{EngineID(fmt.Sprint("e", n))})
 	}
-	is.True(len(p.away) <= mostAway+1) // engines come and go
+	is.True(len(p.removedEngines) <= maxRemovedEngines+1) // engines come and go
 	is.Equal(p.EngineOf("1"), first)
 
 	p = newTestPool(Settings{}, "g1", "g2")
@@ -422,7 +422,7 @@
 	p.SetEngines([]EngineID{other})
 	p.Adopt(start, ask("2", 3000), first, 0) // a peer's run there
 	p.SetEngines([]EngineID{first})
-	p.Report(start, Report{Engine: first, Memory: 10_000, Step: step})
+	p.Report(start, Report{Engine: first, TotalMemory: 10_000, StepTime: step})
 	is.Equal(p.EngineOf("1"), first)
 	is.Equal(p.EngineOf("2"), first)
 	is.Equal(p.Submit(start, ask("3", 5000)).Verdict, Queued) // its memory is still taken
@@ -444,19 +444,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newTestPool(Settings{ReadRate: 1000}, "g1", "g2", "g3", "g4")
+			p := newTestPool(Settings{InitialPrefillRate: 1000}, "g1", "g2", "g3", "g4")
 			zones := map[EngineID]member.Zone{"g1": "near", "g2": "near", "g3": "far", "g4": "far"}
 			for id, zone := range zones {
 				p.SetZone(id, zone)
 			}
-			p.SetKnownPart("far", c.known)
+			p.SetZoneCoverage("far", c.known)
 			for i := range 2 * c.busy {
 				r := ask(fmt.Sprint("busy", i), 900)
-				r.Zone, r.FarCost = "near", 100
+				r.Zone, r.CrossZoneCost = "near", 100
 				is.Equal(zones[p.Submit(start, r).Engine], member.Zone("near"))
 			}
 			r := askInTime("r", start, 500)
-			r.Zone, r.FarCost = "near", 0.2
+			r.Zone, r.CrossZoneCost = "near", 0.2
 			is.Equal(zones[p.Submit(start, r).Engine], c.want)
 		})
 	}
--- a/policy/refusal_test.go
+++ b/policy/refusal_test.go
@@ -14,7 +14,7 @@
 // askInTime is a request whose first token is aimed at within two seconds.
 func askInTime(run string, at time.Time, prompt Tokens) Request {
 	r := ask(run, prompt)
-	r.Arrived, r.Objective, r.Deadline = at, 2*time.Second, at.Add(2*time.Second)
+	r.ArrivedAt, r.Objective, r.Deadline = at, 2*time.Second, at.Add(2*time.Second)
 	return r
 }
 
@@ -38,7 +38,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newTestPool(Settings{ReadRate: 1000}, c.engines...)
+			p := newTestPool(Settings{InitialPrefillRate: 1000}, c.engines...)
 			for i, prompt := range c.ahead {
 				is.Equal(p.Submit(start, askInTime(fmt.Sprint("ahead", i), start, prompt)).Verdict, Granted)
 			}
@@ -59,7 +59,7 @@
 // times, the short prompts earlier.
 func TestRefusedReturnsSpread(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{ReadRate: 1000}, "g1")
+	p := newTestPool(Settings{InitialPrefillRate: 1000}, "g1")
 	p.Submit(start, askInTime("ahead", start, 4000))
 	told := map[time.Duration]bool{}
 	for i := range 20 {
@@ -75,7 +75,7 @@
 // hopeless, not when its time is over.
 func TestRefuseWhatWaits(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000, WaitPart: 2}, "g1", "g2")
+	p := newTestPool(Settings{MaxBatchSize: 1, InitialPrefillRate: 100_000, MaxWaitFraction: 2}, "g1", "g2")
 	teach(p, "r", 60) // 1.2 s a run, so a place comes every 0.6 s
 	for _, run := range []string{"a", "b"} {
 		is.Equal(p.Submit(start, ask(run, 100)).Verdict, Granted)
@@ -99,13 +99,13 @@
 // a longer wait than is worth it, and else when it has waited for as long.
 func TestRefuseLongWaits(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000}, "g1", "g2")
+	p := newTestPool(Settings{MaxBatchSize: 1, InitialPrefillRate: 100_000}, "g1", "g2")
 	for _, run := range []string{"a", "b"} {
 		is.Equal(p.Submit(start, ask(run, 100)).Verdict, Granted)
 	}
 	teach(p, "r", 60)                                                      // 1.2 s a run, so a place comes every 0.6 s
 	is.Equal(p.Submit(start, askInTime("c", start, 100)).Verdict, Refused) // 0.15 of 2 s is less
-	p.lengths = &Lengths{}
+	p.lengths = &LearnedLengths{}
 	teach(p, "r", 20) // 0.4 s a run, so a place comes every 0.2 s
 	is.Equal(p.Submit(start, askInTime("d", start, 100)).Verdict, Queued)
 	is.Equal(len(p.Advance(start.Add(290*time.Millisecond))), 0)
@@ -121,20 +121,20 @@
 	for name, factor := range map[string]float64{"as assumed": 1, "three times faster": 3, "three times slower": 1.0 / 3} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newTestPool(Settings{ReadRate: 1000}, "g1")
+			p := newTestPool(Settings{InitialPrefillRate: 1000}, "g1")
 			now := start
 			for i := range 60 {
 				run := fmt.Sprint(i)
 				p.Submit(now, askInTime(run, now, 600))
 				now = now.Add(time.Duration(0.6 / factor * float64(time.Second)))
-				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: step})
-				p.Begun(now, RunID(run))
-				p.Begun(now.Add(time.Hour), RunID(run)) // later tokens say nothing
+				p.Report(now, Report{Engine: "g1", TotalMemory: 10_000, StepTime: step})
+				p.RecordFirstToken(now, RunID(run))
+				p.RecordFirstToken(now.Add(time.Hour), RunID(run)) // later tokens say nothing
 				p.Finish(now, Finish{Run: RunID(run)})
 				now = now.Add(5 * time.Second)
-				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: step})
+				p.Report(now, Report{Engine: "g1", TotalMemory: 10_000, StepTime: step})
 			}
-			rate, samples := p.ReadRate()
+			rate, samples := p.PrefillRate()
 			is.Equal(samples, uint64(60))
 			is.True(rate > 1000*factor*0.97 && rate < 1000*factor*1.03)
 		})
