--- a/policy/choose.go
+++ b/policy/choose.go
@@ -12,8 +12,9 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Weights of the parts of an engine's cost; each part is a share of the whole
-// memory or of the longest step.
+// Weights of the parts of an engine's cost. The parts are fractions of the total
+// memory or of MaxStepTime, or squared fractions of the request's objective or of
+// MovableTokens.
 const (
 	prefillWeight  = 2.0
 	memoryWeight   = 1.0
@@ -22,15 +23,16 @@
 	moveWeight     = 0.5
 )
 
-// chooseForQueued is choose for a request that waits.
+// chooseForQueued is choose for a queued request: it skips engines that don't
+// serve the queue yet.
 func (p *Pool) chooseForQueued(now time.Time, w *queuedRequest) *engine {
 	return p.chooseWhere(now, &w.Request, func(e *engine) bool { return !now.Before(e.queueServedFrom) })
 }
 
 func acceptAny(*engine) bool { return true }
 
-// choose returns the engine with room at the lowest cost, or nil. It allocates
-// nothing.
+// choose returns the engine of the lowest cost that has room, or nil. It
+// allocates nothing.
 func (p *Pool) choose(now time.Time, r *Request) *engine { return p.chooseWhere(now, r, acceptAny) }
 
 func (p *Pool) chooseWhere(now time.Time, r *Request, eligible func(*engine) bool) *engine {
@@ -64,13 +66,14 @@
 	return s.best
 }
 
-// engineSearch is one engineSearch for an engine.
+// engineSearch is the state of one search for an engine.
 type engineSearch struct {
 	now, oldestReport time.Time
 	request           *Request
 	growth            memoryForecast
 	stepLine          stepLine
-	// sameZoneLoad is what the engines of the request's zone cost that have room.
+	// sameZoneLoad is the mean load of the engines in the request's zone that have
+	// room.
 	sameZoneLoad meanLoad
 	best         *engine
 	lowestCost   float64
@@ -82,13 +85,13 @@
 	}
 }
 
-// engineCost is what an engine costs a request: by itself, and by what the engine
-// already has to do.
+// engineCost is the cost of placing a request on an engine: prefill for reading
+// the part of the prompt that isn't cached there, load for the engine's work.
 type engineCost struct{ prefill, load float64 }
 
 func (c engineCost) total() float64 { return c.prefill + c.load }
 
-// meanLoad is the mean load of some engines.
+// meanLoad accumulates the mean load of several engines.
 type meanLoad struct {
 	sum   float64
 	count int
@@ -96,10 +99,11 @@
 
 func (m *meanLoad) add(c engineCost) { m.sum, m.count = m.sum+c.load, m.count+1 }
 
-// raiseTowardsMean is what an engine's load is taken for of which only a part of its runs is
-// known: the unknown part makes up for the difference to the mean of those that are
-// known well. Where hosts hear little of another zone, its engines look idle to them
-// all the time, and the hosts of four zones meet on a fifth's newest engine.
+// raiseTowardsMean corrects the load of an engine some of whose runs are unknown:
+// a load below the mean is raised towards it by the unknown fraction. Otherwise
+// the engines of a zone from which a host receives few run reports always look
+// idle, and the hosts of four zones choose the newest engine of a fifth all at
+// once.
 func (m *meanLoad) raiseTowardsMean(load, unknown float64) float64 {
 	if m.count == 0 {
 		return load
@@ -107,7 +111,8 @@
 	return load + unknown*max(m.sum/float64(m.count)-load, 0)
 }
 
-// evaluate weighs an engine for a request, and reports whether it will do.
+// evaluate returns the cost of an engine for a request, and whether the engine
+// may take it.
 func (p *Pool) evaluate(s *engineSearch, e *engine) (engineCost, bool) {
 	if e == p.reservedEngine || !e.acceptsWork(s.oldestReport) || e.id == s.request.PreviousEngine || slices.Contains(s.request.ExcludedEngines, e.id) {
 		return engineCost{}, false
@@ -118,7 +123,8 @@
 	return p.costOn(s.now, e, s.request, &s.growth, s.stepLine)
 }
 
-// allows reports whether an engine is of the zones and groups that the request is bound to.
+// allows reports whether an engine is in the zones and groups to which the
+// request is restricted.
 func (r *Request) allows(e *engine) bool {
 	if r.AllowedZones != nil && !slices.Contains(r.AllowedZones, e.zone) {
 		return false
@@ -126,8 +132,8 @@
 	return (r.OnlyGroup == "" || e.group == r.OnlyGroup) && (r.ExcludedGroup == "" || e.group != r.ExcludedGroup)
 }
 
-// SetZoneCoverage says which part of another zone's hosts has told lately what it runs.
-// Zones that nothing was said of are known.
+// SetZoneCoverage sets which fraction of another zone's hosts has reported its
+// runs recently. Zones without a value count as fully covered.
 func (p *Pool) SetZoneCoverage(zone member.Zone, fraction float64) {
 	if p.zoneCoverage == nil {
 		p.zoneCoverage = map[member.Zone]float64{}
@@ -135,7 +141,7 @@
 	p.zoneCoverage[zone] = fraction
 }
 
-// ZoneCoverage is what SetKnownPart said.
+// ZoneCoverage returns the fraction set by SetZoneCoverage, or 1.
 func (p *Pool) ZoneCoverage(zone member.Zone) float64 {
 	if fraction, known := p.zoneCoverage[zone]; known {
 		return fraction
@@ -143,15 +149,16 @@
 	return 1
 }
 
-// forecastRequest is the memory that a request will add to an engine's.
+// forecastRequest returns the memory that a request will add to an engine's.
 func (p *Pool) forecastRequest(r *Request) memoryForecast {
 	var growth memoryForecast
 	growth.addRun(r, 0, p.lengths.SurvivalCurve(r))
 	return growth
 }
 
-// leastOverfull returns the engine whose memory is foreseen to be least in use with
-// the request on it, or nil.
+// leastOverfull returns the engine whose forecast memory use with the request
+// exceeds its budget least, or stays furthest below it; nil if no engine accepts
+// the request.
 func (p *Pool) leastOverfull(now time.Time, r *Request) *engine {
 	growth, oldestReport := p.forecastRequest(r), now.Add(-maxReportAge)
 	var best *engine
@@ -168,14 +175,14 @@
 	return best
 }
 
-// acceptsWork reports whether the engine acceptsWork new work: it isn't being emptied, and
-// its last report isn't older than the given time.
+// acceptsWork reports whether the engine takes new work: its capacity is known,
+// it isn't cordoned, and its last report isn't older than oldestReport.
 func (e *engine) acceptsWork(oldestReport time.Time) bool {
 	return e.capacityKnown() && !e.cordoned && !e.reportedAt.Before(oldestReport)
 }
 
-// costOn weighs an engine for a request, and reports whether it has room. An idle
-// engine has room for anything.
+// costOn returns the cost of an engine for a request, and whether the engine has
+// room. The bounds on memory and step time don't apply to an idle engine.
 func (p *Pool) costOn(now time.Time, e *engine, r *Request, growth *memoryForecast, line stepLine) (engineCost, bool) {
 	batch := e.batchSize() + 1
 	step := line.at(batch)
@@ -194,8 +201,8 @@
 	}, true
 }
 
-// moveCost weighs that what an engine holds has to be moved off it when it
-// leaves: the square of its part of what can be.
+// moveCost weighs that the engine's memory has to be moved off it when it leaves:
+// the square of its fraction of MovableTokens.
 func (p *Pool) moveCost(peak float64) float64 {
 	if p.settings.MovableTokens <= 0 {
 		return 0
@@ -204,8 +211,9 @@
 	return moveWeight * fraction * fraction
 }
 
-// waitCost weighs the time to the first token: the square of its part of the
-// objective, for a wait well within the objective is worth next to nothing.
+// waitCost weighs the time to the first token: the square of its fraction of the
+// objective, because a wait well within the objective should cost next to
+// nothing.
 func (p *Pool) waitCost(now time.Time, e *engine, r *Request, uncachedTokens float64) float64 {
 	if !p.prefill.known() || r.Objective <= 0 {
 		return 0
@@ -215,8 +223,8 @@
 	return waitWeight * fraction * fraction
 }
 
-// memoryBudget is the memory that admission may fill. One of several deciders keeps to
-// its share of what was reported free.
+// memoryBudget returns the memory that admission may fill. With several deciders,
+// each keeps to its share of the memory reported free.
 func (p *Pool) memoryBudget(e *engine) float64 {
 	room := p.settings.MaxMemoryFraction * float64(e.report.TotalMemory)
 	if p.deciderCount > 1 {
@@ -226,13 +234,13 @@
 	return room
 }
 
-// priorityMultiplier leaves room between the accounts' priorities for what a run is
-// worth among its equals.
+// priorityMultiplier leaves room between account priorities for ranking the runs
+// of one priority.
 const priorityMultiplier = 64
 
-// preemptionPriority is the priority that an engine is told. Among runs of one account
-// priority, a pool that protects the tail keeps long readings, which cost most
-// to read again.
+// preemptionPriority returns the priority to send to the engine. Among runs of
+// one account priority, a pool with the tail objective ranks long prompts higher,
+// which cost most to read again.
 func (p *Pool) preemptionPriority(r *Request) int {
 	priority := r.Priority * priorityMultiplier
 	if p.settings.Objective == resource.ObjectiveTail {
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -10,19 +10,21 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// horizons are the numbers of steps ahead at which an engine's memory is
-// foreseen. In each step every run of an engine makes one token, so one list
-// serves all its runs.
+// horizons are the numbers of steps ahead for which an engine's memory use is
+// forecast. Each run generates one token per step, so one list serves all runs of
+// an engine.
 var horizons = [...]Tokens{8, 32, 96, 256, 640, 1536, 4096}
 
-// Survival is the chance of still going at each of Horizons.
+// Survival holds, for each of Horizons, the probability that an answer is still
+// being generated.
 type Survival [len(horizons)]float64
 
-// Horizons are the distances ahead that a Curve is asked about, in tokens.
+// Horizons returns the distances ahead, in tokens, for which a SurvivalCurve
+// gives probabilities.
 func Horizons() [len(horizons)]Tokens { return horizons }
 
-// memoryForecast is the memory in use at each horizon: its mean and variance, and
-// what it would be if no run ended before.
+// memoryForecast is the memory use at each horizon: its mean, its variance, and
+// the upper bound that it reaches if no run ends before.
 type memoryForecast struct {
 	mean, variance, upperBound [len(horizons)]float64
 }
@@ -31,64 +33,67 @@
 type placedRun struct {
 	Request
 	engine *engine
-	// curve foresees the run's length.
+	// curve forecasts the run's length.
 	curve SurvivalCurve
-	// startedAt is when the run is taken to have started making tokens.
+	// startedAt is when the run is assumed to have started generating tokens.
 	startedAt time.Time
-	// generatedTokens is the estimate of its tokens as of the engine's last refresh, and reportedTokens what was
-	// last reportedTokens of them.
+	// generatedTokens is the estimated count as of the engine's last refresh, and
+	// reportedTokens the last count reported.
 	generatedTokens, reportedTokens Tokens
-	// preemptionPriority is what the engine was told the run is worth.
+	// preemptionPriority is the priority that was sent to the engine.
 	preemptionPriority int
-	// placedAt and firstAfter are when the run was placed here and after how
-	// long its first token was foreseen; placedAt is zero once that has come,
-	// and for the runs of others.
+	// placedAt is when the run was placed here, and timeToFirstToken was the
+	// forecast then. placedAt is zero once the first token has arrived, and for runs
+	// that weren't placed here.
 	placedAt         time.Time
 	timeToFirstToken time.Duration
-	// prefillPending says that the run's prompt is believed to be still prefillPending on its engine,
-	// and readTakes how long reading it takes there; zero where it was read before.
+	// prefillPending reports that the engine is believed not to have read the prompt
+	// yet. prefillTime is how long the engine takes to read it; zero if it was read
+	// on another engine.
 	prefillPending bool
 	prefillTime    time.Duration
-	// knownSince is when this pool heard of the run.
+	// knownSince is when this pool learned of the run.
 	knownSince time.Time
 }
 
-// engine is what a Pool knows of one engine.
+// engine is a Pool's view of one engine.
 type engine struct {
 	id     EngineID
 	zone   member.Zone
 	group  string
 	report Report
-	// reportedAt is when the report came; zero means never.
+	// reportedAt is when report arrived; zero means that no valid report exists.
 	reportedAt time.Time
-	// isNew says that it has begun to take work since the queue was last looked at, and
-	// queueFrom is when what waits may be placed there.
+	// isNew reports that the engine has begun to take work since the queue was last
+	// examined. Queued requests may be placed there from queueServedFrom on.
 	isNew           bool
 	queueServedFrom time.Time
-	// progressedAt is when a run there was last known to have made a token.
+	// progressedAt is when a run on the engine was last known to have generated a
+	// token.
 	progressedAt time.Time
-	// cordoned keeps new work away, for the engine is to be emptied.
+	// cordoned keeps new work off the engine.
 	cordoned bool
 	runs     map[RunID]*placedRun
-	// orderedRuns is runs in the orderedRuns of their placing, so that decisions don't
-	// depend on the orderedRuns of a map.
+	// orderedRuns holds runs in the order in which they were placed, so that
+	// decisions don't depend on the iteration order of a map.
 	orderedRuns []*placedRun
-	// forecast is foreseen from runs at refreshed, and kept up by additions
-	// since.
+	// forecast is computed from the runs at refreshedAt; runs added since are
+	// included.
 	forecast    memoryForecast
 	refreshedAt time.Time
-	// unattributedMemory is the memory in use that no run of ours explains, and
-	// othersRunning the runs that hold it.
+	// unattributedMemory is the memory in use that no known run explains, and
+	// unattributedRuns the number of runs that hold it.
 	unattributedMemory Tokens
 	unattributedRuns   int
-	// cache holds the prefixes that the engine is believed to have.
+	// cache holds the prefixes that the engine is believed to have cached.
 	cache prefixCache
-	// prefillUntil is when the prompts placed so far are expected to be read.
+	// prefillUntil is when the engine is expected to have read all prompts placed so
+	// far.
 	prefillUntil time.Time
-	// lastPrefillAt is when the last prompt was read that is known of.
+	// lastPrefillAt is when the last prompt that is known to be read was read.
 	lastPrefillAt time.Time
-	// logSlowness is the logarithm of how slowly the engine reads, on the same scale as the
-	// pool's meanLogSlow. slowLearnt says that it has been learnt.
+	// logSlowness is the logarithm of the engine's prefill slowness, on the scale of
+	// the pool's meanLogSlowness. It is valid if slownessLearned.
 	logSlowness     float64
 	slownessLearned bool
 }
@@ -97,7 +102,7 @@
 	return &engine{id: id, runs: map[RunID]*placedRun{}}
 }
 
-// capacityKnown reports whether the engine has said how large it is.
+// capacityKnown reports whether the engine has reported the size of its memory.
 func (e *engine) capacityKnown() bool { return e.report.TotalMemory > 0 }
 
 func (e *engine) expectedStepTime() time.Duration {
@@ -107,7 +112,7 @@
 	return defaultStepTime
 }
 
-// defaultStepTime is assumed of an engine that hasn't reported a step yet.
+// defaultStepTime is assumed for an engine that hasn't reported a step time.
 const defaultStepTime = 30 * time.Millisecond
 
 func (e *engine) add(now time.Time, p *placedRun) {
@@ -117,7 +122,7 @@
 	e.forecast.addRun(&p.Request, p.generatedTokens, p.curve)
 }
 
-// batchSize is how many runs the engine is believed to decode.
+// batchSize returns how many runs the engine is believed to decode.
 func (e *engine) batchSize() int { return len(e.orderedRuns) + e.unattributedRuns }
 
 func (e *engine) remove(p *placedRun) {
@@ -125,11 +130,11 @@
 	if i := slices.Index(e.orderedRuns, p); i >= 0 {
 		e.orderedRuns = slices.Delete(e.orderedRuns, i, i+1)
 	}
-	// The foresight is made anew at the next refresh; until then the run's
-	// memory counts as taken, which errs on the safe side.
+	// The forecast is recomputed at the next refresh. Until then the run's memory
+	// still counts as used, which errs on the safe side.
 }
 
-// refreshForecast foresees the engine's memory anew from its runs.
+// refreshForecast recomputes the forecast of the engine's memory from its runs.
 func (e *engine) refreshForecast(now time.Time) {
 	e.forecast = memoryForecast{}
 	e.refreshedAt = now
@@ -143,7 +148,7 @@
 	}
 }
 
-// addRun counts one run's memory at each horizon.
+// addRun adds one run's memory at each horizon.
 func (f *memoryForecast) addRun(r *Request, generatedTokens Tokens, curve SurvivalCurve) {
 	alive := curve.SurvivalAfter(generatedTokens)
 	for k, ahead := range horizons {
@@ -157,16 +162,20 @@
 	}
 }
 
-// forecastWith returns the highest mean of the engine's memory with the candidate on
-// it, and whether it stays within the room: deviations above the mean, or no
-// more than if no run ended. It takes no square roots, for it is asked of every
-// engine.
+// forecastWith returns the highest mean of the engine's memory use with the
+// candidate on it, and whether it fits the budget. It fits if, at each horizon,
+// one of these stays within the budget:
+//   - the mean plus the given number of standard deviations,
+//   - the memory used if no run ends.
+//
+// It computes no square roots because it is called for every engine.
 func (e *engine) forecastWith(candidate *memoryForecast, deviations, budget float64) (peak float64, fits bool) {
 	budget -= float64(e.unattributedMemory)
 	fits = true
 	for k := range horizons {
 		mean := e.forecast.mean[k] + candidate.mean[k]
-		// The built-in max minds NaNs, which costs half of the whole decision.
+		// The built-in max handles NaNs, which takes up half the time of a whole
+		// decision.
 		if mean > peak {
 			peak = mean
 		}
@@ -182,19 +191,20 @@
 	return peak + float64(e.unattributedMemory), fits
 }
 
-// forecastPeak is the highest mean of the engine's memory that is foreseen.
+// forecastPeak returns the highest forecast mean of the engine's memory use.
 func (e *engine) forecastPeak() Tokens {
 	peak, _ := e.forecastWith(&memoryForecast{}, 0, float64(e.report.TotalMemory))
 	return Tokens(peak)
 }
 
-// applyReport takes a report in. What it shows beyond the runs we know of is others'.
+// applyReport records a report. Memory and runs beyond those known count as
+// unattributed.
 func (e *engine) applyReport(now time.Time, r Report) {
 	e.report, e.reportedAt = r, now
 	e.unattributedMemory, e.unattributedRuns = 0, 0
 	if r.Running <= len(e.orderedRuns) && len(e.orderedRuns) > 0 {
-		// Every run of the engine is among ours: a difference is the error of
-		// our estimates, and no memory of others.
+		// All runs of the engine are known: a difference in memory use is an error of
+		// the estimates and isn't unattributed.
 		return
 	}
 	known := Tokens(0)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// A pool is told of its engines and asked for places; time is an argument.
+// A pool receives engine reports and requests for places; time is an argument.
 func ExamplePool() {
 	now := time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 	pool := policy.NewPool(policy.Settings{})
--- a/policy/lengths.go
+++ b/policy/lengths.go
@@ -9,8 +9,8 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Buckets of a histogram: eight to each doubling, so a bucket is at most an
-// eighth of its value wide.
+// Histogram buckets: eight to each doubling, so that a bucket's width is at most
+// an eighth of its values.
 const (
 	subBucketBits = 3
 	subBuckets    = 1 << subBucketBits
@@ -18,7 +18,8 @@
 	bucketCount   = (maxTokenBits-subBucketBits+1)*subBuckets + 1
 )
 
-// bucketOf returns the bucket of a length; lengths past the last share it.
+// bucketOf returns the bucket of a length. Lengths beyond the last bucket fall
+// into it.
 func bucketOf(n Tokens) int {
 	if n < subBuckets {
 		return max(int(n), 0)
@@ -27,7 +28,7 @@
 	return min(shift*subBuckets+int(n)>>shift, bucketCount-1)
 }
 
-// bucketStart returns the least length in a bucket.
+// bucketStart returns the smallest length in a bucket.
 func bucketStart(b int) Tokens {
 	if b < 2*subBuckets {
 		return Tokens(b)
@@ -36,25 +37,26 @@
 	return Tokens((b%subBuckets + subBuckets) << shift)
 }
 
-// histogram is a decaying histogram of answer lengths, filled up with a few
-// samples' worth of its parent's shape, so that a tail too rare to have been
-// seen here is still expected. The zero value is empty and has no parent.
+// histogram is a decaying histogram of answer lengths. It includes its parent's
+// shape with the weight of a few samples, so that a long tail too rare to have
+// been observed here is still expected. The zero value is empty and has no
+// parent.
 type histogram struct {
 	parent  *histogram
 	weights [bucketCount]float32
-	// tailWeights[b] is the weight at or tailWeights bucket b, the parent's part included;
-	// it is kept when fresh.
+	// tailWeights[b] is the weight at or above bucket b, including the parent's
+	// contribution. It is valid if tailsCurrent.
 	tailWeights  [bucketCount + 1]float32
 	tailsCurrent bool
-	// samples counts the observations with the same decay as the weights.
+	// samples counts the observations, decayed like weights.
 	samples float32
 	// sum is the decayed sum of the lengths.
 	sum float32
 }
 
 const (
-	// decaySamples is how many observations a histogram remembers, as the
-	// inverse of its decay.
+	// decaySamples is the number of observations after which an observation's weight
+	// has fallen to 1/e.
 	decaySamples = 2000
 	// parentSamples is how many observations the parent's shape counts for.
 	parentSamples = 40
@@ -88,8 +90,8 @@
 	}
 }
 
-// weightAbove is the weight of the lengths above n, taking lengths to be spread
-// evenly within a bucket.
+// weightAbove returns the weight of the lengths above n, assuming that lengths
+// are spread evenly within a bucket.
 func (h *histogram) weightAbove(n Tokens) float64 {
 	if !h.tailsCurrent {
 		h.refreshTails()
@@ -103,15 +105,15 @@
 	return float64(h.tailWeights[b] - fraction*(h.tailWeights[b]-h.tailWeights[b+1]))
 }
 
-// SurvivalAfter gives, for each horizon, the chance that an answer of more than made
-// tokens is still going there.
+// SurvivalAfter returns, for each horizon, the probability that an answer of more
+// than made tokens is still being generated there.
 func (h *histogram) SurvivalAfter(made Tokens) Survival {
 	var alive Survival
 	remaining := h.weightAbove(made)
 	for k, ahead := range horizons {
 		if remaining <= minTailWeight {
-			// Past everything seen: such answers go on as long again as they
-			// already did.
+			// Beyond all observed lengths, an answer is assumed to go on for as long
+			// again as it already has.
 			alive[k] = float64(made+1) / float64(made+1+ahead)
 			continue
 		}
@@ -120,7 +122,7 @@
 	return alive
 }
 
-// minTailWeight is the weight below which a tail says nothing.
+// minTailWeight is the weight up to which a tail is too small to use.
 const minTailWeight = 0.01
 
 func (h *histogram) mean() float32 {
@@ -130,9 +132,9 @@
 	return (h.sum + parentSamples*h.parent.mean()) / (h.samples + parentSamples)
 }
 
-// LearnedLengths learns how long answers get, by route and client account, and tells
-// how likely a running answer is to go on. The zero value knows nothing and
-// works. It isn't safe for use by several goroutines.
+// LearnedLengths learns answer lengths by route and client account, and estimates
+// how likely a running answer is to go on. The zero value is ready to use. It
+// isn't safe for concurrent use.
 type LearnedLengths struct {
 	pool     histogram
 	routes   map[resource.Name]*histogram
@@ -144,11 +146,11 @@
 	route   resource.Name
 }
 
-// maxAccountHistograms bounds the memory at about a kilobyte each; further
-// accounts share their route's.
+// maxAccountHistograms bounds the memory, at about a kilobyte per histogram;
+// further accounts share their route's histogram.
 const maxAccountHistograms = 8192
 
-// Observe learns from an answer that ended by itself.
+// Observe records the length of an answer that ended by itself.
 func (l *LearnedLengths) Observe(account resource.Account, route resource.Name, n Tokens) {
 	if l.routes == nil {
 		l.pool.parent = &priorLengths
@@ -170,7 +172,8 @@
 	l.accounts[key].observe(n)
 }
 
-// narrowest returns the narrowest histogram that there is.
+// narrowest returns the most specific histogram that exists: the account's on the
+// route, the route's or the pool's.
 func (l *LearnedLengths) narrowest(account resource.Account, route resource.Name) *histogram {
 	if h := l.accounts[accountRoute{account, route}]; h != nil {
 		return h
@@ -184,8 +187,8 @@
 	return &priorLengths
 }
 
-// priorLengths stands in until anything is known: a few answers spread
-// evenly over the doublings from 16 to 2,048 tokens. It is never observed.
+// priorLengths is used until any length is known: one answer at each doubling
+// from 16 to 2,048 tokens. It is never updated.
 var priorLengths = func() histogram {
 	var h histogram
 	for n := Tokens(16); n <= 2048; n *= 2 {
@@ -197,12 +200,12 @@
 	return h
 }()
 
-// SurvivalCurve returns the curve to foresee a request's answer by.
+// SurvivalCurve returns the curve that forecasts the length of a request's answer.
 func (l *LearnedLengths) SurvivalCurve(r *Request) SurvivalCurve {
 	return l.narrowest(r.Account, r.Route)
 }
 
-// MeanLength is the expected length of an answer not yet begun.
+// MeanLength returns the expected length of an answer that hasn't begun.
 func (l *LearnedLengths) MeanLength(r *Request) Tokens {
 	mean := Tokens(l.narrowest(r.Account, r.Route).mean())
 	if r.MaxOutputTokens > 0 {
--- a/policy/lengths_test.go
+++ b/policy/lengths_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// survivalAt is the chance at one of the horizons.
+// survivalAt returns the survival probability at one of the horizons.
 func survivalAt(l *LearnedLengths, r *Request, made, ahead Tokens) float64 {
 	return l.SurvivalCurve(r).SurvivalAfter(made)[slices.Index(horizons[:], ahead)]
 }
@@ -23,12 +23,13 @@
 		n := Tokens(rapid.IntRange(0, 1<<maxTokenBits-1).Draw(t, "n"))
 		b := bucketOf(n)
 		if bucketStart(b) > n || b < bucketCount-1 && bucketStart(b+1) <= n {
-			t.Fatalf("%d is in bucket %d, which is %d to %d", n, b, bucketStart(b), bucketStart(b+1))
+			t.Fatalf("length %d is in bucket %d, which covers %d up to %d", n, b, bucketStart(b), bucketStart(b+1))
 		}
 	})
 }
 
-// TestAliveFallsWithDistance holds for whatever was observed.
+// TestAliveFallsWithDistance checks, for arbitrary observations, that the survival
+// probability doesn't rise with the distance.
 func TestAliveFallsWithDistance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l LearnedLengths
@@ -41,15 +42,15 @@
 		for _, ahead := range horizons {
 			alive := survivalAt(&l, &r, made, ahead)
 			if alive < 0 || alive > before+1e-6 {
-				t.Fatalf("alive %f after %f", alive, before)
+				t.Fatalf("survival probability %f after %f at the previous horizon; it must not be negative or rise", alive, before)
 			}
 			before = alive
 		}
 	})
 }
 
-// TestConditionalTail expects short answers to end soon, and those that got
-// past the short ones to go on.
+// TestConditionalTail expects short answers to end soon, and those longer than the
+// short ones to go on.
 func TestConditionalTail(t *testing.T) {
 	is := is.New(t)
 	var l LearnedLengths
@@ -67,11 +68,11 @@
 	var f memoryForecast
 	f.addRun(&r, 100, l.SurvivalCurve(&r))
 	is.True(f.upperBound[1] > 0)
-	is.Equal(f.upperBound[2], 0.0) // the caller's limit ends it before 96 more
+	is.Equal(f.upperBound[2], 0.0) // MaxOutputTokens ends the answer before 96 more tokens
 }
 
-// TestAccountKeepsTheRoutesTail gives an account with a few short answers the
-// route's chance of a long one.
+// TestAccountKeepsTheRoutesTail checks that an account with few short answers
+// keeps the route's probability of a long one.
 func TestAccountKeepsTheRoutesTail(t *testing.T) {
 	is := is.New(t)
 	var l LearnedLengths
--- a/policy/placeon_test.go
+++ b/policy/placeon_test.go
@@ -11,11 +11,12 @@
 	"github.com/matryer/is"
 )
 
-// TestPlaceOnLearnsFromOwnForecast has a decider learn how fast engines read from first tokens at places
-// that another decider gave, by its own foresight and not by the other's, which doesn't follow
-// from what is learnt here. One that foresaw 20 ms in place of 300 had this one learn, from
-// some 100 answers, that a prompt of 50 tokens is read in 19 hours; it then refused all streams
-// for its own zone's engines as late.
+// TestPlaceOnLearnsFromOwnForecast checks that the prefill rate is learned from
+// this pool's own forecast for runs that another decider placed. With the other
+// decider's forecast, which doesn't depend on the rate learned here, the estimate
+// never converges: a forecast of 20 ms for an actual 300 ms led, after about 100
+// answers, to an estimate of 19 hours for a prompt of 50 tokens, and this decider
+// refused all streams for engines of its own zone as late.
 func TestPlaceOnLearnsFromOwnForecast(t *testing.T) {
 	is := is.New(t)
 	p := NewPool(Settings{InitialPrefillRate: 7000})
@@ -27,7 +28,7 @@
 		id := RunID(fmt.Sprint("r", n))
 		d, ok := p.PlaceOn(now, Request{Run: id, PromptTokens: prompt, MaxOutputTokens: 100}, "far", 20*time.Millisecond)
 		is.True(ok)
-		is.Equal(d.TimeToFirstToken, 20*time.Millisecond) // what the other foresaw is told
+		is.Equal(d.TimeToFirstToken, 20*time.Millisecond) // the decision reports the other decider's forecast
 		now = now.Add(prefillTime)
 		p.RecordFirstToken(now, id)
 		p.Finish(now, Finish{Run: id, GeneratedTokens: 10, Complete: true})
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,15 +1,16 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package policy decides which engine of a pool takes a generation whose
-// length nobody knows, what waits, what is refused at once, and what gives way
-// when an engine's memory is about to fill.
+// Package policy places generations, whose answer lengths aren't known in
+// advance, on the engines of a pool. It decides which engine takes a generation,
+// which requests wait, which are refused at once, and which priority an engine
+// gives a run when its memory runs out.
 //
-// It is pure: it does no I/O, starts no goroutine and reads no clock; the
-// present time is an argument. The daemon, the tests and the benchmark run the
-// same code. What it knows is soft: a Pool that starts empty is right again
-// once the engines' reports and the entries' running generations have been
-// told to it.
+// The package does no I/O, starts no goroutine and reads no clock; the present
+// time is an argument, so that the daemon, the tests and the benchmark run the
+// same code. A Pool holds no state that has to be stored: an empty one is
+// complete again once it has received the engines' reports and the runs in
+// progress.
 package policy
 
 import (
@@ -22,63 +23,64 @@
 // Tokens counts tokens of a prompt, an answer or an engine's memory.
 type Tokens int
 
-// RunID names one run of one generation.
+// RunID identifies one run of one generation.
 type RunID string
 
-// EngineID names an engine.
+// EngineID identifies an engine.
 type EngineID = member.UpstreamID
 
-// Request asks for a place for one generation.
+// Request asks for a place on an engine for one generation.
 type Request struct {
 	Run     RunID
 	Route   resource.Name
 	Account resource.Account
-	// Priority is the account's; a higher one goes first.
+	// Priority is the client account's priority; higher ones are served first.
 	Priority     int
 	PromptTokens Tokens
-	// MaxOutputTokens bounds the answer; zero means that only the model does.
+	// MaxOutputTokens bounds the answer; zero leaves the bound to the model.
 	MaxOutputTokens Tokens
-	// Prefix is a hash of the first PrefixTokens of the prompt; zero means
-	// that nothing of it can be reused.
+	// Prefix is a hash of the first PrefixTokens tokens of the prompt. Zero means
+	// that no cached prefix can be reused.
 	Prefix       uint64
 	PrefixTokens Tokens
-	// QueueBytes is what the request holds in memory while it waits.
+	// QueueBytes is the memory that the request takes while it is queued.
 	QueueBytes int
-	// Deadline is when the wait for a place has been too long.
+	// Deadline is when the request is refused if it still waits for a place.
 	Deadline time.Time
-	// PreviousEngine is an engine that just failed this generation.
+	// PreviousEngine is the engine that the generation failed on or is moved off;
+	// it isn't considered.
 	PreviousEngine EngineID
-	// ExcludedEngines are further engines that won't do.
+	// ExcludedEngines are further engines that aren't considered.
 	ExcludedEngines []EngineID
-	// Zone is where the request came in, and FarCost what an engine of another
-	// zone costs more, as a share of an engine's memory. Zero minds no zones.
+	// Zone is the zone where the request arrived. CrossZoneCost is added to the cost
+	// of an engine in another zone, as a share of an engine's memory.
 	Zone          member.Zone
 	CrossZoneCost float64
-	// SameZoneOnly has no engine of another zone than Zone considered.
+	// SameZoneOnly excludes the engines of other zones than Zone.
 	SameZoneOnly bool
-	// AllowedZones are those whose engines may take the request; nil sets no bound.
+	// AllowedZones restricts the engines by zone; nil allows all zones.
 	AllowedZones []member.Zone
-	// OnlyGroup has engines of that group alone considered, and ExcludedGroup none of that one;
-	// empty sets no bound.
+	// OnlyGroup allows only the engines of that group, and ExcludedGroup excludes
+	// those of that group. Empty means no restriction.
 	OnlyGroup, ExcludedGroup string
-	// Objective is the aimed time to the first token; zero sets none.
+	// Objective is the target time to the first token; zero sets none.
 	Objective time.Duration
-	// ArrivedAt is when the objective counts from. With both, a request that no
-	// engine is expected to begin in time is refused at once.
+	// ArrivedAt is when Objective starts to count. If both are set and no engine is
+	// expected to start the request in time, it is refused at once.
 	ArrivedAt time.Time
 }
 
-// Verdict says what became of a request.
+// Verdict is the outcome of a request.
 type Verdict int
 
-// The verdicts.
+// The outcomes of a request.
 const (
 	Queued Verdict = iota
 	Granted
 	Refused
 )
 
-// Reason says why a request was refused.
+// Reason is why a request was refused.
 type Reason string
 
 // The reasons for a refusal.
@@ -90,30 +92,32 @@
 	ReasonTooLong   Reason = "prompt_too_long"
 )
 
-// Decision is the answer to a request. A Queued one is followed by another
-// from Advance.
+// Decision is the answer to a request. A Queued decision is followed by a final
+// one from Advance.
 type Decision struct {
 	Run     RunID
 	Verdict Verdict
-	// Engine and Priority are set with Granted: where the run goes and what
-	// it is worth there when memory runs out.
+	// Engine and Priority are set if Granted: the run's engine, and the priority
+	// with which the engine keeps the run when its memory runs out.
 	Engine   EngineID
 	Priority int
-	// TimeToFirstToken is after how long the run's first token is expected; set with
-	// Granted, zero where that isn't known.
+	// TimeToFirstToken is the expected time to the run's first token. It is set if
+	// Granted, and zero if unknown.
 	TimeToFirstToken time.Duration
-	// PeakMemory is the most that the engine's memory is foreseen to hold with the run on it,
-	// and Batch how many runs it has then; set with Granted.
+	// PeakMemory is the highest forecast mean of the engine's memory use with the
+	// run on it, and BatchSize its number of runs then. Both are set if Granted.
 	PeakMemory Tokens
 	BatchSize  int
-	// Reason and RetryAfter are set with Refused.
+	// Reason and RetryAfter are set if Refused.
 	Reason     Reason
 	RetryAfter time.Duration
 	// Waited is how long the request was queued.
 	Waited time.Duration
 }
 
-// Report is what an engine last said of itself.
+// Report is an engine's latest report of its state. TotalMemory and UsedMemory
+// count the tokens that fit into its memory and that are in it; StepTime is the
+// duration of a decoding step.
 type Report struct {
 	Engine      EngineID
 	TotalMemory Tokens
@@ -123,42 +127,45 @@
 	StepTime    time.Duration
 }
 
-// Finish tells that a run has left its engine.
+// Finish reports that a run has left its engine.
 type Finish struct {
 	Run RunID
-	// GeneratedTokens is the answer's length as far as it came.
+	// GeneratedTokens is the length of the answer so far.
 	GeneratedTokens Tokens
-	// Complete says that the answer ended by itself, so that its length is known.
+	// Complete reports that the answer ended by itself, so that its full length is
+	// known.
 	Complete bool
 }
 
-// Settings steer a Pool. The zero value works; fill puts the defaults in.
+// Settings configures a Pool. Fields that are zero get their defaults, where
+// there are any, from applyDefaults.
 type Settings struct {
 	Objective resource.Objective
-	// MaxStepTime is the longest step that admission aims at.
+	// MaxStepTime is the longest decoding step that admission allows for.
 	MaxStepTime    time.Duration
 	MaxQueueLength int
 	MaxQueueBytes  int
-	// HeadroomDeviations is how many standard deviations of growth are kept free.
+	// HeadroomDeviations is how many standard deviations of the forecast memory use
+	// are kept free.
 	HeadroomDeviations float64
-	// MaxMemoryFraction is the part of an engine's memory that admission fills.
+	// MaxMemoryFraction is the fraction of an engine's memory that admission fills.
 	MaxMemoryFraction float64
 	// MaxBatchSize bounds the runs of one engine; zero means no bound.
 	MaxBatchSize int
-	// InitialPrefillRate is how many prompt tokens an engine is taken to read in a second
-	// beside its decoding until that has been learnt. Zero leaves the prompts
-	// that wait to be read out of account.
+	// InitialPrefillRate is the assumed rate, in prompt tokens per second, at which
+	// an engine reads prompts while it decodes, until the rate is learned. Zero
+	// ignores the time that prompts wait to be read.
 	InitialPrefillRate float64
-	// MaxWaitFraction is the part of its objective that a request waits for a place at most;
-	// above 1 it is only refused when it will be late.
+	// MaxWaitFraction is the fraction of its objective for which a request may wait
+	// for a place. Above 1, a request is refused only when it will be late.
 	MaxWaitFraction float64
-	// MaxQueueStagger is the longest time for which an engine that has just begun to take work
-	// gets none of what waits here, and Decider names who decides: each has a time of its
-	// own. Zero has engines take it at once.
+	// MaxQueueStagger is the longest time for which an engine that has just begun to
+	// take work gets no queued requests. Each decider, identified by DeciderID, has
+	// its own delay within it. Zero sets no delay.
 	MaxQueueStagger time.Duration
 	DeciderID       string
 	// MovableTokens is how many tokens of memory can be moved off an engine between
-	// the notice that it leaves and its end. Zero leaves that out of account.
+	// the notice that it leaves and its end. Zero ignores the cost of moving.
 	MovableTokens Tokens
 }
 
@@ -166,8 +173,8 @@
 const (
 	DefaultHeadroomDeviations = 2.0
 	DefaultMaxMemoryFraction  = 0.96
-	// DefaultMaxWaitFraction is short: refused soon, a caller can come back soon, and what is let
-	// in is less late.
+	// DefaultMaxWaitFraction is low so that a refused caller can retry early and
+	// that admitted requests are less late.
 	DefaultMaxWaitFraction = 0.15
 )
 
--- a/policy/pool.go
+++ b/policy/pool.go
@@ -13,58 +13,60 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// SurvivalCurve tells how likely an answer of more than made tokens is to have more at
-// each of Horizons ahead.
+// SurvivalCurve estimates how likely an answer of more than made tokens is to go
+// on beyond each of Horizons.
 type SurvivalCurve interface {
 	SurvivalAfter(made Tokens) Survival
 }
 
-// lengthModel knows how long answers get.
+// lengthModel estimates the lengths of answers.
 type lengthModel interface {
 	SurvivalCurve(r *Request) SurvivalCurve
 	MeanLength(r *Request) Tokens
 }
 
-// lengthLearner is a length model that learns from answers that ended.
+// lengthLearner is a length model that learns from complete answers.
 type lengthLearner interface {
 	Observe(account resource.Account, route resource.Name, n Tokens)
 }
 
 // Pool decides for the engines of one pool in one availability zone. Use
-// NewPool. It isn't safe for use by several goroutines.
+// NewPool. It isn't safe for concurrent use.
 type Pool struct {
 	settings Settings
 	lengths  lengthModel
-	// engines is in the order in which they were named, and named finds them by id: a
-	// host says several times a second which engines there are and how each stands, and
-	// by a search through all of them that grows with the square of their number.
+	// engines holds the active engines in the order in which they were set, and
+	// enginesByID indexes them. A host reports several times a second which engines
+	// exist and the state of each; scanning the list for each report would grow with
+	// the square of their number.
 	engines     []*engine
 	enginesByID map[EngineID]*engine
-	// removedEngines are engines that are no longer named: one that is only kept from new
-	// work for a while comes back with its runs.
+	// removedEngines holds engines that are no longer in the list: an engine that is
+	// only kept from new work for a while comes back with its runs.
 	removedEngines map[EngineID]*engine
 	runs           map[RunID]*placedRun
 	queue          queue
 	stepTimes      stepTimeModel
 	prefill        prefillRate
-	// meanLogSlowness is the mean of the engines' logSlow.
+	// meanLogSlowness is the mean of the engines' logSlowness.
 	meanLogSlowness float64
-	// zoneCoverage says of other zones which part of their hosts has told lately what it
-	// runs.
+	// zoneCoverage holds, for other zones, the fraction of their hosts that has
+	// reported its runs recently.
 	zoneCoverage map[member.Zone]float64
-	// deciderCount is how many entries decide about these engines at once, each
-	// within its part of the free memory. It is 1 for the coordinator.
+	// deciderCount is how many entries decide for these engines at the same time,
+	// each within its share of the free memory. It is 1 for the coordinator.
 	deciderCount int
-	// reservedEngine is the engine that is reservedEngine for a large request; nil mostly.
+	// reservedEngine is kept free for a request that found no room for a long time;
+	// nil if none is.
 	reservedEngine *engine
-	// queueBlocked says that the queue's head found no room since the last change.
+	// queueBlocked reports that no queued request found room since the last change.
 	queueBlocked bool
 }
 
-// Option changes how a Pool is built.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithLengthModel replaces the learned lengths.
+// WithLengthModel replaces LearnedLengths.
 func WithLengthModel(m lengthModel) Option {
 	return func(p *Pool) { p.lengths = m }
 }
@@ -79,18 +81,19 @@
 	return p
 }
 
-// SetSettings changes the settings for decisions from now on.
+// SetSettings changes the settings for later decisions.
 func (p *Pool) SetSettings(s Settings) {
 	s.applyDefaults()
 	p.settings = s
 	p.prefill.initialRate = s.InitialPrefillRate
 }
 
-// SetDeciderCount says how many entries decide about these engines at once.
+// SetDeciderCount sets how many entries decide for these engines at the same
+// time.
 func (p *Pool) SetDeciderCount(n int) { p.deciderCount = max(n, 1) }
 
-// SetEngines says which engines take new work. An engine that is no longer
-// named takes none; what it runs stays known until it finishes.
+// SetEngines sets the engines that take new work. An engine that is left out
+// takes none, but its runs stay known until they finish.
 func (p *Pool) SetEngines(ids []EngineID) {
 	p.queueBlocked = false
 	if p.hasEngines(ids) {
@@ -112,13 +115,14 @@
 	p.engines, p.enginesByID = engines, enginesByID
 }
 
-// hasEngines reports whether the engines are those already, in the same order.
+// hasEngines reports whether the active engines are those given, in that order.
 func (p *Pool) hasEngines(ids []EngineID) bool {
 	return slices.EqualFunc(p.engines, ids, func(e *engine, id EngineID) bool { return e.id == id })
 }
 
-// ResetEngine forgets everything about an engine that has started again: its runs, which are
-// returned, what it keeps, how fast it reads and what it reported.
+// ResetEngine forgets everything about an engine that has restarted, and returns
+// the runs that it had: its cached prefixes, prefill speed and report are gone as
+// well.
 func (p *Pool) ResetEngine(id EngineID) []RunID {
 	old := p.knownEngine(id)
 	if old == nil {
@@ -140,10 +144,12 @@
 	return ended
 }
 
-// maxRemovedEngines bounds the engines that are remembered without runs.
+// maxRemovedEngines bounds removedEngines; above it, those without runs are
+// dropped.
 const maxRemovedEngines = 256
 
-// retainRemoved remembers the engines that aren't named any more.
+// retainRemoved remembers the engines that aren't in the new list, and drops those
+// without runs while there are too many.
 func (p *Pool) retainRemoved(enginesByID map[EngineID]*engine) {
 	for _, e := range p.engines {
 		if enginesByID[e.id] != nil {
@@ -161,11 +167,10 @@
 	}
 }
 
-// activeEngine returns an activeEngine that takes new work; nil when none of that name does.
+// activeEngine returns an engine that takes new work, or nil.
 func (p *Pool) activeEngine(id EngineID) *engine { return p.enginesByID[id] }
 
-// knownEngine returns an engine that takes new work or is away; nil when it isn't
-// known.
+// knownEngine returns an active or a removed engine, or nil.
 func (p *Pool) knownEngine(id EngineID) *engine {
 	if e := p.activeEngine(id); e != nil {
 		return e
@@ -182,13 +187,13 @@
 	return ids
 }
 
-// Waiting is how many requests are queued.
+// Waiting returns the number of queued requests.
 func (p *Pool) Waiting() int { return len(p.queue.items) }
 
-// Running is how many runs hold a place.
+// Running returns the number of runs that hold a place.
 func (p *Pool) Running() int { return len(p.runs) }
 
-// FreeTokens is the memory that the engines report as free.
+// FreeTokens returns the memory that the engines report as free.
 func (p *Pool) FreeTokens() Tokens {
 	free := Tokens(0)
 	for _, e := range p.engines {
@@ -197,7 +202,7 @@
 	return free
 }
 
-// Report takes in what an engine said of itself.
+// Report records an engine's report.
 func (p *Pool) Report(now time.Time, r Report) {
 	e := p.activeEngine(r.Engine)
 	if e == nil {
@@ -209,15 +214,14 @@
 	p.queueBlocked = false
 }
 
-// Suspect keeps new work from an engine until it reports again.
+// Suspect keeps new work off an engine until its next report.
 func (p *Pool) Suspect(id EngineID) {
 	if e := p.activeEngine(id); e != nil {
 		e.reportedAt = time.Time{}
 	}
 }
 
-// SetCordoned keeps new work from the named engines, and from no others that were
-// named before.
+// SetCordoned keeps new work off the given engines, and allows it on all others.
 func (p *Pool) SetCordoned(ids []EngineID) {
 	for _, e := range p.engines {
 		e.cordoned = slices.Contains(ids, e.id)
@@ -225,10 +229,10 @@
 	p.queueBlocked = false
 }
 
-// maxReportAge is how old a report may be for its engine to take new work.
+// maxReportAge is the age of a report above which its engine takes no new work.
 const maxReportAge = 3 * time.Second
 
-// Reports returns each engine's last report.
+// Reports returns the last report of each engine that sent one.
 func (p *Pool) Reports() []Report {
 	reports := make([]Report, 0, len(p.engines))
 	for _, e := range p.engines {
@@ -239,15 +243,15 @@
 	return reports
 }
 
-// ApplyCacheEvent takes in a cache event of an engine.
+// ApplyCacheEvent records a cache event of an engine.
 func (p *Pool) ApplyCacheEvent(now time.Time, id EngineID, event CacheEvent) {
 	if e := p.activeEngine(id); e != nil {
 		e.cache.applyEvent(now, event)
 	}
 }
 
-// Adopt takes in a run that was placed by another, so that a new coordinator
-// knows what its engines already carry.
+// Adopt adds a run that another decider placed, so that a new coordinator knows
+// which runs its engines have.
 func (p *Pool) Adopt(now time.Time, r Request, id EngineID, generatedTokens Tokens) {
 	e := p.knownEngine(id)
 	if e == nil || p.runs[r.Run] != nil {
@@ -262,8 +266,8 @@
 	run.startedAt = now.Add(-time.Duration(generatedTokens) * e.expectedStepTime())
 }
 
-// Submit asks for a place. Asking again for a run that is known changes
-// nothing and tells how it stands.
+// Submit asks for a place. For a run that is already known it changes nothing and
+// returns the run's state.
 func (p *Pool) Submit(now time.Time, r Request) Decision {
 	if run := p.runs[r.Run]; run != nil {
 		return grantDecision(run, 0)
@@ -302,8 +306,8 @@
 	return grantDecision(run, waited)
 }
 
-// TryPlace places a request if that can be done at once, ahead of nothing that waits. It
-// doesn't queue it.
+// TryPlace places a request if an engine has room now and no queued request comes
+// before it. It doesn't queue the request.
 func (p *Pool) TryPlace(now time.Time, r Request) (Decision, bool) {
 	if p.runs[r.Run] != nil || p.queue.indexOf(r.Run) >= 0 {
 		return Decision{}, false
@@ -320,8 +324,9 @@
 	return Decision{}, false
 }
 
-// PlaceOn places a request on an engine that another decider has chosen, which expects
-// its first token after some time. It reports false when that engine isn't known.
+// PlaceOn places a request on an engine that another decider has chosen, with that
+// decider's forecast of the time to the first token. It returns false if the
+// engine isn't active or the run is already placed.
 func (p *Pool) PlaceOn(now time.Time, r Request, id EngineID, timeToFirstToken time.Duration) (Decision, bool) {
 	e := p.activeEngine(id)
 	if e == nil || p.runs[r.Run] != nil {
@@ -329,13 +334,13 @@
 	}
 	d := p.place(now, &r, e, 0)
 	d.TimeToFirstToken = timeToFirstToken
-	// What is learnt from its first token is measured against what is foreseen here: what
-	// the other foresaw doesn't follow from what is learnt here, and learning from that
-	// would never come to an end.
+	// The run keeps this pool's own forecast, and the prefill rate is learned
+	// from that. The other decider's forecast doesn't depend on the rate learned
+	// here, so learning from it would never converge.
 	return d, true
 }
 
-// Finish takes a run off its engine, or out of the queue, and learns from it.
+// Finish removes a run from its engine or from the queue, and learns from it.
 func (p *Pool) Finish(now time.Time, f Finish) {
 	if i := p.queue.indexOf(f.Run); i >= 0 {
 		w := p.queue.removeAt(i)
@@ -357,18 +362,18 @@
 	p.queueBlocked = false
 }
 
-// LearnLength takes in the length of an answer that ended by itself; Finish does so
-// for the runs that were placed here.
+// LearnLength records the length of an answer that ended by itself. Finish does
+// so for the runs that were placed here.
 func (p *Pool) LearnLength(r *Request, generatedTokens Tokens) {
 	if l, learns := p.lengths.(lengthLearner); learns {
 		l.Observe(r.Account, r.Route, generatedTokens)
 	}
 }
 
-// forecastRefreshInterval is how often an engine's memory is foreseen anew.
+// forecastRefreshInterval is how often an engine's memory forecast is recomputed.
 const forecastRefreshInterval = 250 * time.Millisecond
 
-// Advance decides about what waits, as of now.
+// Advance decides about the queued requests as of now.
 func (p *Pool) Advance(now time.Time) []Decision {
 	for _, e := range p.engines {
 		p.staggerQueue(now, e)
@@ -384,9 +389,10 @@
 	return p.serveQueue(now, decided)
 }
 
-// staggerQueue has an engine that has just begun to take work get what waits here only when
-// this decider's time has come. All hosts hear of it at once, and those that have requests
-// waiting would all place them there before they hear of each other's.
+// staggerQueue delays queued requests for an engine that has just begun to take
+// work until this decider's own time. All hosts learn of the engine at once;
+// without the delay, all that have queued requests would place them there before
+// they learn of each other's.
 func (p *Pool) staggerQueue(now time.Time, e *engine) {
 	if !e.isNew {
 		return
@@ -398,21 +404,23 @@
 	}
 }
 
-// staggerSteps is how finely the time of Stagger is divided.
+// staggerSteps is the number of steps into which MaxQueueStagger is divided.
 const staggerSteps = 1024
 
-// Limits of how far a request that finds no room lets others pass.
+// Limits on how far later requests may overtake a request that finds no room.
 const (
-	// maxOvertaking is how many requests behind it are tried.
+	// maxOvertaking is how many later requests are tried.
 	maxOvertaking = 32
-	// reserveAfterFraction is the part of its time after which an engine is kept for
-	// it, so that small requests can't pass a large one for ever.
+	// reserveAfterFraction is the fraction of a request's time until its deadline
+	// after which an engine is reserved for it, so that small requests can't
+	// overtake a large one forever.
 	reserveAfterFraction = 0.5
 )
 
-// serveQueue places what it can in the queue's order. A request that finds no room
-// lets others pass; when the first of them has waited for half of its time, the
-// engine that will have room for it soonest is kept for it.
+// serveQueue places queued requests in the queue's order. Later requests may
+// overtake those that find no room. The first of these that has waited for
+// reserveAfterFraction of its time gets the engine reserved that is closest to
+// having room for it.
 func (p *Pool) serveQueue(now time.Time, decided []Decision) []Decision {
 	skipped := 0
 	p.reservedEngine = nil
--- a/policy/prefill.go
+++ b/policy/prefill.go
@@ -9,31 +9,34 @@
 	"time"
 )
 
-// An engine reads prompts one after another. How long that takes is foreseen, but
-// engines of one pool differ in speed and hosts hear of each other's runs late, so what
-// is foreseen is held to what is seen: a run without a token has not been read, and one
-// with a token has, with all that were placed before it. From when first tokens came
-// each engine's own speed is learnt.
+// An engine reads prompts (prefill) one after another. The time that takes is
+// forecast, but engines of one pool differ in speed and hosts learn of each other's
+// runs late, so the forecast is corrected by observation: the prompt of a run
+// without a token hasn't been read, and the prompt of a run with a token has been
+// read, with all prompts placed before it. Each engine's own speed is learned from
+// the times of first tokens.
 
 const (
-	// overdueFraction is the part of a prompt that is taken to be left to read when its run
-	// has no token though it should have.
+	// overdueFraction is the fraction of a prompt that is assumed to be still unread
+	// if its run has no token although it should have.
 	overdueFraction = 0.25
-	// slownessWeight is the weight of the newest observation of an engine's own speed:
-	// most of a difference is learnt from five first tokens, for an engine of a spot
-	// pool may be gone after some twenty.
+	// slownessWeight is the weight of the newest observation of an engine's own
+	// speed. At this weight most of a difference is learned from five first tokens;
+	// an engine of a spot pool may be gone after about twenty.
 	slownessWeight = 0.3
-	// maxSlowness bounds an engine's slowness, and one observation of it.
+	// maxSlowness bounds an engine's slowness and each observation of it, and its
+	// inverse bounds them from below.
 	maxSlowness = 3.0
 )
 
-// expectedPrefillTime is how long the engine is expected to read a prompt.
+// expectedPrefillTime returns how long the engine is expected to take to read the
+// part of a prompt that it hasn't cached.
 func (p *Pool) expectedPrefillTime(now time.Time, e *engine, r *Request) time.Duration {
 	return time.Duration(float64(p.prefill.duration(r.PromptTokens-e.cache.reusableTokens(now, r))) * p.slowness(e))
 }
 
-// slowness is how much longer an engine reads than the pool's engines do on average.
-// What all of them have in common is in the pool's rate of reading.
+// slowness returns the engine's prefill time relative to the average of the
+// pool's engines. What they have in common is part of the pool's prefill rate.
 func (p *Pool) slowness(e *engine) float64 {
 	if !e.slownessLearned {
 		return 1
@@ -41,7 +44,7 @@
 	return min(max(math.Exp(e.logSlowness-p.meanLogSlowness), 1/maxSlowness), maxSlowness)
 }
 
-// addPrefill counts a run's prompt among those that the engine has to read.
+// addPrefill adds a run's prompt to those that the engine has to read.
 func (e *engine) addPrefill(now time.Time, run *placedRun, duration time.Duration) {
 	run.prefillPending, run.prefillTime, run.knownSince = true, duration, now
 	if e.prefillUntil.Before(now) {
@@ -50,8 +53,8 @@
 	e.prefillUntil = e.prefillUntil.Add(duration)
 }
 
-// extendPrefill takes in that a run has no token yet: its prompt, and those that came
-// after it, are still to be read.
+// extendPrefill records that a run has no token yet: its prompt and those placed
+// after it are still to be read.
 func (e *engine) extendPrefill(now time.Time, run *placedRun) {
 	run.prefillPending = true
 	remaining := max(run.prefillTime-now.Sub(e.prefillStart(run)), time.Duration(overdueFraction*float64(run.prefillTime)))
@@ -61,8 +64,8 @@
 	}
 }
 
-// completePrefill takes in that a run's first token came at a time: no more is left to read
-// than what came after it.
+// completePrefill records the time of a run's first token: only the prompts
+// placed after the run's are still to be read.
 func (p *Pool) completePrefill(firstTokenAt time.Time, run *placedRun) {
 	e := run.engine
 	before, after := e.pendingPrefill(run)
@@ -81,8 +84,9 @@
 	}
 }
 
-// prefillStart is when the engine began to read a run's prompt, or those before it that
-// it hadn't read: when the run came, or when the last one that is known was read.
+// prefillStart returns when the engine began to read a run's prompt or the unread
+// prompts before it: when the run became known, or when the last prompt was read,
+// if that is later.
 func (e *engine) prefillStart(run *placedRun) time.Time {
 	if run.knownSince.Before(e.lastPrefillAt) {
 		return e.lastPrefillAt
@@ -90,7 +94,8 @@
 	return run.knownSince
 }
 
-// pendingPrefill is how long the unread prompts take that came before a run's and after.
+// pendingPrefill returns how long the unread prompts take that were placed before
+// a run's and after it.
 func (e *engine) pendingPrefill(run *placedRun) (before, after time.Duration) {
 	index := slices.Index(e.orderedRuns, run)
 	for i, p := range e.orderedRuns {
@@ -105,8 +110,8 @@
 	return before, after
 }
 
-// observePrefill takes in how long an engine took to read what was foreseen to take
-// another time.
+// observePrefill learns an engine's slowness from an expected and an actual
+// prefill time.
 func (p *Pool) observePrefill(e *engine, expected, actual time.Duration) {
 	if expected <= 0 || actual <= 0 {
 		return
@@ -119,8 +124,8 @@
 	p.meanLogSlowness = p.averageLogSlowness()
 }
 
-// averageLogSlowness is the mean over the engines that take work; those that nothing is
-// known of count as the mean.
+// averageLogSlowness returns the mean over the active engines whose slowness is
+// learned.
 func (p *Pool) averageLogSlowness() float64 {
 	sum, learnt := 0.0, 0
 	for _, e := range p.engines {
@@ -132,13 +137,13 @@
 	return sum / float64(max(learnt, 1))
 }
 
-// UpdatePrefill takes in what another host tells of its run's prompt: when its first token
-// came, or the zero time while it has none.
+// UpdatePrefill records what a host reports of its run's prompt: when its first
+// token was generated, or the zero time if there is none yet.
 func (p *Pool) UpdatePrefill(now time.Time, id RunID, firstTokenAt time.Time) {
 	run := p.runs[id]
 	switch {
 	case run == nil || run.prefillTime == 0:
-		// It isn't known, or was read elsewhere.
+		// The run isn't known, or its prompt was read on another engine.
 	case firstTokenAt.IsZero():
 		run.engine.extendPrefill(now, run)
 	case run.prefillPending:
--- a/policy/prefillrate.go
+++ b/policy/prefillrate.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// prefillRate learns how many prompt tokens an engine reads in a second beside its
-// decoding, from how far foreseen first tokens were off. Until the first was
-// seen it is the prior; a prior of zero leaves reading out of account.
+// prefillRate learns how many prompt tokens an engine reads per second while it
+// decodes, from the forecast and actual times of first tokens. Until the first
+// observation it is initialRate; an initialRate of zero disables the estimate.
 type prefillRate struct {
 	initialRate float64
-	// correction corrects the prior; zero stands for one.
+	// correction multiplies initialRate; zero stands for one.
 	correction float64
-	// samples counts what was learnt from.
+	// samples counts the observations.
 	samples uint64
 }
 
 const (
 	// prefillRateWeight is the weight of the newest observation: half of a change
-	// of speed is learnt from seven prompts.
+	// of speed is learned from seven prompts.
 	prefillRateWeight = 0.1
-	// maxPrefillRateError bounds one observation, for an engine that stands still says
-	// little about the others.
+	// maxPrefillRateError bounds one observation, because an engine that is stuck
+	// says little about the others.
 	maxPrefillRateError = 4.0
 )
 
 func (r *prefillRate) known() bool { return r.initialRate > 0 }
 
-// tokensPerSecond is the rate as it is known now.
+// tokensPerSecond returns the current estimate of the rate.
 func (r *prefillRate) tokensPerSecond() float64 {
 	if r.correction == 0 {
 		return r.initialRate
@@ -38,7 +38,7 @@
 	return r.initialRate * r.correction
 }
 
-// duration is how long some tokens are read; zero when nothing is known.
+// duration returns how long n tokens take to read; zero if the rate isn't known.
 func (r *prefillRate) duration(n Tokens) time.Duration {
 	if !r.known() {
 		return 0
@@ -46,8 +46,7 @@
 	return time.Duration(float64(n) / r.tokensPerSecond() * float64(time.Second))
 }
 
-// observe takes in a first token that was foreseen after some time and came
-// after another.
+// observe learns from the expected and the actual time to a first token.
 func (r *prefillRate) observe(expected, actual time.Duration) {
 	if !r.known() || expected <= 0 || actual <= 0 {
 		return
@@ -60,8 +59,9 @@
 	r.samples++
 }
 
-// RecordFirstToken takes in that a run made its first token on the engine that it was
-// placed on. Later tokens and runs that were moved before say nothing.
+// RecordFirstToken records that a run generated its first token on the engine
+// on which it was placed. Later tokens, and runs that were moved before, are
+// ignored.
 func (p *Pool) RecordFirstToken(now time.Time, id RunID) {
 	run := p.runs[id]
 	if run == nil || run.placedAt.IsZero() {
@@ -72,11 +72,12 @@
 	p.UpdatePrefill(now, id, now)
 }
 
-// IdlePrefillTime is how long an idle engine is expected to read a prompt.
+// IdlePrefillTime returns how long an idle engine is expected to take to read a
+// prompt of n tokens.
 func (p *Pool) IdlePrefillTime(n Tokens) time.Duration { return p.prefill.duration(n) }
 
-// PrefillRate is how many prompt tokens an engine is expected to read in a second,
-// and from how many first tokens that was learnt.
+// PrefillRate returns how many prompt tokens an engine is expected to read per
+// second, and from how many first tokens that was learned.
 func (p *Pool) PrefillRate() (tokensPerSecond float64, samples uint64) {
 	return p.prefill.tokensPerSecond(), p.prefill.samples
 }
--- a/policy/prefix.go
+++ b/policy/prefix.go
@@ -5,12 +5,12 @@
 
 import "time"
 
-// prefixCache is a hint of which prompt prefixes an engine holds. Its events
-// come late and with gaps, so an entry fades with time, and a gap drops all.
-// The zero value is empty and works.
+// prefixCache estimates which prompt prefixes an engine has cached. Events arrive
+// late and some are lost, so entries expire, and a gap in the sequence drops all
+// entries. The zero value is empty and ready to use.
 type prefixCache struct {
 	entries map[uint64]prefixEntry
-	// lastSeq is the number of the last event taken in.
+	// lastSeq is the sequence number of the last event applied.
 	lastSeq uint64
 }
 
@@ -20,13 +20,14 @@
 }
 
 const (
-	// prefixTTL is how long a hint is believed without being renewed.
+	// prefixTTL is how long an entry is used without being renewed.
 	prefixTTL = 2 * time.Minute
-	// maxPrefixes bounds the hints kept for one engine.
+	// maxPrefixes bounds the entries of one engine.
 	maxPrefixes = 1024
 )
 
-// CacheEvent tells that a prefix came into an engine's cache or left it.
+// CacheEvent reports that a prefix was added to an engine's cache or removed from
+// it.
 type CacheEvent struct {
 	Seq    uint64
 	Prefix uint64
@@ -72,7 +73,8 @@
 	}
 }
 
-// reusableTokens is how many tokens of the prompt the engine is believed to hold.
+// reusableTokens returns how many tokens of the prompt the engine is believed to
+// have cached.
 func (c *prefixCache) reusableTokens(now time.Time, r *Request) Tokens {
 	if r.Prefix == 0 || len(c.entries) == 0 {
 		return 0
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -15,22 +15,22 @@
 type queuedRequest struct {
 	Request
 	queuedAt time.Time
-	// startTag is the fair queue's tag: within a priority, the lower goes first.
+	// startTag is the fair queue's tag: within a priority, lower ones go first.
 	startTag float64
-	// sequence orders equal tags.
+	// sequence orders requests with equal tags by arrival.
 	sequence uint64
 }
 
-// queue holds what waits for a place: by priority, then fair between client
-// accounts by the tokens they use (start-time fair queueing). The zero value
-// is empty and works.
+// queue holds the requests that wait for a place, ordered by priority and, within
+// a priority, shared fairly between client accounts by the tokens they use
+// (start-time fair queueing). The zero value is empty and ready to use.
 type queue struct {
 	// items is in the order of service.
 	items []*queuedRequest
 	bytes int
-	// virtualTime is the start tag of the last request served.
+	// virtualTime is the highest start tag of the requests served.
 	virtualTime float64
-	// finishTags is, by account, the tag at which its last request ends.
+	// finishTags holds, by account, the tag at which its last request ends.
 	finishTags   map[resource.Account]float64
 	lastSequence uint64
 }
@@ -45,7 +45,8 @@
 	return cmp.Compare(a.sequence, b.sequence)
 }
 
-// newRequest gives the request its place among its account's others.
+// newRequest tags a request for its place in the queue and charges its cost to its
+// account. It doesn't insert the request.
 func (q *queue) newRequest(now time.Time, r Request, cost Tokens) *queuedRequest {
 	if q.finishTags == nil {
 		q.finishTags = map[resource.Account]float64{}
@@ -56,7 +57,7 @@
 	return w
 }
 
-// position is where the request would stand.
+// position returns the index at which the request would be inserted.
 func (q *queue) position(w *queuedRequest) int {
 	at, _ := slices.BinarySearchFunc(q.items, w, compareQueued)
 	return at
@@ -67,7 +68,7 @@
 	q.bytes += w.QueueBytes
 }
 
-// removeAt takes the request out of the queue.
+// removeAt removes and returns the request at index i.
 func (q *queue) removeAt(i int) *queuedRequest {
 	w := q.items[i]
 	q.items = slices.Delete(q.items, i, i+1)
@@ -75,7 +76,7 @@
 	return w
 }
 
-// advanceTo moves the virtual time on to a request that gets its place.
+// advanceTo advances the virtual time to a request that gets its place.
 func (q *queue) advanceTo(w *queuedRequest) {
 	q.virtualTime = max(q.virtualTime, w.startTag)
 	if len(q.finishTags) > maxFinishTags {
@@ -83,8 +84,8 @@
 	}
 }
 
-// maxFinishTags is how many accounts' tags are kept before the idle ones are
-// dropped.
+// maxFinishTags is the number of accounts above which the tags of idle accounts
+// are dropped.
 const maxFinishTags = 4096
 
 func (q *queue) dropIdleAccounts() {
@@ -96,14 +97,14 @@
 }
 
 // adjustCharge charges an account for the tokens it used beyond the estimate, or
-// gives back what it didn't use.
+// refunds those it didn't use.
 func (q *queue) adjustCharge(account resource.Account, difference Tokens) {
 	if tag, ok := q.finishTags[account]; ok {
 		q.finishTags[account] = max(tag+float64(difference), 0)
 	}
 }
 
-// indexOf returns the queue position of a run, or -1.
+// indexOf returns the queue index of a run, or -1.
 func (q *queue) indexOf(run RunID) int {
 	return slices.IndexFunc(q.items, func(w *queuedRequest) bool { return w.Run == run })
 }
--- a/policy/refusal.go
+++ b/policy/refusal.go
@@ -9,19 +9,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxFirstTokenFraction is the part of its objective within which a request's first
-// token must be foreseen. The foreseen time is a mean: of those admitted at the
-// whole objective every second would be late.
+// maxFirstTokenFraction is the fraction of a request's objective within which its
+// first token must be forecast. The forecast is a mean: if requests were admitted
+// up to the full objective, half of those at the limit would be late.
 const maxFirstTokenFraction = 0.7
 
-// Waits that callers are told when the pool can't foresee one.
+// The retry delay if the pool has no engine, and the bounds of a delay that is
+// derived from the pool's load.
 const (
 	noEngineRetryAfter = 5 * time.Second
 	minRetryAfter      = 500 * time.Millisecond
 	maxRetryAfter      = 60 * time.Second
 )
 
-// refuseImpossible refuses what no engine could ever take.
+// refuseImpossible refuses a request that no engine of the pool could ever take.
 func (p *Pool) refuseImpossible(r Request) (Decision, bool) {
 	if len(p.engines) == 0 {
 		return Decision{Run: r.Run, Verdict: Refused, Reason: ReasonNoEngine, RetryAfter: noEngineRetryAfter}, true
@@ -52,7 +53,7 @@
 	return Decision{Run: w.Run, Verdict: Queued}
 }
 
-// refuse gives the account its tag back: it was charged for nothing.
+// refuse refuses a request and refunds the cost that was charged to its account.
 func (p *Pool) refuse(w *queuedRequest, reason Reason, wait time.Duration) Decision {
 	p.queue.adjustCharge(w.Account, -(w.PromptTokens + p.lengths.MeanLength(&w.Request)))
 	return Decision{
@@ -61,13 +62,14 @@
 	}
 }
 
-// expectedWait is how long a request behind that many others will wait.
+// expectedWait returns how long a request behind the given number of others is
+// expected to wait.
 func (p *Pool) expectedWait(requestsAhead int) time.Duration {
 	return queueWait(requestsAhead, p.completionsPerSecond())
 }
 
-// queueWait is how long it takes until more answers than that have ended; zero when
-// none is expected to.
+// queueWait returns how long it takes until more than the given number of answers
+// have ended; zero if none is expected to end.
 func queueWait(requestsAhead int, completionsPerSecond float64) time.Duration {
 	if completionsPerSecond == 0 {
 		return 0
@@ -75,7 +77,8 @@
 	return time.Duration(float64(requestsAhead+1) / completionsPerSecond * float64(time.Second))
 }
 
-// completionsPerSecond is the rate at which the running answers are expected to end.
+// completionsPerSecond returns the rate at which running answers are expected to
+// end.
 func (p *Pool) completionsPerSecond() float64 {
 	perSecond := 0.0
 	for _, e := range p.engines {
@@ -97,8 +100,9 @@
 	return perSecond
 }
 
-// refuseLate refuses what won't be served in time as things stand now: what has
-// waited past its deadline, and what is foreseen to.
+// refuseLate refuses the queued requests that won't be served in time: those past
+// their deadline, those past their longest wait, and those with an objective that
+// are expected to miss their deadline.
 func (p *Pool) refuseLate(now time.Time) []Decision {
 	if len(p.queue.items) == 0 {
 		return nil
@@ -118,13 +122,13 @@
 	return decided
 }
 
-// exceedsMaxWait reports whether a request that will have waited so long is refused instead.
+// exceedsMaxWait reports whether a request has waited too long for its objective.
 func (p *Pool) exceedsMaxWait(r *Request, waited time.Duration) bool {
 	return r.Objective > 0 && waited > time.Duration(p.settings.MaxWaitFraction*float64(r.Objective))
 }
 
 // missesDeadline reports whether a request that gets its place after a wait would
-// miss its deadline: one with an objective has to be read by then.
+// miss its deadline. If it has an objective, its prompt must be read by then.
 func (p *Pool) missesDeadline(now time.Time, r *Request, wait time.Duration) bool {
 	if r.Objective > 0 {
 		wait += p.prefill.duration(r.PromptTokens)
@@ -132,8 +136,8 @@
 	return now.Add(wait).After(r.Deadline)
 }
 
-// firstTokenDeadline is when a request's first token is to be foreseen at the latest; the zero
-// time sets no bound.
+// firstTokenDeadline returns the latest time for which a request's first token may
+// be forecast; the zero time sets no bound.
 func (r *Request) firstTokenDeadline() time.Time {
 	if r.Objective <= 0 || r.ArrivedAt.IsZero() {
 		return time.Time{}
@@ -141,17 +145,18 @@
 	return r.ArrivedAt.Add(time.Duration(maxFirstTokenFraction * float64(r.Objective)))
 }
 
-// timeToFirstToken is after how long an engine is expected to make a request's first
-// token: when it has read the prompts that wait there, and this one.
+// timeToFirstToken returns when an engine is expected to generate a request's
+// first token: after it has read the prompts that wait there, and this one.
 func (p *Pool) timeToFirstToken(now time.Time, e *engine, r *Request) time.Duration {
 	return e.prefillBacklog(now) + p.expectedPrefillTime(now, e, r)
 }
 
-// prefillBacklog is how long an engine still reads the prompts that it has.
+// prefillBacklog returns how long an engine still takes to read its prompts.
 func (e *engine) prefillBacklog(now time.Time) time.Duration { return max(e.prefillUntil.Sub(now), 0) }
 
-// missesFirstTokenDeadline reports whether an engine's backlog would make a request late. An
-// engine without one is as good as any.
+// missesFirstTokenDeadline reports whether an engine's backlog would make a
+// request late. An engine without a backlog always passes: no other would be
+// sooner.
 func (p *Pool) missesFirstTokenDeadline(now time.Time, e *engine, r *Request) bool {
 	due := r.firstTokenDeadline()
 	if due.IsZero() || !p.prefill.known() || e.prefillBacklog(now) == 0 {
@@ -160,8 +165,9 @@
 	return now.Add(p.timeToFirstToken(now, e, r)).After(due)
 }
 
-// backlogWait is how long it takes until some engine's backlog lets a request
-// begin in time; zero when one does now.
+// backlogWait returns the shortest backlog of the engines that could take a
+// request, if all of them would make it late; zero if one wouldn't or if none
+// could take it.
 func (p *Pool) backlogWait(now time.Time, r *Request) time.Duration {
 	oldestReport, shortest := now.Add(-maxReportAge), time.Duration(-1)
 	for _, e := range p.engines {
@@ -178,10 +184,11 @@
 	return max(shortest, 0)
 }
 
-// retryAfter is when a refused caller should come back: when there is expected
-// to be room, and later the longer its own prompt takes to be read and the less
-// urgent it is. Callers refused together are spread over as long again, so that
-// they don't return together.
+// retryAfter returns the delay after which a refused caller should try again: the
+// wait until room is expected, which is longer for a request further back in the
+// queue's order, and, for a request with an objective, the time that its own
+// prompt takes to read. Requests with an objective are spread over as long
+// again as the wait, so that callers refused together don't return together.
 func (p *Pool) retryAfter(r *Request, wait time.Duration) time.Duration {
 	if r.Objective <= 0 {
 		return wait
--- a/policy/relocate.go
+++ b/policy/relocate.go
@@ -9,23 +9,23 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// SetZone says which availability zone an engine is in.
+// SetZone sets the availability zone of an engine.
 func (p *Pool) SetZone(id EngineID, zone member.Zone) {
 	if e := p.activeEngine(id); e != nil {
 		e.zone = zone
 	}
 }
 
-// SetGroup says which of several groups of the pool an engine is of, to which requests may be
-// bound.
+// SetGroup sets the group of an engine within the pool. Requests may be restricted
+// to a group.
 func (p *Pool) SetGroup(id EngineID, group string) {
 	if e := p.activeEngine(id); e != nil {
 		e.group = group
 	}
 }
 
-// Progress takes in how many tokens a run has made, which its engine's memory
-// is foreseen from.
+// Progress records how many tokens a run has generated; the forecast of its
+// engine's memory uses the count.
 func (p *Pool) Progress(now time.Time, id RunID, generatedTokens Tokens) {
 	run := p.runs[id]
 	if run == nil {
@@ -41,21 +41,23 @@
 	run.startedAt = now.Add(-time.Duration(generatedTokens) * run.engine.expectedStepTime())
 }
 
-// Target says what another engine for a run has to be. Its zero value takes any.
+// Target restricts the engine that a run is moved to. The zero value allows any.
 type Target struct {
-	// CrossZoneCost is what an engine of another zone than the present one's costs more, as a
-	// share of an engine's memory; with OnlyZone, none of another zone is considered.
+	// CrossZoneCost is added to the cost of an engine in another zone than the
+	// present engine's, as a share of an engine's memory. SameZoneOnly excludes
+	// those engines.
 	CrossZoneCost float64
 	SameZoneOnly  bool
-	// Zone stands for the present engine's zone unless it is empty.
+	// Zone replaces the present engine's zone unless it is empty.
 	Zone member.Zone
-	// ExcludedEngines are engines that won't do.
+	// ExcludedEngines are engines that aren't considered.
 	ExcludedEngines []EngineID
 	// OnlyGroup and ExcludedGroup are those of a Request.
 	OnlyGroup, ExcludedGroup string
 }
 
-// RelocationRequest is a run as a request for another engine: with the memory that it has by now.
+// RelocationRequest returns a request for another engine for a run, with the
+// memory that the run uses by now. It returns false if the run isn't known.
 func (p *Pool) RelocationRequest(id RunID) (Request, bool) {
 	run := p.runs[id]
 	if run == nil {
@@ -70,9 +72,10 @@
 	return request, true
 }
 
-// Relocate finds another engine for a run whose engine is about to leave, and counts the
-// run there from now on. It has to fit as it has grown so far. It returns false when no
-// engine has room; the run then stays counted where it is.
+// Relocate finds another engine for a run whose engine is about to leave, and
+// counts the run there from now on. The engine must have room for the run with the
+// tokens generated so far. Relocate returns false if no engine has room; the run
+// then stays counted where it is.
 func (p *Pool) Relocate(now time.Time, id RunID, t Target) (EngineID, bool) {
 	request, known := p.RelocationRequest(id)
 	if !known {
@@ -92,8 +95,8 @@
 	return to.id, true
 }
 
-// CancelRelocation counts a run on an engine again that it wasn't moved from. It reports
-// false when that engine isn't known.
+// CancelRelocation counts a run on the given engine again because it wasn't moved
+// after all. It returns false if the run or the engine isn't known.
 func (p *Pool) CancelRelocation(now time.Time, id RunID, engine EngineID) bool {
 	run, e := p.runs[id], p.knownEngine(engine)
 	if run == nil || e == nil {
@@ -113,8 +116,8 @@
 	p.queueBlocked = false
 }
 
-// LastProgress is when a run on an engine was last known to have made a token; the zero
-// time when none was.
+// LastProgress returns when a run on an engine was last known to have generated a
+// token; the zero time if none was.
 func (p *Pool) LastProgress(id EngineID) time.Time {
 	if e := p.knownEngine(id); e != nil {
 		return e.progressedAt
@@ -122,7 +125,7 @@
 	return time.Time{}
 }
 
-// RunCount is how many runs an engine has, as far as is known.
+// RunCount returns how many runs an engine is believed to have.
 func (p *Pool) RunCount(id EngineID) int {
 	if e := p.knownEngine(id); e != nil {
 		return e.batchSize()
@@ -130,7 +133,7 @@
 	return 0
 }
 
-// EngineOf returns the engine that a run is counted on, or nothing.
+// EngineOf returns the engine on which a run is counted, or an empty ID.
 func (p *Pool) EngineOf(id RunID) EngineID {
 	if run := p.runs[id]; run != nil {
 		return run.engine.id
@@ -138,5 +141,6 @@
 	return ""
 }
 
-// MeanLength is the expected length of an answer, from those that ended.
+// MeanLength returns the expected length of a request's answer, from the answers
+// that ended.
 func (p *Pool) MeanLength(r *Request) Tokens { return p.lengths.MeanLength(r) }
--- a/policy/steptime.go
+++ b/policy/steptime.go
@@ -5,13 +5,16 @@
 
 import "time"
 
-// stepTimeModel learns how an engine's step grows with its batch: a straight line
-// through the reports, the older ones fading. The zero value knows nothing.
+// stepTimeModel learns how an engine's step time grows with its batch size: it
+// fits a straight line to the reports, with decaying weights. Its fields are the
+// decayed sums of a least-squares fit, with x the batch size and y the step time
+// in nanoseconds. The zero value is empty and ready to use.
 type stepTimeModel struct {
 	n, x, y, xx, xy float64
 }
 
-// stepTimeDecaySamples is how many reports the line remembers.
+// stepTimeDecaySamples is the number of reports after which a report's weight has
+// fallen to 1/e.
 const stepTimeDecaySamples = 400
 
 func (s *stepTimeModel) observe(running int, step time.Duration) {
@@ -27,20 +30,20 @@
 	s.xy = s.xy*keep + x*y
 }
 
-// minBatchVariance is the variance of the batch sizes below which their slope says
-// nothing.
+// minBatchVariance is the variance of the batch sizes below which no slope can be
+// derived from them.
 const minBatchVariance = 1.0
 
-// stepLine is the expected step, in nanoseconds, by batch size.
+// stepLine is the expected step time, in nanoseconds, by batch size.
 type stepLine struct {
 	base, slope float64
 }
 
-// at is the expected step at a batch size.
+// at returns the expected step time at a batch size.
 func (l stepLine) at(running int) float64 { return max(l.base+l.slope*float64(running), 0) }
 
-// fit is the straight fit through the reports; it is zero when nothing is
-// known.
+// fit returns the straight line through the reports; it is zero if there are
+// none.
 func (s *stepTimeModel) fit() stepLine {
 	if s.n < 1 {
 		return stepLine{}
