--- a/policy/lengths.go
+++ b/policy/lengths.go
@@ -9,25 +9,26 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Buckets of a histogram: eight to each doubling, so a bucket is at most an
-// eighth of its value wide.
+// Histogram buckets: eight to each doubling, so that a bucket's width is at most
+// an eighth of its values.
 const (
 	subBucketBits = 3
 	subBuckets    = 1 << subBucketBits
 	maxTokenBits  = 17
-	buckets       = (maxTokenBits-subBucketBits+1)*subBuckets + 1
+	bucketCount   = (maxTokenBits-subBucketBits+1)*subBuckets + 1
 )
 
-// bucketOf returns the bucket of a length; lengths past the last share it.
+// bucketOf returns the bucket of a length. Lengths beyond the last bucket fall
+// into it.
 func bucketOf(n Tokens) int {
 	if n < subBuckets {
 		return max(int(n), 0)
 	}
 	shift := bits.Len(uint(n)) - 1 - subBucketBits
-	return min(shift*subBuckets+int(n)>>shift, buckets-1)
+	return min(shift*subBuckets+int(n)>>shift, bucketCount-1)
 }
 
-// bucketStart returns the least length in a bucket.
+// bucketStart returns the smallest length in a bucket.
 func bucketStart(b int) Tokens {
 	if b < 2*subBuckets {
 		return Tokens(b)
@@ -36,92 +37,93 @@
 	return Tokens((b%subBuckets + subBuckets) << shift)
 }
 
-// histogram is a decaying histogram of answer lengths, filled up with a few
-// samples' worth of its parent's shape, so that a tail too rare to have been
-// seen here is still expected. The zero value is empty and has no parent.
+// histogram is a decaying histogram of answer lengths. It includes its parent's
+// shape with the weight of a few samples, so that a long tail too rare to have
+// been observed here is still expected. The zero value is empty and has no
+// parent.
 type histogram struct {
 	parent  *histogram
-	weights [buckets]float32
-	// above[b] is the weight at or above bucket b, the parent's part included;
-	// it is kept when fresh.
-	above [buckets + 1]float32
-	fresh bool
-	// samples counts the observations with the same decay as the weights.
+	weights [bucketCount]float32
+	// tailWeights[b] is the weight at or above bucket b, including the parent's
+	// contribution. It is valid if tailsCurrent.
+	tailWeights  [bucketCount + 1]float32
+	tailsCurrent bool
+	// samples counts the observations, decayed like weights.
 	samples float32
 	// sum is the decayed sum of the lengths.
 	sum float32
 }
 
 const (
-	// memorySamples is how many observations a histogram remembers, as the
-	// inverse of its decay.
-	memorySamples = 2000
+	// decaySamples is the number of observations after which an observation's weight
+	// has fallen to 1/e.
+	decaySamples = 2000
 	// parentSamples is how many observations the parent's shape counts for.
 	parentSamples = 40
 )
 
 func (h *histogram) observe(n Tokens) {
-	const keep = 1 - 1.0/memorySamples
+	const keep = 1 - 1.0/decaySamples
 	for i := range h.weights {
 		h.weights[i] *= keep
 	}
 	h.samples = h.samples*keep + 1
 	h.sum = h.sum*keep + float32(n)
 	h.weights[bucketOf(n)]++
-	h.fresh = false
+	h.tailsCurrent = false
 }
 
-func (h *histogram) refresh() {
-	for b := buckets - 1; b >= 0; b-- {
-		h.above[b] = h.above[b+1] + h.weights[b]
+func (h *histogram) refreshTails() {
+	for b := bucketCount - 1; b >= 0; b-- {
+		h.tailWeights[b] = h.tailWeights[b+1] + h.weights[b]
 	}
-	h.fresh = true
+	h.tailsCurrent = true
 	if h.parent == nil {
 		return
 	}
-	if !h.parent.fresh {
-		h.parent.refresh()
+	if !h.parent.tailsCurrent {
+		h.parent.refreshTails()
 	}
-	part := parentSamples / h.parent.above[0]
-	for b := range h.above {
-		h.above[b] += part * h.parent.above[b]
+	scale := parentSamples / h.parent.tailWeights[0]
+	for b := range h.tailWeights {
+		h.tailWeights[b] += scale * h.parent.tailWeights[b]
 	}
 }
 
-// beyond is the weight of the lengths above n, taking lengths to be spread
-// evenly within a bucket.
-func (h *histogram) beyond(n Tokens) float64 {
-	if !h.fresh {
-		h.refresh()
+// weightAbove returns the weight of the lengths above n, assuming that lengths
+// are spread evenly within a bucket.
+func (h *histogram) weightAbove(n Tokens) float64 {
+	if !h.tailsCurrent {
+		h.refreshTails()
 	}
 	b := bucketOf(n)
-	if b == buckets-1 {
-		return float64(h.above[b])
+	if b == bucketCount-1 {
+		return float64(h.tailWeights[b])
 	}
 	start, end := bucketStart(b), bucketStart(b+1)
-	part := float32(n+1-start) / float32(end-start)
-	return float64(h.above[b] - part*(h.above[b]-h.above[b+1]))
+	fraction := float32(n+1-start) / float32(end-start)
+	return float64(h.tailWeights[b] - fraction*(h.tailWeights[b]-h.tailWeights[b+1]))
 }
 
-// Alive gives, for each horizon, the chance that an answer of more than made
-// tokens is still going there.
-func (h *histogram) Alive(made Tokens) Survival {
+// SurvivalAfter returns, for each horizon, the probability that an answer of more
+// than made tokens is still being generated there.
+func (h *histogram) SurvivalAfter(made Tokens) Survival {
 	var alive Survival
-	now := h.beyond(made)
+	remaining := h.weightAbove(made)
 	for k, ahead := range horizons {
-		if now <= leastTail {
-			// Past everything seen: such answers go on as long again as they
-			// already did.
+		if remaining <= minTailWeight {
+			// Beyond all observed lengths, an answer is assumed to go on for as long
+			// again as it already has.
 			alive[k] = float64(made+1) / float64(made+1+ahead)
 			continue
 		}
-		alive[k] = h.beyond(made+ahead) / now
+		alive[k] = h.weightAbove(made+ahead) / remaining
 	}
 	return alive
 }
 
-// leastTail is the weight below which a tail says nothing.
-const leastTail = 0.01
+// minTailWeight is the weight up to which a tail is too small to use.
+const minTailWeight = 0.01
 
 func (h *histogram) mean() float32 {
 	if h.parent == nil {
@@ -130,10 +132,10 @@
 	return (h.sum + parentSamples*h.parent.mean()) / (h.samples + parentSamples)
 }
 
-// Lengths learns how long answers get, by route and client account, and tells
-// how likely a running answer is to go on. The zero value knows nothing and
-// works. It isn't safe for use by several goroutines.
-type Lengths struct {
+// LearnedLengths learns answer lengths by route and client account, and estimates
+// how likely a running answer is to go on. The zero value is ready to use. It
+// isn't safe for concurrent use.
+type LearnedLengths struct {
 	pool     histogram
 	routes   map[resource.Name]*histogram
 	accounts map[accountRoute]*histogram
@@ -144,14 +146,14 @@
 	route   resource.Name
 }
 
-// maxAccountHistograms bounds the memory at about a kilobyte each; further
-// accounts share their route's.
+// maxAccountHistograms bounds the memory, at about a kilobyte per histogram;
+// further accounts share their route's histogram.
 const maxAccountHistograms = 8192
 
-// Observe learns from an answer that ended by itself.
-func (l *Lengths) Observe(account resource.Account, route resource.Name, n Tokens) {
+// Observe records the length of an answer that ended by itself.
+func (l *LearnedLengths) Observe(account resource.Account, route resource.Name, n Tokens) {
 	if l.routes == nil {
-		l.pool.parent = &unknownLengths
+		l.pool.parent = &priorLengths
 		l.routes = map[resource.Name]*histogram{}
 		l.accounts = map[accountRoute]*histogram{}
 	}
@@ -170,8 +172,9 @@
 	l.accounts[key].observe(n)
 }
 
-// of returns the narrowest histogram that there is.
-func (l *Lengths) of(account resource.Account, route resource.Name) *histogram {
+// narrowest returns the most specific histogram that exists: the account's on the
+// route, the route's or the pool's.
+func (l *LearnedLengths) narrowest(account resource.Account, route resource.Name) *histogram {
 	if h := l.accounts[accountRoute{account, route}]; h != nil {
 		return h
 	}
@@ -181,30 +184,32 @@
 	if l.pool.parent != nil {
 		return &l.pool
 	}
-	return &unknownLengths
+	return &priorLengths
 }
 
-// unknownLengths stands in until anything is known: a few answers spread
-// evenly over the doublings from 16 to 2,048 tokens. It is never observed.
-var unknownLengths = func() histogram {
+// priorLengths is used until any length is known: one answer at each doubling
+// from 16 to 2,048 tokens. It is never updated.
+var priorLengths = func() histogram {
 	var h histogram
 	for n := Tokens(16); n <= 2048; n *= 2 {
 		h.weights[bucketOf(n)]++
 		h.samples++
 		h.sum += float32(n)
 	}
-	h.refresh()
+	h.refreshTails()
 	return h
 }()
 
-// Of returns the curve to foresee a request's answer by.
-func (l *Lengths) Of(r *Request) Curve { return l.of(r.Account, r.Route) }
+// SurvivalCurve returns the curve that forecasts the length of a request's answer.
+func (l *LearnedLengths) SurvivalCurve(r *Request) SurvivalCurve {
+	return l.narrowest(r.Account, r.Route)
+}
 
-// Mean is the expected length of an answer not yet begun.
-func (l *Lengths) Mean(r *Request) Tokens {
-	mean := Tokens(l.of(r.Account, r.Route).mean())
-	if r.Limit > 0 {
-		mean = min(mean, r.Limit)
+// MeanLength returns the expected length of an answer that hasn't begun.
+func (l *LearnedLengths) MeanLength(r *Request) Tokens {
+	mean := Tokens(l.narrowest(r.Account, r.Route).mean())
+	if r.MaxOutputTokens > 0 {
+		mean = min(mean, r.MaxOutputTokens)
 	}
 	return max(mean, 1)
 }
