--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -30,7 +30,7 @@
 		time.Sleep(time.Second)
 		m.Suspend(5 * time.Second)
 		is.Equal(c.Since(first), 37*time.Second)
-		is.Equal(c.Slept(), 35*time.Second)
+		is.Equal(c.TotalSuspended(), 35*time.Second)
 	})
 }
 
@@ -38,11 +38,11 @@
 func TestNowWithoutSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var none *clock.Clock
-		for _, c := range []*clock.Clock{none, {}} {
+		var unset *clock.Clock
+		for _, c := range []*clock.Clock{unset, {}} {
 			is.Equal(c.Now(), time.Now())
-			is.Equal(c.Slept(), time.Duration(0))
-			is.Equal(c.Late(c.Now()), time.Duration(0))
+			is.Equal(c.TotalSuspended(), time.Duration(0))
+			is.Equal(c.MaxMessageDelay(c.Now()), time.Duration(0))
 			ctx, cancel := c.WithTimeoutCause(t.Context(), time.Second, errors.New("over"))
 			time.Sleep(time.Second)
 			synctest.Wait()
@@ -52,25 +52,25 @@
 	})
 }
 
-// TestLate has what is handled just after the machine went on count as older by that.
-func TestLate(t *testing.T) {
+// TestMaxMessageDelay has what is handled just after the machine went on count as older by that.
+func TestMaxMessageDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := clocktest.NewMachine(t)
 		c := m.Clock()
 		m.Suspend(5 * time.Second)
-		is.Equal(c.Late(c.Now()), 5*time.Second)
-		time.Sleep(clock.Settles / 2)
-		is.Equal(c.Late(c.Now()), 5*time.Second)
-		time.Sleep(clock.Settles)
-		is.Equal(c.Late(c.Now()), time.Duration(0))
+		is.Equal(c.MaxMessageDelay(c.Now()), 5*time.Second)
+		time.Sleep(clock.BacklogWindow / 2)
+		is.Equal(c.MaxMessageDelay(c.Now()), 5*time.Second)
+		time.Sleep(clock.BacklogWindow)
+		is.Equal(c.MaxMessageDelay(c.Now()), time.Duration(0))
 	})
 }
 
 // TestTimeout has a context end when its time is over, however much of it the machine was
 // suspended.
 func TestTimeout(t *testing.T) {
-	errOver := errors.New("over")
+	errTimeout := errors.New("over")
 	for name, c := range map[string]struct {
 		slept time.Duration
 		// ends is after how long by the steady clock the context ends.
@@ -86,18 +86,18 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				m := clocktest.NewMachine(t)
-				steady := m.Clock()
+				machineClock := m.Clock()
 				running, stop := context.WithCancel(t.Context())
-				go steady.Run(running)
-				ctx, cancel := steady.WithTimeoutCause(t.Context(), 10*time.Second, errOver)
+				go machineClock.Run(running)
+				ctx, cancel := machineClock.WithTimeoutCause(t.Context(), 10*time.Second, errTimeout)
 				defer cancel()
-				began := time.Now()
+				start := time.Now()
 				time.Sleep(2 * time.Second)
 				m.Suspend(c.slept)
 				<-ctx.Done()
-				is.Equal(context.Cause(ctx), errOver)
-				late := time.Since(began) - c.ends
-				is.True(0 <= late && late <= clock.CheckEvery)
+				is.Equal(context.Cause(ctx), errTimeout)
+				late := time.Since(start) - c.ends
+				is.True(0 <= late && late <= clock.SuspensionCheckInterval)
 				stop()
 			})
 		})
--- a/clock/timeout.go
+++ b/clock/timeout.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// alarm is a context's end that is due. Its timer stands still with the steady clock, so
+// pendingTimeout is a context's end that is due. Its timer stands still with the steady clock, so
 // it is set anew when the machine was suspended.
-type alarm struct {
-	due   time.Time
-	timer *time.Timer
+type pendingTimeout struct {
+	expiresAt time.Time
+	timer     *time.Timer
 }
 
 // WithTimeoutCause is context.WithTimeoutCause by the time that really passes. The context
@@ -21,27 +21,27 @@
 	if c == nil || c.sinceBoot == nil {
 		return context.WithTimeoutCause(parent, d, cause)
 	}
-	ctx, end := context.WithCancelCause(parent)
-	a := &alarm{due: c.Now().Add(d)}
+	ctx, cancel := context.WithCancelCause(parent)
+	pending := &pendingTimeout{expiresAt: c.Now().Add(d)}
 	c.mu.Lock()
-	a.timer = time.AfterFunc(d, func() { end(cause) })
-	c.alarms[a] = true
+	pending.timer = time.AfterFunc(d, func() { cancel(cause) })
+	c.timeouts[pending] = true
 	c.mu.Unlock()
 	return ctx, func() {
 		c.mu.Lock()
-		delete(c.alarms, a)
+		delete(c.timeouts, pending)
 		c.mu.Unlock()
-		a.timer.Stop()
-		end(nil)
+		pending.timer.Stop()
+		cancel(nil)
 	}
 }
 
-// ringAgain sets the alarms anew at a moment at which the machine went on. The mutex is
+// rearmTimeouts sets the alarms anew at a moment at which the machine went on. The mutex is
 // held.
-func (c *Clock) ringAgain(now time.Time) {
-	for a := range c.alarms {
-		if a.timer.Stop() {
-			a.timer.Reset(max(a.due.Sub(now), 0))
+func (c *Clock) rearmTimeouts(now time.Time) {
+	for pending := range c.timeouts {
+		if pending.timer.Stop() {
+			pending.timer.Reset(max(pending.expiresAt.Sub(now), 0))
 		}
 	}
 }
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -17,26 +17,26 @@
 
 // lease is the platform's side: who holds it until when.
 type lease struct {
-	token   uint64
-	holder  int
-	expires time.Time
+	token     uint64
+	holder    int
+	expiresAt time.Time
 }
 
 // engineState is an engine that took some orders.
 type engineState struct {
-	checks  bool
-	highest uint64
-	version string
-	// token is the one that the version in force came with.
-	token uint64
+	checksTokens bool
+	highestToken uint64
+	version      string
+	// versionToken is the one that the version in force came with.
+	versionToken uint64
 }
 
-func (e *engineState) take(token uint64, version string) {
-	if e.checks && token < e.highest {
+func (e *engineState) apply(token uint64, version string) {
+	if e.checksTokens && token < e.highestToken {
 		return
 	}
-	e.highest = max(e.highest, token)
-	e.version, e.token = version, token
+	e.highestToken = max(e.highestToken, token)
+	e.version, e.versionToken = version, token
 }
 
 // TestOlderHolderNeverUndoes runs several holders that are paused at any point,
@@ -46,56 +46,56 @@
 // clock margin; a longer pause there is what remains.
 func TestOlderHolderNeverUndoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		checks := rapid.Bool().Draw(t, "checks")
-		engine := engineState{checks: checks}
+		checksTokens := rapid.Bool().Draw(t, "checks")
+		engine := engineState{checksTokens: checksTokens}
 		var l lease
-		var tokens uint64
+		var lastToken uint64
 		now := start
 		holders := make([]Holder, 3)
 		type sent struct {
 			token uint64
 			until time.Time
 		}
-		var onTheWay []sent
-		arrive := func() {
-			for len(onTheWay) > 0 && (checks && rapid.Bool().Draw(t, "arrives") || !checks && !now.Before(onTheWay[0].until)) {
-				before := engine.token
-				engine.take(onTheWay[0].token, "v")
-				if engine.token < before {
-					t.Fatalf("token %d undid token %d", engine.token, before)
+		var inFlight []sent
+		deliver := func() {
+			for len(inFlight) > 0 && (checksTokens && rapid.Bool().Draw(t, "arrives") || !checksTokens && !now.Before(inFlight[0].until)) {
+				previous := engine.versionToken
+				engine.apply(inFlight[0].token, "v")
+				if engine.versionToken < previous {
+					t.Fatalf("token %d undid token %d", engine.versionToken, previous)
 				}
-				onTheWay = onTheWay[1:]
+				inFlight = inFlight[1:]
 			}
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(rapid.SampledFrom([]time.Duration{
 				0, 100 * time.Millisecond, time.Second, 4 * time.Second, 30 * time.Second,
 			}).Draw(t, "pause"))
-			arrive()
+			deliver()
 			i := rapid.IntRange(0, len(holders)-1).Draw(t, "holder")
 			h := &holders[i]
 			switch h.Next(now, true) {
 			case Acquire:
-				asked := now
+				sentAt := now
 				now = now.Add(rapid.SampledFrom([]time.Duration{0, time.Second, 20 * time.Second}).Draw(t, "answer takes"))
-				if l.token != 0 && l.holder != i && asked.Before(l.expires) {
+				if l.token != 0 && l.holder != i && sentAt.Before(l.expiresAt) {
 					h.Refused(now)
 					break
 				}
-				tokens++
-				l = lease{token: tokens, holder: i, expires: asked.Add(ttl)}
-				h.Acquired(asked, tokens, ttl)
+				lastToken++
+				l = lease{token: lastToken, holder: i, expiresAt: sentAt.Add(ttl)}
+				h.Acquired(sentAt, lastToken, ttl)
 			case Renew:
-				if l.token == h.Token() && now.Before(l.expires) {
-					l.expires = now.Add(ttl)
+				if l.token == h.Token() && now.Before(l.expiresAt) {
+					l.expiresAt = now.Add(ttl)
 					h.Renewed(now, ttl)
 				}
 			}
-			if h.MayOrder(now, checks) {
-				if h.Token() != l.token || !now.Before(l.expires) {
+			if h.MaySendOrder(now, checksTokens) {
+				if h.Token() != l.token || !now.Before(l.expiresAt) {
 					t.Fatalf("orders with token %d while %d holds the lease", h.Token(), l.token)
 				}
-				onTheWay = append(onTheWay, sent{h.Token(), now.Add(clockMargin)})
+				inFlight = append(inFlight, sent{h.Token(), now.Add(clockMargin)})
 			}
 		}
 	})
@@ -108,36 +108,36 @@
 	is.Equal(h.Next(start, true), Acquire)
 	h.Refused(start)
 	is.Equal(h.Next(start.Add(time.Second), true), Wait)
-	is.Equal(h.Next(start.Add(retryAfter), true), Acquire)
+	is.Equal(h.Next(start.Add(retryDelay), true), Acquire)
 	h.Acquired(start, 7, ttl)
-	is.True(h.MayAct(start))
-	is.True(h.MayOrder(start, true))
-	is.True(!h.MayOrder(start, false)) // an older holder may still be ordering
+	is.True(h.LeaseValid(start))
+	is.True(h.MaySendOrder(start, true))
+	is.True(!h.MaySendOrder(start, false)) // an older holder may still be ordering
 	is.Equal(h.Next(start.Add(time.Second), true), Wait)
 	is.Equal(h.Next(start.Add(4*time.Second), true), Renew)
 	is.Equal(h.Next(start.Add(4*time.Second), false), Release)
-	is.True(!h.MayAct(start.Add(ttl - clockMargin))) // paused past its own deadline
+	is.True(!h.LeaseValid(start.Add(ttl - clockMargin))) // paused past its own deadline
 	is.Equal(h.Next(start.Add(ttl), true), Acquire)
 	is.Equal(h.Token(), uint64(0))
 }
 
-func TestMissing(t *testing.T) {
+func TestMissingModels(t *testing.T) {
 	is := is.New(t)
 	wanted := map[string]string{"a": "1", "b": "2", "c": "3"}
 	served := map[string]string{"a": "1", "b": "1", "z": "9"}
-	is.Equal(Missing(wanted, served), []Target{{"b", "2"}, {"c", "3"}})
+	is.Equal(MissingModels(wanted, served), []ModelVersion{{"b", "2"}, {"c", "3"}})
 }
 
-func TestDraining(t *testing.T) {
+func TestEnginesToDrain(t *testing.T) {
 	is := is.New(t)
 	wanted := map[string]string{"m": "2"}
 	served := map[string]map[string]string{"new": {"m": "2"}, "fresh": {}, "other": {"z": "1"}}
-	is.Equal(len(Draining(wanted, served)), 0)
+	is.Equal(len(EnginesToDrain(wanted, served)), 0)
 	for _, id := range []string{"g4", "g1", "g3", "g2", "g5"} {
 		served[id] = map[string]string{"m": "1"}
 	}
-	is.Equal(Draining(wanted, served), []string{"g1", "g2"}) // two of eight at a time
+	is.Equal(EnginesToDrain(wanted, served), []string{"g1", "g2"}) // two of eight at a time
 	served["g1"] = map[string]string{"m": "2"}
-	is.Equal(Draining(wanted, served), []string{"g2", "g3"})
-	is.Equal(Draining(wanted, map[string]map[string]string{"only": {"m": "1"}}), []string{"only"})
+	is.Equal(EnginesToDrain(wanted, served), []string{"g2", "g3"})
+	is.Equal(EnginesToDrain(wanted, map[string]map[string]string{"only": {"m": "1"}}), []string{"only"})
 }
