--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,13 +1,14 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package claim decides whether a call that may not be repeated may be sent.
+// Package claim decides whether a call that must not be repeated may be sent.
 //
 // A call with an idempotency key is claimed by creating a key in the
-// platform's service that wasn't there; whoever created it may send the call,
-// once, and nobody else ever may. Attempt is the state machine of one
-// claimant. It is pure: the caller does what Next says, and tells what came of
-// it, with the present time.
+// platform's key-value store, which fails if the key exists. The claimant that
+// created the key may send the call once, and no other claimant ever may.
+// Attempt is the state machine of one claimant. It does no I/O and reads no
+// clock: the caller passes the current time to Next, carries out the step that
+// Next returns, and reports the result.
 package claim
 
 import (
@@ -18,27 +19,29 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Record is what a claim's key holds.
+// Record is the value stored under a claim's key, as JSON.
 type Record struct {
 	// Claimant is unique to one attempt.
 	Claimant string `json:"claimant"`
-	// RequestHash is a hash of the call, to tell a key that is used for another.
+	// RequestHash is a hash of the call, to detect that an idempotency key is
+	// reused for another call.
 	RequestHash string `json:"request"`
-	// Status is the upstream's answer, when it was recorded; zero means that
-	// nothing is known of it.
+	// Status is the status of the upstream's answer; zero means that no answer
+	// was recorded.
 	Status int `json:"status,omitempty"`
-	// ClaimedAt is when the claim was made, by the claimant's clock; it decides
-	// nothing.
+	// ClaimedAt is the time of the claim by the claimant's clock. It is for
+	// information only.
 	ClaimedAt time.Time `json:"at"`
 }
 
-// Key returns the platform key of a claim.
+// Key returns the platform key of a claim. It is a hash of the account, the
+// route and the idempotency key.
 func Key(account resource.Account, route resource.Name, idempotencyKey string) string {
 	sum := sha256.Sum256([]byte(string(account) + "\x00" + string(route) + "\x00" + idempotencyKey))
 	return "shedpath/claims/" + hex.EncodeToString(sum[:])
 }
 
-// RequestHash returns the hash of a call that Record keeps.
+// RequestHash returns the hash of a call for Record.RequestHash.
 func RequestHash(method, path string, body []byte) string {
 	h := sha256.New()
 	h.Write([]byte(method + "\x00" + path + "\x00"))
@@ -46,66 +49,67 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Step is what an attempt wants done next.
+// Step is the action that an attempt asks its caller to take next.
 type Step int
 
-// The steps.
+// The steps of an attempt.
 const (
-	// Create asks for the claim's key to be created if it isn't there.
+	// Create asks the caller to create the claim's key if it doesn't exist.
 	Create Step = iota
-	// Read asks for the claim's key to be read: the create's answer was lost,
-	// or the key was there.
+	// Read asks the caller to read the claim's key: the answer to the create was
+	// lost, or the key existed already.
 	Read
-	// Send says that the claim is held: the call may be sent, once.
+	// Send means that this attempt holds the claim: the call may be sent, once.
 	Send
-	// RejectDuplicate says that another attempt has the claim: the caller is told what
-	// Other knows, and nothing is sent.
+	// RejectDuplicate means that another attempt holds the claim: nothing is
+	// sent, and the call is answered from ConflictingClaim.
 	RejectDuplicate
-	// GiveUp says that the time is over without a claim; nothing is sent, and
-	// never will be by this attempt.
+	// GiveUp means that the deadline passed without a claim: this attempt never
+	// sends the call.
 	GiveUp
 )
 
-// Result is how a platform call ended.
+// Result is the outcome of a call to the platform.
 type Result int
 
-// The results.
+// The outcomes of a call to the platform.
 const (
-	// Answered says that the platform answered.
+	// Answered means that the platform answered.
 	Answered Result = iota
-	// NotSent says that the call surely had no effect.
+	// NotSent means that the call certainly had no effect.
 	NotSent
-	// OutcomeUnknown says that the call may have had its effect.
+	// OutcomeUnknown means that the call may have taken effect.
 	OutcomeUnknown
 )
 
-// Attempt is one try to claim a call. Use NewAttempt.
+// Attempt is the state of one attempt to claim a call. Create it with
+// NewAttempt.
 type Attempt struct {
 	record   Record
 	deadline time.Time
 	step     Step
-	// mayHaveCreated says that the key may be there by this attempt's doing.
+	// mayHaveCreated is set once this attempt may have created the key.
 	mayHaveCreated bool
 	conflicting    Record
 }
 
-// NewAttempt returns an attempt that gives up at the deadline. The claimant
-// must be unique.
+// NewAttempt returns an attempt that gives up after the deadline. The claimant
+// in the record must be unique to the attempt.
 func NewAttempt(r Record, deadline time.Time) *Attempt {
 	return &Attempt{record: r, deadline: deadline}
 }
 
-// Record is what Create writes.
+// Record returns the record that the Create step writes.
 func (a *Attempt) Record() Record { return a.record }
 
-// ConflictingClaim is the claim that stands in the way, after Tell.
+// ConflictingClaim returns the other attempt's claim, after RejectDuplicate.
 func (a *Attempt) ConflictingClaim() Record { return a.conflicting }
 
-// MayHaveClaimed reports whether the key may have been created by this
-// attempt, so that after GiveUp it is to be removed.
+// MayHaveClaimed reports whether this attempt may have created the key. If so,
+// the caller has to remove the key after GiveUp.
 func (a *Attempt) MayHaveClaimed() bool { return a.mayHaveCreated }
 
-// Next says what to do now. Past the deadline it never says Send.
+// Next returns the step to take now. After the deadline it never returns Send.
 func (a *Attempt) Next(now time.Time) Step {
 	if now.After(a.deadline) && a.step != RejectDuplicate {
 		a.step = GiveUp
@@ -113,7 +117,8 @@
 	return a.step
 }
 
-// CreateFinished takes in how the create ended; wrote is its answer.
+// CreateFinished records the outcome of a create. created is the platform's
+// answer: whether the key was created.
 func (a *Attempt) CreateFinished(result Result, created bool) {
 	switch {
 	case result == OutcomeUnknown:
@@ -127,13 +132,14 @@
 	}
 }
 
-// ReadFinished takes in how the read ended and, if it was done, what was there.
+// ReadFinished records the outcome of a read and, if the platform answered,
+// whether the key was found and the record stored under it.
 func (a *Attempt) ReadFinished(result Result, found bool, stored Record) {
 	switch {
 	case result != Answered:
 	case !found:
-		// An earlier create may still be under way; creating again is safe,
-		// for only one of the two can win.
+		// An earlier create may still be in flight. Creating again is safe,
+		// because only one of the two can succeed.
 		a.step = Create
 	case stored.Claimant == a.record.Claimant:
 		a.step = Send
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -16,14 +16,16 @@
 
 var start = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// pendingCreate is a create on its way to the platform, which may land much later.
+// pendingCreate is a create in flight to the platform, which may take effect
+// much later.
 type pendingCreate struct {
 	record Record
 }
 
-// TestOneSender interleaves several attempts at one key with a platform that
-// refuses creates, loses them, loses their answers and lands them late, and
-// with pauses past every deadline. At most one attempt is ever told to send.
+// TestOneSender checks that at most one of several attempts at one key ever
+// gets the step Send. The attempts are interleaved with pauses past every
+// deadline, and the platform refuses creates, drops them, loses their answers
+// or executes them late.
 func TestOneSender(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stored *Record
@@ -81,16 +83,16 @@
 				senders[a.Record().Claimant] = true
 			case RejectDuplicate:
 				if a.ConflictingClaim().Claimant == a.Record().Claimant {
-					t.Fatal("told of its own claim")
+					t.Fatalf("attempt %s is rejected as a duplicate of its own claim", a.Record().Claimant)
 				}
 			case GiveUp:
 				if a.Next(start) == Send {
-					t.Fatal("sends after it gave up")
+					t.Fatalf("attempt %s may send after it gave up", a.Record().Claimant)
 				}
 			}
 		}
 		if len(senders) > 1 {
-			t.Fatalf("%d attempts may send", len(senders))
+			t.Fatalf("%d attempts may send the call, expected at most one", len(senders))
 		}
 	})
 }
@@ -100,19 +102,19 @@
 	a := NewAttempt(Record{Claimant: "a"}, start.Add(time.Second))
 	is.Equal(a.Next(start), Create)
 	a.CreateFinished(NotSent, false)
-	is.Equal(a.Next(start), Create) // nothing happened: again
+	is.Equal(a.Next(start), Create) // the create had no effect: repeat it
 	is.True(!a.MayHaveClaimed())
 	a.CreateFinished(OutcomeUnknown, false)
 	is.Equal(a.Next(start), Read)
 	is.True(a.MayHaveClaimed())
 	a.ReadFinished(Answered, false, Record{})
-	is.Equal(a.Next(start), Create) // the same create again
+	is.Equal(a.Next(start), Create) // the key doesn't exist: repeat the create
 	a.CreateFinished(Answered, false)
 	is.Equal(a.Next(start), Read)
 	a.ReadFinished(Answered, true, Record{Claimant: "a"})
-	is.Equal(a.Next(start), Send)                      // it was ours
-	is.Equal(a.Next(start.Add(2*time.Second)), GiveUp) // woken too late
-	is.Equal(a.Next(start), GiveUp)                    // and for good
+	is.Equal(a.Next(start), Send)                      // the key holds this attempt's own claim
+	is.Equal(a.Next(start.Add(2*time.Second)), GiveUp) // the deadline has passed
+	is.Equal(a.Next(start), GiveUp)                    // giving up is final
 }
 
 func TestKeysDiffer(t *testing.T) {
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package clock tells the present time on machines that may be suspended. While a machine
-// is suspended its steady clock, by which this language measures durations, stands still:
-// when it goes on, a lease that ran out long ago seems to hold, and a proof of half a
-// minute ago to be fresh. Two moments of a Clock differ by the time that really passed.
+// Package clock provides the current time on machines that may be suspended. While a machine is
+// suspended, its monotonic clock, by which Go measures durations, stops. After the machine
+// resumes, a lease that expired long ago therefore seems valid, and a proof that is half a minute
+// old seems fresh. Two times of a Clock differ by the time that actually passed, suspensions
+// included.
 package clock
 
 import (
@@ -14,48 +15,52 @@
 )
 
 const (
-	// maxReadSkew is how far two clocks that are read one after the other may seem to
-	// differ by nothing but that.
+	// maxReadSkew bounds the difference between two clocks that comes only from reading them
+	// one after the other.
 	maxReadSkew = time.Millisecond
-	// BacklogWindow is how long after a machine went on it may still meet what had come before:
-	// bytes in its sockets, which are read in a few milliseconds, or some ten times that
-	// where many wait and the processor is shared.
+	// BacklogWindow is how long after a machine resumes it may still process messages that
+	// arrived before the suspension. They are bytes in its sockets, which are read within a few
+	// milliseconds, or some ten times that if there are many and the processor is shared.
 	BacklogWindow = 250 * time.Millisecond
-	// SuspensionCheckInterval is how often Run looks whether the machine was suspended.
+	// SuspensionCheckInterval is how often Run checks whether the machine was suspended.
 	SuspensionCheckInterval = 100 * time.Millisecond
 )
 
-// Clock tells the present time. Nil and the zero value work, for a machine that is never
-// suspended. It is safe for use by several goroutines.
+// Clock returns the current time and measures suspensions of the machine. A nil Clock and the
+// zero value are ready for use, and assume that the machine is never suspended. A Clock is safe for
+// concurrent use.
 type Clock struct {
-	// sinceBoot is the time since some moment by a clock that goes on while the machine
-	// is suspended; nil where there is none.
+	// sinceBoot returns the time since a fixed moment, by a clock that keeps running while the
+	// machine is suspended. It is nil if the machine has no such clock.
 	sinceBoot func() time.Duration
 
 	mu sync.Mutex
-	// startedAt and beganBoot are the same moment by both clocks.
+	// startedAt and startSinceBoot are the time of creation by the monotonic clock and by
+	// sinceBoot.
 	startedAt      time.Time
 	startSinceBoot time.Duration
-	// totalSuspended is how long the machine was suspended since, in all, and woke when it last
-	// went on, after lastSleep.
+	// totalSuspended is how long the machine was suspended in total since then. resumedAt is
+	// when the end of the last suspension was noticed, and lastSuspension how long that lasted.
 	totalSuspended time.Duration
 	resumedAt      time.Time
 	lastSuspension time.Duration
 	timeouts       map[*pendingTimeout]bool
 }
 
-// New returns a Clock that learns of suspensions by a clock that goes on meanwhile.
+// New returns a Clock that detects suspensions by sinceBoot, which returns the time since a fixed
+// moment by a clock that keeps running while the machine is suspended.
 func New(sinceBoot func() time.Duration) *Clock {
 	return &Clock{sinceBoot: sinceBoot, startSinceBoot: sinceBoot(), startedAt: time.Now(), timeouts: map[*pendingTimeout]bool{}}
 }
 
-// Now is the present moment. It carries the steady clock's reading, put forward by the time
-// for which the machine was suspended.
+// Now returns the current time. Its monotonic reading is advanced by the total time for which the
+// machine was suspended.
 func (c *Clock) Now() time.Time {
 	if c == nil || c.sinceBoot == nil {
 		return time.Now()
 	}
-	// In this order a pause between the two readings never looks like a suspension.
+	// sinceBoot is read first, so that a pause between the two reads never looks like a
+	// suspension.
 	bootTime := c.sinceBoot()
 	now := time.Now()
 	c.mu.Lock()
@@ -68,11 +73,12 @@
 	return now.Add(c.totalSuspended)
 }
 
-// Since is how long ago a moment of this Clock was.
+// Since returns the time that passed since t, which must come from this Clock.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// TotalSuspended is how long the machine was suspended in all. An answer that was waited for while
-// that grew may have come before, and is older than it seems by as much.
+// TotalSuspended returns how long the machine was suspended in total. If it grew while the caller
+// waited for an answer, the answer may have arrived before the suspension, and may be older than
+// it seems by the difference.
 func (c *Clock) TotalSuspended() time.Duration {
 	if c == nil {
 		return 0
@@ -83,8 +89,9 @@
 	return c.totalSuspended
 }
 
-// MaxMessageDelay is by how much a message that is handled now may be older than it seems: it may
-// have come before the machine was suspended, if that is only just over.
+// MaxMessageDelay returns by how much a message that is handled at the given time may be older
+// than it seems. Within BacklogWindow after a suspension that is the length of the suspension, as
+// the message may have arrived before it; otherwise it is zero.
 func (c *Clock) MaxMessageDelay(now time.Time) time.Duration {
 	if c == nil {
 		return 0
@@ -97,8 +104,8 @@
 	return c.lastSuspension
 }
 
-// Run looks for suspensions until the context ends, so that what is due rings soon after
-// the machine goes on even if nobody asks for the time.
+// Run checks for suspensions until the context ends, so that expired timeouts fire soon after the
+// machine resumes even if nothing calls Now.
 func (c *Clock) Run(ctx context.Context) {
 	if c == nil || c.sinceBoot == nil {
 		return
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -16,7 +16,7 @@
 	"github.com/shedpath/shedpath/clock/clocktest"
 )
 
-// TestNow has two moments differ by the time that really passed between them.
+// TestNow checks that two times differ by the time that passed between them, suspensions included.
 func TestNow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -34,7 +34,8 @@
 	})
 }
 
-// TestNowWithoutSuspensions has clocks that know of none tell the usual time.
+// TestNowWithoutSuspensions checks that a nil Clock and the zero value return the system time and
+// time out as usual.
 func TestNowWithoutSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -52,7 +53,8 @@
 	})
 }
 
-// TestMaxMessageDelay has what is handled just after the machine went on count as older by that.
+// TestMaxMessageDelay checks that the delay is the length of the suspension until BacklogWindow has
+// passed.
 func TestMaxMessageDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -67,13 +69,13 @@
 	})
 }
 
-// TestTimeout has a context end when its time is over, however much of it the machine was
+// TestTimeout checks that the timeout of a context includes the time for which the machine was
 // suspended.
 func TestTimeout(t *testing.T) {
 	errTimeout := errors.New("over")
 	for name, c := range map[string]struct {
 		slept time.Duration
-		// ends is after how long by the steady clock the context ends.
+		// ends is the time by the monotonic clock after which the context ends.
 		ends time.Duration
 	}{
 		"not suspended":    {0, 10 * time.Second},
@@ -104,7 +106,8 @@
 	}
 }
 
-// TestTimeoutEndsOnce has a context that was ended before leave nothing behind.
+// TestTimeoutEndsOnce checks that a suspension doesn't end a context again that was cancelled
+// before its timeout.
 func TestTimeoutEndsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -120,7 +123,7 @@
 	})
 }
 
-// BenchmarkNow is what asking for the time costs.
+// BenchmarkNow measures the cost of Now without and with the detection of suspensions.
 func BenchmarkNow(b *testing.B) {
 	for name, c := range map[string]*clock.Clock{"none": nil, "system": clock.System()} {
 		b.Run(name, func(b *testing.B) {
--- a/clock/clocktest/machine.go
+++ b/clock/clocktest/machine.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package clocktest plays machines that are suspended, for tests.
+// Package clocktest simulates suspensions of a machine for tests.
 package clocktest
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/shedpath/shedpath/clock"
 )
 
-// Machine can be suspended. Use NewMachine.
+// Machine is a simulated machine that can be suspended. Create it with NewMachine.
 type Machine struct {
 	bootedAt  time.Time
 	suspended atomic.Int64
@@ -21,10 +21,11 @@
 // NewMachine returns a machine that has just started.
 func NewMachine(testing.TB) *Machine { return &Machine{bootedAt: time.Now()} }
 
-// Suspend has the machine be suspended for a while: no time passes by its steady clock.
+// Suspend simulates a suspension of the given length. It returns at once: no time passes by the
+// monotonic clock.
 func (m *Machine) Suspend(d time.Duration) { m.suspended.Add(int64(d)) }
 
-// SinceBoot is the time by the machine's clock that goes on meanwhile.
+// SinceBoot returns the time since the machine started, suspensions included.
 func (m *Machine) SinceBoot() time.Duration {
 	return time.Since(m.bootedAt) + time.Duration(m.suspended.Load())
 }
@@ -32,5 +33,6 @@
 // Clock returns a Clock of the machine.
 func (m *Machine) Clock() *clock.Clock { return clock.New(m.SinceBoot) }
 
-// SuspensionDurations are those that every lease, proof, window and timeout is to be tried with.
+// SuspensionDurations are the lengths of suspension with which the tests try every lease, proof,
+// window and timeout.
 var SuspensionDurations = []time.Duration{time.Second, 5 * time.Second, 30 * time.Second}
--- a/clock/system_linux.go
+++ b/clock/system_linux.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// System returns the machine's Clock; where the machine doesn't tell the time since its
-// boot, one that knows of no suspension.
+// System returns the machine's Clock. If the machine doesn't provide the time since boot, the
+// Clock detects no suspensions.
 func System() *Clock {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
@@ -19,8 +19,8 @@
 	return New(sinceBoot)
 }
 
-// sinceBoot counts the time while the machine was suspended. It has answered once, and
-// then goes on to.
+// sinceBoot returns the time since boot, suspensions included. It ignores errors because System
+// has checked that the call succeeds.
 func sinceBoot() time.Duration {
 	var at unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &at)
--- a/clock/system_other.go
+++ b/clock/system_other.go
@@ -5,5 +5,6 @@
 
 package clock
 
-// System returns a Clock that knows of no suspension.
+// System returns a Clock that detects no suspensions, as on this system no clock is read that
+// keeps running during them.
 func System() *Clock { return &Clock{} }
--- a/clock/timeout.go
+++ b/clock/timeout.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// pendingTimeout is a context's end that is due. Its timer stands still with the steady clock, so
-// it is set anew when the machine was suspended.
+// pendingTimeout is the timeout of a context that hasn't ended. Its timer runs by the monotonic
+// clock, which stops while the machine is suspended, so the timer is reset after a suspension.
 type pendingTimeout struct {
 	expiresAt time.Time
 	timer     *time.Timer
 }
 
-// WithTimeoutCause is context.WithTimeoutCause by the time that really passes. The context
-// tells no deadline of its own.
+// WithTimeoutCause is like context.WithTimeoutCause, but the timeout includes the time for which
+// the machine is suspended. The returned context has no deadline of its own: its Deadline method
+// returns that of the parent.
 func (c *Clock) WithTimeoutCause(parent context.Context, d time.Duration, cause error) (context.Context, context.CancelFunc) {
 	if c == nil || c.sinceBoot == nil {
 		return context.WithTimeoutCause(parent, d, cause)
@@ -36,8 +37,8 @@
 	}
 }
 
-// rearmTimeouts sets the alarms anew at a moment at which the machine went on. The mutex is
-// held.
+// rearmTimeouts resets the timers of all pending timeouts after the machine resumed at the given
+// time. The caller holds mu.
 func (c *Clock) rearmTimeouts(now time.Time) {
 	for pending := range c.timeouts {
 		if pending.timer.Stop() {
--- a/history/history.go
+++ b/history/history.go
@@ -1,11 +1,12 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package history orders what is read from a store that may be restored from an older copy.
+// Package history orders revisions that are read from a store which may be restored from an
+// older copy.
 //
-// Such a store gives out revisions again that it has already given out for something else.
-// It counts its restores: the era rises with each. A revision therefore has a place in
-// history only together with its era.
+// A restored store reuses revisions that it assigned to other writes before the restore. The
+// store counts its restores in an era, which rises with each. Revisions can therefore only be
+// ordered together with their eras.
 package history
 
 import (
@@ -14,14 +15,15 @@
 	"strconv"
 )
 
-// Era counts a store's restores. Zero stands for an era that isn't known.
+// Era counts a store's restores. Zero means that the era is unknown.
 type Era uint64
 
-// ParseEra reads an era as a store tells it.
+// ParseEra parses an era as a store reports it: a positive decimal number. It returns an error
+// for any other text.
 func ParseEra(text string) (Era, error) {
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || n == 0 {
-		return 0, fmt.Errorf("%.40q is no era", text)
+		return 0, fmt.Errorf("invalid era %.40q: not a positive decimal number of 64 bits", text)
 	}
 	return Era(n), nil
 }
@@ -29,8 +31,9 @@
 // Revision numbers a store's changes within an era.
 type Revision uint64
 
-// Point is a place in a store's history. The zero value is before all others. Points have no
-// order by the revision alone, so it can't be compared from outside without Compare.
+// Point is a position in a store's history. The zero value is before all others. Its fields are
+// unexported so that callers compare points with Compare and not by the revision alone, which
+// doesn't order them.
 type Point struct {
 	era      Era
 	revision Revision
@@ -39,10 +42,11 @@
 // NewPoint returns the point of a revision in an era.
 func NewPoint(e Era, r Revision) Point { return Point{e, r} }
 
-// Era is the point's era.
+// Era returns the point's era.
 func (p Point) Era() Era { return p.era }
 
-// Revision is the point's revision, to be given to the store of that era.
+// Revision returns the point's revision, which is only valid in requests to the store of that
+// era.
 func (p Point) Revision() Revision { return p.revision }
 
 // Compare orders points by era, then by revision.
@@ -56,13 +60,13 @@
 // After reports whether the point is later than another.
 func (p Point) After(q Point) bool { return p.Compare(q) > 0 }
 
-// SameEra reports whether both points are of one era.
+// SameEra reports whether both points are in the same era.
 func (p Point) SameEra(q Point) bool { return p.era == q.era }
 
-// IsZero reports whether the point is before all others.
+// IsZero reports whether the point is the zero value, which is before all others.
 func (p Point) IsZero() bool { return p == Point{} }
 
-// String is the revision, behind its era if that is known.
+// String returns "era/revision", or only the revision if the era is unknown.
 func (p Point) String() string {
 	if p.era == 0 {
 		return strconv.FormatUint(uint64(p.revision), 10)
@@ -78,30 +82,34 @@
 	return p
 }
 
-// EraTracker says from which revision on what an era tells was written in it. The zero value
-// knows of no restore.
+// EraTracker tracks the lowest revision at which the latest era of a store was observed, to tell
+// writes of that era from writes that were restored from the copy. The zero value has observed
+// nothing.
 type EraTracker struct {
-	// lowestSeen is the lowest revision at which the era was seen: all above was written in it.
+	// lowestSeen is the lowest point at which the latest era was observed. Every revision of
+	// that era above it was written in the era.
 	lowestSeen Point
 }
 
-// Observe takes in that a store was at a point. Only points of the latest era count.
+// Observe records that the store was at a point. Points of earlier eras are ignored.
 func (r *EraTracker) Observe(p Point) {
 	if p.era > r.lowestSeen.era || p.era == r.lowestSeen.era && p.Before(r.lowestSeen) {
 		r.lowestSeen = p
 	}
 }
 
-// LowestSeen is the lowest point at which the latest era was seen.
+// LowestSeen returns the lowest point at which the latest era was observed.
 func (r *EraTracker) LowestSeen() Point { return r.lowestSeen }
 
-// Supersedes reports whether what was written at a point is newer than what is known as of
-// another, or is the same.
+// Supersedes reports whether a value of a key that was written at the point read replaces the
+// value known from the point known: the write is newer than the known one, or is the same.
 //
-// What a restored store has up to the revision at which it was first seen may be the copy's.
-// If the copy has a higher revision of a key than is known, its write was after the known one,
-// in whichever era. A lower one is either older, or was written since with a revision that was
-// given out again: that can't be told, and what is known stands.
+// Up to the lowest revision at which the latest era was observed, a restored store may hold data
+// of the copy:
+//   - If the copy has a higher revision of the key than the known one, its write came after the
+//     known write, in whichever era.
+//   - If the copy has a lower revision, the write is either older, or was made after the restore
+//     with a reused revision. The two can't be told apart, and the known value stays.
 func (r *EraTracker) Supersedes(read, known Point) bool {
 	if read.era == known.era || read.era < known.era {
 		return !read.Before(known)
--- a/history/history_test.go
+++ b/history/history_test.go
@@ -25,7 +25,7 @@
 	f.Add("7")
 	f.Fuzz(func(t *testing.T, text string) {
 		if era, err := ParseEra(text); (err == nil) != (era != 0) {
-			t.Fatalf("%q: era %d, err %v", text, era, err)
+			t.Fatalf("ParseEra(%q) = %d, %v: expected either an era above zero or an error", text, era, err)
 		}
 	})
 }
@@ -68,20 +68,21 @@
 	is.Equal(r.LowestSeen(), NewPoint(2, 5))
 }
 
-// write is one write of a key, as it really happened.
+// write is one write of a key. sequence gives the real order of all writes, across restores.
 type write struct{ revision, sequence int }
 
-// storeModel is a store with one key that is restored from copies, and a reader of it.
+// storeModel models a store with one observed key that is restored from copies, and a reader of
+// that key.
 type storeModel struct {
 	era      Era
 	revision int
-	// writes are those of the key that the present era has, the latest last.
+	// writes are the writes of the key that the store holds now, the latest last.
 	writes       []write
 	lastSequence int
 
 	eras  EraTracker
 	known Point
-	// knownSequence is when what is known was written.
+	// knownSequence is the sequence number of the write that the reader knows.
 	knownSequence int
 }
 
@@ -94,17 +95,19 @@
 	at := NewPoint(m.era, Revision(last.revision))
 	if !m.eras.Supersedes(at, m.known) {
 		if last.sequence > m.knownSequence && last.revision > int(m.eras.LowestSeen().Revision()) {
-			t.Fatalf("%v was written after %v and isn't believed", at, m.known)
+			t.Fatalf("the reader rejects the write at %v, which is newer than the known write at %v", at, m.known)
 		}
 		return
 	}
 	if last.sequence < m.knownSequence {
-		t.Fatalf("%v was written before %v and is believed", at, m.known)
+		t.Fatalf("the reader accepts the write at %v, which is older than the known write at %v", at, m.known)
 	}
 	m.known, m.knownSequence = at, last.sequence
 }
 
-// TestReaderNeverGoesBack has a reader never go back, and never miss what was written in an era it saw before.
+// TestReaderNeverGoesBack checks that a reader of a store that is restored at random never replaces
+// a write by an older one, and accepts every newer write above the lowest revision at which it
+// observed the era.
 func TestReaderNeverGoesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &storeModel{era: 1}
--- a/member/member.go
+++ b/member/member.go
@@ -2,28 +2,30 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package member decides which hosts are alive, which are leaving, and which
-// entry has which soft duty. It is pure: heartbeats and host lists are told to
-// it, with the time at which they came.
+// entry has which role, such as the coordinator of a pool. It does no I/O and
+// reads no clock: callers pass in heartbeats and host lists with the time at
+// which they arrived.
 //
-// What it decides is soft. Two entries may disagree for a moment, and then two
-// may do one duty; no duty given out here may do harm when done twice.
+// Roles are not exclusive. Two entries may disagree for a moment, and then both
+// carry out one role. A role that is assigned here must therefore do no harm
+// when it is carried out twice.
 package member
 
 import "time"
 
-// HostID names an entry host.
+// HostID is the id of an entry host.
 type HostID string
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// Region names a group of zones that lie close together.
+// Region is the name of a group of zones that are close to each other.
 type Region string
 
-// UpstreamID names a model engine or an instance of a plain service.
+// UpstreamID is the id of a model engine or of an instance of a plain service.
 type UpstreamID string
 
-// UpstreamKind tells engines from plain services.
+// UpstreamKind distinguishes engines from plain services.
 type UpstreamKind string
 
 // The kinds of upstream.
@@ -32,40 +34,42 @@
 	KindService UpstreamKind = "service"
 )
 
-// Entry is an entry host as the host list or a heartbeat gives it.
+// Entry describes an entry host, as read from the host list or a heartbeat.
 type Entry struct {
 	ID          HostID
 	Zone        Zone
 	PeerAddress string
-	// Capacity is how much the host can carry for others, relative to them: the rate of its
-	// link in Mbit/s. Zero where that isn't known.
+	// Capacity is the rate of the host's network link in Mbit/s, which weighs how much traffic
+	// the host can relay for others. Zero means unknown.
 	Capacity int
 }
 
-// Upstream is an upstream as the host list gives it.
+// Upstream describes an upstream, as read from the host list.
 type Upstream struct {
 	ID      UpstreamID
 	Zone    Zone
 	Address string
-	// Pool is the engine pool's or the plain service's name.
+	// Pool is the name of the engine pool or of the plain service.
 	Pool    string
 	Kind    UpstreamKind
 	Leaving bool
 }
 
-// HostList is the platform's list, which lags behind reality.
+// HostList is the platform's list of hosts. It lags behind the actual state.
 type HostList struct {
 	Entries   []Entry
 	Upstreams []Upstream
 }
 
-// Heartbeat periods and limits.
+// The heartbeat interval and the time limits that depend on it.
 const (
+	// HeartbeatInterval is the time between two heartbeats to a peer, before
+	// jitter.
 	HeartbeatInterval = time.Second
-	// SuspectTimeout is how long after its last heartbeat an entry counts as
-	// alive.
+	// SuspectTimeout is how long an entry counts as alive after its last
+	// heartbeat.
 	SuspectTimeout = 3 * time.Second
-	// ForgetTimeout is how long a silent entry that the host list doesn't name
-	// is still tried.
+	// ForgetTimeout is how long an entry that sends no heartbeats and isn't on
+	// the host list is still contacted.
 	ForgetTimeout = 10 * time.Minute
 )
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -19,8 +19,8 @@
 	return Entry{ID: HostID(id), Zone: z, PeerAddress: id}
 }
 
-// TestRankMovesOnlyRolesOfRemovedEntry takes one entry away: duties that it didn't
-// have stay where they were.
+// TestRankMovesOnlyRolesOfRemovedEntry checks that removing one entry moves no
+// role that another entry has.
 func TestRankMovesOnlyRolesOfRemovedEntry(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 12).Draw(t, "entries")
@@ -34,7 +34,7 @@
 			role := fmt.Sprintf("pool/%d", d)
 			before, after := Rank(role, all)[0], Rank(role, rest)[0]
 			if before.ID != all[removed].ID && before != after {
-				t.Fatalf("%s moved from %s to %s when %s left", role, before.ID, after.ID, all[removed].ID)
+				t.Fatalf("role %s moved from %s to %s when %s was removed", role, before.ID, after.ID, all[removed].ID)
 			}
 		}
 	})
@@ -45,22 +45,22 @@
 	v := NewView(start, testEntry(1, "az1"))
 	other := testEntry(2, "az1")
 	v.UpdateHostList(start, HostList{Entries: []Entry{other}})
-	is.True(!v.Alive(start, other.ID)) // listed isn't alive
+	is.True(!v.Alive(start, other.ID)) // an entry on the list isn't alive before a heartbeat
 	v.RecordHeartbeat(start, other, 1, false)
 	is.True(v.Alive(start.Add(SuspectTimeout), other.ID))
 	is.True(!v.Alive(start.Add(SuspectTimeout+1), other.ID))
 	v.UpdateHostList(start, HostList{})
-	is.True(v.Alive(start, other.ID)) // heard lately goes before the list
+	is.True(v.Alive(start, other.ID)) // a recent heartbeat overrides the list
 	v.RecordHeartbeat(start, other, 1, true)
-	is.True(v.Alive(start, other.ID))                  // leaving: its runs go on
-	is.Equal(len(v.AvailableEntries(start, "az1")), 1) // but it takes no duty
+	is.True(v.Alive(start, other.ID))                  // a leaving entry is alive: its runs go on
+	is.Equal(len(v.AvailableEntries(start, "az1")), 1) // but it takes no role
 	v.RecordHeartbeat(start, other, 1, false)
 	v.MarkLinkBroken(other.ID)
 	is.True(!v.Alive(start, other.ID))
 	v.RecordHeartbeat(start, other, 1, false)
 	v.UpdateHostList(start.Add(ForgetTimeout+time.Minute), HostList{})
 	_, known := v.Entry(other.ID)
-	is.True(!known) // silent and unlisted for long
+	is.True(!known) // silent and not on the list for longer than ForgetTimeout
 }
 
 func TestLeavingIsSticky(t *testing.T) {
@@ -71,20 +71,20 @@
 	v.UpdateHostList(start, list)
 	is.Equal(len(v.Upstreams(KindEngine, "desk", "az1")), 1)
 	is.True(v.MarkLeaving("g1"))
-	is.True(!v.MarkLeaving("g1")) // no news
-	v.UpdateHostList(start, list) // the list lags: it doesn't know yet
+	is.True(!v.MarkLeaving("g1")) // already known
+	v.UpdateHostList(start, list) // the list lags: it doesn't mark the engine as leaving yet
 	is.Equal(len(v.Upstreams(KindEngine, "desk", "az1")), 0)
 	is.Equal(v.LeavingUpstreams(), []UpstreamID{"g1"})
 	_, known := v.Upstream("g1")
-	is.True(known) // running work still finds it
+	is.True(known) // running work still has to look it up
 	v.UpdateHostList(start, HostList{})
 	is.Equal(len(v.LeavingUpstreams()), 0)
-	v.UpdateHostList(start, list) // a new host under the old name
+	v.UpdateHostList(start, list) // a new host with the old id
 	is.Equal(len(v.Upstreams(KindEngine, "desk", "az1")), 1)
 }
 
-// TestHeartbeatPeers keeps heartbeats within the zone, and between zones to the few
-// that watch.
+// TestHeartbeatPeers checks that each entry exchanges heartbeats with all peers in
+// its zone, and that only watchers exchange heartbeats between zones.
 func TestHeartbeatPeers(t *testing.T) {
 	is := is.New(t)
 	const perZone = 8
@@ -112,12 +112,13 @@
 		}
 		is.Equal(withinZone, perZone-1)
 	}
-	// Two watchers of each zone link to two of each other zone.
+	// The watchers of each zone exchange heartbeats with those of each other zone.
 	is.Equal(betweenZones, 3*watchersPerZone*2*watchersPerZone)
 }
 
-// TestOneOfTwoPeersInitiates has one entry of each pair call, and both when the other is
-// quiet.
+// TestOneOfTwoPeersInitiates checks that only one entry of a pair sends
+// heartbeats, and that the other sends too when its peer is silent or the link
+// broke.
 func TestOneOfTwoPeersInitiates(t *testing.T) {
 	is := is.New(t)
 	entry1, entry2 := testEntry(1, "az1"), testEntry(2, "az1")
@@ -140,7 +141,7 @@
 	v.RecordZoneReport("az2", ZoneReport{MinRevision: 4, Entries: 2, ObservedAt: start})
 	v.RecordZoneReport("az2", ZoneReport{MinRevision: 3, Entries: 2, ObservedAt: start.Add(-time.Second)}) // older
 	is.Equal(v.LastZoneReport("az2").MinRevision, uint64(4))
-	v.RecordZoneReport("az1", ZoneReport{MinRevision: 1, ObservedAt: start.Add(time.Hour)}) // own zone is seen, not told
+	v.RecordZoneReport("az1", ZoneReport{MinRevision: 1, ObservedAt: start.Add(time.Hour)}) // reports on the own zone are ignored
 	is.True(v.LastZoneReport("az1").ObservedAt.IsZero())
 	v.RecordHeartbeat(start, testEntry(4, "az2"), 4, false)
 	is.Equal(len(v.OrphanedZones(start.Add(OrphanTimeout-1))), 0)
--- a/member/rank.go
+++ b/member/rank.go
@@ -10,8 +10,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders entries for a duty by rendezvous hashing: the first has it, the
-// next takes it over. When an entry comes or goes, only its own duties move.
+// Rank orders entries for a role by rendezvous hashing: the first has the role,
+// and the next takes it over. When an entry joins or leaves, only that entry's
+// roles move.
 func Rank(role string, entries []Entry) []Entry {
 	ranked := slices.Clone(entries)
 	slices.SortFunc(ranked, func(a, b Entry) int {
@@ -30,7 +31,8 @@
 	return ranked
 }
 
-// HighestRanked is the entry that ranks first for a duty among some, of which there is one at least.
+// HighestRanked returns the first entry of Rank without sorting. It panics if there are no
+// entries.
 func HighestRanked(role string, entries []Entry) Entry {
 	first, highest := entries[0], weight(role, entries[0].ID)
 	for _, e := range entries[1:] {
@@ -51,7 +53,8 @@
 	return d.Sum64()
 }
 
-// Owner returns the live entry of the zone that has the duty.
+// Owner returns the entry that has the role among the available entries of the
+// zone. It returns false if there is none.
 func (v *View) Owner(now time.Time, role string, z Zone) (Entry, bool) {
 	ranked := Rank(role, v.AvailableEntries(now, z))
 	if len(ranked) == 0 {
@@ -60,12 +63,12 @@
 	return ranked[0], true
 }
 
-// watchersPerZone is how many entries of a zone keep the platform's watch and
-// the links to other zones.
+// watchersPerZone is how many entries of a zone watch the platform and exchange
+// heartbeats with other zones.
 const watchersPerZone = 2
 
-// IsWatcher reports whether this entry is among those of its zone that keep the
-// platform's watch.
+// IsWatcher reports whether this entry is one of the entries of its zone that
+// watch the platform.
 func (v *View) IsWatcher(now time.Time) bool {
 	return ranksWithin(Rank("watch", v.AvailableEntries(now, v.self.Zone)), v.self.ID, watchersPerZone)
 }
@@ -79,9 +82,9 @@
 	return false
 }
 
-// HeartbeatPeers lists the peers that this entry exchanges heartbeats with: everyone in
-// its zone and, while it is among its own zone's first by rank, the first few
-// of each other zone.
+// HeartbeatPeers lists the peers that this entry exchanges heartbeats with: all
+// peers in its zone and, while it is a watcher of its zone, the watchers of each
+// other zone.
 func (v *View) HeartbeatPeers(now time.Time) []Entry {
 	var peers []Entry
 	others := map[Zone][]Entry{}
@@ -98,7 +101,8 @@
 	for z, all := range others {
 		candidates := v.AvailableEntries(now, z)
 		if len(candidates) < watchersPerZone {
-			// Nobody is heard there: try some of those it may have.
+			// Too few entries of that zone are known to be alive: try some of
+			// all that are known there.
 			candidates = all
 		}
 		ranked := Rank("watch", candidates)
@@ -107,9 +111,10 @@
 	return peers
 }
 
-// HeartbeatTargets lists the links on which this entry is the one to call. Of each two
-// entries one calls and the other answers with its own heartbeat; but a peer
-// that has gone quiet is called by both.
+// HeartbeatTargets lists the peers to which this entry sends its heartbeat. Of
+// each pair of entries the one with the lower id sends, and the other answers
+// with its own heartbeat. The other sends as well when its peer has been silent
+// for longer than quietTimeout or the link to the peer is broken.
 func (v *View) HeartbeatTargets(now time.Time) []Entry {
 	var targets []Entry
 	for _, to := range v.HeartbeatPeers(now) {
@@ -122,12 +127,14 @@
 	return targets
 }
 
-// quietTimeout is a little more than the longest time between two heartbeats.
+// quietTimeout is a little more than the longest time between two heartbeats,
+// which includes jitter.
 const quietTimeout = 3 * HeartbeatInterval / 2
 
-// ProbableOwner returns the entry of another zone that probably has a duty
-// there: by rank among its live entries or, when this entry hears none of
-// them, among all it knows of.
+// ProbableOwner returns the entry of another zone that probably has a role
+// there: by rank among the available entries of the zone or, if none is known to
+// be available, among all known entries of the zone. It returns false if there
+// are none.
 func (v *View) ProbableOwner(now time.Time, role string, z Zone) (Entry, bool) {
 	candidates := v.AvailableEntries(now, z)
 	if len(candidates) == 0 {
--- a/member/view.go
+++ b/member/view.go
@@ -10,47 +10,55 @@
 	"time"
 )
 
-// View is what one entry knows of the others and of the upstreams. It isn't
-// safe for use by several goroutines. Use NewView.
+// View is what one entry knows of the other entries and of the upstreams. It
+// isn't safe for concurrent use. Create it with NewView.
 type View struct {
 	self Entry
-	// selfLeaving says that this entry is stopping: it takes no duty.
+	// selfLeaving is set once this entry is stopping. It then takes no roles.
 	selfLeaving bool
 	peers       map[HostID]*peer
-	// upstreams is the last host list with what peers and upstreams said since.
+	// upstreams holds the upstreams of the last host list.
 	upstreams map[UpstreamID]Upstream
-	// leaving is sticky: once one sign said that an upstream leaves, it holds
-	// until the host list has dropped the upstream.
+	// leaving holds the upstreams that the host list, a peer or the upstream
+	// itself reported as leaving. An upstream stays in it until a host list no
+	// longer names the upstream.
 	leaving map[UpstreamID]bool
-	// zoneReports are the other zoneReports' reports, as last heard.
+	// zoneReports holds the latest report on each other zone.
 	zoneReports map[Zone]ZoneReport
-	// startedAt is when this entry started to listen.
+	// startedAt is when the view was created.
 	startedAt time.Time
 }
 
+// peer is what the view knows of another entry.
 type peer struct {
 	entry Entry
-	// lastHeartbeat is the time of the last heartbeat; zero means never.
+	// lastHeartbeat is the time of the last heartbeat; zero means that none was
+	// received.
 	lastHeartbeat time.Time
-	// linkBroken says that its link was refused or broke since.
+	// linkBroken is set if a connection to the peer was refused or broke after
+	// the last heartbeat.
 	linkBroken bool
-	// lastNamed is the last time the host list or a heartbeat named the peer.
+	// lastNamed is the last time the host list or a heartbeat named the peer, or
+	// when it was given as a seed.
 	lastNamed time.Time
 	leaving   bool
 	revision  uint64
 }
 
-// ZoneReport is the state of a zone as it was last reported.
+// ZoneReport is the state of a zone as one of its entries reported it.
 type ZoneReport struct {
-	// MinRevision is the lowest in force on the zone's live entries.
+	// MinRevision is the lowest configuration revision in force on the zone's
+	// live entries.
 	MinRevision uint64
-	// Entries is how many of them there were.
+	// Entries is the number of live entries.
 	Entries int
-	// ObservedAt is when this entry learned it.
+	// ObservedAt is the time of the observation by this entry's clock. For a
+	// relayed report it is computed from the report's age.
 	ObservedAt time.Time
 }
 
-// NewView returns a view that knows only its own entry and the seeds.
+// NewView returns a view that knows only its own entry and the seeds, which are
+// contacted but don't count as alive before their first heartbeat.
 func NewView(now time.Time, self Entry, seeds ...Entry) *View {
 	v := &View{
 		self:        self,
@@ -66,6 +74,7 @@
 	return v
 }
 
+// recordPeer adds or updates the peer of an entry that was named now.
 func (v *View) recordPeer(now time.Time, e Entry) *peer {
 	p := v.peers[e.ID]
 	if p == nil {
@@ -76,8 +85,9 @@
 	return p
 }
 
-// UpdateHostList takes in the platform's list. A peer that was heard of lately stays,
-// whatever the list says; an upstream that the list dropped goes.
+// UpdateHostList records a new host list from the platform. A peer is removed if
+// neither a host list nor a heartbeat named it within ForgetTimeout. An upstream
+// that the list no longer names is removed at once.
 func (v *View) UpdateHostList(now time.Time, list HostList) {
 	for _, e := range list.Entries {
 		if e.ID != v.self.ID {
@@ -103,7 +113,8 @@
 	})
 }
 
-// RecordHeartbeat takes in a heartbeat from a peer.
+// RecordHeartbeat records a heartbeat from a peer, with the configuration
+// revision in force there and whether the peer is leaving.
 func (v *View) RecordHeartbeat(now time.Time, from Entry, revision uint64, leaving bool) {
 	if from.ID == v.self.ID {
 		return
@@ -112,8 +123,8 @@
 	p.lastHeartbeat, p.linkBroken, p.revision, p.leaving = now, false, revision, leaving
 }
 
-// MarkLeaving records a sign, of whatever source, that an upstream is leaving.
-// It reports whether this was news.
+// MarkLeaving records that an upstream is leaving, from whatever source. It
+// reports whether this wasn't known yet.
 func (v *View) MarkLeaving(id UpstreamID) bool {
 	if v.leaving[id] {
 		return false
@@ -122,11 +133,12 @@
 	return true
 }
 
-// LeavingUpstreams lists the upstreams known to be leaving, for the next heartbeat.
+// LeavingUpstreams lists the upstreams known to be leaving, for the next
+// heartbeat, in the order of their ids.
 func (v *View) LeavingUpstreams() []UpstreamID { return slices.Sorted(maps.Keys(v.leaving)) }
 
-// Upstreams lists a pool's upstreams that take new work, in the given zone or,
-// with an empty zone, everywhere.
+// Upstreams lists a pool's upstreams that accept new work, in the given zone or,
+// with an empty zone, in all zones, in the order of their ids.
 func (v *View) Upstreams(kind UpstreamKind, pool string, z Zone) []Upstream {
 	var listed []Upstream
 	for id, u := range v.upstreams {
@@ -138,13 +150,15 @@
 	return listed
 }
 
-// Upstream finds an upstream by its id, also one that is leaving.
+// Upstream returns the upstream with the given id, even if it is leaving. It
+// returns false if the host list doesn't name it.
 func (v *View) Upstream(id UpstreamID) (Upstream, bool) {
 	u, ok := v.upstreams[id]
 	return u, ok
 }
 
-// AllUpstreams lists every upstream with its leaving mark, in order.
+// AllUpstreams lists all upstreams in the order of their ids. Leaving is set on
+// those known to be leaving from any source.
 func (v *View) AllUpstreams() []Upstream {
 	listed := slices.Collect(maps.Values(v.upstreams))
 	for i := range listed {
@@ -154,15 +168,18 @@
 	return listed
 }
 
+// alive reports whether the link to the peer is intact and the last heartbeat is
+// no older than SuspectTimeout.
 func (p *peer) alive(now time.Time) bool {
 	return !p.linkBroken && now.Sub(p.lastHeartbeat) <= SuspectTimeout
 }
 
-// takesRoles reports whether the peer is alive and takes duties.
+// takesRoles reports whether the peer is alive and not leaving.
 func (p *peer) takesRoles(now time.Time) bool { return p.alive(now) && !p.leaving }
 
-// AvailableEntries lists the live entries of a zone that take duties, this one included
-// when it is in the zone, in order. With an empty zone it lists all.
+// AvailableEntries lists the entries of a zone that are alive and not leaving, in
+// the order of their ids. This entry is included if it is in the zone and not
+// leaving. With an empty zone it lists those of all zones.
 func (v *View) AvailableEntries(now time.Time, z Zone) []Entry {
 	var live []Entry
 	if (z == "" || v.self.Zone == z) && !v.selfLeaving {
@@ -177,7 +194,7 @@
 	return live
 }
 
-// Zones lists the zones that the view has heard of.
+// Zones lists all zones with a known entry or upstream, in order.
 func (v *View) Zones() []Zone {
 	zones := map[Zone]bool{v.self.Zone: true}
 	for _, p := range v.peers {
@@ -189,13 +206,15 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// OrphanTimeout is how long a zone must be silent for its upstreams to be used
-// from other zones as if they were their own.
+// OrphanTimeout is how long a zone must be silent before entries of other zones
+// use its upstreams like those of their own zone.
 const OrphanTimeout = 8 * time.Second
 
-// OrphanedZones lists the other zones from which no entry was heard for long,
-// directly or through others. Their entries may be gone, or cut off; in either
-// case using the engines there that answer costs at most some crowding.
+// OrphanedZones lists the other zones on which no report, direct or relayed, was
+// observed within OrphanTimeout. It returns none until the view is that old. The
+// entries of an orphaned zone may have stopped or may be partitioned from this
+// one. In both cases, using the engines there that answer costs at most some
+// extra load on them.
 func (v *View) OrphanedZones(now time.Time) []Zone {
 	if now.Sub(v.startedAt) < OrphanTimeout {
 		return nil
@@ -209,7 +228,8 @@
 	return orphaned
 }
 
-// OwnZoneReport reports on the zone of this entry, which is at the given revision.
+// OwnZoneReport returns a report on the zone of this entry. revision is the
+// configuration revision in force on this entry.
 func (v *View) OwnZoneReport(now time.Time, revision uint64) ZoneReport {
 	report := ZoneReport{MinRevision: revision, Entries: 1, ObservedAt: now}
 	for _, p := range v.peers {
@@ -221,30 +241,33 @@
 	return report
 }
 
-// RecordZoneReport takes in another zone's report; an older one changes nothing.
+// RecordZoneReport records a report on another zone. It ignores reports that
+// aren't newer than the recorded one, and reports on this entry's own zone.
 func (v *View) RecordZoneReport(z Zone, report ZoneReport) {
 	if z != v.self.Zone && report.ObservedAt.After(v.zoneReports[z].ObservedAt) {
 		v.zoneReports[z] = report
 	}
 }
 
-// LastZoneReport returns the last report on another zone; its zero At says that there
-// was none.
+// LastZoneReport returns the latest report on another zone. Its ObservedAt is
+// zero if there was none.
 func (v *View) LastZoneReport(z Zone) ZoneReport { return v.zoneReports[z] }
 
-// MarkSelfLeaving makes this entry hand its duties over.
+// MarkSelfLeaving records that this entry is leaving, so that its roles move to
+// other entries.
 func (v *View) MarkSelfLeaving() { v.selfLeaving = true }
 
-// MarkLinkBroken records that a peer's link was refused or broke: it isn't alive until
-// it is heard again.
+// MarkLinkBroken records that a connection to a peer was refused or broke. The
+// peer doesn't count as alive until its next heartbeat.
 func (v *View) MarkLinkBroken(id HostID) {
 	if p := v.peers[id]; p != nil {
 		p.linkBroken = true
 	}
 }
 
-// PresumedDead reports whether an entry hasn't been heard of for so long that its runs
-// are taken to have ended with it. A link that broke just now doesn't say so.
+// PresumedDead reports whether an entry is unknown or has sent no heartbeat for
+// longer than SuspectTimeout, so that its runs are presumed to have ended with
+// it. A broken link alone doesn't count, as the entry may still be running.
 func (v *View) PresumedDead(now time.Time, id HostID) bool {
 	if id == v.self.ID {
 		return false
@@ -253,8 +276,7 @@
 	return p == nil || now.Sub(p.lastHeartbeat) > SuspectTimeout
 }
 
-// Alive reports whether an entry was heard of lately, leaving or not; this one
-// always is.
+// Alive reports whether an entry is alive, leaving or not. This entry always is.
 func (v *View) Alive(now time.Time, id HostID) bool {
 	if id == v.self.ID {
 		return true
@@ -263,7 +285,8 @@
 	return p != nil && p.alive(now)
 }
 
-// Entry finds an entry by its id.
+// Entry returns the entry with the given id. It returns false if the view doesn't
+// know it.
 func (v *View) Entry(id HostID) (Entry, bool) {
 	if id == v.self.ID {
 		return v.self, true
@@ -274,5 +297,6 @@
 	return Entry{}, false
 }
 
-// EntryCount is how many entries the view knows of, this one included.
+// EntryCount returns the number of entries that the view knows, alive or not,
+// this one included.
 func (v *View) EntryCount() int { return len(v.peers) + 1 }
--- a/order/order.go
+++ b/order/order.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package order decides when an entry may give orders to the engines of its
+// Package order decides when an entry may send orders to the engines of its
 // zone. Orders are fenced by the token of a platform lease: an engine that
-// checks tokens refuses an older holder's order. For an engine that doesn't
-// check, a new holder waits until every older holder's own deadline has
+// checks tokens refuses orders of an earlier holder. For an engine that doesn't
+// check them, a new holder waits until the deadline of every earlier holder has
 // passed.
 //
-// The package is pure; the present time is an argument.
+// The package does no I/O and reads no clock; the current time is an argument.
 package order
 
 import (
@@ -16,10 +16,11 @@
 	"time"
 )
 
-// Step is what a holder wants done next.
+// Step is the action that a holder asks its caller to take next.
 type Step int
 
-// The steps.
+// The steps of a holder. Wait asks for nothing; the others ask for a call to the
+// platform about the lease.
 const (
 	Wait Step = iota
 	Acquire
@@ -27,32 +28,36 @@
 	Release
 )
 
-// Holder is one entry's state towards the lease. The zero value holds nothing
-// and works.
+// Holder is the state of one entry that acquires, renews and releases the lease.
+// The zero value is ready for use and holds no lease.
 type Holder struct {
 	token uint64
-	// validUntil is the holder's own deadline, counted from before the call that
-	// gained or renewed the lease was sent. Nothing is ordered after it.
+	// validUntil is the holder's own deadline, after which it sends no order. It
+	// counts from the moment before the call that acquired or renewed the lease
+	// was sent.
 	validUntil time.Time
 	ttl        time.Duration
-	// olderExpiredAt is from when on an engine that checks no tokens may be ordered.
+	// olderExpiredAt is the time by which the lease of every earlier holder has
+	// expired. From then on, engines that don't check tokens may get orders.
 	olderExpiredAt time.Time
-	// retryAt is when the lease may be asked for again.
+	// retryAt is the earliest time of the next attempt to acquire the lease.
 	retryAt time.Time
 }
 
 const (
-	// retryDelay is how long a refused holder waits.
+	// retryDelay is how long a holder waits after it failed to acquire the lease.
 	retryDelay = 3 * time.Second
-	// clockMargin is what clocks may drift apart, and an order may take on its
-	// way, within one lease.
+	// clockMargin bounds how far clocks may drift apart within one lease, and how
+	// long an order may be in flight.
 	clockMargin = 2 * time.Second
 )
 
-// Token fences the holder's orders; it is 0 while nothing is held.
+// Token returns the lease token that fences the holder's orders. It is 0 while
+// no lease is held.
 func (h *Holder) Token() uint64 { return h.token }
 
-// Next says what to do now, given whether this entry has the duty.
+// Next returns the step to take now. wanted tells whether this entry should hold
+// the lease.
 func (h *Holder) Next(now time.Time, wanted bool) Step {
 	held := h.token != 0 && now.Before(h.validUntil)
 	switch {
@@ -70,43 +75,46 @@
 	return Wait
 }
 
-// Acquired takes in a lease gained by a call that was sent at asked.
+// Acquired records a lease that was acquired by a call sent at sentAt.
 func (h *Holder) Acquired(sentAt time.Time, token uint64, ttl time.Duration) {
 	h.token, h.ttl = token, ttl
 	h.validUntil = sentAt.Add(ttl - clockMargin)
 	h.olderExpiredAt = sentAt.Add(ttl + clockMargin)
 }
 
-// Renewed takes in a renewal by a call that was sent at asked.
+// Renewed records a renewal by a call sent at sentAt.
 func (h *Holder) Renewed(sentAt time.Time, ttl time.Duration) {
 	if h.token != 0 {
 		h.validUntil = sentAt.Add(ttl - clockMargin)
 	}
 }
 
-// Refused takes in that the lease was not to be had.
+// Refused records that the lease couldn't be acquired.
 func (h *Holder) Refused(now time.Time) { h.retryAt = now.Add(retryDelay) }
 
-// Released forgets the lease.
+// Released records that the lease was given up.
 func (h *Holder) Released() { h.token = 0 }
 
-// LeaseValid reports whether the lease surely holds now.
+// LeaseValid reports whether the lease is held and the holder's own deadline
+// hasn't passed.
 func (h *Holder) LeaseValid(now time.Time) bool { return h.token != 0 && now.Before(h.validUntil) }
 
-// MaySendOrder reports whether an engine may be given an order now. One that
-// checks no tokens has to wait until an older holder can't order any more.
+// MaySendOrder reports whether an engine may be sent an order now. For an engine
+// that doesn't check tokens, this is only true once no earlier holder can send
+// orders.
 func (h *Holder) MaySendOrder(now time.Time, checksTokens bool) bool {
 	return h.LeaseValid(now) && (checksTokens || !now.Before(h.olderExpiredAt))
 }
 
-// drainDivisor is the part of a pool's engines that are emptied at a time, as
-// its inverse: the rest goes on serving the old versions.
+// drainDivisor bounds how many of a pool's engines are drained at a time: one in
+// drainDivisor, rounded up. The others go on serving the old versions.
 const drainDivisor = 4
 
-// EnginesToDrain lists the engines of a pool that are to be emptied now, because they
-// serve a wanted model in another version: a part of them at a time, in the
-// order of their ids. served holds, by engine, the versions by model; an engine
-// that doesn't serve a model at all needn't be emptied to get it.
+// EnginesToDrain lists the engines of a pool that are to be drained now, because
+// they serve a wanted model in another version. It returns a part of them at a
+// time, in the order of their ids. wanted holds versions by model; served holds,
+// by engine, the versions by model. An engine that doesn't serve a model at all
+// can load it without being drained.
 func EnginesToDrain[ID cmp.Ordered](wanted map[string]string, served map[ID]map[string]string) []ID {
 	var outdated []ID
 	for id, models := range served {
@@ -120,6 +128,7 @@
 }
 
 // HasOutdatedModel reports whether a wanted model is served in another version.
+// Both maps hold versions by model.
 func HasOutdatedModel(wanted, served map[string]string) bool {
 	for model, version := range wanted {
 		if current, isServed := served[model]; isServed && current != version {
@@ -129,13 +138,14 @@
 	return false
 }
 
-// ModelVersion is a model in the version that an engine is to serve.
+// ModelVersion is a model and the version in which an engine is to serve it.
 type ModelVersion struct {
 	Model   string
 	Version string
 }
 
-// MissingModels lists what is wanted of an engine and not served by it, in order.
+// MissingModels lists the wanted models that an engine doesn't serve in the wanted
+// version, in the order of their names.
 func MissingModels(wanted, served map[string]string) []ModelVersion {
 	var missing []ModelVersion
 	for model, version := range wanted {
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -15,19 +15,19 @@
 
 const ttl = 10 * time.Second
 
-// lease is the platform's side: who holds it until when.
+// lease is the platform's record of the lease.
 type lease struct {
 	token     uint64
 	holder    int
 	expiresAt time.Time
 }
 
-// engineState is an engine that took some orders.
+// engineState is the state of an engine that receives orders.
 type engineState struct {
 	checksTokens bool
 	highestToken uint64
 	version      string
-	// versionToken is the one that the version in force came with.
+	// versionToken is the token of the order that set the version.
 	versionToken uint64
 }
 
@@ -39,11 +39,11 @@
 	e.version, e.versionToken = version, token
 }
 
-// TestOlderHolderNeverUndoes runs several holders that are paused at any point,
-// also between the decision to order and the order's arrival. On an engine that
-// checks tokens, an older holder's order never undoes a newer one. On one that
-// doesn't, that holds as long as no order takes longer on its way than the
-// clock margin; a longer pause there is what remains.
+// TestOlderHolderNeverUndoes checks that an order of an earlier holder never
+// overrides one of a later holder. The holders are paused at any point, also
+// between the decision to send an order and its arrival. For engines that check
+// tokens this always holds. For engines that don't, it only holds while no order
+// is in flight for longer than the clock margin; a longer pause isn't covered.
 func TestOlderHolderNeverUndoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		checksTokens := rapid.Bool().Draw(t, "checks")
@@ -52,17 +52,17 @@
 		var lastToken uint64
 		now := start
 		holders := make([]Holder, 3)
-		type sent struct {
+		type sentOrder struct {
 			token uint64
 			until time.Time
 		}
-		var inFlight []sent
+		var inFlight []sentOrder
 		deliver := func() {
 			for len(inFlight) > 0 && (checksTokens && rapid.Bool().Draw(t, "arrives") || !checksTokens && !now.Before(inFlight[0].until)) {
 				previous := engine.versionToken
 				engine.apply(inFlight[0].token, "v")
 				if engine.versionToken < previous {
-					t.Fatalf("token %d undid token %d", engine.versionToken, previous)
+					t.Fatalf("an order with token %d replaced one with the later token %d", engine.versionToken, previous)
 				}
 				inFlight = inFlight[1:]
 			}
@@ -93,9 +93,9 @@
 			}
 			if h.MaySendOrder(now, checksTokens) {
 				if h.Token() != l.token || !now.Before(l.expiresAt) {
-					t.Fatalf("orders with token %d while %d holds the lease", h.Token(), l.token)
+					t.Fatalf("holder %d may send orders with token %d at %v; the lease has token %d and expires at %v", i, h.Token(), now, l.token, l.expiresAt)
 				}
-				inFlight = append(inFlight, sent{h.Token(), now.Add(clockMargin)})
+				inFlight = append(inFlight, sentOrder{h.Token(), now.Add(clockMargin)})
 			}
 		}
 	})
@@ -112,11 +112,11 @@
 	h.Acquired(start, 7, ttl)
 	is.True(h.LeaseValid(start))
 	is.True(h.MaySendOrder(start, true))
-	is.True(!h.MaySendOrder(start, false)) // an older holder may still be ordering
+	is.True(!h.MaySendOrder(start, false)) // an earlier holder may still send orders
 	is.Equal(h.Next(start.Add(time.Second), true), Wait)
 	is.Equal(h.Next(start.Add(4*time.Second), true), Renew)
 	is.Equal(h.Next(start.Add(4*time.Second), false), Release)
-	is.True(!h.LeaseValid(start.Add(ttl - clockMargin))) // paused past its own deadline
+	is.True(!h.LeaseValid(start.Add(ttl - clockMargin))) // the holder's own deadline has passed
 	is.Equal(h.Next(start.Add(ttl), true), Acquire)
 	is.Equal(h.Token(), uint64(0))
 }
