--- a/order/order.go
+++ b/order/order.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package order decides when an entry may give orders to the engines of its
+// Package order decides when an entry may send orders to the engines of its
 // zone. Orders are fenced by the token of a platform lease: an engine that
-// checks tokens refuses an older holder's order. For an engine that doesn't
-// check, a new holder waits until every older holder's own deadline has
+// checks tokens refuses orders of an earlier holder. For an engine that doesn't
+// check them, a new holder waits until the deadline of every earlier holder has
 // passed.
 //
-// The package is pure; the present time is an argument.
+// The package does no I/O and reads no clock; the current time is an argument.
 package order
 
 import (
@@ -16,10 +16,11 @@
 	"time"
 )
 
-// Step is what a holder wants done next.
+// Step is the action that a holder asks its caller to take next.
 type Step int
 
-// The steps.
+// The steps of a holder. Wait asks for nothing; the others ask for a call to the
+// platform about the lease.
 const (
 	Wait Step = iota
 	Acquire
@@ -27,122 +28,131 @@
 	Release
 )
 
-// Holder is one entry's state towards the lease. The zero value holds nothing
-// and works.
+// Holder is the state of one entry that acquires, renews and releases the lease.
+// The zero value is ready for use and holds no lease.
 type Holder struct {
 	token uint64
-	// until is the holder's own deadline, counted from before the call that
-	// gained or renewed the lease was sent. Nothing is ordered after it.
-	until time.Time
-	ttl   time.Duration
-	// settled is from when on an engine that checks no tokens may be ordered.
-	settled time.Time
-	// retry is when the lease may be asked for again.
-	retry time.Time
+	// validUntil is the holder's own deadline, after which it sends no order. It
+	// counts from the moment before the call that acquired or renewed the lease
+	// was sent.
+	validUntil time.Time
+	ttl        time.Duration
+	// olderExpiredAt is the time by which the lease of every earlier holder has
+	// expired. From then on, engines that don't check tokens may get orders.
+	olderExpiredAt time.Time
+	// retryAt is the earliest time of the next attempt to acquire the lease.
+	retryAt time.Time
 }
 
 const (
-	// retryAfter is how long a refused holder waits.
-	retryAfter = 3 * time.Second
-	// clockMargin is what clocks may drift apart, and an order may take on its
-	// way, within one lease.
+	// retryDelay is how long a holder waits after it failed to acquire the lease.
+	retryDelay = 3 * time.Second
+	// clockMargin bounds how far clocks may drift apart within one lease, and how
+	// long an order may be in flight.
 	clockMargin = 2 * time.Second
 )
 
-// Token fences the holder's orders; it is 0 while nothing is held.
+// Token returns the lease token that fences the holder's orders. It is 0 while
+// no lease is held.
 func (h *Holder) Token() uint64 { return h.token }
 
-// Next says what to do now, given whether this entry has the duty.
+// Next returns the step to take now. wanted tells whether this entry should hold
+// the lease.
 func (h *Holder) Next(now time.Time, wanted bool) Step {
-	held := h.token != 0 && now.Before(h.until)
+	held := h.token != 0 && now.Before(h.validUntil)
 	switch {
 	case !held:
 		h.token = 0
-		if wanted && !now.Before(h.retry) {
+		if wanted && !now.Before(h.retryAt) {
 			return Acquire
 		}
 		return Wait
 	case !wanted:
 		return Release
-	case h.until.Sub(now) < 2*h.ttl/3:
+	case h.validUntil.Sub(now) < 2*h.ttl/3:
 		return Renew
 	}
 	return Wait
 }
 
-// Acquired takes in a lease gained by a call that was sent at asked.
-func (h *Holder) Acquired(asked time.Time, token uint64, ttl time.Duration) {
+// Acquired records a lease that was acquired by a call sent at sentAt.
+func (h *Holder) Acquired(sentAt time.Time, token uint64, ttl time.Duration) {
 	h.token, h.ttl = token, ttl
-	h.until = asked.Add(ttl - clockMargin)
-	h.settled = asked.Add(ttl + clockMargin)
+	h.validUntil = sentAt.Add(ttl - clockMargin)
+	h.olderExpiredAt = sentAt.Add(ttl + clockMargin)
 }
 
-// Renewed takes in a renewal by a call that was sent at asked.
-func (h *Holder) Renewed(asked time.Time, ttl time.Duration) {
+// Renewed records a renewal by a call sent at sentAt.
+func (h *Holder) Renewed(sentAt time.Time, ttl time.Duration) {
 	if h.token != 0 {
-		h.until = asked.Add(ttl - clockMargin)
+		h.validUntil = sentAt.Add(ttl - clockMargin)
 	}
 }
 
-// Refused takes in that the lease was not to be had.
-func (h *Holder) Refused(now time.Time) { h.retry = now.Add(retryAfter) }
+// Refused records that the lease couldn't be acquired.
+func (h *Holder) Refused(now time.Time) { h.retryAt = now.Add(retryDelay) }
 
-// Released forgets the lease.
+// Released records that the lease was given up.
 func (h *Holder) Released() { h.token = 0 }
 
-// MayAct reports whether the lease surely holds now.
-func (h *Holder) MayAct(now time.Time) bool { return h.token != 0 && now.Before(h.until) }
+// LeaseValid reports whether the lease is held and the holder's own deadline
+// hasn't passed.
+func (h *Holder) LeaseValid(now time.Time) bool { return h.token != 0 && now.Before(h.validUntil) }
 
-// MayOrder reports whether an engine may be given an order now. One that
-// checks no tokens has to wait until an older holder can't order any more.
-func (h *Holder) MayOrder(now time.Time, checks bool) bool {
-	return h.MayAct(now) && (checks || !now.Before(h.settled))
+// MaySendOrder reports whether an engine may be sent an order now. For an engine
+// that doesn't check tokens, this is only true once no earlier holder can send
+// orders.
+func (h *Holder) MaySendOrder(now time.Time, checksTokens bool) bool {
+	return h.LeaseValid(now) && (checksTokens || !now.Before(h.olderExpiredAt))
 }
 
-// drainedShare is the part of a pool's engines that are emptied at a time, as
-// its inverse: the rest goes on serving the old versions.
-const drainedShare = 4
+// drainDivisor bounds how many of a pool's engines are drained at a time: one in
+// drainDivisor, rounded up. The others go on serving the old versions.
+const drainDivisor = 4
 
-// Draining lists the engines of a pool that are to be emptied now, because they
-// serve a wanted model in another version: a part of them at a time, in the
-// order of their ids. served holds, by engine, the versions by model; an engine
-// that doesn't serve a model at all needn't be emptied to get it.
-func Draining[ID cmp.Ordered](wanted map[string]string, served map[ID]map[string]string) []ID {
+// EnginesToDrain lists the engines of a pool that are to be drained now, because
+// they serve a wanted model in another version. It returns a part of them at a
+// time, in the order of their ids. wanted holds versions by model; served holds,
+// by engine, the versions by model. An engine that doesn't serve a model at all
+// can load it without being drained.
+func EnginesToDrain[ID cmp.Ordered](wanted map[string]string, served map[ID]map[string]string) []ID {
 	var outdated []ID
 	for id, models := range served {
-		if Outdated(wanted, models) {
+		if HasOutdatedModel(wanted, models) {
 			outdated = append(outdated, id)
 		}
 	}
 	slices.Sort(outdated)
-	atOnce := (len(served) + drainedShare - 1) / drainedShare
-	return outdated[:min(atOnce, len(outdated))]
+	maxDraining := (len(served) + drainDivisor - 1) / drainDivisor
+	return outdated[:min(maxDraining, len(outdated))]
 }
 
-// Outdated reports whether a wanted model is served in another version.
-func Outdated(wanted, served map[string]string) bool {
+// HasOutdatedModel reports whether a wanted model is served in another version.
+// Both maps hold versions by model.
+func HasOutdatedModel(wanted, served map[string]string) bool {
 	for model, version := range wanted {
-		if there, has := served[model]; has && there != version {
+		if current, isServed := served[model]; isServed && current != version {
 			return true
 		}
 	}
 	return false
 }
 
-// Target is a model in the version that an engine is to serve.
-type Target struct {
+// ModelVersion is a model and the version in which an engine is to serve it.
+type ModelVersion struct {
 	Model   string
 	Version string
 }
 
-// Missing lists what is wanted of an engine and not served by it, in order.
-func Missing(wanted, served map[string]string) []Target {
-	var missing []Target
+// MissingModels lists the wanted models that an engine doesn't serve in the wanted
+// version, in the order of their names.
+func MissingModels(wanted, served map[string]string) []ModelVersion {
+	var missing []ModelVersion
 	for model, version := range wanted {
 		if served[model] != version {
-			missing = append(missing, Target{Model: model, Version: version})
+			missing = append(missing, ModelVersion{Model: model, Version: version})
 		}
 	}
-	slices.SortFunc(missing, func(a, b Target) int { return cmp.Compare(a.Model, b.Model) })
+	slices.SortFunc(missing, func(a, b ModelVersion) int { return cmp.Compare(a.Model, b.Model) })
 	return missing
 }
