--- a/entry/backoff.go
+++ b/entry/backoff.go
@@ -11,19 +11,19 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// takeBackoff takes in for how long an upstream that turned a request away wants no other.
-func (e *Entry) takeBackoff(id member.UpstreamID, d time.Duration) {
+// recordBackoff takes in for how long an upstream that turned a request away wants no other.
+func (e *Entry) recordBackoff(id member.UpstreamID, d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	if again := e.backoffs.Record(e.now(), id, 0, d, 0); !again {
+	if repeated := e.backoffs.Record(e.now(), id, 0, d, 0); !repeated {
 		// The line says why the upstream gets nothing; a logger that fails has no other place.
 		_ = e.logger.Log("msg", "upstream asks for backoff", "upstream", id, "for", d)
 	}
 }
 
-// backoffOf is how long an engine that refused a run wants no other.
-func backoffOf(err error) time.Duration {
+// refusalBackoff is how long an engine that refused a run wants no other.
+func refusalBackoff(err error) time.Duration {
 	var refused *EngineRefusal
 	if errors.As(err, &refused) && (refused.Status == statusTooMany || refused.Status >= 500) {
 		return refused.RetryAfter
@@ -31,46 +31,46 @@
 	return 0
 }
 
-// backingOff lists the engines of a pool that want nothing from this entry now. If these
+// enginesBackingOff lists the engines of a pool that want nothing from this entry now. If these
 // are all, it returns how long it is until one of them does.
-func (e *Entry) backingOff(pool resource.Name) (resting []member.UpstreamID, all time.Duration) {
+func (e *Entry) enginesBackingOff(pool resource.Name) (backingOff []member.UpstreamID, untilNext time.Duration) {
 	if !e.backoffs.HasUpstreams() {
 		return nil, 0
 	}
 	now := e.now()
 	engines := e.members.EnginesFor(now, pool)
 	for _, id := range engines {
-		left := e.backoffs.Remaining(now, id)
-		if left <= 0 {
+		remaining := e.backoffs.Remaining(now, id)
+		if remaining <= 0 {
 			continue
 		}
-		resting = append(resting, id)
-		if all == 0 || left < all {
-			all = left
+		backingOff = append(backingOff, id)
+		if untilNext == 0 || remaining < untilNext {
+			untilNext = remaining
 		}
 	}
-	if len(resting) < len(engines) {
-		all = 0
+	if len(backingOff) < len(engines) {
+		untilNext = 0
 	}
-	return resting, all
+	return backingOff, untilNext
 }
 
-// withoutBackingOff drops the upstreams that want nothing from this entry now. If these are all,
+// excludeBackingOff drops the upstreams that want nothing from this entry now. If these are all,
 // it returns how long it is until one of them does.
-func (e *Entry) withoutBackingOff(upstreams []member.Upstream) (rest []member.Upstream, all time.Duration) {
+func (e *Entry) excludeBackingOff(upstreams []member.Upstream) (available []member.Upstream, untilNext time.Duration) {
 	now := e.now()
 	for _, u := range upstreams {
-		left := e.backoffs.Remaining(now, u.ID)
-		if left <= 0 {
-			rest = append(rest, u)
+		remaining := e.backoffs.Remaining(now, u.ID)
+		if remaining <= 0 {
+			available = append(available, u)
 			continue
 		}
-		if all == 0 || left < all {
-			all = left
+		if untilNext == 0 || remaining < untilNext {
+			untilNext = remaining
 		}
 	}
-	if len(rest) > 0 {
-		all = 0
+	if len(available) > 0 {
+		untilNext = 0
 	}
-	return rest, all
+	return available, untilNext
 }
--- a/entry/backoff_test.go
+++ b/entry/backoff_test.go
@@ -15,11 +15,11 @@
 // TestEngineAsksForBackoffAndGetsGenerations has generations go to another engine until the end.
 func TestEngineAsksForBackoffAndGetsGenerations(t *testing.T) {
 	refused := script{startErr: &EngineRefusal{Status: 503, Text: "full", RetryAfter: 3 * time.Second}}
-	good := script{events: append(tokens(1, 5), ended(5))}
-	inSite(t, []script{refused, good}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
+	succeeds := script{events: append(tokens(1, 5), ended(5))}
+	inSite(t, []script{refused, succeeds}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		// Six at once, so that both engines would get some.
-		six := func() {
+		generateSix := func() {
 			hold := make(chan struct{})
 			s.engines.mu.Lock()
 			s.engines.hold = hold
@@ -37,11 +37,11 @@
 				is.NoErr(<-errs)
 			}
 		}
-		six()
+		generateSix()
 		started := s.engines.startedBy()
 		is.Equal(min(started["g1"], started["g2"]), 1) // the refusal
 		time.Sleep(3 * time.Second)
-		six()
+		generateSix()
 		started = s.engines.startedBy()
 		is.True(min(started["g1"], started["g2"]) > 1)
 	})
@@ -57,7 +57,7 @@
 			_, err := e.Generate(s.ctx, quote(), &fakeSink{})
 			var failure *Failure
 			is.True(errors.As(err, &failure))
-			is.Equal(failure.Run, NotRun)
+			is.Equal(failure.RunState, NotRun)
 			is.Equal(failure.Code, CodeOverloaded)
 			is.True(failure.RetryAfter > 2*time.Second)
 			is.True(time.Since(began) < time.Second)
@@ -82,7 +82,7 @@
 		_, err := e.CallService(s.ctx, call("orders", ""))
 		var failure *Failure
 		is.True(errors.As(err, &failure))
-		is.Equal(failure.Run, NotRun)
+		is.Equal(failure.RunState, NotRun)
 		is.True(failure.RetryAfter > 2*time.Second)
 		is.Equal(s.services.count(""), 3)
 		s.services.setBackoff(0)
