--- a/entry/ask.go
+++ b/entry/ask.go
@@ -14,7 +14,7 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// flushOutbox gives a pool's outbox to the goroutines that talk to the peers.
+// flushOutbox sends a pool's pending messages to the peers, each in its own goroutine.
 func (p *placement) flushOutbox(s *poolState) {
 	if len(s.asks) > 0 {
 		requests, owner := s.asks, s.owner
@@ -38,8 +38,8 @@
 	}
 }
 
-// sendFinished tells a coordinator of places that are free again, and again
-// until it has heard or is dead.
+// sendFinished reports ended runs to their coordinator, which frees their places. A report that
+// fails goes back into the outbox while the coordinator is alive.
 func (p *placement) sendFinished(ctx context.Context, s *poolState, to member.Entry, finished []policy.Finish) {
 	callCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -56,10 +56,11 @@
 	})
 }
 
+// finishedRetryDelay is the time between a failed report of ended runs and the next try.
 const finishedRetryDelay = 200 * time.Millisecond
 
-// requestPlaces asks the coordinator for places. When it doesn't answer in time, this
-// entry decides alone and leaves the coordinator in peace for a while.
+// requestPlaces asks the coordinator for places. If the coordinator doesn't answer in time, this
+// entry decides the requests itself.
 func (p *placement) requestPlaces(ctx context.Context, s *poolState, owner member.Entry, requests []policy.Request) {
 	callCtx, cancel := context.WithTimeout(ctx, answerWithin)
 	defer cancel()
@@ -73,12 +74,14 @@
 	})
 }
 
+// decideLocally submits requests to this entry's own pool after the coordinator failed to answer,
+// and stops asking that coordinator for the time of distrustFor.
 func (p *placement) decideLocally(now time.Time, s *poolState, owner member.Entry, requests []policy.Request) {
 	if s.owner.ID == owner.ID {
 		s.distrusted = now.Add(distrustFor)
 	}
 	for _, r := range requests {
-		// The owner may have the request and grant it yet.
+		// The coordinator may have received the request and may still grant it.
 		s.finished[owner.ID] = append(s.finished[owner.ID], policy.Finish{Run: r.Run})
 		if w := s.waiters[r.Run]; w != nil {
 			p.submitHere(now, s, w)
@@ -86,8 +89,8 @@
 	}
 }
 
-// applyDecisions hands on what a coordinator decided, and gives back the places
-// that nobody here wants any more.
+// applyDecisions passes a coordinator's decisions to the requests that wait for them, and gives
+// back granted places that no request here waits for any longer.
 func (p *placement) applyDecisions(s *poolState, owner member.Entry, decisions []policy.Decision) {
 	for _, d := range decisions {
 		if !p.decide(s, d, owner) && d.Verdict == policy.Granted && !p.holdsPlace(d, owner.ID) {
@@ -96,9 +99,9 @@
 	}
 }
 
-// holdsPlace reports whether the run of a decision is under way here as the
-// coordinator decided. A second coordinator's place for it is not wanted, even
-// on the same engine: nobody would tell that one of the end.
+// holdsPlace reports whether the decision's run is in progress here, on the decided engine and
+// placed by this coordinator. A place from a second coordinator is given back even if it is on the
+// same engine, because the run's end is reported only to the coordinator that placed it.
 func (p *placement) holdsPlace(d policy.Decision, coordinator member.HostID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,15 +109,16 @@
 	return own != nil && own.engine == d.Engine && own.coordinator.ID == coordinator
 }
 
-// sendDecisions tells an entry what became of its queued requests.
+// sendDecisions sends a peer the decisions about its queued requests.
 func (p *placement) sendDecisions(ctx context.Context, s *poolState, to member.Entry, decisions []policy.Decision) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	// An entry that misses this asks again.
+	// A peer that doesn't receive the decisions asks again.
 	_ = p.entry.peers.Decided(ctx, to, s.name, decisions)
 }
 
-// tryOtherZones tries the other zones when this one has no room.
+// tryOtherZones asks the coordinators of other zones for a place when this zone has refused the
+// request for another reason than the length of its prompt.
 func (p *placement) tryOtherZones(ctx context.Context, pool resource.Name, r policy.Request, d policy.Decision) policy.Decision {
 	if d.Verdict != policy.Refused || d.Reason == policy.ReasonTooLong {
 		return d
@@ -124,8 +128,9 @@
 		decisions, err := p.entry.peers.Place(callCtx, to, pool, []policy.Request{r})
 		cancel()
 		if err != nil || len(decisions) != 1 || decisions[0].Verdict == policy.Queued {
-			// Waiting is for the own zone, and an answer that comes late isn't
-			// wanted either.
+			// Requests are queued in their own zone only. The run is reported as finished,
+			// so that the coordinator drops it from its queue, or frees the place if its
+			// answer comes too late.
 			_ = p.do(ctx, func(time.Time) {
 				s := p.state(pool)
 				s.finished[to.ID] = append(s.finished[to.ID], policy.Finish{Run: r.Run})
@@ -144,7 +149,7 @@
 	return d
 }
 
-// OnPlace serves a peer's request for places.
+// OnPlace handles a peer's request for places.
 func (p *placement) OnPlace(ctx context.Context, from member.HostID, pool resource.Name, requests []policy.Request) ([]policy.Decision, error) {
 	if _, declared := p.entry.config.Catalog().Pool(pool); !declared {
 		return nil, trace.NotFound("pool %s is not declared here", pool)
@@ -170,7 +175,7 @@
 	return decisions, nil
 }
 
-// OnDecided takes what a coordinator decided about queued requests.
+// OnDecided handles a coordinator's decisions about this entry's queued requests.
 func (p *placement) OnDecided(ctx context.Context, from member.HostID, pool resource.Name, decisions []policy.Decision) error {
 	return p.do(ctx, func(time.Time) {
 		owner, known := p.entry.members.Entry(from)
@@ -180,7 +185,7 @@
 	})
 }
 
-// OnFinished frees the places of a peer's runs.
+// OnFinished frees the places of a peer's ended runs.
 func (p *placement) OnFinished(ctx context.Context, pool resource.Name, finished []policy.Finish) error {
 	return p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
@@ -194,7 +199,7 @@
 	})
 }
 
-// OnRunning takes in the runs of a peer whose coordinator this entry became.
+// OnRunning records the running requests of a peer whose coordinator this entry has become.
 func (p *placement) OnRunning(ctx context.Context, from member.HostID, pool resource.Name, runs []PlacedRun) error {
 	return p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
@@ -205,7 +210,8 @@
 	})
 }
 
-// applyReports takes in an engine's applyReports, from wherever it came.
+// applyReports passes engines' load reports and cache events to their pool. The reports come from
+// the engines themselves or from a peer's heartbeat.
 func (p *placement) applyReports(ctx context.Context, pool resource.Name, reports []policy.Report, cache map[member.UpstreamID][]policy.CacheEvent) {
 	_ = p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
@@ -220,8 +226,7 @@
 	})
 }
 
-// markSuspect keeps new work from engines that didn't answer, until they report
-// again.
+// markSuspect keeps new work from engines that didn't answer until they report again.
 func (p *placement) markSuspect(ctx context.Context, pool resource.Name, unresponsive []member.UpstreamID) {
 	if len(unresponsive) == 0 {
 		return
@@ -234,7 +239,8 @@
 	})
 }
 
-// withhold keeps new work from the engines that are to be emptied.
+// withhold keeps new work from the given engines, which are to be drained. Engines of an earlier call
+// that aren't given again take new work again.
 func (p *placement) withhold(ctx context.Context, pool resource.Name, ids []member.UpstreamID) {
 	_ = p.do(ctx, func(time.Time) { p.state(pool).pool.Withhold(ids) })
 }
--- a/entry/backoff.go
+++ b/entry/backoff.go
@@ -11,18 +11,20 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// recordBackoff takes in for how long an upstream that turned a request away wants no other.
+// recordBackoff records for how long an upstream that refused a request wants no further requests.
 func (e *Entry) recordBackoff(id member.UpstreamID, d time.Duration) {
 	if d <= 0 {
 		return
 	}
 	if repeated := e.backoffs.Record(e.now(), id, 0, d, 0); !repeated {
-		// The line says why the upstream gets nothing; a logger that fails has no other place.
+		// The log line explains why the upstream gets no requests. A logger's error has nowhere
+		// else to be reported.
 		_ = e.logger.Log("msg", "upstream asks for backoff", "upstream", id, "for", d)
 	}
 }
 
-// refusalBackoff is how long an engine that refused a run wants no other.
+// refusalBackoff returns the backoff that an engine asked for when it refused a run with status 429
+// or 5xx, and zero for any other error.
 func refusalBackoff(err error) time.Duration {
 	var refused *EngineRefusal
 	if errors.As(err, &refused) && (refused.Status == statusTooMany || refused.Status >= 500) {
@@ -31,8 +33,8 @@
 	return 0
 }
 
-// enginesBackingOff lists the engines of a pool that want nothing from this entry now. If these
-// are all, it returns how long it is until one of them does.
+// enginesBackingOff lists the engines of a pool that are in backoff for this entry. If all of the
+// pool's engines are, untilNext is the time until the first backoff ends; otherwise it is zero.
 func (e *Entry) enginesBackingOff(pool resource.Name) (backingOff []member.UpstreamID, untilNext time.Duration) {
 	if !e.backoffs.HasUpstreams() {
 		return nil, 0
@@ -55,8 +57,8 @@
 	return backingOff, untilNext
 }
 
-// excludeBackingOff drops the upstreams that want nothing from this entry now. If these are all,
-// it returns how long it is until one of them does.
+// excludeBackingOff returns the upstreams that aren't in backoff for this entry. If all are in
+// backoff, untilNext is the time until the first backoff ends; otherwise it is zero.
 func (e *Entry) excludeBackingOff(upstreams []member.Upstream) (available []member.Upstream, untilNext time.Duration) {
 	now := e.now()
 	for _, u := range upstreams {
--- a/entry/backoff_test.go
+++ b/entry/backoff_test.go
@@ -12,13 +12,14 @@
 	"github.com/matryer/is"
 )
 
-// TestEngineAsksForBackoffAndGetsGenerations has generations go to another engine until the end.
+// TestEngineAsksForBackoffAndGetsGenerations checks that generations go to another engine until the
+// backoff that an engine asked for has ended, and to that engine again afterwards.
 func TestEngineAsksForBackoffAndGetsGenerations(t *testing.T) {
 	refused := script{startErr: &EngineRefusal{Status: 503, Text: "full", RetryAfter: 3 * time.Second}}
 	succeeds := script{events: append(tokens(1, 5), ended(5))}
 	inSite(t, []script{refused, succeeds}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
-		// Six at once, so that both engines would get some.
+		// Six concurrent generations, so that without backoff both engines would get some.
 		generateSix := func() {
 			hold := make(chan struct{})
 			s.engines.mu.Lock()
@@ -47,7 +48,8 @@
 	})
 }
 
-// TestEnginesAllAskForBackoff has a generation refused at once, with when to come back.
+// TestEnginesAllAskForBackoff checks that a generation is refused at once, with a Retry-After, while
+// all engines are in backoff.
 func TestEnginesAllAskForBackoff(t *testing.T) {
 	refused := script{startErr: &EngineRefusal{Status: 503, Text: "full", RetryAfter: 3 * time.Second}}
 	inSite(t, []script{refused}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
@@ -67,7 +69,8 @@
 	})
 }
 
-// TestServiceAsksForBackoffAndGetsCalls has a service's upstream get nothing until the end.
+// TestServiceAsksForBackoffAndGetsCalls checks that a service's upstreams get no calls until the
+// backoff that they asked for has ended.
 func TestServiceAsksForBackoffAndGetsCalls(t *testing.T) {
 	inSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -15,20 +15,26 @@
 	"github.com/shedpath/shedpath/claim"
 )
 
-// callClaim is a claim that this entry made for a call.
+// callClaim is a claim that this entry holds for a call.
 type callClaim struct {
 	key    string
 	record claim.Record
 }
 
 const (
-	claimTimeout        = 2 * time.Second
-	claimAttemptDelay   = 20 * time.Millisecond
-	claimRetryAfter     = 2 * time.Second
+	// claimTimeout bounds the claiming of a call, and the recording of its outcome.
+	claimTimeout = 2 * time.Second
+	// claimAttemptDelay is the delay before the next platform call after a failed one.
+	claimAttemptDelay = 20 * time.Millisecond
+	// claimRetryAfter is when a caller may retry a call that could not be claimed, and the
+	// interval at which an abandoned claim's removal is retried.
+	claimRetryAfter = 2 * time.Second
+	// claimCleanupTimeout bounds the background removal of an abandoned claim, and the rewriting of
+	// claims after a restore.
 	claimCleanupTimeout = time.Minute
 )
 
-// claimCall claims a call. Without a failure, the call may be sent once.
+// claimCall claims a call. If it returns no failure, the call may be sent once.
 func (e *Entry) claimCall(ctx context.Context, r ServiceRequest) (*callClaim, *Failure) {
 	now := e.now()
 	key := claim.Key(r.Account, r.Route, r.IdempotencyKey)
@@ -96,7 +102,8 @@
 	}
 }
 
-// duplicateFailure tells the second caller of a key what is known of the first call.
+// duplicateFailure returns the failure for a call whose idempotency key is already claimed. It says
+// what is known of the first call.
 func duplicateFailure(attempted, stored claim.Record) *Failure {
 	switch {
 	case attempted.Request != stored.Request:
@@ -108,8 +115,8 @@
 	}
 }
 
-// abandonClaim removes the key of a claim that was given up, so that the caller can
-// try again. That is safe at any later time: this attempt never sends.
+// abandonClaim removes the claim of an attempt that was given up, so that the caller can try again.
+// Removal is safe at any later time, because the attempt never sends its call.
 func (e *Entry) abandonClaim(key string, a *claim.Attempt) {
 	if !a.MayHaveClaimed() {
 		return
@@ -126,7 +133,8 @@
 	})
 }
 
-// removeClaim reports whether the claim surely isn't there as ours any more.
+// removeClaim deletes the claim if this claimant made it. It reports whether the key certainly no
+// longer holds this claimant's claim.
 func (e *Entry) removeClaim(ctx context.Context, key, claimant string) bool {
 	item, err := e.claims.Get(ctx, key)
 	if err != nil {
@@ -140,22 +148,23 @@
 	return err == nil
 }
 
-// recordOutcome notes the upstream's answer on the claim, if the platform has
-// room for it. A second caller is told it; nothing else depends on it.
-func (e *Entry) recordOutcome(claimed *callClaim, status int) {
+// recordOutcome adds the status of the upstream's answer to the claim if the platform accepts the
+// write. The status is only reported to a second caller with the same key; nothing else depends on
+// it.
+func (e *Entry) recordOutcome(c *callClaim, status int) {
 	if status < http.StatusOK {
 		return
 	}
 	e.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 		defer cancel()
-		item, err := e.outcomes.Get(ctx, claimed.key)
+		item, err := e.outcomes.Get(ctx, c.key)
 		if err != nil || !item.Found() {
 			return
 		}
-		claimed.record.Status = status
-		text, _ := json.Marshal(claimed.record)
-		// Losing this costs only what a second caller is told.
-		_, _ = e.outcomes.Swap(ctx, claimed.key, text, item.Version)
+		c.record.Status = status
+		text, _ := json.Marshal(c.record)
+		// Without the status, a second caller only learns that the outcome is unknown.
+		_, _ = e.outcomes.Swap(ctx, c.key, text, item.Version)
 	})
 }
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -19,29 +19,33 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// configuration is the duty that keeps this entry's catalog up to date. The
-// catalog's revision only rises.
+// configuration keeps this entry's catalog up to date with the configuration log in the platform's
+// store, and writes proposed changes to that log. The catalog's revision only rises, except when
+// the log has diverged after a restore of the platform and is read again.
 type configuration struct {
 	entry   *Entry
 	catalog atomic.Pointer[resource.Catalog]
 
-	// mu guards the fold; readers use the catalog alone.
+	// mu guards the application of log entries; readers of the catalog don't need it.
 	mu sync.Mutex
-	// recentEntries are the last entries applied, in order, for peers that are behind and for a platform
-	// that has lost them.
+	// recentEntries are the last entries applied, in order. They serve peers that are behind, and a
+	// restored platform that has lost them.
 	recentEntries []resource.LogEntry
-	// lastLogEnd is where the platform's history was read last. It is for the goroutine that follows.
+	// lastLogEnd is the point of the platform's history at which the end of the log was last read;
+	// zero before that. Only the goroutine of run uses it.
 	lastLogEnd history.Point
-	// changed is closed and replaced at every new revision.
+	// changed is closed and replaced whenever the catalog changes.
 	changed chan struct{}
 
-	// loaded closes when a first state was had from a peer or the platform.
+	// loaded is closed when the first configuration was read from a peer or the platform.
 	loaded     chan struct{}
 	loadedOnce sync.Once
 	proposals  chan *proposal
 }
 
 const (
+	// minRecentEntries is how many log entries remain after trimming; more than twice as many are
+	// trimmed.
 	minRecentEntries        = 1024
 	watchTimeout            = 30 * time.Second
 	configPollInterval      = 20 * time.Second
@@ -52,6 +56,7 @@
 	proposalQueueSize       = 256
 )
 
+// logKey returns the platform key of a log entry.
 func logKey(r resource.Revision) string { return fmt.Sprintf("shedpath/config/log/%020d", r) }
 
 func newConfiguration(e *Entry) *configuration {
@@ -63,10 +68,10 @@
 	return c
 }
 
-// Catalog returns the configuration in force.
+// Catalog returns the catalog in force.
 func (c *configuration) Catalog() *resource.Catalog { return c.catalog.Load() }
 
-// Changed returns a channel that closes at the next revision.
+// Changed returns a channel that is closed when the catalog changes next.
 func (c *configuration) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,8 +80,7 @@
 
 func (c *configuration) setLoaded() { c.loadedOnce.Do(func() { close(c.loaded) }) }
 
-// apply folds the entries that follow the present revision; others change
-// nothing.
+// apply applies the entries that follow the current revision in order, and skips all others.
 func (c *configuration) apply(entries ...resource.LogEntry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +97,7 @@
 	}
 }
 
-// applySnapshot takes a snapshot in if it is newer.
+// applySnapshot replaces the catalog by a snapshot if the snapshot is newer.
 func (c *configuration) applySnapshot(s resource.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,14 +108,15 @@
 	c.recentEntries = nil
 }
 
-// setCatalog brings a catalog into force. The mutex is held.
+// setCatalog puts a catalog into force and closes the changed channel. The caller holds the mutex.
 func (c *configuration) setCatalog(next *resource.Catalog) {
 	c.catalog.Store(next)
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// OnLog serves a peer that is behind.
+// OnLog returns what a peer at the given revision lacks: the later entries, or a snapshot if they
+// are no longer kept.
 func (c *configuration) OnLog(after resource.Revision) LogTail {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +131,8 @@
 	return LogTail{Entries: append([]resource.LogEntry(nil), c.recentEntries[start:]...)}
 }
 
-// pull fetches from a peer what this entry doesn't have yet.
+// pull fetches the configuration that this entry lacks from a peer. After an error the entry stays
+// as it is.
 func (c *configuration) pull(ctx context.Context, peer member.Entry) {
 	tail, err := c.entry.peers.Log(ctx, peer, c.Catalog().Revision())
 	if err != nil {
@@ -138,6 +144,7 @@
 	}
 }
 
+// applyTail applies what a peer sent: its snapshot, if there is one, and then its entries.
 func (c *configuration) applyTail(tail LogTail) {
 	if tail.Snapshot != nil {
 		c.applySnapshot(*tail.Snapshot)
@@ -145,8 +152,8 @@
 	c.apply(tail.Entries...)
 }
 
-// run follows the log: by the platform's watch while this entry is among its
-// zone's watchers, and by a slow poll as a backstop otherwise.
+// run follows the log until the context ends: through the platform's watch while this entry is
+// among its zone's watchers, and otherwise through peers, with a slow poll as a fallback.
 func (c *configuration) run(ctx context.Context) {
 	wait := initialConfigRetryDelay
 	failing := false
@@ -167,7 +174,7 @@
 	}
 }
 
-// followOnce does one step: it catches up with the log, then waits for news.
+// followOnce catches up with the log and then waits for the next change.
 func (c *configuration) followOnce(ctx context.Context) error {
 	at, err := c.catchUp(ctx)
 	if err != nil {
@@ -186,7 +193,8 @@
 	return c.applyItem(next, item)
 }
 
-// waitForPollOrChange waits for the slow poll, or for a peer to bring news.
+// waitForPollOrChange waits until the next slow poll is due or the catalog changes, for example
+// through a peer.
 func (c *configuration) waitForPollOrChange(ctx context.Context) {
 	timer := time.NewTimer(jitter(c.entry.settings.ConfigPollInterval))
 	defer timer.Stop()
@@ -197,8 +205,7 @@
 	}
 }
 
-// catchUp reads the log to its present end and returns the platform's index
-// there.
+// catchUp applies the log up to its current end and returns the platform's index there.
 func (c *configuration) catchUp(ctx context.Context) (uint64, error) {
 	if c.Catalog().Revision() == 0 {
 		if err := c.readSnapshot(ctx); err != nil {
@@ -228,6 +235,7 @@
 	}
 }
 
+// applyItem applies the log entry that a store item holds, if there is one.
 func (c *configuration) applyItem(r resource.Revision, item Item) error {
 	if !item.Found() {
 		return nil
@@ -240,17 +248,19 @@
 	return nil
 }
 
+// decodeEntry decodes a log entry and checks that it has the revision of its key.
 func decodeEntry(r resource.Revision, text []byte) (resource.LogEntry, error) {
 	var e resource.LogEntry
 	if err := json.Unmarshal(text, &e); err != nil {
-		return e, trace.Wrap(err, "log entry %d can't be read", r)
+		return e, trace.Wrap(err, "decoding configuration log entry %d", r)
 	}
 	if e.Revision != r {
-		return e, trace.BadParameter("the key of log entry %d holds entry %d", r, e.Revision)
+		return e, trace.BadParameter("the key of configuration log entry %d holds entry %d", r, e.Revision)
 	}
 	return e, nil
 }
 
+// readSnapshot reads the stored snapshot and applies it if it is newer.
 func (c *configuration) readSnapshot(ctx context.Context) error {
 	item, err := c.entry.store.Get(ctx, snapshotKey)
 	if err != nil || !item.Found() {
@@ -258,15 +268,15 @@
 	}
 	var s resource.Snapshot
 	if err := json.Unmarshal(item.Value, &s); err != nil {
-		return trace.Wrap(err, "the snapshot can't be read")
+		return trace.Wrap(err, "decoding the configuration snapshot at %s", snapshotKey)
 	}
 	c.applySnapshot(s)
 	return nil
 }
 
-// saveSnapshot writes the catalog out every so many revisions, so that a fresh
-// entry needn't read the whole log. It is called by the entry that wrote the
-// revision, at that revision. Losing a race is fine: another wrote one.
+// saveSnapshot stores the catalog once every revisionsPerSnapshot revisions, so that a new entry
+// needn't read the whole log. The entry that wrote a revision calls it at that revision. If another
+// entry stores a snapshot at the same time, either of the two will do.
 func (c *configuration) saveSnapshot(catalog *resource.Catalog) {
 	if catalog.Revision()%revisionsPerSnapshot != 0 {
 		return
@@ -278,6 +288,7 @@
 	})
 }
 
+// writeSnapshot stores the catalog unless the stored snapshot is at least as new.
 func (c *configuration) writeSnapshot(ctx context.Context, catalog *resource.Catalog) error {
 	item, err := c.entry.store.Get(ctx, snapshotKey)
 	if err != nil {
--- a/entry/engines.go
+++ b/entry/engines.go
@@ -14,88 +14,92 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// Shape is the form of a generation request and its answer.
+// Shape is the API format of a generation request and its answer, named by the path of its endpoint
+// under /v1/.
 type Shape string
 
-// The shapes of OpenAI's interface.
+// The formats of the OpenAI API.
 const (
 	ShapeCompletion Shape = "completions"
 	ShapeChat       Shape = "chat/completions"
 )
 
-// RunRequest starts a run on an engine.
+// RunRequest is a request to start a run on an engine.
 type RunRequest struct {
 	Run   policy.RunID
 	ID    GenerationID
 	Shape Shape
-	// Body is the caller's request, with streaming asked for.
+	// Body is the caller's request, changed to ask for a streamed answer.
 	Body     []byte
 	Priority int
-	// Prefix names the first PrefixTokens of the prompt.
+	// Prefix identifies the first PrefixTokens tokens of the prompt.
 	Prefix       string
 	PrefixTokens policy.Tokens
 }
 
-// EventKind tells the events of a stream apart.
+// EventKind is the kind of a stream event.
 type EventKind int
 
-// The kinds of stream event.
+// The kinds of stream events.
 const (
 	EventToken EventKind = iota
 	EventEnd
 )
 
-// StreamEvent is one event of a run.
+// StreamEvent is one event of a run's stream: a token or the end.
 type StreamEvent struct {
 	Kind EventKind
 	Run  policy.RunID
-	// Index is the token's, from 1.
+	// Index is the token's position in the answer, counted from 1.
 	Index int
-	// Data is the token's chunk in the request's shape, as the engine wrote it.
+	// Data is the token's chunk in the request's format, as the engine wrote it.
 	Data string
-	// End is set with EventEnd.
+	// End is set if Kind is EventEnd.
 	End RunResult
 }
 
-// RunResult is an engine's word on how a run ended.
+// RunResult is an engine's report of how a run ended.
 type RunResult struct {
-	// Complete says that the answer came to its own end.
+	// Complete reports whether the run produced its whole answer.
 	Complete         bool
 	PromptTokens     int
 	CompletionTokens int
 }
 
-// Stream is a run being read. Events may be ranged over once; idle is called
-// whenever the reader is about to wait for the engine. Close may be called at
-// any time and ends the reading, not the run.
+// Stream reads the events of a run. Events may be ranged over once; it calls idle whenever it is
+// about to wait for the engine. Close may be called at any time; it ends the reading, not the run.
 type Stream interface {
 	Events(idle func()) iter.Seq2[StreamEvent, error]
 	Close()
 }
 
-// EngineLoad is what an engine reports of itself.
+// EngineLoad is an engine's report of its load and state.
 type EngineLoad struct {
 	policy.Report
-	// Preemptions counts the runs that the engine threw back so far.
+	// Preemptions counts the runs that the engine has preempted so far.
 	Preemptions int
-	Leaving     bool
-	// Models are the versions that the engine has loaded.
+	// Leaving reports whether the engine is stopping.
+	Leaving bool
+	// Models maps each loaded model to its version.
 	Models map[string]string
 }
 
-// Order tells an engine what to serve, fenced by the holder's token.
+// Order tells an engine which version of a model to serve. Token is the fencing token of the order
+// lease's holder.
 type Order struct {
 	Token   uint64
 	Model   string
 	Version string
 }
 
-// Engines is the interface to the model engines.
+// Engines is the client of the model engines.
 //
-// Start's error wraps ErrNotSent when the request surely didn't reach the
-// engine, is an *EngineRefusal when the engine said that it won't run it, and
-// leaves it unknown otherwise. Resume's wraps ErrRunGone when the engine
-// doesn't have the run.
+// The error of Start tells what happened to the request:
+//   - it wraps ErrNotSent if the request certainly didn't reach the engine,
+//   - it is an *EngineRefusal if the engine refused to run the request,
+//   - any other error leaves open whether the request was run.
+//
+// The error of Resume wraps ErrRunNotFound if the engine doesn't have the run.
 type Engines interface {
 	Start(ctx context.Context, u member.Upstream, r RunRequest) (Stream, error)
 	Resume(ctx context.Context, u member.Upstream, run policy.RunID, after int) (Stream, error)
@@ -104,20 +108,22 @@
 	Order(ctx context.Context, u member.Upstream, o Order) error
 }
 
-// ErrRunNotFound says that an engine doesn't have the run that was asked for.
+// ErrRunNotFound reports that an engine doesn't have the requested run.
 var ErrRunNotFound = errors.New("the engine doesn't have the run")
 
-// ErrStreamIdle says that nothing came from an engine, not even a sign of life.
+// ErrStreamIdle reports that an engine sent nothing on a stream for too long, not even a keep-alive.
 var ErrStreamIdle = errors.New("the link to the engine is silent")
 
-// EngineRefusal is an engine's answer that it won't run a request.
+// EngineRefusal is the error of a request that an engine refused to run.
 type EngineRefusal struct {
-	Status     int
-	Text       string
+	// Status is the HTTP status of the engine's answer.
+	Status int
+	Text   string
+	// RetryAfter is the backoff that the engine asked for; zero if it asked for none.
 	RetryAfter time.Duration
 }
 
-// Error gives the engine's status and text.
+// Error returns the engine's status and text.
 func (e *EngineRefusal) Error() string {
 	return fmt.Sprintf("the engine answered %d: %s", e.Status, e.Text)
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package entry is the daemon that runs on every entry host: it takes callers'
-// generations and service calls to upstreams, keeps the configuration and the
-// membership, and coordinates engine pools.
+// Package entry implements the daemon that runs on every entry host. The daemon passes callers'
+// generations and service calls to upstreams, keeps the configuration and the membership up to
+// date, and coordinates engine pools.
 //
-// It declares the interfaces that it needs and does no I/O of its own; the
-// adapters are under internal. Each duty is a goroutine. What an entry knows
-// is soft, but for the configuration, claims and orders: those are decided by
-// single writes to the platform's service, or refused.
+// The package declares the interfaces that it needs and does no I/O of its own; the adapters are
+// under internal. Each duty, such as heartbeats or placement, runs in its own goroutine. An entry's
+// state is soft state, except the configuration, claims and orders: each of these is decided by a
+// single write to the platform's service, or refused.
 package entry
 
 import (
@@ -29,22 +29,22 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Settings are what an entry is told at its start.
+// Settings are the settings that an entry is started with.
 type Settings struct {
-	// Self is how the entry is known to its peers.
+	// Self is the entry's own id, zone and address, as its peers know it.
 	Self member.Entry
-	// Seeds are peers to try before the host list is had.
+	// Seeds are peers to contact before the host list was first read.
 	Seeds []member.Entry
-	// GenerationKey signs the generation ids; it must be the same on every
-	// entry of the site.
+	// GenerationKey signs the generation ids. All entries of a site must have the same key.
 	GenerationKey []byte
-	// LocalPlacement has every entry place by itself, within its share, to be compared
-	// with the coordinated placement.
+	// LocalPlacement makes every entry place its requests itself, within its share of the engines,
+	// without a coordinator. It serves to compare this with the coordinated placement.
 	LocalPlacement bool
-	// HostListInterval, ConfigPollInterval and LoadInterval are the periods of the
-	// polls; zero takes the default.
+	// HostListInterval, ConfigPollInterval and LoadInterval are the intervals at which the host
+	// list, the configuration and the engines' loads are polled; zero means the default.
 	HostListInterval, ConfigPollInterval, LoadInterval time.Duration
-	// Clock counts the time for which the machine is suspended; nil counts none.
+	// Clock is a clock that includes the time for which the machine is suspended; nil doesn't
+	// include it.
 	Clock *clock.Clock
 }
 
@@ -60,11 +60,11 @@
 	}
 }
 
-// Dependencies are what an entry reaches the outside by. All but the last four must
-// be set.
+// Dependencies are the interfaces through which an entry reaches the outside. Leases, Upstreams,
+// Observer, Logger and Tracer may be nil; all others must be set.
 type Dependencies struct {
 	Store Store
-	// Claims and Outcomes are the same store at lower ranks of its budget.
+	// Claims and Outcomes are the same store, with a lower priority in its call budget.
 	Claims, Outcomes Store
 	Hosts            Hosts
 	Peers            Peers
@@ -77,14 +77,14 @@
 	Tracer           trace.Tracer
 }
 
-// Entry is one entry daemon. Use New, then Run.
+// Entry is one entry daemon. Create it with New and start it with Run.
 type Entry struct {
 	settings      Settings
 	self          member.Entry
 	generationKey []byte
 
 	store, claims, outcomes Store
-	// claimHistory remembers the claims of calls that were made here.
+	// claimHistory holds the recent claims of this entry.
 	claimHistory claimHistory
 	hosts        Hosts
 	peers        Peers
@@ -102,27 +102,28 @@
 	limits    accountLimits
 	retries   retryBudget
 	crashes   *crashes
-	// backoffs are the upstreams that asked this entry for backoff.
+	// backoffs holds the upstreams that asked this entry for backoff.
 	backoffs backoff.Table
 
-	// stopped closes when Run's context has ended.
+	// stopped is closed when Run's context has ended.
 	stopped chan struct{}
 
 	mu sync.Mutex
-	// inFlight counts the calls under way.
+	// inFlight counts the calls in progress.
 	inFlight int
-	// leaving says that the entry is stopping; refusing, which follows it,
-	// that new calls are refused.
+	// leaving is set when the entry begins to stop, and refusing later, when it begins to refuse
+	// new calls.
 	leaving, refusing bool
-	// drained closes when refusing and nothing is in flight.
+	// drained is closed when refusing is set and no call is in progress.
 	drained chan struct{}
-	// jobs are the short-lived goroutines, which end with stopped.
+	// jobs are the goroutines that spawn started. Run waits for them; once jobsClosed is set, no
+	// more are started. Their context is runCtx.
 	jobs       conc.WaitGroup
 	jobsClosed bool
 	runCtx     context.Context
 }
 
-// New returns an entry that isn't running yet.
+// New returns an entry that isn't started yet.
 func New(s Settings, p Dependencies) *Entry {
 	s.setDefaults()
 	if p.Observer == nil {
@@ -147,13 +148,14 @@
 	return e
 }
 
-// now is the present moment, by which everything here is decided.
+// now returns the current time on the clock of the settings, on which all decisions of the entry
+// are based.
 func (e *Entry) now() time.Time { return e.settings.Clock.Now() }
 
-// Now is the moment that Status and ZoneStates are to be told.
+// Now returns the current time on the entry's clock, for use with Status and ZoneStates.
 func (e *Entry) Now() time.Time { return e.now() }
 
-// Run carries out the duties until the context ends.
+// Run runs all duties until the context ends, and returns when they and all jobs have ended.
 func (e *Entry) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -177,8 +179,8 @@
 	e.jobs.Wait()
 }
 
-// spawn runs a short-lived job beside the duties; its context ends with Run's.
-// After that it runs nothing.
+// spawn runs a short job in a goroutine, with a context that ends with Run's. Once Run is stopping,
+// spawn does nothing.
 func (e *Entry) spawn(job func(ctx context.Context)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,8 +191,8 @@
 	e.jobs.Go(func() { job(ctx) })
 }
 
-// admit lets a call in if the entry and the account allow it. The release is
-// to be called when the call has ended.
+// admit admits a call if the entry takes calls and the account is within its limit. The caller must
+// call release when the call has ended.
 func (e *Entry) admit(name resource.Account) (release func(), failure *Failure) {
 	if !e.Ready() {
 		return nil, newFailure(CodeNotReady, NotRun, "this entry has no configuration yet").withRetryAfter(retryUnknown)
@@ -210,9 +212,10 @@
 	}, nil
 }
 
-// leavingRetryAfter sends the caller on at once: another entry takes the call.
+// leavingRetryAfter lets the caller retry at once, because another entry takes the call.
 const leavingRetryAfter = time.Millisecond
 
+// beginCall counts a call as in progress. It reports false if new calls are refused.
 func (e *Entry) beginCall() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -232,10 +235,12 @@
 	}
 }
 
-// Stop ends the entry's work without cutting any. It tells the peers and the
-// balancer that the entry leaves, goes on taking calls for the grace that the
-// balancer needs to notice, then refuses new ones and waits until every running
-// call has ended. It returns early when the context ends.
+// Stop stops the entry without breaking off any call:
+//   - it announces to the peers, and to the load balancer through Leaving, that the entry is leaving,
+//   - it goes on taking calls for the grace period, in which the load balancer notices,
+//   - it then refuses new calls and waits until every running call has ended.
+//
+// Stop returns early if the context ends.
 func (e *Entry) Stop(ctx context.Context, grace time.Duration) {
 	e.mu.Lock()
 	e.leaving = true
@@ -252,6 +257,7 @@
 	}
 }
 
+// refuseCalls makes the entry refuse new calls.
 func (e *Entry) refuseCalls() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -264,7 +270,7 @@
 	}
 }
 
-// Ready reports whether the entry has a configuration and takes calls.
+// Ready reports whether the entry has a configuration, without which it takes no calls.
 func (e *Entry) Ready() bool {
 	select {
 	case <-e.config.loaded:
@@ -281,44 +287,44 @@
 	return e.leaving
 }
 
-// Authenticate finds the account of a bearer key.
+// Authenticate returns the account of a bearer key, and whether there is one.
 func (e *Entry) Authenticate(key string) (resource.Account, bool) {
 	return e.config.Catalog().AccountByKey(key)
 }
 
-// Catalog returns the configuration in force here.
+// Catalog returns the catalog in force at this entry.
 func (e *Entry) Catalog() *resource.Catalog { return e.config.Catalog() }
 
-// Changed returns a channel that closes at the next revision.
+// Changed returns a channel that is closed when the catalog changes next.
 func (e *Entry) Changed() <-chan struct{} { return e.config.Changed() }
 
-// OnHeartbeat serves a peer's heartbeat.
+// OnHeartbeat handles a peer's heartbeat and returns this entry's own.
 func (e *Entry) OnHeartbeat(now time.Time, h Heartbeat) Heartbeat {
 	return e.members.OnHeartbeat(now, h)
 }
 
-// OnPlace serves a peer's request for places.
+// OnPlace handles a peer's request for places.
 func (e *Entry) OnPlace(ctx context.Context, from member.HostID, pool resource.Name, requests []policy.Request) ([]policy.Decision, error) {
 	return e.placement.OnPlace(ctx, from, pool, requests)
 }
 
-// OnDecided takes what a coordinator decided about queued requests.
+// OnDecided handles a coordinator's decisions about this entry's queued requests.
 func (e *Entry) OnDecided(ctx context.Context, from member.HostID, pool resource.Name, decisions []policy.Decision) error {
 	return e.placement.OnDecided(ctx, from, pool, decisions)
 }
 
-// OnFinished frees the places of a peer's runs.
+// OnFinished frees the places of a peer's ended runs.
 func (e *Entry) OnFinished(ctx context.Context, pool resource.Name, finished []policy.Finish) error {
 	return e.placement.OnFinished(ctx, pool, finished)
 }
 
-// OnRunning takes in the runs of a peer whose coordinator this entry became.
+// OnRunning records the running requests of a peer whose coordinator this entry has become.
 func (e *Entry) OnRunning(ctx context.Context, from member.HostID, pool resource.Name, runs []PlacedRun) error {
 	return e.placement.OnRunning(ctx, from, pool, runs)
 }
 
-// OnLog serves a peer whose configuration is behind.
+// OnLog returns the part of the configuration log that a peer at the given revision lacks.
 func (e *Entry) OnLog(after resource.Revision) LogTail { return e.config.OnLog(after) }
 
-// OnLinkDown takes in that a peer's own link to this entry broke.
+// OnLinkDown records that a peer's link to this entry broke.
 func (e *Entry) OnLinkDown(from member.HostID) { e.members.OnLinkDown(from) }
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -8,23 +8,22 @@
 	"time"
 )
 
-// RunState is what a failed call's answer says about the work itself.
+// RunState says whether the work of a failed call was done, as far as the entry knows.
 type RunState string
 
 const (
-	// NotRun is said only when no byte of the request can have reached an
-	// upstream that would act on it.
+	// NotRun means that no byte of the request can have reached an upstream that would act on it.
 	NotRun RunState = "not_run"
-	// Unknown is said when the work may or may not have been done.
+	// Unknown means that the work may or may not have been done.
 	Unknown RunState = "unknown"
-	// Partial is said when the caller has seen a part of the answer.
+	// Partial means that the caller has received a part of the answer.
 	Partial RunState = "partial"
 )
 
-// Code is the stable word for a kind of failure.
+// Code identifies a kind of failure. Callers may rely on the codes.
 type Code string
 
-// The codes that callers see.
+// The codes that are sent to callers.
 const (
 	CodeBadRequest           Code = "bad_request"
 	CodeUnauthorized         Code = "unauthorized"
@@ -47,28 +46,30 @@
 	CodeClaimUnavailable     Code = "claim_unavailable"
 	CodeTimeout              Code = "timeout"
 	CodeCancelled            Code = "cancelled"
-	// CodeQuarantined: upstreams ended under the same request, and it isn't sent any
-	// more.
+	// CodeQuarantined means that the request is no longer sent, because upstreams ended while they
+	// ran the same request.
 	CodeQuarantined Code = "quarantined"
 )
 
-// Failure is the final answer to a call that did not finish.
+// Failure is the final answer to a call that did not succeed.
 type Failure struct {
 	Code     Code
 	RunState RunState
 	Message  string
-	// RetryAfter is when to come back; zero means that coming back makes no
-	// sense or that nothing is known.
+	// RetryAfter is how long the caller should wait before a retry; zero means that a retry makes
+	// no sense or that no delay is known.
 	RetryAfter time.Duration
 }
 
-// Error gives the code, the run state and the message.
+// Error returns the code, the run state and the message.
 func (f *Failure) Error() string { return fmt.Sprintf("%s (%s): %s", f.Code, f.RunState, f.Message) }
 
+// newFailure returns a Failure with a formatted message.
 func newFailure(code Code, run RunState, format string, args ...any) *Failure {
 	return &Failure{Code: code, RunState: run, Message: fmt.Sprintf(format, args...)}
 }
 
+// withRetryAfter sets the failure's RetryAfter and returns the failure.
 func (f *Failure) withRetryAfter(d time.Duration) *Failure {
 	f.RetryAfter = d
 	return f
--- a/entry/restorelog.go
+++ b/entry/restorelog.go
@@ -14,9 +14,11 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// wasRestored reports whether the platform may have come back from a copy since the log's end was
-// read last: it tells another era, or its index at the end of the log has fallen. An entry that has
-// its configuration from elsewhere hasn't read the log's end yet.
+// wasRestored reports whether the platform may have been restored from a copy since the end of the
+// log was last read: the platform reports another era, or its index at the end of the log has
+// fallen. A daemon that has its configuration from a peer only, and hasn't read the end of the log
+// yet, has nothing to compare with: it treats the absence of the next log entry as a possible
+// restore.
 func (c *configuration) wasRestored(item Item) bool {
 	if c.lastLogEnd.IsZero() {
 		return c.Catalog().Revision() > 0 && !item.Found()
@@ -27,10 +29,10 @@
 	return !item.Found() && item.at().Before(c.lastLogEnd)
 }
 
-// restoreLog writes again what a platform that came back from an older copy has lost of the
-// configuration log. Every entry that has the lost entries writes the same ones, so it doesn't
-// matter who is first. Where another entry of the log has taken a lost one's revision meanwhile,
-// the log decides, and the configuration is read anew.
+// restoreLog writes the entries of the configuration log again that a platform restored from an
+// older copy has lost. All daemons that have the lost log entries write the same ones, so their
+// order doesn't matter. If a different log entry has taken the revision of a lost one in the
+// meantime, the log takes precedence and the configuration is reloaded from it.
 func (c *configuration) restoreLog(ctx context.Context, point history.Point) error {
 	newest := c.Catalog().Revision()
 	missing, diverged, err := c.missingFromLog(ctx)
@@ -67,8 +69,8 @@
 	return nil
 }
 
-// missingFromLog returns the newest entries that the log lacks, in order, and whether it has another
-// in the place of one that is known here.
+// missingFromLog returns the newest entries of this daemon that the log lacks, in order. diverged
+// reports whether the log has a different entry at the revision before them.
 func (c *configuration) missingFromLog(ctx context.Context) (missing []resource.LogEntry, diverged bool, err error) {
 	c.mu.Lock()
 	recent := append([]resource.LogEntry(nil), c.recentEntries...)
@@ -85,7 +87,8 @@
 	return recent, false, nil
 }
 
-// findInLog reports whether the log has an entry at a revision, and whether it is this one.
+// findInLog reports whether the log has an entry at the revision of e (found), and whether that is
+// the same entry (same).
 func (c *configuration) findInLog(ctx context.Context, e resource.LogEntry) (same, found bool, err error) {
 	item, err := c.entry.store.Get(ctx, logKey(e.Revision))
 	if err != nil || !item.Found() {
@@ -98,7 +101,8 @@
 	return stored.Operation == e.Operation, true, nil
 }
 
-// reload replaces the configuration by what the platform has, once that is read to its end.
+// reload reads the platform's snapshot and log up to the end, and then replaces the catalog. If a
+// read fails, the catalog stays as it is.
 func (c *configuration) reload(ctx context.Context) error {
 	catalog := &resource.Catalog{}
 	item, err := c.entry.store.Get(ctx, snapshotKey)
--- a/entry/status.go
+++ b/entry/status.go
@@ -12,25 +12,26 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// ZoneState is what this entry knows of the configuration in one zone.
+// ZoneState is what this entry knows of the configuration in one zone, from the zone's last report.
 type ZoneState struct {
 	Zone member.Zone
-	// Revision is the lowest in force on the zone's live entries, when Seen.
+	// Revision is the lowest revision in force on the zone's live entries at ReportedAt.
 	Revision resource.Revision
-	Entries  int
-	// ReportedAt is when that was so; zero means never.
+	// Entries is the number of the zone's live entries at ReportedAt.
+	Entries int
+	// ReportedAt is the time of the report; zero if there is none.
 	ReportedAt time.Time
 }
 
-// maxZoneReportAge is how old a zone's report may be to count as present.
+// maxZoneReportAge is the age up to which a zone's report counts as current.
 const maxZoneReportAge = 5 * time.Second
 
-// Fresh reports whether the state is one of now.
+// Fresh reports whether the state is current at the given time.
 func (z ZoneState) Fresh(now time.Time) bool {
 	return !z.ReportedAt.IsZero() && now.Sub(z.ReportedAt) <= maxZoneReportAge
 }
 
-// ZoneStates lists what is known of each zone.
+// ZoneStates returns the state of each known zone.
 func (e *Entry) ZoneStates(now time.Time) []ZoneState {
 	m := e.members
 	revision := e.config.Catalog().Revision()
@@ -49,26 +50,26 @@
 	return states
 }
 
-// Status is a summary of one entry for its operators.
+// Status is a summary of one entry for operators.
 type Status struct {
 	Self     member.Entry
 	Revision resource.Revision
-	// Era is the platform's, which rises when it comes back from a copy.
+	// Era is the platform's era, which rises when the platform is restored from a copy.
 	Era      history.Era
 	Ready    bool
 	Leaving  bool
 	InFlight int
 	Zones    []ZoneState
-	// OutOfService are the zones that a drain order names.
+	// OutOfService lists the zones that a drain order names.
 	OutOfService []string
 	Entries      []member.Entry
 	Upstreams    []member.Upstream
 	Pools        []PoolStatus
-	// Coordinators names, by pool, the entry that coordinates it in this zone.
+	// Coordinators maps each pool to the entry that coordinates it in this zone.
 	Coordinators map[resource.Name]member.HostID
 }
 
-// Status describes the entry as of now.
+// Status returns the entry's status at the given time.
 func (e *Entry) Status(ctx context.Context, now time.Time) Status {
 	s := Status{
 		Self: e.self, Revision: e.config.Catalog().Revision(), Era: e.Era(), Ready: e.Ready(), Leaving: e.Leaving(),
@@ -92,11 +93,11 @@
 	return s
 }
 
-// Loaded closes when the entry has a configuration.
+// Loaded returns a channel that is closed when the entry has a configuration.
 func (e *Entry) Loaded() <-chan struct{} { return e.config.loaded }
 
-// KnownEntries is how many entries this one knows of, itself included, live or not:
-// each may be calling the platform.
+// KnownEntries returns the number of entries that this one knows of, live or not, including itself.
+// Each of them may be calling the platform.
 func (e *Entry) KnownEntries() int {
 	e.members.mu.Lock()
 	defer e.members.mu.Unlock()
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -16,41 +16,42 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// proposal is one operator's change on its way into the log.
+// proposal is an operator's change that waits to be written to the log.
 type proposal struct {
 	ctx    context.Context
 	change resource.Change
-	// expectedRevision is the revision that the operator saw; nil accepts any, and 0
-	// wants a resource that isn't there.
+	// expectedRevision is the revision of the resource that the change is based on; nil accepts
+	// any, and 0 requires that the resource doesn't exist.
 	expectedRevision *resource.Revision
 	result           chan proposalResult
 }
 
+// proposalResult is the revision at which a proposal was accepted, or the error.
 type proposalResult struct {
 	revision resource.Revision
 	err      error
 }
 
-// Conflict says that the resource isn't as the operator saw it.
+// Conflict is the error of a change to a resource that isn't at the expected revision.
 type Conflict struct {
-	// Current is the resource as it is; its zero value says that there is none.
+	// Current is the resource as it is now; its zero value means that the resource doesn't exist.
 	Current resource.Resource
 }
 
-// Error names the resource and its revision.
+// Error returns a message with the current revision of the resource.
 func (c *Conflict) Error() string {
 	return "the resource has changed; it is now at revision " + strconv.FormatUint(uint64(c.Current.Revision), 10)
 }
 
-// ErrOutcomeUnknown says that a change may or may not have been accepted.
+// ErrOutcomeUnknown reports that a change may or may not have been accepted.
 var ErrOutcomeUnknown = errors.New("the platform did not answer; the change may still be accepted")
 
-// ErrNotAccepted says that a change was surely not accepted.
+// ErrNotAccepted reports that a change was certainly not accepted.
 var ErrNotAccepted = errors.New("the platform can't be reached; the change was not accepted")
 
-// Propose brings a checked change into the configuration and returns the
-// revision at which it was accepted. Its error is resource.Findings, a
-// *Conflict, ErrUnsure or ErrNotAccepted.
+// Propose validates a change, writes it to the configuration log and returns the revision at which
+// it was accepted. Its error is resource.Findings, a *Conflict, ErrOutcomeUnknown or
+// ErrNotAccepted.
 func (e *Entry) Propose(ctx context.Context, change resource.Change, match *resource.Revision) (resource.Revision, error) {
 	if err := resource.Check(change).Err(); err != nil {
 		return 0, err
@@ -77,7 +78,8 @@
 	appendRetryDelay   = 50 * time.Millisecond
 )
 
-// runWriter takes proposals and writes them, many at a time.
+// runWriter writes proposals to the log until the context ends, several in one log entry if
+// possible.
 func (c *configuration) runWriter(ctx context.Context) {
 	var pending []*proposal
 	for {
@@ -94,6 +96,8 @@
 	}
 }
 
+// collectProposals adds the proposals that are available without waiting, up to maxChangesPerEntry
+// in all.
 func (c *configuration) collectProposals(pending []*proposal) []*proposal {
 	for len(pending) < maxChangesPerEntry {
 		select {
@@ -106,11 +110,11 @@
 	return pending
 }
 
-// writeGroup tries to write the proposals as the next entry, answers those
-// whose fate is known and returns the rest.
+// writeGroup tries to write the proposals as the next log entry, answers the proposals whose outcome
+// is known and returns the others.
 func (c *configuration) writeGroup(ctx context.Context, pending []*proposal) []*proposal {
-	// The entry follows the very catalog that the operators' revisions were checked
-	// against: one that came in between would be overwritten unseen.
+	// The new entry must directly follow the catalog against which the expected revisions are
+	// checked. Otherwise it would overwrite, unnoticed, changes that were applied in between.
 	current := c.Catalog()
 	group, rest := selectProposals(current, pending)
 	if len(group) == 0 {
@@ -133,14 +137,16 @@
 	}
 }
 
+// answerAll answers all proposals of a group with the same result.
 func answerAll(group []*proposal, r proposalResult) {
 	for _, p := range group {
 		p.result <- r
 	}
 }
 
-// selectProposals takes the proposals that can go into one entry: each resource once,
-// and each seen by its operator as it is. Conflicts are answered.
+// selectProposals selects the proposals that can go into one log entry: at most one per resource,
+// each at the expected revision. It answers the conflicts and the proposals whose time is over, and
+// returns the others as rest.
 func selectProposals(catalog *resource.Catalog, pending []*proposal) (group, rest []*proposal) {
 	type key struct {
 		kind resource.Kind
@@ -165,20 +171,19 @@
 	return group, rest
 }
 
-// appendOutcome is what became of a try to write an entry.
+// appendOutcome is the outcome of trying to write a log entry.
 type appendOutcome int
 
 const (
 	appended appendOutcome = iota
-	// lostRace says that another's entry has the revision; it is applied.
+	// lostRace means that another writer's entry has the revision; that entry is applied.
 	lostRace
-	// given up: the error says whether the entry may still be written.
+	// gaveUp means that the time is over; the error says whether the entry may still be written.
 	gaveUp
 )
 
-// appendEntry writes an entry under its revision if no other is there. When an
-// answer is lost it reads the key, and as long as nothing is there it tries
-// the same create again, never a later revision.
+// appendEntry writes an entry under its revision if that is free. When an answer is lost, it reads
+// the key, and as long as the key is absent it retries the same create, never at a later revision.
 func (c *configuration) appendEntry(ctx, proposalCtx context.Context, e resource.LogEntry) (appendOutcome, error) {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -193,7 +198,7 @@
 			c.saveSnapshot(c.Catalog())
 			return appended, nil
 		case err == nil || !errors.Is(err, ErrNotSent):
-			// Somebody's entry is there, perhaps our own by an earlier try.
+			// The key may be taken, possibly by an earlier try of this call.
 			mayBeWritten = mayBeWritten || err != nil
 			if outcome, known := c.checkRevisionOwner(proposalCtx, e); known {
 				return outcome, nil
@@ -205,6 +210,7 @@
 	}
 }
 
+// unresolvedError returns the error of an append that was given up.
 func unresolvedError(mayBeWritten bool) error {
 	if mayBeWritten {
 		return ErrOutcomeUnknown
@@ -212,8 +218,9 @@
 	return ErrNotAccepted
 }
 
-// checkRevisionOwner reads who has the entry's revision. It isn't known while the
-// platform doesn't answer or has nothing there.
+// checkRevisionOwner reads the log at the entry's revision, applies what is there and reports
+// whether it is this entry (appended) or another (lostRace). The outcome is not known while the
+// platform doesn't answer, has no entry there, or has one that can't be decoded.
 func (c *configuration) checkRevisionOwner(ctx context.Context, e resource.LogEntry) (appendOutcome, bool) {
 	item, err := c.entry.store.Get(ctx, logKey(e.Revision))
 	if err != nil || !item.Found() {
