--- a/entry/ask.go
+++ b/entry/ask.go
@@ -123,7 +123,7 @@
 	if d.Verdict != policy.Refused || d.Reason == policy.ReasonTooLong {
 		return d
 	}
-	for _, to := range p.entry.members.OtherCoordinators(p.entry.now(), pool, r.Prompt) {
+	for _, to := range p.entry.members.OtherCoordinators(p.entry.now(), pool, r.PromptTokens) {
 		callCtx, cancel := context.WithTimeout(ctx, otherZoneWait)
 		decisions, err := p.entry.peers.Place(callCtx, to, pool, []policy.Request{r})
 		cancel()
@@ -220,7 +220,7 @@
 		}
 		for engine, events := range cache {
 			for _, event := range events {
-				s.pool.Cache(now, engine, event)
+				s.pool.ApplyCacheEvent(now, engine, event)
 			}
 		}
 	})
@@ -242,5 +242,5 @@
 // withhold keeps new work from the given engines, which are to be drained. Engines of an earlier call
 // that aren't given again take new work again.
 func (p *placement) withhold(ctx context.Context, pool resource.Name, ids []member.UpstreamID) {
-	_ = p.do(ctx, func(time.Time) { p.state(pool).pool.Withhold(ids) })
+	_ = p.do(ctx, func(time.Time) { p.state(pool).pool.SetCordoned(ids) })
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -39,13 +39,13 @@
 	now := e.now()
 	key := claim.Key(r.Account, r.Route, r.IdempotencyKey)
 	attempt := claim.NewAttempt(claim.Record{
-		Claimant: string(e.self.ID) + "/" + uuid.NewString(),
-		Request:  claim.RequestHash(r.Method, r.Path, r.Body), At: now.UTC(),
+		Claimant:    string(e.self.ID) + "/" + uuid.NewString(),
+		RequestHash: claim.RequestHash(r.Method, r.Path, r.Body), ClaimedAt: now.UTC(),
 	}, now.Add(claimTimeout))
 	for {
 		e.observeEra(e.claims.Era())
 		step := attempt.Next(e.now())
-		if blocked := e.claimHistory.blockedFor(e.now()); blocked > 0 && step != claim.Tell {
+		if blocked := e.claimHistory.blockedFor(e.now()); blocked > 0 && step != claim.RejectDuplicate {
 			e.abandonClaim(key, attempt)
 			return nil, newFailure(CodeClaimUnavailable, NotRun, "the call could not be claimed: the platform was restored, and may lack claims").withRetryAfter(blocked)
 		}
@@ -57,8 +57,8 @@
 		case claim.Send:
 			e.claimHistory.remember(e.now(), key, attempt.Record())
 			return &callClaim{key: key, record: attempt.Record()}, nil
-		case claim.Tell:
-			return nil, duplicateFailure(attempt.Record(), attempt.Other())
+		case claim.RejectDuplicate:
+			return nil, duplicateFailure(attempt.Record(), attempt.ConflictingClaim())
 		case claim.GiveUp:
 			e.abandonClaim(key, attempt)
 			return nil, newFailure(CodeClaimUnavailable, NotRun, "the call could not be claimed: the platform does not answer").withRetryAfter(claimRetryAfter)
@@ -73,7 +73,7 @@
 func (e *Entry) createClaim(ctx context.Context, key string, a *claim.Attempt) {
 	text, _ := json.Marshal(a.Record())
 	wrote, err := e.claims.Swap(ctx, key, text, 0)
-	a.Created(claimResult(err), wrote)
+	a.CreateFinished(claimResult(err), wrote)
 	if err != nil {
 		pause(ctx, claimAttemptDelay)
 	}
@@ -85,7 +85,7 @@
 	if err == nil && item.Found() {
 		err = json.Unmarshal(item.Value, &stored)
 	}
-	a.WasRead(claimResult(err), item.Found(), stored)
+	a.ReadFinished(claimResult(err), item.Found(), stored)
 	if err != nil {
 		pause(ctx, claimAttemptDelay)
 	}
@@ -94,11 +94,11 @@
 func claimResult(err error) claim.Result {
 	switch {
 	case err == nil:
-		return claim.Done
+		return claim.Answered
 	case errors.Is(err, ErrNotSent):
 		return claim.NotSent
 	default:
-		return claim.Lost
+		return claim.OutcomeUnknown
 	}
 }
 
@@ -106,7 +106,7 @@
 // what is known of the first call.
 func duplicateFailure(attempted, stored claim.Record) *Failure {
 	switch {
-	case attempted.Request != stored.Request:
+	case attempted.RequestHash != stored.RequestHash:
 		return newFailure(CodeIdempotencyKeyReused, NotRun, "the Idempotency-Key was used for another call")
 	case stored.Status != 0:
 		return newFailure(CodeDuplicateRequest, NotRun, "the call with this Idempotency-Key was run; it was answered with status %d", stored.Status)
--- a/entry/status.go
+++ b/entry/status.go
@@ -39,12 +39,12 @@
 	defer m.mu.Unlock()
 	var states []ZoneState
 	for _, z := range m.view.Zones() {
-		report := m.view.Zone(z)
+		report := m.view.LastZoneReport(z)
 		if z == e.self.Zone {
-			report = m.view.OwnZone(now, uint64(revision))
+			report = m.view.OwnZoneReport(now, uint64(revision))
 		}
 		states = append(states, ZoneState{
-			Zone: z, Revision: resource.Revision(report.Revision), Entries: report.Entries, ReportedAt: report.At,
+			Zone: z, Revision: resource.Revision(report.MinRevision), Entries: report.Entries, ReportedAt: report.ObservedAt,
 		})
 	}
 	return states
@@ -85,7 +85,7 @@
 	s.OutOfService = catalog.DrainedZones()
 	e.members.mu.Lock()
 	defer e.members.mu.Unlock()
-	s.Entries = e.members.view.Live(now, "")
+	s.Entries = e.members.view.AvailableEntries(now, "")
 	for _, u := range e.members.view.AllUpstreams() {
 		u.Leaving = u.Leaving || catalog.Drained(string(u.ID), string(u.Zone))
 		s.Upstreams = append(s.Upstreams, u)
@@ -101,5 +101,5 @@
 func (e *Entry) KnownEntries() int {
 	e.members.mu.Lock()
 	defer e.members.mu.Unlock()
-	return e.members.view.Known()
+	return e.members.view.EntryCount()
 }
--- a/policy/loadsim_test.go
+++ b/policy/loadsim_test.go
@@ -135,7 +135,7 @@
 	if now.Before(r.firstTokenAt) {
 		return 0
 	}
-	return min(Tokens(now.Sub(r.firstTokenAt)/simStepTime)+1, r.request.Limit)
+	return min(Tokens(now.Sub(r.firstTokenAt)/simStepTime)+1, r.request.MaxOutputTokens)
 }
 
 // firstTokenSeen returns when the first token came; zero if none has come by now.
@@ -212,7 +212,7 @@
 
 func newSimulation(c simConfig) *simulation {
 	return &simulation{
-		simConfig: c, engineMemory: simEngineMemory, settings: Settings{ReadRate: simReadRate, MaxBatch: 24}, requestRand: rand.New(rand.NewPCG(c.seed, 0)), decisionRand: rand.New(rand.NewPCG(c.seed, 1)), now: testStart,
+		simConfig: c, engineMemory: simEngineMemory, settings: Settings{InitialPrefillRate: simReadRate, MaxBatchSize: 24}, requestRand: rand.New(rand.NewPCG(c.seed, 0)), decisionRand: rand.New(rand.NewPCG(c.seed, 1)), now: testStart,
 		engineZones: map[EngineID]int{}, slowEngines: map[EngineID]bool{}, readUntil: map[EngineID]time.Time{}, results: map[resource.Name]*simResult{},
 	}
 }
@@ -272,7 +272,7 @@
 // poolSettings returns the settings of the pool of a host, which is given by its index.
 func (s *simulation) poolSettings(host int) Settings {
 	settings := s.settings
-	settings.Decider = fmt.Sprint("h", host)
+	settings.DeciderID = fmt.Sprint("h", host)
 	return settings
 }
 
@@ -281,7 +281,7 @@
 	h.pool.SetEngines(s.engineIDs)
 	for _, id := range s.engineIDs {
 		h.pool.SetZone(id, simZone(s.engineZones[id]))
-		h.pool.Report(s.now, Report{Engine: id, Memory: s.engineMemory, Step: simStepTime})
+		h.pool.Report(s.now, Report{Engine: id, TotalMemory: s.engineMemory, StepTime: simStepTime})
 	}
 }
 
@@ -304,7 +304,7 @@
 			if run.engine != removed {
 				continue
 			}
-			if to, found := h.pool.Relocate(s.now, run.request.Run, Target{FarCost: s.otherZoneCost}); found {
+			if to, found := h.pool.Relocate(s.now, run.request.Run, Target{CrossZoneCost: s.otherZoneCost}); found {
 				run.engine = to
 			}
 		}
@@ -323,11 +323,11 @@
 // update.
 func (s *simulation) updatePool(h *simHost) {
 	for _, id := range s.engineIDs {
-		h.pool.Report(s.now, Report{Engine: id, Memory: s.engineMemory, Step: simStepTime})
+		h.pool.Report(s.now, Report{Engine: id, TotalMemory: s.engineMemory, StepTime: simStepTime})
 	}
 	for _, run := range h.sortedRuns() {
 		h.pool.Progress(s.now, run.request.Run, run.generated(s.now))
-		h.pool.Reading(s.now, run.request.Run, run.firstTokenSeen(s.now))
+		h.pool.UpdatePrefill(s.now, run.request.Run, run.firstTokenSeen(s.now))
 	}
 	s.advance(h)
 	s.schedule(simUpdateInterval, func() { s.updatePool(h) })
@@ -352,8 +352,8 @@
 		answerLength = min(int(float64(k.medianAnswer)*math.Exp(answerLogStdDev*s.requestRand.NormFloat64()))+1, int(k.maxAnswer))
 	}
 	r := Request{
-		Run: RunID(fmt.Sprint("r", s.seq)), Route: k.route, Account: "a", Priority: k.priority, Prompt: Tokens(1 + s.requestRand.IntN(int(k.maxPrompt))), Limit: k.maxAnswer,
-		Zone: simZone(h.zone), FarCost: s.otherZoneCost, Objective: k.objective, Arrived: s.now, Deadline: s.now.Add(k.objective),
+		Run: RunID(fmt.Sprint("r", s.seq)), Route: k.route, Account: "a", Priority: k.priority, PromptTokens: Tokens(1 + s.requestRand.IntN(int(k.maxPrompt))), MaxOutputTokens: k.maxAnswer,
+		Zone: simZone(h.zone), CrossZoneCost: s.otherZoneCost, Objective: k.objective, ArrivedAt: s.now, Deadline: s.now.Add(k.objective),
 	}
 	result := s.results[k.route]
 	result.requests++
@@ -375,7 +375,7 @@
 	if s.readUntil[d.Engine].After(readUntil) {
 		readUntil = s.readUntil[d.Engine]
 	}
-	readTime := time.Duration(float64(r.Prompt) / simReadRate * float64(time.Second))
+	readTime := time.Duration(float64(r.PromptTokens) / simReadRate * float64(time.Second))
 	if s.slowEngines[d.Engine] {
 		readTime = time.Duration(float64(readTime) * s.simConfig.slowFactor)
 	}
@@ -392,9 +392,9 @@
 		result.late++
 	}
 	s.notifyPlacement(h, d.Engine)
-	s.schedule(timeToFirstToken, func() { h.pool.Begun(s.now, r.Run) })
+	s.schedule(timeToFirstToken, func() { h.pool.RecordFirstToken(s.now, r.Run) })
 	s.schedule(timeToFirstToken+time.Duration(answerLength)*simStepTime, func() {
-		h.pool.Finish(s.now, Finish{Run: r.Run, Made: Tokens(answerLength), Whole: true})
+		h.pool.Finish(s.now, Finish{Run: r.Run, GeneratedTokens: Tokens(answerLength), Complete: true})
 		delete(h.ownRuns, r.Run)
 	})
 }
@@ -429,7 +429,7 @@
 	if !s.askOtherZones {
 		return h.pool.Submit(s.now, r)
 	}
-	r.OnlyZone = true
+	r.SameZoneOnly = true
 	if d, ok := h.pool.TryPlace(s.now, r); ok {
 		return d
 	}
@@ -444,11 +444,11 @@
 		}
 		// The peer drops the run again; from now on the asking host accounts for it.
 		peer.pool.Finish(s.now, Finish{Run: r.Run})
-		if d, ok = h.pool.PlaceAt(s.now, r, d.Engine, d.FirstAfter); ok {
+		if d, ok = h.pool.PlaceOn(s.now, r, d.Engine, d.TimeToFirstToken); ok {
 			return d
 		}
 	}
-	r.OnlyZone = true
+	r.SameZoneOnly = true
 	return h.pool.Submit(s.now, r)
 }
 
@@ -498,10 +498,10 @@
 		r := run.request
 		if known[r.Run] {
 			receiver.pool.Progress(s.now, r.Run, run.generated(s.now))
-			receiver.pool.Reading(s.now, r.Run, run.firstTokenSeen(s.now))
+			receiver.pool.UpdatePrefill(s.now, r.Run, run.firstTokenSeen(s.now))
 		} else {
 			known[r.Run] = true
-			receiver.pool.Adopt(s.now, Request{Run: r.Run, Account: r.Account, Prompt: r.Prompt, Limit: r.Limit}, run.engine, run.generated(s.now))
+			receiver.pool.Adopt(s.now, Request{Run: r.Run, Account: r.Account, PromptTokens: r.PromptTokens, MaxOutputTokens: r.MaxOutputTokens}, run.engine, run.generated(s.now))
 		}
 	}
 }
--- a/policy/memorysim_test.go
+++ b/policy/memorysim_test.go
@@ -77,7 +77,7 @@
 	ended       bool
 }
 
-func (m *memoryRun) memory() Tokens { return m.run.request.Prompt + m.generated }
+func (m *memoryRun) memory() Tokens { return m.run.request.PromptTokens + m.generated }
 
 // memoryEngine is an engine whose memory is simulated.
 type memoryEngine struct {
@@ -140,7 +140,7 @@
 
 // enqueueRun sends a run to its engine, where it waits for memory.
 func (s *memorySimulation) enqueueRun(h *simHost, run *simRun, answerLength Tokens) {
-	m := &memoryRun{host: h, run: run, unread: run.request.Prompt, answerLength: answerLength, rank: simDefaultRank}
+	m := &memoryRun{host: h, run: run, unread: run.request.PromptTokens, answerLength: answerLength, rank: simDefaultRank}
 	if s.config.rank != nil {
 		m.rank = s.config.rank(&run.request)
 	}
@@ -220,7 +220,7 @@
 	m.generated++
 	if m.generated == 1 {
 		m.run.firstTokenAt = s.now
-		m.host.pool.Begun(s.now, m.run.request.Run)
+		m.host.pool.RecordFirstToken(s.now, m.run.request.Run)
 	} else {
 		m.longestGap = max(m.longestGap, s.now.Sub(m.lastTokenAt))
 	}
@@ -282,14 +282,14 @@
 	switch {
 	case !completed:
 		r.interrupted++
-	case m.run.firstTokenAt.Sub(request.Arrived) > request.Objective:
+	case m.run.firstTokenAt.Sub(request.ArrivedAt) > request.Objective:
 		r.lateFirstToken++
 	case m.longestGap > simMaxTokenGap:
 		r.longTokenGap++
 	default:
 		r.inTime++
 	}
-	m.host.pool.Finish(s.now, Finish{Run: request.Run, Made: m.generated, Whole: completed})
+	m.host.pool.Finish(s.now, Finish{Run: request.Run, GeneratedTokens: m.generated, Complete: completed})
 	delete(m.host.ownRuns, request.Run)
 }
 
@@ -355,11 +355,11 @@
 		retry()
 		return
 	}
-	id, found := m.host.pool.Relocate(s.now, m.run.request.Run, Target{FarCost: s.otherZoneCost})
+	id, found := m.host.pool.Relocate(s.now, m.run.request.Run, Target{CrossZoneCost: s.otherZoneCost})
 	target := s.engine(id)
 	if !found || target.stopped || target.usedMemory()+m.memory()+simMoveHeadroom > s.engineMemory {
 		if found {
-			m.host.pool.Return(s.now, m.run.request.Run, e.id)
+			m.host.pool.CancelRelocation(s.now, m.run.request.Run, e.id)
 		}
 		retry()
 		return
@@ -389,7 +389,7 @@
 // engines is gone.
 func memoryLoad(seed uint64) memorySimConfig {
 	return memorySimConfig{
-		settings:     Settings{ReadRate: simReadRate, MaxBatch: 24, Stagger: 100 * time.Millisecond},
+		settings:     Settings{InitialPrefillRate: simReadRate, MaxBatchSize: 24, MaxQueueStagger: 100 * time.Millisecond},
 		engineMemory: 21_873, reclaimInterval: 3300 * time.Millisecond, reclaimCount: 5,
 		simConfig: simConfig{
 			zones: 3, hostsPerZone: 11, enginesPerZone: 10, duration: 34 * time.Second, otherZoneCost: 0.7, trafficAmplitude: 0.27, seed: seed, askOtherZones: true,
@@ -445,7 +445,7 @@
 		},
 		"zones not asked": func(c *memorySimConfig) { c.askOtherZones = false },
 		"waiting for as long as it may be in time": func(c *memorySimConfig) {
-			c.settings.WaitPart = 2
+			c.settings.MaxWaitFraction = 2
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -469,7 +469,7 @@
 	staggered := simulateMemorySeeds(t, "staggered", manyHosts)
 	atOnce := simulateMemorySeeds(t, "at once", func(c *memorySimConfig) {
 		manyHosts(c)
-		c.settings.Stagger = 0
+		c.settings.MaxQueueStagger = 0
 	})
 	served := func(r map[string]*memorySimTotals) int { return r["chat"].inTime + r["digest"].inTime }
 	is.True(served(staggered) > served(atOnce))
--- a/policy/pool_bench_test.go
+++ b/policy/pool_bench_test.go
@@ -18,7 +18,7 @@
 	}
 	p.SetEngines(ids)
 	for _, id := range ids {
-		p.Report(testStart, Report{Engine: id, Memory: 100_000, Step: testStepTime})
+		p.Report(testStart, Report{Engine: id, TotalMemory: 100_000, StepTime: testStepTime})
 	}
 	learnLengths(p, "r", 50, 500)
 	for i, id := range ids {
@@ -58,7 +58,7 @@
 				if p.Submit(testStart, r).Verdict != Granted {
 					b.Fatal("no engine has room for the request")
 				}
-				p.Finish(testStart, Finish{Run: r.Run, Made: 50})
+				p.Finish(testStart, Finish{Run: r.Run, GeneratedTokens: 50})
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 			now := testStart
 			b.ReportAllocs()
 			for b.Loop() {
-				now = now.Add(refreshEvery)
+				now = now.Add(forecastRefreshInterval)
 				p.Advance(now)
 			}
 		})
@@ -95,7 +95,7 @@
 				p.SetEngines(ids)
 				for _, id := range ids {
 					p.SetZone(id, "z")
-					p.Report(testStart, Report{Engine: id, Memory: 100_000, Step: testStepTime})
+					p.Report(testStart, Report{Engine: id, TotalMemory: 100_000, StepTime: testStepTime})
 				}
 			}
 		})
@@ -107,6 +107,6 @@
 	p := newBusyPool(200)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Report(testStart.Add(time.Second), Report{Engine: "g7", Memory: 100_000, Used: 20_000, Running: 40, Step: testStepTime})
+		p.Report(testStart.Add(time.Second), Report{Engine: "g7", TotalMemory: 100_000, UsedMemory: 20_000, Running: 40, StepTime: testStepTime})
 	}
 }
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -24,7 +24,7 @@
 	p := NewPool(s)
 	p.SetEngines(engines)
 	for _, id := range engines {
-		p.Report(testStart, Report{Engine: id, Memory: 10_000, Step: testStepTime})
+		p.Report(testStart, Report{Engine: id, TotalMemory: 10_000, StepTime: testStepTime})
 	}
 	return p
 }
@@ -33,14 +33,14 @@
 func learnLengths(p *Pool, route resource.Name, lengths ...Tokens) {
 	for range 300 {
 		for _, n := range lengths {
-			p.Learn(&Request{Route: route, Account: "a"}, n)
+			p.LearnLength(&Request{Route: route, Account: "a"}, n)
 		}
 	}
 }
 
 // newRequest returns a request whose deadline is ten seconds after testStart.
 func newRequest(run string, prompt Tokens) Request {
-	return Request{Run: RunID(run), Route: "r", Account: "a", Prompt: prompt, Bytes: 1, Deadline: testStart.Add(10 * time.Second)}
+	return Request{Run: RunID(run), Route: "r", Account: "a", PromptTokens: prompt, QueueBytes: 1, Deadline: testStart.Add(10 * time.Second)}
 }
 
 func TestAdmissionByForeseenMemory(t *testing.T) {
@@ -71,13 +71,13 @@
 
 func TestStepTimeStaysWithinTarget(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{BetweenTokens: 40 * time.Millisecond}, "g1")
+	p := newTestPool(Settings{MaxStepTime: 40 * time.Millisecond}, "g1")
 	learnLengths(p, "r", 20)
 	for running := 1; running <= 40; running++ {
 		took := 10*time.Millisecond + time.Duration(running)*time.Millisecond
-		p.Report(testStart, Report{Engine: "g1", Memory: 1_000_000, Running: running, Step: took})
+		p.Report(testStart, Report{Engine: "g1", TotalMemory: 1_000_000, Running: running, StepTime: took})
 	}
-	p.Report(testStart, Report{Engine: "g1", Memory: 1_000_000})
+	p.Report(testStart, Report{Engine: "g1", TotalMemory: 1_000_000})
 	admitted := 0
 	for i := range 60 {
 		if p.Submit(testStart, newRequest(fmt.Sprint(i), 10)).Verdict == Granted {
@@ -93,15 +93,15 @@
 	learnLengths(p, "r", 50)
 	is.Equal(p.Submit(testStart, newRequest("0", 10)).Reason, ReasonNoEngine)
 	p.SetEngines([]EngineID{"g1", "g2"})
-	p.Report(testStart, Report{Engine: "g1", Memory: 1000, Step: testStepTime})
+	p.Report(testStart, Report{Engine: "g1", TotalMemory: 1000, StepTime: testStepTime})
 	is.Equal(p.Submit(testStart, newRequest("1", 10)).Engine, EngineID("g1"))
 	p.Suspect("g1")
 	is.Equal(p.Submit(testStart, newRequest("2", 10)).Verdict, Queued)
-	p.Report(testStart, Report{Engine: "g2", Memory: 1000, Step: testStepTime})
+	p.Report(testStart, Report{Engine: "g2", TotalMemory: 1000, StepTime: testStepTime})
 	decided := p.Advance(testStart)
 	is.Equal(len(decided), 1)
 	is.Equal(decided[0].Engine, EngineID("g2"))
-	late := testStart.Add(staleAfter + time.Second)
+	late := testStart.Add(maxReportAge + time.Second)
 	is.Equal(p.Submit(late, newRequest("3", 10)).Verdict, Queued) // the reports are too old
 }
 
@@ -110,7 +110,7 @@
 	p := newTestPool(Settings{}, "g1", "g2")
 	for i := range 10 {
 		r := newRequest(fmt.Sprint(i), 10)
-		r.Avoid = "g1"
+		r.PreviousEngine = "g1"
 		is.Equal(p.Submit(testStart, r).Engine, EngineID("g2"))
 	}
 }
@@ -128,7 +128,7 @@
 
 // fillMemory takes all of the engine's memory, so that requests wait.
 func fillMemory(p *Pool) {
-	p.Submit(testStart, Request{Run: "big", Route: "big", Account: "b", Prompt: 9500, Deadline: testStart.Add(time.Minute)})
+	p.Submit(testStart, Request{Run: "big", Route: "big", Account: "b", PromptTokens: 9500, Deadline: testStart.Add(time.Minute)})
 }
 
 func TestPriorityThenFairness(t *testing.T) {
@@ -148,7 +148,7 @@
 	urgent := newRequest("urgent", 100)
 	urgent.Account, urgent.Priority = "large", 5
 	is.Equal(p.Submit(testStart, urgent).Verdict, Queued)
-	p.Finish(testStart, Finish{Run: "big", Made: 50})
+	p.Finish(testStart, Finish{Run: "big", GeneratedTokens: 50})
 	var order []RunID
 	for _, d := range p.Advance(testStart.Add(time.Second)) {
 		order = append(order, d.Run)
@@ -161,12 +161,12 @@
 
 func TestQueueBounds(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{QueueLimit: 3, QueueBytes: 100}, "g1")
+	p := newTestPool(Settings{MaxQueueLength: 3, MaxQueueBytes: 100}, "g1")
 	learnLengths(p, "r", 50)
 	learnLengths(p, "big", 50)
 	fillMemory(p)
 	large := newRequest("large", 100)
-	large.Bytes = 101
+	large.QueueBytes = 101
 	refused := p.Submit(testStart, large)
 	is.Equal(refused.Reason, ReasonQueueFull)
 	is.True(refused.RetryAfter > 0)
@@ -230,12 +230,12 @@
 		now = now.Add(100 * time.Millisecond)
 		for run, since := range running {
 			if now.Sub(since) > 2*time.Second {
-				p.Finish(now, Finish{Run: run, Made: 100, Whole: true})
+				p.Finish(now, Finish{Run: run, GeneratedTokens: 100, Complete: true})
 				delete(running, run)
 			}
 		}
 		for _, id := range p.Engines() {
-			p.Report(now, Report{Engine: id, Memory: 10_000, Step: testStepTime})
+			p.Report(now, Report{Engine: id, TotalMemory: 10_000, StepTime: testStepTime})
 		}
 		submit()
 		for _, d := range p.Advance(now) {
@@ -252,7 +252,7 @@
 	is := is.New(t)
 	count := func(share int) int {
 		p := newTestPool(Settings{}, "g1")
-		p.SetShare(share)
+		p.SetDeciderCount(share)
 		learnLengths(p, "r", 10)
 		admitted := 0
 		for i := range 100 {
@@ -281,7 +281,7 @@
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
 	learnLengths(p, "r", 100)
-	p.Report(testStart, Report{Engine: "g1", Memory: 10_000, Used: 9000, Running: 20, Step: testStepTime})
+	p.Report(testStart, Report{Engine: "g1", TotalMemory: 10_000, UsedMemory: 9000, Running: 20, StepTime: testStepTime})
 	is.Equal(p.Submit(testStart, newRequest("1", 1000)).Verdict != Granted, true)
 }
 
@@ -311,12 +311,12 @@
 	p.Finish(testStart, Finish{Run: "1"})
 	is.Equal(p.Submit(testStart, prompt("2")).Engine, first)
 	p.Finish(testStart, Finish{Run: "2"})
-	p.Cache(testStart, first, CacheEvent{Seq: 1, Prefix: 7, Added: false})
+	p.ApplyCacheEvent(testStart, first, CacheEvent{Seq: 1, Prefix: 7, Added: false})
 	other := EngineID("g1")
 	if first == other {
 		other = "g2"
 	}
-	p.Cache(testStart, other, CacheEvent{Seq: 1, Prefix: 7, Tokens: 1900, Added: true})
+	p.ApplyCacheEvent(testStart, other, CacheEvent{Seq: 1, Prefix: 7, Tokens: 1900, Added: true})
 	is.Equal(p.Submit(testStart, prompt("3")).Engine, other)
 }
 
@@ -325,13 +325,13 @@
 	r := newRequest("1", 100)
 	r.Prefix = 7
 	var c prefixCache
-	c.take(testStart, CacheEvent{Seq: 1, Prefix: 7, Tokens: 50, Added: true})
-	is.Equal(c.reusable(testStart, &r), Tokens(50))
-	is.Equal(c.reusable(testStart.Add(prefixFades+1), &r), Tokens(0))
-	c.take(testStart, CacheEvent{Seq: 1, Prefix: 7, Added: false}) // a duplicate of an old event
-	is.Equal(c.reusable(testStart, &r), Tokens(50))
-	c.take(testStart, CacheEvent{Seq: 3, Prefix: 8, Tokens: 10, Added: true})
-	is.Equal(c.reusable(testStart, &r), Tokens(0)) // event 2 is missing, so the prefix may have been evicted
+	c.applyEvent(testStart, CacheEvent{Seq: 1, Prefix: 7, Tokens: 50, Added: true})
+	is.Equal(c.reusableTokens(testStart, &r), Tokens(50))
+	is.Equal(c.reusableTokens(testStart.Add(prefixTTL+1), &r), Tokens(0))
+	c.applyEvent(testStart, CacheEvent{Seq: 1, Prefix: 7, Added: false}) // a duplicate of an old event
+	is.Equal(c.reusableTokens(testStart, &r), Tokens(50))
+	c.applyEvent(testStart, CacheEvent{Seq: 3, Prefix: 8, Tokens: 10, Added: true})
+	is.Equal(c.reusableTokens(testStart, &r), Tokens(0)) // event 2 is missing, so the prefix may have been evicted
 }
 
 // TestEveryRequestIsDecidedOnce makes random calls to a pool and checks that
@@ -340,7 +340,7 @@
 //   - no run or request is left after all have finished.
 func TestEveryRequestIsDecidedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newTestPool(Settings{QueueLimit: 8}, "g1", "g2")
+		p := newTestPool(Settings{MaxQueueLength: 8}, "g1", "g2")
 		now := testStart
 		final := map[RunID]Verdict{}
 		open := map[RunID]bool{}
@@ -355,7 +355,7 @@
 			if d.Verdict == Granted {
 				open[d.Run] = true
 			}
-			if d.Verdict == Granted && p.engine(d.Engine) == nil {
+			if d.Verdict == Granted && p.activeEngine(d.Engine) == nil {
 				t.Fatalf("run %s was placed on engine %s, which is not listed", d.Run, d.Engine)
 			}
 		}
@@ -368,7 +368,7 @@
 				decide(p.Submit(now, r))
 			case 2:
 				for run := range open {
-					p.Finish(now, Finish{Run: run, Made: 10, Whole: true})
+					p.Finish(now, Finish{Run: run, GeneratedTokens: 10, Complete: true})
 					delete(open, run)
 					break
 				}
@@ -376,7 +376,7 @@
 				p.SetEngines(rapid.SampledFrom([][]EngineID{{"g1"}, {"g1", "g2"}, {}}).Draw(t, "engines"))
 			case 4:
 				for _, id := range p.Engines() {
-					p.Report(now, Report{Engine: id, Memory: 10_000, Step: testStepTime})
+					p.Report(now, Report{Engine: id, TotalMemory: 10_000, StepTime: testStepTime})
 				}
 			}
 			for _, d := range p.Advance(now) {
@@ -406,17 +406,17 @@
 		other = "g2"
 	}
 	p.SetEngines([]EngineID{other})
-	id, found := p.Relocate(testStart, "1", Target{FarCost: 0})
+	id, found := p.Relocate(testStart, "1", Target{CrossZoneCost: 0})
 	is.True(found)
 	is.Equal(id, other)
-	is.True(!p.Return(testStart, "1", "unknown"))
+	is.True(!p.CancelRelocation(testStart, "1", "unknown"))
 	p.SetEngines([]EngineID{other})
-	is.True(p.Return(testStart, "1", first)) // although the engine is not listed
+	is.True(p.CancelRelocation(testStart, "1", first)) // although the engine is not listed
 	is.Equal(p.EngineOf("1"), first)
-	for n := range 2 * mostAway {
+	for n := range 2 * maxRemovedEngines {
 		p.SetEngines([]EngineID{EngineID(fmt.Sprint("e", n))})
 	}
-	is.True(len(p.away) <= mostAway+1) // the unlisted engines that are remembered are bounded
+	is.True(len(p.removedEngines) <= maxRemovedEngines+1) // the unlisted engines that are remembered are bounded
 	is.Equal(p.EngineOf("1"), first)
 
 	p = newTestPool(Settings{}, "g1", "g2")
@@ -424,7 +424,7 @@
 	p.SetEngines([]EngineID{other})
 	p.Adopt(testStart, newRequest("2", 3000), first, 0) // a peer's run there
 	p.SetEngines([]EngineID{first})
-	p.Report(testStart, Report{Engine: first, Memory: 10_000, Step: testStepTime})
+	p.Report(testStart, Report{Engine: first, TotalMemory: 10_000, StepTime: testStepTime})
 	is.Equal(p.EngineOf("1"), first)
 	is.Equal(p.EngineOf("2"), first)
 	is.Equal(p.Submit(testStart, newRequest("3", 5000)).Verdict, Queued) // its memory is still taken
@@ -449,19 +449,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newTestPool(Settings{ReadRate: 1000}, "g1", "g2", "g3", "g4")
+			p := newTestPool(Settings{InitialPrefillRate: 1000}, "g1", "g2", "g3", "g4")
 			zones := map[EngineID]member.Zone{"g1": "near", "g2": "near", "g3": "far", "g4": "far"}
 			for id, zone := range zones {
 				p.SetZone(id, zone)
 			}
-			p.SetKnownPart("far", c.knownShare)
+			p.SetZoneCoverage("far", c.knownShare)
 			for i := range 2 * c.promptsPerEngine {
 				r := newRequest(fmt.Sprint("busy", i), 900)
-				r.Zone, r.FarCost = "near", 100
+				r.Zone, r.CrossZoneCost = "near", 100
 				is.Equal(zones[p.Submit(testStart, r).Engine], member.Zone("near"))
 			}
 			r := newRequestWithObjective("r", testStart, 500)
-			r.Zone, r.FarCost = "near", 0.2
+			r.Zone, r.CrossZoneCost = "near", 0.2
 			is.Equal(zones[p.Submit(testStart, r).Engine], c.want)
 		})
 	}
--- a/policy/refusal_test.go
+++ b/policy/refusal_test.go
@@ -15,7 +15,7 @@
 // and deadline for the first token are two seconds.
 func newRequestWithObjective(run string, at time.Time, prompt Tokens) Request {
 	r := newRequest(run, prompt)
-	r.Arrived, r.Objective, r.Deadline = at, 2*time.Second, at.Add(2*time.Second)
+	r.ArrivedAt, r.Objective, r.Deadline = at, 2*time.Second, at.Add(2*time.Second)
 	return r
 }
 
@@ -41,7 +41,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newTestPool(Settings{ReadRate: 1000}, c.engines...)
+			p := newTestPool(Settings{InitialPrefillRate: 1000}, c.engines...)
 			for i, prompt := range c.ahead {
 				is.Equal(p.Submit(testStart, newRequestWithObjective(fmt.Sprint("ahead", i), testStart, prompt)).Verdict, Granted)
 			}
@@ -62,7 +62,7 @@
 // values, and those with short prompts earlier ones.
 func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{ReadRate: 1000}, "g1")
+	p := newTestPool(Settings{InitialPrefillRate: 1000}, "g1")
 	p.Submit(testStart, newRequestWithObjective("ahead", testStart, 4000))
 	retryAfters := map[time.Duration]bool{}
 	for i := range 20 {
@@ -78,7 +78,7 @@
 // late, and not only at its deadline.
 func TestRefuseQueuedRequest(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000, WaitPart: 2}, "g1", "g2")
+	p := newTestPool(Settings{MaxBatchSize: 1, InitialPrefillRate: 100_000, MaxWaitFraction: 2}, "g1", "g2")
 	learnLengths(p, "r", 60) // 1.2 s per run, so a place becomes free every 0.6 s
 	for _, run := range []string{"a", "b"} {
 		is.Equal(p.Submit(testStart, newRequest(run, 100)).Verdict, Granted)
@@ -102,13 +102,13 @@
 // exceeds the permitted part of its objective, and otherwise once it has waited that long.
 func TestRefuseLongWaits(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000}, "g1", "g2")
+	p := newTestPool(Settings{MaxBatchSize: 1, InitialPrefillRate: 100_000}, "g1", "g2")
 	for _, run := range []string{"a", "b"} {
 		is.Equal(p.Submit(testStart, newRequest(run, 100)).Verdict, Granted)
 	}
 	learnLengths(p, "r", 60)                                                                     // 1.2 s per run, so a place becomes free every 0.6 s
 	is.Equal(p.Submit(testStart, newRequestWithObjective("c", testStart, 100)).Verdict, Refused) // at most 0.15 of 2 s may be spent waiting
-	p.lengths = &Lengths{}
+	p.lengths = &LearnedLengths{}
 	learnLengths(p, "r", 20) // 0.4 s per run, so a place becomes free every 0.2 s
 	is.Equal(p.Submit(testStart, newRequestWithObjective("d", testStart, 100)).Verdict, Queued)
 	is.Equal(len(p.Advance(testStart.Add(290*time.Millisecond))), 0)
@@ -124,20 +124,20 @@
 	for name, factor := range map[string]float64{"as assumed": 1, "three times faster": 3, "three times slower": 1.0 / 3} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newTestPool(Settings{ReadRate: 1000}, "g1")
+			p := newTestPool(Settings{InitialPrefillRate: 1000}, "g1")
 			now := testStart
 			for i := range 60 {
 				run := fmt.Sprint(i)
 				p.Submit(now, newRequestWithObjective(run, now, 600))
 				now = now.Add(time.Duration(0.6 / factor * float64(time.Second)))
-				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: testStepTime})
-				p.Begun(now, RunID(run))
-				p.Begun(now.Add(time.Hour), RunID(run)) // later tokens are ignored
+				p.Report(now, Report{Engine: "g1", TotalMemory: 10_000, StepTime: testStepTime})
+				p.RecordFirstToken(now, RunID(run))
+				p.RecordFirstToken(now.Add(time.Hour), RunID(run)) // later tokens are ignored
 				p.Finish(now, Finish{Run: RunID(run)})
 				now = now.Add(5 * time.Second)
-				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: testStepTime})
+				p.Report(now, Report{Engine: "g1", TotalMemory: 10_000, StepTime: testStepTime})
 			}
-			rate, samples := p.ReadRate()
+			rate, samples := p.PrefillRate()
 			is.Equal(samples, uint64(60))
 			is.True(rate > 1000*factor*0.97 && rate < 1000*factor*1.03)
 		})
