--- a/entry/ask.go
+++ b/entry/ask.go
@@ -14,12 +14,12 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// send gives a pool's outbox to the goroutines that talk to the peers.
-func (p *placement) send(s *poolState) {
+// flushOutbox sends a pool's pending messages to the peers, each in its own goroutine.
+func (p *placement) flushOutbox(s *poolState) {
 	if len(s.asks) > 0 {
-		asked, owner := s.asks, s.owner
+		requests, owner := s.asks, s.owner
 		s.asks = nil
-		p.entry.spawn(func(ctx context.Context) { p.ask(ctx, s, owner, asked) })
+		p.entry.spawn(func(ctx context.Context) { p.requestPlaces(ctx, s, owner, requests) })
 	}
 	for host, finished := range s.finished {
 		delete(s.finished, host)
@@ -27,26 +27,26 @@
 		if !known {
 			continue
 		}
-		p.entry.spawn(func(ctx context.Context) { p.tellFinished(ctx, s, to, finished) })
+		p.entry.spawn(func(ctx context.Context) { p.sendFinished(ctx, s, to, finished) })
 	}
 	for host, decisions := range s.decisions {
 		delete(s.decisions, host)
 		to, known := p.entry.members.Entry(host)
 		if known {
-			p.entry.spawn(func(ctx context.Context) { p.tell(ctx, s, to, decisions) })
+			p.entry.spawn(func(ctx context.Context) { p.sendDecisions(ctx, s, to, decisions) })
 		}
 	}
 }
 
-// tellFinished tells a coordinator of places that are free again, and again
-// until it has heard or is dead.
-func (p *placement) tellFinished(ctx context.Context, s *poolState, to member.Entry, finished []policy.Finish) {
-	quick, cancel := context.WithTimeout(ctx, time.Second)
+// sendFinished reports ended runs to their coordinator, which frees their places. A report that
+// fails goes back into the outbox while the coordinator is alive.
+func (p *placement) sendFinished(ctx context.Context, s *poolState, to member.Entry, finished []policy.Finish) {
+	callCtx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if p.entry.peers.Finished(quick, to, s.name, finished) == nil {
+	if p.entry.peers.Finished(callCtx, to, s.name, finished) == nil {
 		return
 	}
-	if !pause(ctx, tellAgainAfter) {
+	if !pause(ctx, finishedRetryDelay) {
 		return
 	}
 	_ = p.do(ctx, func(now time.Time) {
@@ -56,29 +56,32 @@
 	})
 }
 
-const tellAgainAfter = 200 * time.Millisecond
+// finishedRetryDelay is the time between a failed report of ended runs and the next try.
+const finishedRetryDelay = 200 * time.Millisecond
 
-// ask asks the coordinator for places. When it doesn't answer in time, this
-// entry decides alone and leaves the coordinator in peace for a while.
-func (p *placement) ask(ctx context.Context, s *poolState, owner member.Entry, asked []policy.Request) {
-	quick, cancel := context.WithTimeout(ctx, answerWithin)
+// requestPlaces asks the coordinator for places. If the coordinator doesn't answer in time, this
+// entry decides the requests itself.
+func (p *placement) requestPlaces(ctx context.Context, s *poolState, owner member.Entry, requests []policy.Request) {
+	callCtx, cancel := context.WithTimeout(ctx, answerWithin)
 	defer cancel()
-	decisions, err := p.entry.peers.Place(quick, owner, s.name, asked)
+	decisions, err := p.entry.peers.Place(callCtx, owner, s.name, requests)
 	_ = p.do(ctx, func(now time.Time) {
 		if err != nil {
-			p.fallBack(now, s, owner, asked)
+			p.decideLocally(now, s, owner, requests)
 			return
 		}
-		p.takeDecisions(s, owner, decisions)
+		p.applyDecisions(s, owner, decisions)
 	})
 }
 
-func (p *placement) fallBack(now time.Time, s *poolState, owner member.Entry, asked []policy.Request) {
+// decideLocally submits requests to this entry's own pool after the coordinator failed to answer,
+// and stops asking that coordinator for the time of distrustFor.
+func (p *placement) decideLocally(now time.Time, s *poolState, owner member.Entry, requests []policy.Request) {
 	if s.owner.ID == owner.ID {
 		s.distrusted = now.Add(distrustFor)
 	}
-	for _, r := range asked {
-		// The owner may have the request and grant it yet.
+	for _, r := range requests {
+		// The coordinator may have received the request and may still grant it.
 		s.finished[owner.ID] = append(s.finished[owner.ID], policy.Finish{Run: r.Run})
 		if w := s.waiters[r.Run]; w != nil {
 			p.submitHere(now, s, w)
@@ -86,46 +89,48 @@
 	}
 }
 
-// takeDecisions hands on what a coordinator decided, and gives back the places
-// that nobody here wants any more.
-func (p *placement) takeDecisions(s *poolState, owner member.Entry, decisions []policy.Decision) {
+// applyDecisions passes a coordinator's decisions to the requests that wait for them, and gives
+// back granted places that no request here waits for any longer.
+func (p *placement) applyDecisions(s *poolState, owner member.Entry, decisions []policy.Decision) {
 	for _, d := range decisions {
-		if !p.decide(s, d, owner) && d.Verdict == policy.Granted && !p.carries(d, owner.ID) {
+		if !p.decide(s, d, owner) && d.Verdict == policy.Granted && !p.holdsPlace(d, owner.ID) {
 			s.finished[owner.ID] = append(s.finished[owner.ID], policy.Finish{Run: d.Run})
 		}
 	}
 }
 
-// carries reports whether the run of a decision is under way here as the
-// coordinator decided. A second coordinator's place for it is not wanted, even
-// on the same engine: nobody would tell that one of the end.
-func (p *placement) carries(d policy.Decision, by member.HostID) bool {
+// holdsPlace reports whether the decision's run is in progress here, on the decided engine and
+// placed by this coordinator. A place from a second coordinator is given back even if it is on the
+// same engine, because the run's end is reported only to the coordinator that placed it.
+func (p *placement) holdsPlace(d policy.Decision, coordinator member.HostID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	own := p.runs[d.Run]
-	return own != nil && own.engine == d.Engine && own.coordinator.ID == by
+	return own != nil && own.engine == d.Engine && own.coordinator.ID == coordinator
 }
 
-// tell tells an entry what became of its queued requests.
-func (p *placement) tell(ctx context.Context, s *poolState, to member.Entry, decisions []policy.Decision) {
+// sendDecisions sends a peer the decisions about its queued requests.
+func (p *placement) sendDecisions(ctx context.Context, s *poolState, to member.Entry, decisions []policy.Decision) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	// An entry that misses this asks again.
+	// A peer that doesn't receive the decisions asks again.
 	_ = p.entry.peers.Decided(ctx, to, s.name, decisions)
 }
 
-// elsewhere tries the other zones when this one has no room.
-func (p *placement) elsewhere(ctx context.Context, pool resource.Name, r policy.Request, d policy.Decision) policy.Decision {
+// tryOtherZones asks the coordinators of other zones for a place when this zone has refused the
+// request for another reason than the length of its prompt.
+func (p *placement) tryOtherZones(ctx context.Context, pool resource.Name, r policy.Request, d policy.Decision) policy.Decision {
 	if d.Verdict != policy.Refused || d.Reason == policy.ReasonTooLong {
 		return d
 	}
 	for _, to := range p.entry.members.OtherCoordinators(p.entry.now(), pool, r.PromptTokens) {
-		quick, cancel := context.WithTimeout(ctx, otherZoneWait)
-		decisions, err := p.entry.peers.Place(quick, to, pool, []policy.Request{r})
+		callCtx, cancel := context.WithTimeout(ctx, otherZoneWait)
+		decisions, err := p.entry.peers.Place(callCtx, to, pool, []policy.Request{r})
 		cancel()
 		if err != nil || len(decisions) != 1 || decisions[0].Verdict == policy.Queued {
-			// Waiting is for the own zone, and an answer that comes late isn't
-			// wanted either.
+			// Requests are queued in their own zone only. The run is reported as finished,
+			// so that the coordinator drops it from its queue, or frees the place if its
+			// answer comes too late.
 			_ = p.do(ctx, func(time.Time) {
 				s := p.state(pool)
 				s.finished[to.ID] = append(s.finished[to.ID], policy.Finish{Run: r.Run})
@@ -144,15 +149,15 @@
 	return d
 }
 
-// OnPlace serves a peer's request for places.
-func (p *placement) OnPlace(ctx context.Context, from member.HostID, pool resource.Name, asked []policy.Request) ([]policy.Decision, error) {
+// OnPlace handles a peer's request for places.
+func (p *placement) OnPlace(ctx context.Context, from member.HostID, pool resource.Name, requests []policy.Request) ([]policy.Decision, error) {
 	if _, declared := p.entry.config.Catalog().Pool(pool); !declared {
 		return nil, trace.NotFound("pool %s is not declared here", pool)
 	}
 	var decisions []policy.Decision
 	err := p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
-		for _, r := range asked {
+		for _, r := range requests {
 			if _, over := s.ended[r.Run]; over {
 				decisions = append(decisions, policy.Decision{Run: r.Run, Verdict: policy.Refused, Reason: policy.ReasonDeadline})
 				continue
@@ -170,17 +175,17 @@
 	return decisions, nil
 }
 
-// OnDecided takes what a coordinator decided about queued requests.
+// OnDecided handles a coordinator's decisions about this entry's queued requests.
 func (p *placement) OnDecided(ctx context.Context, from member.HostID, pool resource.Name, decisions []policy.Decision) error {
 	return p.do(ctx, func(time.Time) {
 		owner, known := p.entry.members.Entry(from)
 		if known {
-			p.takeDecisions(p.state(pool), owner, decisions)
+			p.applyDecisions(p.state(pool), owner, decisions)
 		}
 	})
 }
 
-// OnFinished frees the places of a peer's runs.
+// OnFinished frees the places of a peer's ended runs.
 func (p *placement) OnFinished(ctx context.Context, pool resource.Name, finished []policy.Finish) error {
 	return p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
@@ -194,7 +199,7 @@
 	})
 }
 
-// OnRunning takes in the runs of a peer whose coordinator this entry became.
+// OnRunning records the running requests of a peer whose coordinator this entry has become.
 func (p *placement) OnRunning(ctx context.Context, from member.HostID, pool resource.Name, runs []PlacedRun) error {
 	return p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
@@ -205,8 +210,9 @@
 	})
 }
 
-// report takes in an engine's report, from wherever it came.
-func (p *placement) report(ctx context.Context, pool resource.Name, reports []policy.Report, cache map[member.UpstreamID][]policy.CacheEvent) {
+// applyReports passes engines' load reports and cache events to their pool. The reports come from
+// the engines themselves or from a peer's heartbeat.
+func (p *placement) applyReports(ctx context.Context, pool resource.Name, reports []policy.Report, cache map[member.UpstreamID][]policy.CacheEvent) {
 	_ = p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
 		for _, r := range reports {
@@ -220,21 +226,21 @@
 	})
 }
 
-// suspect keeps new work from engines that didn't answer, until they report
-// again.
-func (p *placement) suspect(ctx context.Context, pool resource.Name, silent []member.UpstreamID) {
-	if len(silent) == 0 {
+// markSuspect keeps new work from engines that didn't answer until they report again.
+func (p *placement) markSuspect(ctx context.Context, pool resource.Name, unresponsive []member.UpstreamID) {
+	if len(unresponsive) == 0 {
 		return
 	}
 	_ = p.do(ctx, func(time.Time) {
 		s := p.state(pool)
-		for _, id := range silent {
+		for _, id := range unresponsive {
 			s.pool.Suspect(id)
 		}
 	})
 }
 
-// withhold keeps new work from the engines that are to be emptied.
+// withhold keeps new work from the given engines, which are to be drained. Engines of an earlier call
+// that aren't given again take new work again.
 func (p *placement) withhold(ctx context.Context, pool resource.Name, ids []member.UpstreamID) {
 	_ = p.do(ctx, func(time.Time) { p.state(pool).pool.SetCordoned(ids) })
 }
--- a/entry/backoff_test.go
+++ b/entry/backoff_test.go
@@ -12,14 +12,15 @@
 	"github.com/matryer/is"
 )
 
-// TestEngineAsksForBackoffAndGetsGenerations has generations go to another engine until the end.
+// TestEngineAsksForBackoffAndGetsGenerations checks that generations go to another engine until the
+// backoff that an engine asked for has ended, and to that engine again afterwards.
 func TestEngineAsksForBackoffAndGetsGenerations(t *testing.T) {
 	refused := script{startErr: &EngineRefusal{Status: 503, Text: "full", RetryAfter: 3 * time.Second}}
-	good := script{events: append(tokens(1, 5), ended(5))}
-	inSite(t, []script{refused, good}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
+	succeeds := script{events: append(tokens(1, 5), ended(5))}
+	inSite(t, []script{refused, succeeds}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
-		// Six at once, so that both engines would get some.
-		six := func() {
+		// Six concurrent generations, so that without backoff both engines would get some.
+		generateSix := func() {
 			hold := make(chan struct{})
 			s.engines.mu.Lock()
 			s.engines.hold = hold
@@ -37,17 +38,18 @@
 				is.NoErr(<-errs)
 			}
 		}
-		six()
+		generateSix()
 		started := s.engines.startedBy()
 		is.Equal(min(started["g1"], started["g2"]), 1) // the refusal
 		time.Sleep(3 * time.Second)
-		six()
+		generateSix()
 		started = s.engines.startedBy()
 		is.True(min(started["g1"], started["g2"]) > 1)
 	})
 }
 
-// TestEnginesAllAskForBackoff has a generation refused at once, with when to come back.
+// TestEnginesAllAskForBackoff checks that a generation is refused at once, with a Retry-After, while
+// all engines are in backoff.
 func TestEnginesAllAskForBackoff(t *testing.T) {
 	refused := script{startErr: &EngineRefusal{Status: 503, Text: "full", RetryAfter: 3 * time.Second}}
 	inSite(t, []script{refused}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
@@ -57,7 +59,7 @@
 			_, err := e.Generate(s.ctx, quote(), &fakeSink{})
 			var failure *Failure
 			is.True(errors.As(err, &failure))
-			is.Equal(failure.Run, NotRun)
+			is.Equal(failure.RunState, NotRun)
 			is.Equal(failure.Code, CodeOverloaded)
 			is.True(failure.RetryAfter > 2*time.Second)
 			is.True(time.Since(began) < time.Second)
@@ -67,7 +69,8 @@
 	})
 }
 
-// TestServiceAsksForBackoffAndGetsCalls has a service's upstream get nothing until the end.
+// TestServiceAsksForBackoffAndGetsCalls checks that a service's upstreams get no calls until the
+// backoff that they asked for has ended.
 func TestServiceAsksForBackoffAndGetsCalls(t *testing.T) {
 	inSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
@@ -82,7 +85,7 @@
 		_, err := e.CallService(s.ctx, call("orders", ""))
 		var failure *Failure
 		is.True(errors.As(err, &failure))
-		is.Equal(failure.Run, NotRun)
+		is.Equal(failure.RunState, NotRun)
 		is.True(failure.RetryAfter > 2*time.Second)
 		is.Equal(s.services.count(""), 3)
 		s.services.setBackoff(0)
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -15,21 +15,27 @@
 	"github.com/shedpath/shedpath/claim"
 )
 
-// heldClaim is a claim that this entry made for a call.
-type heldClaim struct {
+// callClaim is a claim that this entry holds for a call.
+type callClaim struct {
 	key    string
 	record claim.Record
 }
 
 const (
-	claimTimeout   = 2 * time.Second
-	claimPause     = 20 * time.Millisecond
-	claimRetry     = 2 * time.Second
-	releaseTimeout = time.Minute
+	// claimTimeout bounds the claiming of a call, and the recording of its outcome.
+	claimTimeout = 2 * time.Second
+	// claimAttemptDelay is the delay before the next platform call after a failed one.
+	claimAttemptDelay = 20 * time.Millisecond
+	// claimRetryAfter is when a caller may retry a call that could not be claimed, and the
+	// interval at which an abandoned claim's removal is retried.
+	claimRetryAfter = 2 * time.Second
+	// claimCleanupTimeout bounds the background removal of an abandoned claim, and the rewriting of
+	// claims after a restore.
+	claimCleanupTimeout = time.Minute
 )
 
-// claimCall claims a call. Without a failure, the call may be sent once.
-func (e *Entry) claimCall(ctx context.Context, r ServiceRequest) (*heldClaim, *Failure) {
+// claimCall claims a call. If it returns no failure, the call may be sent once.
+func (e *Entry) claimCall(ctx context.Context, r ServiceRequest) (*callClaim, *Failure) {
 	now := e.now()
 	key := claim.Key(r.Account, r.Route, r.IdempotencyKey)
 	attempt := claim.NewAttempt(claim.Record{
@@ -39,9 +45,9 @@
 	for {
 		e.observeEra(e.claims.Era())
 		step := attempt.Next(e.now())
-		if held := e.claimed.heldFor(e.now()); held > 0 && step != claim.RejectDuplicate {
-			e.abandon(key, attempt)
-			return nil, fail(CodeNoClaim, NotRun, "the call could not be claimed: the platform was restored, and may lack claims").retryAfter(held)
+		if blocked := e.claimHistory.blockedFor(e.now()); blocked > 0 && step != claim.RejectDuplicate {
+			e.abandonClaim(key, attempt)
+			return nil, newFailure(CodeClaimUnavailable, NotRun, "the call could not be claimed: the platform was restored, and may lack claims").withRetryAfter(blocked)
 		}
 		switch step {
 		case claim.Create:
@@ -49,17 +55,17 @@
 		case claim.Read:
 			e.readClaim(ctx, key, attempt)
 		case claim.Send:
-			e.claimed.remember(e.now(), key, attempt.Record())
-			return &heldClaim{key: key, record: attempt.Record()}, nil
+			e.claimHistory.remember(e.now(), key, attempt.Record())
+			return &callClaim{key: key, record: attempt.Record()}, nil
 		case claim.RejectDuplicate:
-			return nil, duplicate(attempt.Record(), attempt.ConflictingClaim())
+			return nil, duplicateFailure(attempt.Record(), attempt.ConflictingClaim())
 		case claim.GiveUp:
-			e.abandon(key, attempt)
-			return nil, fail(CodeNoClaim, NotRun, "the call could not be claimed: the platform does not answer").retryAfter(claimRetry)
+			e.abandonClaim(key, attempt)
+			return nil, newFailure(CodeClaimUnavailable, NotRun, "the call could not be claimed: the platform does not answer").withRetryAfter(claimRetryAfter)
 		}
 		if ctx.Err() != nil {
-			e.abandon(key, attempt)
-			return nil, fail(CodeCancelled, NotRun, "the caller left before the call was claimed")
+			e.abandonClaim(key, attempt)
+			return nil, newFailure(CodeCancelled, NotRun, "the caller left before the call was claimed")
 		}
 	}
 }
@@ -67,25 +73,25 @@
 func (e *Entry) createClaim(ctx context.Context, key string, a *claim.Attempt) {
 	text, _ := json.Marshal(a.Record())
 	wrote, err := e.claims.Swap(ctx, key, text, 0)
-	a.CreateFinished(resultOf(err), wrote)
+	a.CreateFinished(claimResult(err), wrote)
 	if err != nil {
-		pause(ctx, claimPause)
+		pause(ctx, claimAttemptDelay)
 	}
 }
 
 func (e *Entry) readClaim(ctx context.Context, key string, a *claim.Attempt) {
 	item, err := e.claims.Get(ctx, key)
-	var there claim.Record
+	var stored claim.Record
 	if err == nil && item.Found() {
-		err = json.Unmarshal(item.Value, &there)
+		err = json.Unmarshal(item.Value, &stored)
 	}
-	a.ReadFinished(resultOf(err), item.Found(), there)
+	a.ReadFinished(claimResult(err), item.Found(), stored)
 	if err != nil {
-		pause(ctx, claimPause)
+		pause(ctx, claimAttemptDelay)
 	}
 }
 
-func resultOf(err error) claim.Result {
+func claimResult(err error) claim.Result {
 	switch {
 	case err == nil:
 		return claim.Answered
@@ -96,66 +102,69 @@
 	}
 }
 
-// duplicate tells the second caller of a key what is known of the first call.
-func duplicate(ours, theirs claim.Record) *Failure {
+// duplicateFailure returns the failure for a call whose idempotency key is already claimed. It says
+// what is known of the first call.
+func duplicateFailure(attempted, stored claim.Record) *Failure {
 	switch {
-	case ours.RequestHash != theirs.RequestHash:
-		return fail(CodeKeyReused, NotRun, "the Idempotency-Key was used for another call")
-	case theirs.Status != 0:
-		return fail(CodeDuplicate, NotRun, "the call with this Idempotency-Key was run; it was answered with status %d", theirs.Status)
+	case attempted.RequestHash != stored.RequestHash:
+		return newFailure(CodeIdempotencyKeyReused, NotRun, "the Idempotency-Key was used for another call")
+	case stored.Status != 0:
+		return newFailure(CodeDuplicateRequest, NotRun, "the call with this Idempotency-Key was run; it was answered with status %d", stored.Status)
 	default:
-		return fail(CodeDuplicate, Unknown, "a call with this Idempotency-Key is under way or its outcome is not known")
+		return newFailure(CodeDuplicateRequest, Unknown, "a call with this Idempotency-Key is under way or its outcome is not known")
 	}
 }
 
-// abandon removes the key of a claim that was given up, so that the caller can
-// try again. That is safe at any later time: this attempt never sends.
-func (e *Entry) abandon(key string, a *claim.Attempt) {
+// abandonClaim removes the claim of an attempt that was given up, so that the caller can try again.
+// Removal is safe at any later time, because the attempt never sends its call.
+func (e *Entry) abandonClaim(key string, a *claim.Attempt) {
 	if !a.MayHaveClaimed() {
 		return
 	}
-	ours := a.Record().Claimant
+	claimant := a.Record().Claimant
 	e.spawn(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+		ctx, cancel := context.WithTimeout(ctx, claimCleanupTimeout)
 		defer cancel()
 		for {
-			if e.removeClaim(ctx, key, ours) || !pause(ctx, jitter(claimRetry)) {
+			if e.removeClaim(ctx, key, claimant) || !pause(ctx, jitter(claimRetryAfter)) {
 				return
 			}
 		}
 	})
 }
 
-// removeClaim reports whether the claim surely isn't there as ours any more.
+// removeClaim deletes the claim if this claimant made it. It reports whether the key certainly no
+// longer holds this claimant's claim.
 func (e *Entry) removeClaim(ctx context.Context, key, claimant string) bool {
 	item, err := e.claims.Get(ctx, key)
 	if err != nil {
 		return false
 	}
-	var there claim.Record
-	if !item.Found() || json.Unmarshal(item.Value, &there) != nil || there.Claimant != claimant {
+	var stored claim.Record
+	if !item.Found() || json.Unmarshal(item.Value, &stored) != nil || stored.Claimant != claimant {
 		return true
 	}
 	_, err = e.claims.Delete(ctx, key, item.Version)
 	return err == nil
 }
 
-// recordOutcome notes the upstream's answer on the claim, if the platform has
-// room for it. A second caller is told it; nothing else depends on it.
-func (e *Entry) recordOutcome(held *heldClaim, status int) {
+// recordOutcome adds the status of the upstream's answer to the claim if the platform accepts the
+// write. The status is only reported to a second caller with the same key; nothing else depends on
+// it.
+func (e *Entry) recordOutcome(c *callClaim, status int) {
 	if status < http.StatusOK {
 		return
 	}
 	e.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 		defer cancel()
-		item, err := e.outcomes.Get(ctx, held.key)
+		item, err := e.outcomes.Get(ctx, c.key)
 		if err != nil || !item.Found() {
 			return
 		}
-		held.record.Status = status
-		text, _ := json.Marshal(held.record)
-		// Losing this costs only what a second caller is told.
-		_, _ = e.outcomes.Swap(ctx, held.key, text, item.Version)
+		c.record.Status = status
+		text, _ := json.Marshal(c.record)
+		// Without the status, a second caller only learns that the outcome is unknown.
+		_, _ = e.outcomes.Swap(ctx, c.key, text, item.Version)
 	})
 }
--- a/entry/configuration_test.go
+++ b/entry/configuration_test.go
@@ -20,16 +20,17 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
+// poolChange returns a change that sets a pool's queue limit.
 func poolChange(name resource.Name, limit int) resource.Change {
 	return resource.Change{
 		Kind: resource.EnginePools, Name: name, Spec: json.RawMessage(fmt.Sprintf(`{"queueLimit":%d}`, limit)),
 	}
 }
 
-// TestConfigurationUnderFaults has several entries write through a platform
-// that refuses writes, loses them and loses their answers. What was accepted is
-// in the log exactly once under the revision that was told, what was refused
-// isn't there, and every entry ends at the same catalog.
+// TestConfigurationUnderFaults has several entries write through a platform that refuses writes,
+// loses them or loses their answers. An accepted change must be in the log exactly once, at the
+// reported revision; a refused change must not be in it; and all entries must reach the log's
+// revision.
 func TestConfigurationUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.SampledFrom([]writeFault{
@@ -47,13 +48,14 @@
 	})
 }
 
-// told is what one writer was told of one change.
-type told struct {
+// proposeResult is what Propose returned for one change.
+type proposeResult struct {
 	change   resource.Change
 	revision resource.Revision
 	err      error
 }
 
+// writeUnderFaults runs one schedule of faults and returns an error if an entry or the log is wrong.
 func writeUnderFaults(t *testing.T, faults []writeFault, writers, perWriter int) error {
 	ctx, cancel := context.WithCancel(t.Context())
 	s := newFakeSite(ctx)
@@ -72,7 +74,7 @@
 		entries = append(entries, s.add(member.HostID(fmt.Sprintf("e%d", i)), "az1"))
 	}
 	var mu sync.Mutex
-	var all []told
+	var results []proposeResult
 	var writing sync.WaitGroup
 	for i, e := range entries {
 		writing.Go(func() {
@@ -80,47 +82,48 @@
 				c := poolChange(resource.Name(fmt.Sprintf("p%d-%d", i, n)), n+1)
 				revision, err := e.Propose(ctx, c, nil)
 				mu.Lock()
-				all = append(all, told{c, revision, err})
+				results = append(results, proposeResult{c, revision, err})
 				mu.Unlock()
 			}
 		})
 	}
 	writing.Wait()
 	time.Sleep(8 * time.Second)
-	if err := compareWithLog(all, s.store.log()); err != nil {
+	if err := checkAgainstLog(results, s.store.log()); err != nil {
 		return err
 	}
 	for _, e := range entries {
 		if got, want := e.Catalog().Revision(), resource.Revision(len(s.store.log())); got != want {
-			return fmt.Errorf("an entry is at revision %d, the log at %d", got, want)
+			return fmt.Errorf("entry %s is at revision %d, want %d, the end of the log", e.self.ID, got, want)
 		}
 	}
 	return nil
 }
 
-func compareWithLog(all []told, log []resource.LogEntry) error {
-	at := map[resource.Name][]resource.Revision{}
+// checkAgainstLog compares what Propose returned for each change with the log.
+func checkAgainstLog(results []proposeResult, log []resource.LogEntry) error {
+	revisions := map[resource.Name][]resource.Revision{}
 	for _, e := range log {
 		for _, c := range e.Changes {
-			at[c.Name] = append(at[c.Name], e.Revision)
+			revisions[c.Name] = append(revisions[c.Name], e.Revision)
 		}
 	}
-	for _, one := range all {
-		there := at[one.change.Name]
+	for _, result := range results {
+		logged := revisions[result.change.Name]
 		switch {
-		case one.err == nil && (len(there) != 1 || there[0] != one.revision):
-			return fmt.Errorf("%s was accepted at %d; the log has it at %v", one.change.Name, one.revision, there)
-		case errors.Is(one.err, ErrNotAccepted) && len(there) != 0:
-			return fmt.Errorf("%s was refused; the log has it at %v", one.change.Name, there)
-		case len(there) > 1:
-			return fmt.Errorf("%s is in the log %d times", one.change.Name, len(there))
+		case result.err == nil && (len(logged) != 1 || logged[0] != result.revision):
+			return fmt.Errorf("change of %s was accepted at revision %d, but the log has it at revisions %v", result.change.Name, result.revision, logged)
+		case errors.Is(result.err, ErrNotAccepted) && len(logged) != 0:
+			return fmt.Errorf("change of %s was refused, but the log has it at revisions %v", result.change.Name, logged)
+		case len(logged) > 1:
+			return fmt.Errorf("change of %s is in the log %d times, want at most once", result.change.Name, len(logged))
 		}
 	}
 	return nil
 }
 
-// inZones runs a test with one entry in each of three zones, configured.
-func inZones(t *testing.T, test func(t *testing.T, s *fakeSite, entries []*Entry)) {
+// runInThreeZones runs a test on a configured site with one entry in each of three zones.
+func runInThreeZones(t *testing.T, test func(t *testing.T, s *fakeSite, entries []*Entry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -141,55 +144,56 @@
 	})
 }
 
-// TestTwoOperatorsOneResource lets one win and tells the other what is there.
+// TestTwoOperatorsOneResource checks that of two concurrent changes to a resource one is accepted,
+// and the other gets a conflict with the resource's current state.
 func TestTwoOperatorsOneResource(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
-		there, _ := entries[0].Catalog().Get(resource.EnginePools, "desk")
+		existing, _ := entries[0].Catalog().Get(resource.EnginePools, "desk")
 		results := make(chan error, 2)
 		for i, e := range entries[:2] {
 			go func() {
-				_, err := e.Propose(s.ctx, poolChange("desk", 100+i), &there.Revision)
+				_, err := e.Propose(s.ctx, poolChange("desk", 100+i), &existing.Revision)
 				results <- err
 			}()
 		}
 		var conflict *Conflict
-		var lost int
+		var conflicts int
 		for range 2 {
 			if err := <-results; err != nil {
 				is.True(errors.As(err, &conflict))
-				lost++
+				conflicts++
 			}
 		}
-		is.Equal(lost, 1)
-		is.True(conflict.Now.Revision > there.Revision)
+		is.Equal(conflicts, 1)
+		is.True(conflict.Current.Revision > existing.Revision)
 	})
 }
 
-// TestPausedWriter has a writer with an old view lose: it finds the revision
-// taken, takes in what is there and is told of the conflict.
+// TestPausedWriter checks that a writer with a stale catalog loses the race for a revision, applies
+// the entry that it finds there and then reports the conflict.
 func TestPausedWriter(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
-		there, _ := entries[0].Catalog().Get(resource.EnginePools, "desk")
+		existing, _ := entries[0].Catalog().Get(resource.EnginePools, "desk")
 		paused := newConfiguration(entries[0])
-		paused.restore(entries[0].Catalog().Snapshot())
+		paused.applySnapshot(entries[0].Catalog().Snapshot())
 		_, err := entries[1].Propose(s.ctx, poolChange("desk", 7), nil)
 		is.NoErr(err)
-		p := &proposal{ctx: s.ctx, change: poolChange("desk", 8), match: &there.Revision, done: make(chan proposalResult, 1)}
-		held := paused.writeGroup(s.ctx, []*proposal{p})
-		is.Equal(len(held), 1) // the race is lost
-		is.Equal(len(paused.writeGroup(s.ctx, held)), 0)
+		p := &proposal{ctx: s.ctx, change: poolChange("desk", 8), expectedRevision: &existing.Revision, result: make(chan proposalResult, 1)}
+		pending := paused.writeGroup(s.ctx, []*proposal{p})
+		is.Equal(len(pending), 1) // the race is lost
+		is.Equal(len(paused.writeGroup(s.ctx, pending)), 0)
 		var conflict *Conflict
-		is.True(errors.As((<-p.done).err, &conflict))
+		is.True(errors.As((<-p.result).err, &conflict))
 	})
 }
 
-// TestCutOffZone cuts a zone off from the platform and the others for hours. It
-// keeps its configuration, says so, and has the new one within 3 s of being
-// back; the others' status says that it isn't known there.
-func TestCutOffZone(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+// TestPartitionedZone cuts a zone off from the platform and the other zones for two hours. The zone
+// must keep its configuration, serve with it and have the new one within 3 s of its return. In the
+// meantime, another zone's entry must list the zone's state as not fresh.
+func TestPartitionedZone(t *testing.T) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		cut := func(cut bool) {
 			for id, p := range s.peers {
@@ -206,10 +210,10 @@
 		is.NoErr(err)
 		time.Sleep(2 * time.Hour)
 		is.Equal(entries[1].Catalog().Revision(), revision)
-		is.Equal(entries[2].Catalog().Revision(), revision-1) // never lower
+		is.Equal(entries[2].Catalog().Revision(), revision-1) // keeps its configuration
 		sink := &fakeSink{}
 		_, err = entries[2].Generate(s.ctx, quote(), sink)
-		is.NoErr(err) // serves on what it has
+		is.NoErr(err) // serves with its old configuration
 		is.Equal(len(sink.got), 5)
 		for _, z := range entries[0].ZoneStates(time.Now()) {
 			is.Equal(z.Fresh(time.Now()), z.Zone != "az3")
@@ -217,17 +221,17 @@
 		readsBefore := s.store.reads.Load()
 		cut(false)
 		time.Sleep(3 * time.Second)
-		is.Equal(entries[2].Catalog().Revision(), revision) // by its peers alone
+		is.Equal(entries[2].Catalog().Revision(), revision) // from its peers alone
 		s.stores["e3"].set(false)
 		time.Sleep(10 * time.Second)
-		is.True(s.store.reads.Load()-readsBefore < 20) // no storm on the platform
+		is.True(s.store.reads.Load()-readsBefore < 20) // no burst of reads when the platform is back
 	})
 }
 
-// TestAcceptedIsInForceWithin3s changes the configuration while the platform's
-// watch fails for all but the writer's zone.
+// TestAcceptedIsInForceWithin3s checks that an accepted change is in force at all entries within 3 s
+// while the platform fails for all zones but the writer's.
 func TestAcceptedIsInForceWithin3s(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		s.stores["e2"].set(true)
 		s.stores["e3"].set(true)
@@ -242,35 +246,35 @@
 	})
 }
 
-// TestFreshEntryWithThePlatformDown starts from its peers, and says that it
-// isn't ready with neither.
+// TestFreshEntryWithThePlatformDown checks that a new entry starts with its peers' configuration
+// while the platform is down, and that an entry that reaches neither isn't ready.
 func TestFreshEntryWithThePlatformDown(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		s.store.setDown(true)
 		fresh := s.add("e4", "az1")
 		time.Sleep(5 * time.Second)
 		is.True(fresh.Ready())
 		is.Equal(fresh.Catalog().Revision(), entries[0].Catalog().Revision())
-		alone := &fakeHosts{down: true}
-		lonely := New(Settings{Self: member.Entry{ID: "e5", Zone: "az9"}}, Ports{
-			Store: s.store, Hosts: alone, Peers: s.peers["e4"], Engines: s.engines, Services: s.services,
+		unavailableHosts := &fakeHosts{down: true}
+		isolated := New(Settings{Self: member.Entry{ID: "e5", Zone: "az9"}}, Dependencies{
+			Store: s.store, Hosts: unavailableHosts, Peers: s.peers["e4"], Engines: s.engines, Services: s.services,
 		})
-		s.wait.Go(func() { lonely.Run(s.ctx) })
+		s.wait.Go(func() { isolated.Run(s.ctx) })
 		time.Sleep(time.Minute)
-		is.True(!lonely.Ready())
-		_, err := lonely.Generate(s.ctx, quote(), &fakeSink{})
+		is.True(!isolated.Ready())
+		_, err := isolated.Generate(s.ctx, quote(), &fakeSink{})
 		var failure *Failure
 		is.True(errors.As(err, &failure))
 		is.Equal(failure.Code, CodeNotReady)
-		is.Equal(failure.Run, NotRun)
+		is.Equal(failure.RunState, NotRun)
 	})
 }
 
-// TestOutageRefusesChanges tells an operator during an outage that the change
-// was not accepted, and it never appears.
+// TestOutageRefusesChanges checks that a change proposed during an outage of the platform fails with
+// ErrNotAccepted and never comes into force.
 func TestOutageRefusesChanges(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		before := entries[0].Catalog().Revision()
 		s.store.setDown(true)
@@ -284,11 +288,11 @@
 	})
 }
 
-// TestLostAnswerThenOutage tells an operator that the change may have been
-// accepted when its answer is lost and the platform then stays away; once it is
-// back, the change that landed is in force everywhere, once.
+// TestLostAnswerThenOutage checks that a change fails with ErrOutcomeUnknown if the platform's answer
+// is lost and the platform is then down. Once the platform is back, the change, which was written,
+// must be in force at all entries, once.
 func TestLostAnswerThenOutage(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		before := entries[0].Catalog().Revision()
 		s.store.mu.Lock()
@@ -298,7 +302,7 @@
 		}
 		s.store.mu.Unlock()
 		_, err := entries[0].Propose(s.ctx, poolChange("desk", 77), nil)
-		is.True(errors.Is(err, ErrUnsure))
+		is.True(errors.Is(err, ErrOutcomeUnknown))
 		s.store.mu.Lock()
 		s.store.fault = nil
 		s.store.mu.Unlock()
@@ -312,12 +316,12 @@
 	})
 }
 
-// TestSnapshotBoundsCatchUp has a fresh entry read the snapshot and only the
-// entries after it.
+// TestSnapshotBoundsCatchUp checks that a new entry reads the snapshot and only the log entries
+// after it.
 func TestSnapshotBoundsCatchUp(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
-		for n := range snapshotEvery + 20 {
+		for n := range revisionsPerSnapshot + 20 {
 			_, err := entries[0].Propose(s.ctx, poolChange("desk", n+1), nil)
 			is.NoErr(err)
 		}
@@ -331,16 +335,18 @@
 	})
 }
 
-// TestChangeThatTheCopyLost: what was accepted is written again, and stays in force at all entries.
-func TestChangeThatTheCopyLost(t *testing.T) {
+// TestLostChangeIsRewrittenAfterRestore checks that an accepted change that the platform has lost in
+// a restore is written to the log again and stays in force at all entries.
+func TestLostChangeIsRewrittenAfterRestore(t *testing.T) {
 	for name, c := range map[string]struct {
-		// overtaken has other writes catch up with the index; era has the platform tell it.
+		// overtaken has other writes raise the platform's index again, so that it hasn't fallen; era
+		// has the platform report its era.
 		overtaken, era bool
 	}{
 		"the index falls": {}, "the index has caught up, the era tells": {overtaken: true, era: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+			runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 				is := is.New(t)
 				if c.era {
 					s.store.mu.Lock()
@@ -372,9 +378,10 @@
 	}
 }
 
-// TestLogDivergesAfterARestore: where another change has taken a lost one's revision, all entries follow the log.
+// TestLogDivergesAfterARestore checks that all entries follow the log if another change has taken
+// the revision of a change that was lost in a restore.
 func TestLogDivergesAfterARestore(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		items, index := s.store.copy()
 		accepted, err := entries[0].Propose(t.Context(), poolChange("lost", 3), nil)
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -8,68 +8,69 @@
 	"time"
 )
 
-// RunState is what a failed call's answer says about the work itself.
+// RunState says whether the work of a failed call was done, as far as the entry knows.
 type RunState string
 
 const (
-	// NotRun is said only when no byte of the request can have reached an
-	// upstream that would act on it.
+	// NotRun means that no byte of the request can have reached an upstream that would act on it.
 	NotRun RunState = "not_run"
-	// Unknown is said when the work may or may not have been done.
+	// Unknown means that the work may or may not have been done.
 	Unknown RunState = "unknown"
-	// Partial is said when the caller has seen a part of the answer.
+	// Partial means that the caller has received a part of the answer.
 	Partial RunState = "partial"
 )
 
-// Code is the stable word for a kind of failure.
+// Code identifies a kind of failure. Callers may rely on the codes.
 type Code string
 
-// The codes that callers see.
+// The codes that are sent to callers.
 const (
-	CodeBadRequest    Code = "bad_request"
-	CodeUnauthorized  Code = "unauthorized"
-	CodeUnknownModel  Code = "unknown_model"
-	CodeUnknownRoute  Code = "unknown_route"
-	CodePromptTooLong Code = "prompt_too_long"
-	CodeTooLarge      Code = "request_too_large"
-	CodeRateLimited   Code = "rate_limited"
-	CodeOverloaded    Code = "overloaded"
-	CodeNoEngine      Code = "no_engine"
-	CodeLeaving       Code = "leaving"
-	CodeNotReady      Code = "not_ready"
-	CodeUpstreamLost  Code = "upstream_lost"
-	CodeUpstream      Code = "upstream_refused"
-	CodeBadStream     Code = "bad_stream"
-	CodeBadID         Code = "bad_generation_id"
-	CodeGone          Code = "generation_gone"
-	CodeDuplicate     Code = "duplicate_request"
-	CodeKeyReused     Code = "idempotency_key_reused"
-	CodeNoClaim       Code = "claim_unavailable"
-	CodeTimeout       Code = "timeout"
-	CodeCancelled     Code = "cancelled"
-	// CodeQuarantined: upstreams ended under the same request, and it isn't sent any
-	// more.
+	CodeBadRequest           Code = "bad_request"
+	CodeUnauthorized         Code = "unauthorized"
+	CodeUnknownModel         Code = "unknown_model"
+	CodeUnknownRoute         Code = "unknown_route"
+	CodePromptTooLong        Code = "prompt_too_long"
+	CodeRequestTooLarge      Code = "request_too_large"
+	CodeRateLimited          Code = "rate_limited"
+	CodeOverloaded           Code = "overloaded"
+	CodeNoEngine             Code = "no_engine"
+	CodeLeaving              Code = "leaving"
+	CodeNotReady             Code = "not_ready"
+	CodeUpstreamLost         Code = "upstream_lost"
+	CodeUpstreamRefused      Code = "upstream_refused"
+	CodeBadStream            Code = "bad_stream"
+	CodeBadGenerationID      Code = "bad_generation_id"
+	CodeGenerationGone       Code = "generation_gone"
+	CodeDuplicateRequest     Code = "duplicate_request"
+	CodeIdempotencyKeyReused Code = "idempotency_key_reused"
+	CodeClaimUnavailable     Code = "claim_unavailable"
+	CodeTimeout              Code = "timeout"
+	CodeCancelled            Code = "cancelled"
+	// CodeQuarantined means that the request is no longer sent, because upstreams ended while they
+	// ran the same request.
 	CodeQuarantined Code = "quarantined"
 )
 
-// Failure is the final answer to a call that did not finish.
+// Failure is the final answer to a call that did not succeed.
 type Failure struct {
-	Code    Code
-	Run     RunState
-	Message string
-	// RetryAfter is when to come back; zero means that coming back makes no
-	// sense or that nothing is known.
+	Code     Code
+	RunState RunState
+	Message  string
+	// RetryAfter is how long the caller should wait before a retry; zero means that a retry makes
+	// no sense or that no delay is known.
 	RetryAfter time.Duration
 }
 
-// Error gives the code, the run state and the message.
-func (f *Failure) Error() string { return fmt.Sprintf("%s (%s): %s", f.Code, f.Run, f.Message) }
+// Error returns the code, the run state and the message.
+func (f *Failure) Error() string { return fmt.Sprintf("%s (%s): %s", f.Code, f.RunState, f.Message) }
 
-func fail(code Code, run RunState, format string, args ...any) *Failure {
-	return &Failure{Code: code, Run: run, Message: fmt.Sprintf(format, args...)}
+// newFailure returns a Failure with a formatted message.
+func newFailure(code Code, run RunState, format string, args ...any) *Failure {
+	return &Failure{Code: code, RunState: run, Message: fmt.Sprintf(format, args...)}
 }
 
-func (f *Failure) retryAfter(d time.Duration) *Failure {
+// withRetryAfter sets the failure's RetryAfter and returns the failure.
+func (f *Failure) withRetryAfter(d time.Duration) *Failure {
 	f.RetryAfter = d
 	return f
 }
