--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package accept tells whether a listener takes connections.
+// Package accept detects a listener that can't accept connections.
 package accept
 
 import (
@@ -13,32 +13,32 @@
 )
 
 const (
-	// maxRetryInterval is how soon net/http tries again at the latest where a connection can't
-	// be taken (it waits 1 s at most), with half as much again for a busy machine. No
-	// failure for longer says that one can be taken now, or waits to come.
+	// maxRetryInterval bounds the time between two failures of one series: net/http retries
+	// a failed Accept after at most 1 s, and a busy machine may need half as much again. If
+	// no failure follows for longer, Accept waits for a connection or has accepted one.
 	maxRetryInterval = 1500 * time.Millisecond
-	// failureGracePeriod is how long a host goes on saying that it is ready while it takes none.
-	// Descriptors that run out for a moment are no reason to send its callers elsewhere;
-	// the platform asks each second, and some seconds of refusals are what callers bear.
+	// failureGracePeriod is how long Accept may fail while the host still reports itself
+	// ready. A short lack of file descriptors is no reason to send callers elsewhere: the
+	// platform checks readiness every second, and callers tolerate a few seconds of refusals.
 	failureGracePeriod = time.Second
 )
 
-// Listener is a listener that notes whether connections can be taken: a process that has
-// used up its descriptors answers on the connections that it has, and takes no other. Its
-// zero value but for the listener works.
+// Listener wraps a net.Listener and records whether Accept succeeds. A process that has
+// used up its file descriptors still answers on its open connections, but can't accept
+// another. Only the embedded Listener has to be set.
 type Listener struct {
 	net.Listener
-	// Clock tells the present time; nil is the usual one.
+	// Clock is the source of the current time; nil means the system clock.
 	Clock *clock.Clock
 
 	mu sync.Mutex
-	// failingSince is when the first of a row of failures was, and lastAccept the newest one; zero
-	// after a connection was taken.
+	// failingSince is the time of the first failure of the current series; it is zero after
+	// a connection was accepted. lastAccept is when Accept last returned, with lastErr.
 	failingSince, lastAccept time.Time
 	lastErr                  error
 }
 
-// Accept takes the next connection.
+// Accept waits for the next connection and records whether it could be accepted.
 func (l *Listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	l.recordAccept(l.Clock.Now(), err)
@@ -57,7 +57,8 @@
 	l.lastAccept, l.lastErr = now, err
 }
 
-// PersistentError tells why no connection has been taken for a while; nil while they are.
+// PersistentError returns the last error of Accept if Accept has failed for at least
+// failureGracePeriod, and nil otherwise.
 func (l *Listener) PersistentError() error { return l.persistentErrorAt(l.Clock.Now()) }
 
 func (l *Listener) persistentErrorAt(now time.Time) error {
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -11,13 +11,13 @@
 	"github.com/matryer/is"
 )
 
-// TestPersistentError has a listener count as stuck once connections failed to be taken for a second,
-// until one is taken or no failure follows.
+// TestPersistentError checks that the error is reported once Accept has failed for a second, until
+// a connection is accepted or no further failure follows.
 func TestPersistentError(t *testing.T) {
 	const step = 500 * time.Millisecond
 	errTooManyFiles := errors.New("too many open files")
 	for name, c := range map[string]struct {
-		// accepts are what taking a connection came to, each a step after the last.
+		// accepts are the results of successive calls of Accept, one step apart.
 		accepts []error
 		after   time.Duration
 		want    error
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestIsolatedFailures has a failure long after others begin a row of its own.
+// TestIsolatedFailures checks that a failure long after the previous one begins a new series.
 func TestIsolatedFailures(t *testing.T) {
 	is := is.New(t)
 	l, now := &Listener{}, time.Now()
--- a/internal/accept/server_test.go
+++ b/internal/accept/server_test.go
@@ -18,8 +18,8 @@
 	"github.com/matryer/is"
 )
 
-// exhaustedListener fails as one does in a process that has no descriptor left, while it is full,
-// and has a connection to take all the time otherwise.
+// exhaustedListener fails with EMFILE while exhausted is set, like a listener in a process without
+// a free file descriptor. Otherwise it returns a connection every 100 ms.
 type exhaustedListener struct {
 	exhausted atomic.Bool
 	closed    chan struct{}
@@ -45,9 +45,9 @@
 }
 func (l *exhaustedListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestPersistentErrorOfServer has a server that can take no connection be known as such within two
-// seconds, for as long as that lasts, and no longer than two seconds after it can again: with
-// the waits between tries that net/http makes by itself.
+// TestPersistentErrorOfServer runs an http.Server, with net/http's own delays between retries, on a
+// listener that fails. The error must be reported within 2.5 seconds, for as long as Accept fails,
+// and no longer than two seconds after Accept works again.
 func TestPersistentErrorOfServer(t *testing.T) {
 	const maxDetectionTime = 2 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -62,7 +62,7 @@
 		for range 3 {
 			inner.exhausted.Store(true)
 			time.Sleep(500 * time.Millisecond)
-			is.NoErr(l.PersistentError()) // it may pass
+			is.NoErr(l.PersistentError()) // the failure may be temporary
 			time.Sleep(maxDetectionTime)
 			is.True(l.PersistentError() != nil)
 			time.Sleep(10 * time.Second)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package engine is the adapter to the model engines: OpenAI's completion
-// endpoints, streamed by server-sent events whose ids are RUN/INDEX, and the
-// engines' endpoints for runs, load, cache events and orders.
+// Package engine implements the HTTP client of the model engines. It uses
+// OpenAI's completion endpoints, streamed as server-sent events whose ids have
+// the form RUN/INDEX, and the engines' endpoints for runs, load, cache events
+// and orders.
 package engine
 
 import (
@@ -28,18 +29,18 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// Client calls the engines. Use New.
+// Client calls the engines. Create it with New.
 type Client struct {
 	http *http.Client
-	// idleTimeout is how long a stream may bring nothing at all.
+	// idleTimeout is how long a stream may deliver no bytes.
 	idleTimeout time.Duration
 }
 
-// Option changes how a Client is built.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithIdleTimeout sets how long a stream may bring nothing at all before it counts
-// as stalled.
+// WithIdleTimeout sets how long a stream may deliver no bytes before it fails with
+// entry.ErrStreamIdle. The default is 2 s.
 func WithIdleTimeout(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
 
 const (
@@ -51,7 +52,7 @@
 	maxResponseBytes    = 1 << 20
 )
 
-// New returns a client.
+// New returns a Client.
 func New(opts ...Option) *Client {
 	c := &Client{
 		idleTimeout: defaultIdleTimeout,
@@ -70,13 +71,15 @@
 
 func endpointURL(u member.Upstream, path string) string { return "http://" + u.Address + path }
 
-// Start begins a run.
+// Start asks an engine to start a run and returns its event stream. The errors
+// are those that entry.Engines describes.
 func (c *Client) Start(ctx context.Context, u member.Upstream, r entry.RunRequest) (entry.Stream, error) {
 	req, err := http.NewRequest(http.MethodPost, endpointURL(u, "/v1/"+string(r.Shape)), bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, trace.Wrap(entry.ErrNotSent, "%v", err)
 	}
-	// The transport must not send a run twice on its own.
+	// Without GetBody the transport can't resend the request, which might start
+	// the run twice.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("X-Run-Id", string(r.Run))
@@ -89,7 +92,8 @@
 	return c.open(ctx, req)
 }
 
-// Resume reads a run from behind an index.
+// Resume returns the stream of a run's events that follow the index after. The
+// error wraps entry.ErrRunNotFound if the engine doesn't have the run.
 func (c *Client) Resume(ctx context.Context, u member.Upstream, run policy.RunID, after int) (entry.Stream, error) {
 	path := "/v1/runs/" + string(run) + "/events?after=" + strconv.Itoa(after)
 	req, err := http.NewRequest(http.MethodGet, endpointURL(u, path), nil)
@@ -99,8 +103,8 @@
 	return c.open(ctx, req)
 }
 
-// open sends a request for a stream. The stream has a context of its own, so
-// that closing it ends the link.
+// open sends a request for a stream. The request has a context of its own, so
+// that closing the stream closes the connection.
 func (c *Client) open(ctx context.Context, req *http.Request) (entry.Stream, error) {
 	var connected atomic.Bool
 	streamCtx, cancel := context.WithCancel(ctx)
@@ -125,6 +129,8 @@
 	return newStream(response.Body, cancel, c.idleTimeout), nil
 }
 
+// responseError returns the error that a response other than 200 stands for, and
+// closes the response body.
 func responseError(response *http.Response) error {
 	defer response.Body.Close()
 	if response.StatusCode == http.StatusNotFound {
@@ -132,11 +138,12 @@
 	}
 	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBodyBytes))
 	refused := &entry.EngineRefusal{Status: response.StatusCode, Text: strings.TrimSpace(string(text))}
-	// One that can't be read asks for nothing.
+	// An unreadable Retry-After counts as none.
 	refused.RetryAfter, _ = backoff.Parse(response.Header.Get("Retry-After"))
 	return refused
 }
 
+// loadResponse is the body of a response of /v1/load.
 type loadResponse struct {
 	MemoryTokens int               `json:"memory_tokens"`
 	UsedTokens   int               `json:"used_tokens"`
@@ -148,7 +155,7 @@
 	Models       map[string]string `json:"models"`
 }
 
-// Load asks an engine how it is.
+// Load fetches an engine's report of its load and state.
 func (c *Client) Load(ctx context.Context, u member.Upstream) (entry.EngineLoad, error) {
 	var load loadResponse
 	if err := c.do(ctx, u, http.MethodGet, "/v1/load", nil, &load); err != nil {
@@ -163,6 +170,8 @@
 	}, nil
 }
 
+// cacheEventResponse is one element of the body of a response of
+// /v1/cache-events. Prefix is a hash in hex.
 type cacheEventResponse struct {
 	Seq    uint64 `json:"seq"`
 	Prefix string `json:"prefix"`
@@ -170,7 +179,8 @@
 	Added  bool   `json:"added"`
 }
 
-// CacheEvents asks an engine for its cache events after a number.
+// CacheEvents fetches an engine's cache events whose sequence numbers follow after.
+// It skips events whose prefix isn't a hexadecimal number.
 func (c *Client) CacheEvents(ctx context.Context, u member.Upstream, after uint64) ([]policy.CacheEvent, error) {
 	var responses []cacheEventResponse
 	path := "/v1/cache-events?after=" + strconv.FormatUint(after, 10)
@@ -188,18 +198,20 @@
 	return events, nil
 }
 
+// orderRequest is the body of a request to /v1/orders.
 type orderRequest struct {
 	Token   uint64 `json:"token"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// Order tells an engine what to serve.
+// Order sends an engine the order to serve a model in a version.
 func (c *Client) Order(ctx context.Context, u member.Upstream, o entry.Order) error {
 	return c.do(ctx, u, http.MethodPost, "/v1/orders", orderRequest(o), nil)
 }
 
-// do sends a small call and decodes its answer.
+// do sends a request with requestBody as JSON, unless it is nil, and decodes the
+// JSON response into result, unless that is nil.
 func (c *Client) do(ctx context.Context, u member.Upstream, method, path string, requestBody, result any) error {
 	var body io.Reader
 	if requestBody != nil {
--- a/internal/engine/contract_test.go
+++ b/internal/engine/contract_test.go
@@ -22,6 +22,8 @@
 	standin "github.com/shedpath/shedpath/standin/engine"
 )
 
+// newStandinEngine starts a stand-in engine and returns a client, the engine and
+// its upstream.
 func newStandinEngine(t *testing.T) (*Client, *standin.Server, member.Upstream) {
 	t.Helper()
 	settings := standin.DefaultSettings()
@@ -50,7 +52,7 @@
 	}
 }
 
-// collectEvents reads a stream to its end.
+// collectEvents reads a stream to its end or first error and closes it.
 func collectEvents(s entry.Stream) (indexes []int, end *entry.RunResult, err error) {
 	defer s.Close()
 	for event, err := range s.Events(func() {}) {
@@ -123,7 +125,7 @@
 	is.NoErr(err)
 	is.Equal(events, []policy.CacheEvent{{Seq: 1, Prefix: 255, Tokens: 1, Added: true}})
 	is.NoErr(c.Order(t.Context(), u, entry.Order{Token: 5, Model: "m", Version: "2"}))
-	is.True(c.Order(t.Context(), u, entry.Order{Token: 4, Model: "m", Version: "1"}) != nil) // an older holder
+	is.True(c.Order(t.Context(), u, entry.Order{Token: 4, Model: "m", Version: "1"}) != nil) // the fencing token is older than the last one
 	model.Leave()
 	load, err := c.Load(t.Context(), u)
 	is.NoErr(err)
@@ -132,7 +134,8 @@
 	is.True(load.Leaving)
 }
 
-// TestStartFailures tells apart what surely wasn't run from what may have been.
+// TestStartFailures checks that the error of Start distinguishes a request that
+// certainly wasn't run from one that may have been.
 func TestStartFailures(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -170,8 +173,8 @@
 	}
 }
 
-// FuzzEvents has any bytes of an engine give events with sane indexes or an
-// error, and nothing else.
+// FuzzEvents checks that arbitrary bytes from an engine are decoded to an error
+// or to events that name a run, unless the event's id begins with "/".
 func FuzzEvents(f *testing.F) {
 	f.Add("id: r/1\ndata: x\n\nevent: end\nid: r/1\ndata: {\"state\":\"done\",\"completion_tokens\":1}\n\n")
 	f.Add("id: r\ndata: x\n\n")
@@ -181,7 +184,7 @@
 				return
 			}
 			if event, err := decodeEvent(raw); err == nil && event.Run == "" && !strings.HasPrefix(raw.LastEventID, "/") {
-				t.Fatalf("%q gave %+v", raw.LastEventID, event)
+				t.Fatalf("the event with the id %q was decoded to %+v, which names no run", raw.LastEventID, event)
 			}
 		}
 	})
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -21,14 +21,15 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// stream reads one run's events.
+// stream reads the events of one run. It implements entry.Stream.
 type stream struct {
 	body   io.ReadCloser
 	cancel context.CancelFunc
-	// idleTimedOut is set when the watchdog closed the link.
+	// idleTimedOut is set when the watchdog has canceled the request.
 	idleTimedOut atomic.Bool
-	watchdog     *time.Timer
-	idleTimeout  time.Duration
+	// watchdog fires when no bytes have arrived for idleTimeout.
+	watchdog    *time.Timer
+	idleTimeout time.Duration
 }
 
 func newStream(body io.ReadCloser, cancel context.CancelFunc, silence time.Duration) *stream {
@@ -40,17 +41,19 @@
 	return s
 }
 
-// Close ends the reading.
+// Close stops reading and closes the connection; the run goes on.
 func (s *stream) Close() {
 	s.watchdog.Stop()
 	s.cancel()
 	_ = s.body.Close()
 }
 
-// maxEventBytes bounds one event.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
-// Events ranges over the run's events.
+// Events returns the run's events up to the first error. It calls idle before each
+// read from the connection. The error is entry.ErrStreamIdle if no bytes arrived
+// for the idle timeout.
 func (s *stream) Events(idle func()) iter.Seq2[entry.StreamEvent, error] {
 	reader := &watchdogReader{stream: s, idle: idle}
 	return func(yield func(entry.StreamEvent, error) bool) {
@@ -69,8 +72,8 @@
 	}
 }
 
-// watchdogReader tells when the reader is about to wait, and holds the watchdog
-// off as long as something comes.
+// watchdogReader reads the body of a stream. It calls idle before each read, which
+// may block, and restarts the watchdog whenever bytes arrive.
 type watchdogReader struct {
 	stream *stream
 	idle   func()
@@ -85,6 +88,7 @@
 	return n, err
 }
 
+// endPayload is the data of a run's last event.
 type endPayload struct {
 	State            string `json:"state"`
 	PromptTokens     int    `json:"prompt_tokens"`
@@ -92,11 +96,13 @@
 }
 
 const (
+	// endEventType is the type of a run's last event.
 	endEventType = "end"
-	stateDone    = "done"
+	// stateDone is the state in endPayload of a complete run.
+	stateDone = "done"
 )
 
-var errInvalidEventID = errors.New("an event has no RUN/INDEX id")
+var errInvalidEventID = errors.New("the event id is not of the form RUN/INDEX")
 
 func decodeEvent(raw sse.Event) (entry.StreamEvent, error) {
 	run, indexText, found := strings.Cut(raw.LastEventID, "/")
@@ -111,14 +117,14 @@
 	case endEventType:
 		return decodeEnd(event, raw.Data)
 	default:
-		return event, trace.BadParameter("an event has the unknown type %q", raw.Type)
+		return event, trace.BadParameter("unknown event type %q", raw.Type)
 	}
 }
 
 func decodeEnd(event entry.StreamEvent, data string) (entry.StreamEvent, error) {
 	var payload endPayload
 	if err := json.Unmarshal([]byte(data), &payload); err != nil {
-		return event, trace.Wrap(err, "the end mark can't be read")
+		return event, trace.Wrap(err, "decode the data of the end event")
 	}
 	event.Kind = entry.EventEnd
 	event.End = entry.RunResult{
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package loopback gives tests addresses of their own on this machine.
+// Package loopback reserves loopback addresses for the exclusive use of one test.
 //
-// A test whose processes need ports that are known beforehand can't look for free ones
-// on 127.0.0.1: between the look and the process's listen another connection may take
-// them, and while thousands of connections rest in TIME-WAIT hardly any two in a row are
-// free. On an address of its own every port below the range of outgoing connections is.
+// A test whose processes need ports that are known beforehand can't search for free ports on
+// 127.0.0.1: before the process listens on a port, another connection may take it, and while
+// thousands of connections are in TIME-WAIT hardly any two consecutive ports are free. On an
+// exclusive address every port below the range of outgoing connections is free.
 package loopback
 
 import (
@@ -16,21 +16,21 @@
 	"testing"
 )
 
-// FirstPort is the first of the ports that a test may use on its own addresses; they are
-// below those that the system gives to outgoing connections.
+// FirstPort is the first port that a test may use on its reserved addresses. It is below the
+// range that the system assigns to outgoing connections.
 const FirstPort = 7200
 
 const (
-	// lockPort is listened on while an address is in use.
+	// lockPort is the port on which a test listens to hold a block of addresses.
 	lockPort = 7199
-	// blockCount is how many blockCount of addresses there are; each is a /24.
+	// blockCount is the number of blocks of addresses; each is a /24.
 	blockCount = 1 << 14
-	// firstBlock leaves 127.0.0.0/10 alone, which others use.
+	// firstBlock excludes 127.0.0.0/10, which other programs use.
 	firstBlock = 1 << 14
 )
 
-// ReserveAddresses returns n addresses (at most 250) that no other test of this machine has until
-// this one ends.
+// ReserveAddresses returns n addresses (at most 250) that no other test on this machine gets until
+// this test ends. It fails the test if every block is taken.
 func ReserveAddresses(t testing.TB, n int) []string {
 	t.Helper()
 	for i := range blockCount {
@@ -38,7 +38,7 @@
 		address := func(host int) string { return fmt.Sprintf("127.%d.%d.%d", block>>8, block&0xff, host) }
 		lock, err := net.Listen("tcp", fmt.Sprintf("%s:%d", address(1), lockPort))
 		if err != nil {
-			// Another test has this block.
+			// Another test holds this block.
 			continue
 		}
 		t.Cleanup(func() { _ = lock.Close() })
@@ -48,6 +48,6 @@
 		}
 		return reserved
 	}
-	t.Fatal("every block of addresses is in use")
+	t.Fatal("all blocks of loopback addresses are in use")
 	return nil
 }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -11,14 +11,14 @@
 	"github.com/matryer/is"
 )
 
-// TestReserveAddresses has tests that run at once get different addresses, whose ports can be
-// listened on whatever goes on at the usual address.
+// TestReserveAddresses checks that reservations held at the same time get different addresses, and
+// that a test can listen on the ports of each, whatever uses 127.0.0.1.
 func TestReserveAddresses(t *testing.T) {
 	is := is.New(t)
 	seen := map[string]bool{}
 	for range 50 {
 		for _, address := range ReserveAddresses(t, 3) {
-			is.True(!seen[address]) // given twice
+			is.True(!seen[address]) // the address was reserved twice
 			seen[address] = true
 			for port := FirstPort; port < FirstPort+4; port++ {
 				l, err := net.Listen("tcp", fmt.Sprintf("%s:%d", address, port))
--- a/internal/reach/caller.go
+++ b/internal/reach/caller.go
@@ -11,23 +11,24 @@
 
 type connKey struct{}
 
-// WithConn keeps a caller's connection for CallerLeft. It is for an http.Server's
-// ConnContext.
+// WithConn returns a context that holds a caller's connection for CallerDisconnected. It is
+// meant for the ConnContext of an http.Server.
 func WithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// CallerDisconnected reports whether the caller of a request that was read whole has closed its
-// connection, as far as this machine has heard. net/http looks for that only while a handler
-// runs: of 60 requests that lay unread until their callers had left, 60 would be sent on
-// before it notices.
+// CallerDisconnected reports whether the caller of a request has closed its connection, as far
+// as the local kernel knows. The request must have been read completely. net/http checks for a
+// disconnect only while a handler runs: a request that lies unread until its caller has left
+// would be sent on before net/http notices. The result is false if ctx holds no connection.
 func CallerDisconnected(ctx context.Context) bool {
 	c, known := ctx.Value(connKey{}).(net.Conn)
 	return known && PeerClosed(c)
 }
 
-// PeerClosed reports whether the other end has closed its side of a connection, as far as this
-// machine has heard and nothing is still to be read. It reads nothing.
+// PeerClosed reports whether the peer has closed its side of a connection or reset it, as far as
+// the local kernel knows, and no data is left to read. It is also true if this side has closed
+// the connection. It consumes no data, and it is false for a connection without a descriptor.
 func PeerClosed(c net.Conn) bool {
 	if wrapped, isWrapped := c.(interface{ NetConn() net.Conn }); isWrapped {
 		return PeerClosed(wrapped.NetConn())
@@ -41,8 +42,9 @@
 		return false
 	}
 	closed := false
-	// Control goes beside a Read that waits; Read would wait for that to end. It fails for
-	// a connection that this end has closed.
+	// raw.Control works while another goroutine is blocked in a Read of the connection;
+	// raw.Read would wait for that Read to end. Control fails if this side has closed the
+	// connection.
 	err = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		closed = err == nil && n == 0 || err == syscall.ECONNRESET
--- a/internal/reach/caller_test.go
+++ b/internal/reach/caller_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// newConnPair returns both ends of a connection.
+// newConnPair returns both ends of a TCP connection.
 func newConnPair(tb testing.TB) (local, remote net.Conn) {
 	tb.Helper()
 	is := is.New(tb)
@@ -29,28 +29,28 @@
 	return local, remote
 }
 
-// TestPeerClosed has a connection count as left once the other end has closed it and all that it
-// sent was read.
+// TestPeerClosed checks that a connection counts as closed by the peer only once the peer has closed
+// it and everything that the peer sent has been read.
 func TestPeerClosed(t *testing.T) {
 	is := is.New(t)
 	local, remote := newConnPair(t)
-	is.True(!PeerClosed(local)) // open and still
+	is.True(!PeerClosed(local)) // the connection is open and has no data
 	_, err := remote.Write([]byte("x"))
 	is.NoErr(err)
 	is.NoErr(remote.Close())
-	is.True(!PeerClosed(local)) // something is to be read
+	is.True(!PeerClosed(local)) // a byte is left to read
 	_, err = local.Read(make([]byte, 8))
 	is.NoErr(err)
 	_, err = local.Read(make([]byte, 8))
 	is.Equal(err, io.EOF) // the close has arrived
 	is.True(PeerClosed(local))
 	is.NoErr(local.Close())
-	is.True(PeerClosed(local)) // closed at this end, too
+	is.True(PeerClosed(local)) // closed on this side, too
 	is.True(!CallerDisconnected(t.Context()))
 	is.True(CallerDisconnected(WithConn(t.Context(), local)))
 }
 
-// TestPeerClosedDuringRead has the question be answered while the connection is read.
+// TestPeerClosedDuringRead checks that PeerClosed doesn't wait for a Read that blocks.
 func TestPeerClosedDuringRead(t *testing.T) {
 	is := is.New(t)
 	local, remote := newConnPair(t)
@@ -65,7 +65,7 @@
 	is.True(PeerClosed(local))
 }
 
-// BenchmarkPeerClosed is what each request pays for the question.
+// BenchmarkPeerClosed measures the cost that PeerClosed adds to each request.
 func BenchmarkPeerClosed(b *testing.B) {
 	local, _ := newConnPair(b)
 	for b.Loop() {
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// TestPortClosed has a port count as closed only by its machine's word.
+// TestPortClosed checks that a port counts as closed only if its host refuses the connection.
 func TestPortClosed(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,11 +19,11 @@
 	address := listener.Addr().String()
 	closed, err := PortClosed(t.Context(), address)
 	is.NoErr(err)
-	is.True(!closed) // somebody listens
+	is.True(!closed) // the listener is open
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	closed, err = PortClosed(canceled, address)
-	is.True(err != nil && !closed) // nothing is known
+	is.True(err != nil && !closed) // a canceled attempt proves nothing
 	is.NoErr(listener.Close())
 	closed, _ = PortClosed(t.Context(), address)
 	is.True(closed)
--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package service is the adapter to the plain services, by HTTP. Each call has
-// a connection of its own, so that an answer that comes late can't reach the
-// next call, and is sent at most once.
+// Package service implements the HTTP client of the plain services. Each call
+// uses a new connection, so that a late response can't reach the next call, and
+// is sent at most once.
 package service
 
 import (
@@ -25,35 +25,40 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Client calls the plain services. Use New.
+// Client calls the plain services. Create it with New.
 type Client struct {
 	transport *http.Transport
 }
 
 const (
 	dialTimeout = time.Second
-	// maxBufferedBytes is how much of an answer is held back until it is whole. A
-	// longer one is passed on as it comes.
+	// maxBufferedBytes bounds the response bodies that are buffered completely
+	// before they are passed on. The rest of a longer body is streamed.
 	maxBufferedBytes = 1 << 20
 )
 
-// New returns a client.
+// New returns a Client.
 func New() *Client {
 	return &Client{transport: &http.Transport{
 		DialContext:       (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		DisableKeepAlives: true,
-		// The caller's encodings are its own affair.
+		// The caller negotiates encodings with the service itself.
 		DisableCompression: true,
 	}}
 }
 
-// nonReplayableBody is a request body that the transport can't send again: it has no
-// GetBody and isn't http.NoBody, even when it is empty.
+// nonReplayableBody is a request body that the transport can't send again: its
+// type gives the request no GetBody, and it isn't http.NoBody even if it is empty.
 type nonReplayableBody struct{ io.Reader }
 
 func (nonReplayableBody) Close() error { return nil }
 
-// Call sends the request once.
+// Call sends the request to the upstream, at most once. Its error wraps
+//   - entry.ErrNotSent if no connection was made, so that no byte was sent;
+//   - entry.ErrCrossed if the response carries the id of another request;
+//   - entry.ErrCutShort if the response body broke off.
+//
+// After any other error the service may have run the request.
 func (c *Client) Call(ctx context.Context, u member.Upstream, r entry.ServiceRequest) (entry.ServiceAnswer, error) {
 	var connected atomic.Bool
 	tracedCtx := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -81,11 +86,13 @@
 	return bufferResponse(response)
 }
 
-// bufferResponse reads the answer up to the bound; what is whole by then is final.
+// bufferResponse reads up to maxBufferedBytes of the response body. A shorter
+// body is complete in the answer; the rest of a longer one is left to be read
+// from the answer's Rest.
 func bufferResponse(response *http.Response) (entry.ServiceAnswer, error) {
 	buffered := entry.ServiceAnswer{Status: response.StatusCode, Header: response.Header}
 	if response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests {
-		// One that can't be read asks for nothing.
+		// An unreadable Retry-After counts as none.
 		buffered.RetryAfter, _ = backoff.Parse(response.Header.Get("Retry-After"))
 	}
 	var err error
--- a/internal/service/client_test.go
+++ b/internal/service/client_test.go
@@ -29,8 +29,9 @@
 	}
 }
 
-// scriptedUpstream is an upstream that follows one call on the wire and breaks it
-// somewhere. It counts the requests that came whole.
+// scriptedUpstream is a TCP server that handles each connection with a function
+// of the test, which may break the call at any point. It counts the connections
+// and the requests that were received completely.
 type scriptedUpstream struct {
 	listener         net.Listener
 	receivedRequests atomic.Int32
@@ -64,7 +65,7 @@
 	return s
 }
 
-// readRequest reads a whole request.
+// readRequest reads one request and counts it if it is complete.
 func (s *scriptedUpstream) readRequest(conn net.Conn) {
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
@@ -79,8 +80,8 @@
 	return member.Upstream{Address: s.listener.Addr().String()}
 }
 
-// TestFailurePoints breaks a call at each point. What is said of it is true:
-// not sent only when no byte left, and no call is sent twice.
+// TestFailurePoints breaks a call at each point. The error must be ErrNotSent
+// only if no byte was sent, and no call may be sent twice.
 func TestFailurePoints(t *testing.T) {
 	write := func(conn net.Conn, text string) { _, _ = io.WriteString(conn, text) }
 	for name, c := range map[string]struct {
@@ -108,12 +109,12 @@
 			s := newScriptedUpstream(t, c.serve)
 			_, err := New().Call(t.Context(), s.upstream(), newRequest(c.method))
 			is.True(err != nil)
-			is.True(!errors.Is(err, entry.ErrNotSent)) // a byte may have left
+			is.True(!errors.Is(err, entry.ErrNotSent)) // a byte may have been sent
 			if c.want != nil {
 				is.True(errors.Is(err, c.want))
 			}
 			is.True(s.receivedRequests.Load() <= 1)
-			is.Equal(s.acceptedConns.Load(), int32(1)) // the transport didn't try again
+			is.Equal(s.acceptedConns.Load(), int32(1)) // the transport didn't retry
 		})
 	}
 	t.Run("nobody listens", func(t *testing.T) {
@@ -126,8 +127,8 @@
 }
 
 // TestNoCallIsSentTwice has an upstream answer one call, offer to keep the
-// connection, and close it under the next: a transport that reused it and tried
-// again would run that call twice.
+// connection open, and close it during the next call. A transport that reused
+// the connection and retried would run that call twice.
 func TestNoCallIsSentTwice(t *testing.T) {
 	is := is.New(t)
 	s := newScriptedUpstream(t, func(s *scriptedUpstream, conn net.Conn) {
@@ -144,11 +145,11 @@
 	is.NoErr(err)
 	_, err = c.Call(t.Context(), s.upstream(), first)
 	is.True(err != nil)
-	is.Equal(s.receivedRequests.Load(), int32(2)) // one run a call
+	is.Equal(s.receivedRequests.Load(), int32(2)) // each call was received once
 }
 
-// TestLateAnswerIsDiscarded gives the first call up and makes a second: the
-// first one's answer, which comes late, isn't taken for the second's.
+// TestLateAnswerIsDiscarded cancels one call and makes another. The late response
+// to the first call must not be taken for the response to the second.
 func TestLateAnswerIsDiscarded(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
--- a/resource/catalog.go
+++ b/resource/catalog.go
@@ -14,30 +14,32 @@
 	"github.com/gravitational/trace"
 )
 
-// Catalog is the configuration at one revision. It is never changed: Apply
-// gives a new one. The zero value is the empty configuration before the first
+// Catalog is the configuration at one revision. It is immutable: Apply returns
+// a new one. The zero value is the empty configuration before the first log
 // entry.
 type Catalog struct {
 	revision Revision
 	byKind   map[Kind]map[Name]Resource
 
-	// The decoded forms below are kept equal to byKind by Apply.
+	// The fields below hold decoded specs and an index of them; Apply keeps
+	// them consistent with byKind.
 
 	routes   map[Name]Route
 	pools    map[Name]EnginePool
 	models   map[Name]Model
 	accounts map[Name]ClientAccount
-	// accountByKeyHash leads from a key hash to its account. Where two accounts claim one
-	// hash, the account first in the order of names has it.
+	// accountByKeyHash maps a key hash to its account. If two accounts list the
+	// same hash, it belongs to the account whose name sorts first.
 	accountByKeyHash map[string]Name
 	drains           map[Name]DrainOrder
 }
 
-// Revision is that of the last entry applied.
+// Revision returns the revision of the last log entry applied.
 func (c *Catalog) Revision() Revision { return c.revision }
 
-// Apply folds the next entry into the catalog. It fails with CompareFailed
-// when the entry isn't the one that follows, and leaves c as it was.
+// Apply returns the catalog that results from the next log entry; c stays as it
+// is. The error is trace.CompareFailed if the entry's revision isn't the one
+// after c's.
 func (c *Catalog) Apply(e LogEntry) (*Catalog, error) {
 	if e.Revision != c.revision+1 {
 		return nil, trace.CompareFailed("entry %d does not follow revision %d", e.Revision, c.revision)
@@ -58,6 +60,7 @@
 	return next, nil
 }
 
+// cloneResources returns a copy of names that is never nil.
 func cloneResources(names map[Name]Resource) map[Name]Resource {
 	if names == nil {
 		return map[Name]Resource{}
@@ -73,8 +76,8 @@
 	c.byKind[change.Kind][change.Name] = Resource{Kind: change.Kind, Name: change.Name, Revision: revision, Spec: change.Spec}
 }
 
-// updateDecoded brings the decoded forms of the touched resources up to date and takes
-// the others from before.
+// updateDecoded decodes the changed resources again and takes the decoded specs
+// of the others from the previous catalog.
 func (c *Catalog) updateDecoded(previous *Catalog, changed map[Kind][]Name) {
 	c.routes = decodeChanged(previous.routes, c.byKind[Routes], changed[Routes], (*Route).setDefaults)
 	c.pools = decodeChanged(previous.pools, c.byKind[EnginePools], changed[EnginePools], (*EnginePool).setDefaults)
@@ -87,8 +90,9 @@
 	}
 }
 
-// decodeChanged skips a spec that doesn't decode: Check let none of them in, and a
-// newer version's field must not take the whole configuration down.
+// decodeChanged returns a copy of previous in which the specs of names are decoded
+// again. A spec that can't be decoded is left out: Check admits none, and a field
+// of a newer version must not make the whole configuration unusable.
 func decodeChanged[T any](previous map[Name]T, resources map[Name]Resource, names []Name, fill func(*T)) map[Name]T {
 	if len(names) == 0 {
 		return previous
@@ -120,32 +124,32 @@
 	return keys
 }
 
-// Get returns one resource.
+// Get returns a resource and whether it exists.
 func (c *Catalog) Get(k Kind, n Name) (Resource, bool) {
 	r, ok := c.byKind[k][n]
 	return r, ok
 }
 
-// List returns the resources of a kind in the order of their names.
+// List returns the resources of a kind, sorted by name.
 func (c *Catalog) List(k Kind) []Resource {
 	listed := slices.Collect(maps.Values(c.byKind[k]))
 	slices.SortFunc(listed, func(a, b Resource) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	return listed
 }
 
-// Route returns a route with its defaults filled in.
+// Route returns a route with its defaults set.
 func (c *Catalog) Route(n Name) (Route, bool) {
 	r, ok := c.routes[n]
 	return r, ok
 }
 
-// Pool returns a pool with its defaults filled in.
+// Pool returns an engine pool with its defaults set.
 func (c *Catalog) Pool(n Name) (EnginePool, bool) {
 	p, ok := c.pools[n]
 	return p, ok
 }
 
-// Model returns a model with its defaults filled in.
+// Model returns a model with its defaults set.
 func (c *Catalog) Model(n Name) (Model, bool) {
 	m, ok := c.models[n]
 	return m, ok
@@ -157,7 +161,7 @@
 	return a, ok
 }
 
-// AccountByKey finds the account that a bearer key belongs to.
+// AccountByKey returns the account that a bearer key belongs to.
 func (c *Catalog) AccountByKey(key string) (Account, bool) {
 	sum := sha256.Sum256([]byte(key))
 	n, ok := c.accountByKeyHash[hex.EncodeToString(sum[:])]
@@ -174,7 +178,7 @@
 	return false
 }
 
-// DrainedZones lists the zones that are out of service, in order.
+// DrainedZones returns the zones that a drain order names, sorted.
 func (c *Catalog) DrainedZones() []string {
 	var zones []string
 	for _, order := range c.drains {
@@ -186,16 +190,16 @@
 	return slices.Compact(zones)
 }
 
-// PoolNames lists the declared pools in order.
+// PoolNames returns the names of the declared engine pools, sorted.
 func (c *Catalog) PoolNames() []Name { return slices.Sorted(maps.Keys(c.pools)) }
 
-// Snapshot is a whole catalog as it is stored and sent.
+// Snapshot is the form in which a whole catalog is stored and sent.
 type Snapshot struct {
 	Revision  Revision   `json:"revision"`
 	Resources []Resource `json:"resources"`
 }
 
-// Snapshot writes the catalog out, kind by kind and name by name.
+// Snapshot returns all resources of the catalog, ordered by Kinds and then by name.
 func (c *Catalog) Snapshot() Snapshot {
 	s := Snapshot{Revision: c.revision}
 	for _, kind := range Kinds() {
@@ -204,7 +208,7 @@
 	return s
 }
 
-// FromSnapshot rebuilds the catalog that Snapshot wrote.
+// FromSnapshot returns the catalog that s was taken of.
 func FromSnapshot(s Snapshot) *Catalog {
 	c := &Catalog{revision: s.Revision, byKind: map[Kind]map[Name]Resource{}}
 	changed := map[Kind][]Name{}
--- a/resource/check.go
+++ b/resource/check.go
@@ -13,18 +13,17 @@
 	"time"
 )
 
-// Finding is one thing wrong with a document, and where.
+// Finding is one fault of a document, with its location.
 type Finding struct {
 	// Field is the path from the document's root, such as "spec.pool".
 	Field   string `json:"field"`
 	Message string `json:"message"`
 }
 
-// Findings is everything wrong with one document, reported together. The zero
-// value means that nothing is wrong.
+// Findings lists all faults of one document. It is empty if the document is valid.
 type Findings []Finding
 
-// Error joins the findings, one to a line.
+// Error returns the findings, one per line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for i, finding := range f {
@@ -33,7 +32,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err is nil when there are no findings.
+// Err returns f as an error, or nil if f is empty.
 func (f Findings) Err() error {
 	if len(f) == 0 {
 		return nil
@@ -45,7 +44,7 @@
 	*f = append(*f, Finding{Field: field, Message: fmt.Sprintf(format, args...)})
 }
 
-// Bounds of what a document may hold.
+// Limits on the contents of a document.
 const (
 	MaxNameLength    = 63
 	MaxSpecBytes     = 64 << 10
@@ -58,8 +57,8 @@
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-// Check finds everything wrong with a proposed change. References to other
-// resources aren't followed: they may be declared later.
+// Check returns all faults of a proposed change. It doesn't check that referenced
+// resources exist, as they may be declared later.
 func Check(c Change) Findings {
 	var found Findings
 	if !c.Kind.Known() {
@@ -105,6 +104,7 @@
 	}
 }
 
+// checkDecoded decodes a spec, in which unknown fields are faults, and checks it.
 func checkDecoded[T any](found *Findings, text json.RawMessage, check func(*Findings, T)) {
 	var spec T
 	if len(text) == 0 {
--- a/resource/example_test.go
+++ b/resource/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Everything wrong with a change is found at once, each with its field.
+// Check reports all faults of a change at once, each with its field.
 func ExampleCheck() {
 	found := resource.Check(resource.Change{
 		Kind: resource.Models, Name: "Quote", Spec: json.RawMessage(`{"pool":"desk"}`),
@@ -21,7 +21,7 @@
 	// spec.version: is missing
 }
 
-// A catalog is folded from the log, entry by entry, and never changed in place.
+// A catalog is built from the log, entry by entry, and is never modified in place.
 func ExampleCatalog_Apply() {
 	var empty resource.Catalog
 	first, err := empty.Apply(resource.LogEntry{Revision: 1, Changes: []resource.Change{
--- a/resource/resource.go
+++ b/resource/resource.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package resource holds the operators' declared resources: their kinds, how
-// a proposed change is checked, and the fold of the configuration log into a
-// catalog.
+// Package resource defines the resources that operators declare: their kinds,
+// the validation of a proposed change, and the catalog that results from
+// applying the entries of the configuration log in order.
 //
-// The package is pure: it does no I/O and reads no clock. Where the log is
-// kept, and who may append to it, is the business of its callers.
+// The package does no I/O and reads no clock. Its callers store the log and
+// decide who may append to it.
 package resource
 
 import (
@@ -27,7 +27,7 @@
 	DrainOrders    Kind = "drainorders"
 )
 
-// Kinds lists every kind in the order a fresh site declares them.
+// Kinds returns every kind, in the order in which a new site declares them.
 func Kinds() []Kind {
 	return []Kind{EnginePools, Models, Adapters, Routes, ClientAccounts, DrainOrders}
 }
@@ -35,28 +35,28 @@
 // Known reports whether k is one of Kinds.
 func (k Kind) Known() bool { return slices.Contains(Kinds(), k) }
 
-// Revision numbers the accepted entries of the configuration log. The zero
-// value stands before the first entry.
+// Revision is the number of an accepted entry of the configuration log. The
+// first entry has revision 1; zero means that there is no entry yet.
 type Revision uint64
 
 // Name is a resource's name, unique within its kind.
 type Name string
 
-// Account names a client account.
+// Account is the name of a client account.
 type Account = Name
 
-// Resource is one declared resource as the log last left it.
+// Resource is one declared resource after the last log entry that changed it.
 type Resource struct {
 	Kind Kind
 	Name Name
-	// Revision is that of the log entry that last changed the resource; an
-	// operator's If-Match is compared with it.
+	// Revision is the revision of the log entry that last changed the resource.
+	// The If-Match of an operator's request is compared with it.
 	Revision Revision
-	// Spec is the operator's JSON, which Check has passed.
+	// Spec is the operator's JSON, in which Check found no fault.
 	Spec json.RawMessage
 }
 
-// Change is one operator's wish for one resource.
+// Change is a request to set the spec of one resource, or to delete it.
 type Change struct {
 	Kind   Kind            `json:"kind"`
 	Name   Name            `json:"name"`
@@ -64,12 +64,12 @@
 	Delete bool            `json:"delete,omitempty"`
 }
 
-// LogEntry is one accepted step of the configuration. Once written under its
+// LogEntry is one accepted entry of the configuration log. Once written under its
 // revision it never changes.
 type LogEntry struct {
 	Revision Revision `json:"revision"`
-	// Operation tells the writers of one revision apart, so that a writer whose
-	// answer was lost can recognise its own entry.
+	// Operation identifies the write. Of several writers that propose the same
+	// revision, one whose response was lost can recognise its own entry by it.
 	Operation string   `json:"operation"`
 	Changes   []Change `json:"changes"`
 }
--- a/resource/resource_test.go
+++ b/resource/resource_test.go
@@ -82,7 +82,8 @@
 	is.Equal(len(found), 1)
 }
 
-// drawChange draws a valid change of a few names, so that they meet.
+// drawChange draws a valid change. It uses only three names, so that changes often
+// concern the same resource.
 func drawChange(t *rapid.T) Change {
 	name := Name(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"))
 	switch rapid.IntRange(0, 4).Draw(t, "kind") {
@@ -99,9 +100,10 @@
 	}
 }
 
-// TestFold applies drawn logs: the catalog before a step is untouched, a
-// snapshot gives the same catalog back, and nothing but the next revision is
-// taken.
+// TestFold applies random logs and checks that
+//   - Apply doesn't modify the catalog that it is called on,
+//   - Apply accepts only the next revision,
+//   - a catalog restored from a snapshot has the same resources and drain orders.
 func TestFold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &Catalog{}
@@ -114,23 +116,23 @@
 			wrong := e
 			wrong.Revision += Revision(rapid.SampledFrom([]int{1, 5}).Draw(t, "off"))
 			if _, err := c.Apply(wrong); err == nil {
-				t.Fatalf("revision %d was applied to %d", wrong.Revision, c.Revision())
+				t.Fatalf("the entry with revision %d was applied to a catalog at revision %d", wrong.Revision, c.Revision())
 			}
 			next, err := c.Apply(e)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(c.Snapshot(), before) {
-				t.Fatal("a step changed the catalog before it")
+				t.Fatal("Apply modified the catalog that it was called on")
 			}
 			c = next
 		}
 		restored := FromSnapshot(c.Snapshot())
 		if !reflect.DeepEqual(restored.Snapshot(), c.Snapshot()) {
-			t.Fatal("the snapshot gives another catalog back")
+			t.Fatal("the catalog restored from a snapshot has a different snapshot")
 		}
 		if restored.Drained("g1", "") != c.Drained("g1", "") {
-			t.Fatal("the snapshot forgets a drain order")
+			t.Fatal("the catalog restored from a snapshot lacks a drain order")
 		}
 	})
 }
@@ -144,7 +146,7 @@
 	is.NoErr(err)
 	account, known := c.AccountByKey("test")
 	is.True(known)
-	is.Equal(account, Name("a")) // the first of two that claim one key
+	is.Equal(account, Name("a")) // of two accounts with the same key, the name that sorts first
 	_, known = c.AccountByKey("")
 	is.True(!known)
 }
@@ -158,12 +160,13 @@
 			return
 		}
 		if _, err := (&Catalog{}).Apply(LogEntry{Revision: 1, Changes: []Change{change}}); err != nil {
-			t.Fatalf("%v passes the check and can't be applied: %v", change, err)
+			t.Fatalf("%v passes Check but can't be applied: %v", change, err)
 		}
 	})
 }
 
-// BenchmarkApply is one configuration change at the size that is built towards.
+// BenchmarkApply measures one configuration change and one snapshot at the largest
+// size that the design aims for, 1500 client accounts.
 func BenchmarkApply(b *testing.B) {
 	c := &Catalog{}
 	for n := range 1500 {
