--- a/entry/ask.go
+++ b/entry/ask.go
@@ -16,21 +16,21 @@
 
 // flushOutbox sends a pool's pending messages to the peers, each in its own goroutine.
 func (p *placement) flushOutbox(s *poolState) {
-	if len(s.asks) > 0 {
-		requests, owner := s.asks, s.owner
-		s.asks = nil
+	if len(s.pendingRequests) > 0 {
+		requests, owner := s.pendingRequests, s.owner
+		s.pendingRequests = nil
 		p.entry.spawn(func(ctx context.Context) { p.requestPlaces(ctx, s, owner, requests) })
 	}
-	for host, finished := range s.finished {
-		delete(s.finished, host)
+	for host, finished := range s.pendingFinishes {
+		delete(s.pendingFinishes, host)
 		to, known := p.entry.members.Entry(host)
 		if !known {
 			continue
 		}
 		p.entry.spawn(func(ctx context.Context) { p.sendFinished(ctx, s, to, finished) })
 	}
-	for host, decisions := range s.decisions {
-		delete(s.decisions, host)
+	for host, decisions := range s.pendingDecisions {
+		delete(s.pendingDecisions, host)
 		to, known := p.entry.members.Entry(host)
 		if known {
 			p.entry.spawn(func(ctx context.Context) { p.sendDecisions(ctx, s, to, decisions) })
@@ -51,7 +51,7 @@
 	}
 	_ = p.do(ctx, func(now time.Time) {
 		if p.entry.members.Alive(now, to.ID) {
-			s.finished[to.ID] = append(finished, s.finished[to.ID]...)
+			s.pendingFinishes[to.ID] = append(finished, s.pendingFinishes[to.ID]...)
 		}
 	})
 }
@@ -62,7 +62,7 @@
 // requestPlaces asks the coordinator for places. If the coordinator doesn't answer in time, this
 // entry decides the requests itself.
 func (p *placement) requestPlaces(ctx context.Context, s *poolState, owner member.Entry, requests []policy.Request) {
-	callCtx, cancel := context.WithTimeout(ctx, answerWithin)
+	callCtx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
 	decisions, err := p.entry.peers.Place(callCtx, owner, s.name, requests)
 	_ = p.do(ctx, func(now time.Time) {
@@ -78,13 +78,13 @@
 // and stops asking that coordinator for the time of distrustFor.
 func (p *placement) decideLocally(now time.Time, s *poolState, owner member.Entry, requests []policy.Request) {
 	if s.owner.ID == owner.ID {
-		s.distrusted = now.Add(distrustFor)
+		s.distrustedUntil = now.Add(distrustFor)
 	}
 	for _, r := range requests {
 		// The coordinator may have received the request and may still grant it.
-		s.finished[owner.ID] = append(s.finished[owner.ID], policy.Finish{Run: r.Run})
+		s.pendingFinishes[owner.ID] = append(s.pendingFinishes[owner.ID], policy.Finish{Run: r.Run})
 		if w := s.waiters[r.Run]; w != nil {
-			p.submitHere(now, s, w)
+			p.submitLocally(now, s, w)
 		}
 	}
 }
@@ -93,8 +93,8 @@
 // back granted places that no request here waits for any longer.
 func (p *placement) applyDecisions(s *poolState, owner member.Entry, decisions []policy.Decision) {
 	for _, d := range decisions {
-		if !p.decide(s, d, owner) && d.Verdict == policy.Granted && !p.holdsPlace(d, owner.ID) {
-			s.finished[owner.ID] = append(s.finished[owner.ID], policy.Finish{Run: d.Run})
+		if !p.deliverDecision(s, d, owner) && d.Verdict == policy.Granted && !p.holdsPlace(d, owner.ID) {
+			s.pendingFinishes[owner.ID] = append(s.pendingFinishes[owner.ID], policy.Finish{Run: d.Run})
 		}
 	}
 }
@@ -123,8 +123,8 @@
 	if d.Verdict != policy.Refused || d.Reason == policy.ReasonTooLong {
 		return d
 	}
-	for _, to := range p.entry.members.OtherCoordinators(p.entry.now(), pool, r.PromptTokens) {
-		callCtx, cancel := context.WithTimeout(ctx, otherZoneWait)
+	for _, to := range p.entry.members.CoordinatorsInOtherZones(p.entry.now(), pool, r.PromptTokens) {
+		callCtx, cancel := context.WithTimeout(ctx, otherZoneTimeout)
 		decisions, err := p.entry.peers.Place(callCtx, to, pool, []policy.Request{r})
 		cancel()
 		if err != nil || len(decisions) != 1 || decisions[0].Verdict == policy.Queued {
@@ -133,7 +133,7 @@
 			// answer comes too late.
 			_ = p.do(ctx, func(time.Time) {
 				s := p.state(pool)
-				s.finished[to.ID] = append(s.finished[to.ID], policy.Finish{Run: r.Run})
+				s.pendingFinishes[to.ID] = append(s.pendingFinishes[to.ID], policy.Finish{Run: r.Run})
 			})
 			continue
 		}
@@ -158,13 +158,13 @@
 	err := p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
 		for _, r := range requests {
-			if _, over := s.ended[r.Run]; over {
+			if _, over := s.endedRuns[r.Run]; over {
 				decisions = append(decisions, policy.Decision{Run: r.Run, Verdict: policy.Refused, Reason: policy.ReasonDeadline})
 				continue
 			}
 			d := s.pool.Submit(now, r)
 			if d.Verdict != policy.Refused {
-				s.guests[r.Run] = from
+				s.peerRuns[r.Run] = from
 			}
 			decisions = append(decisions, d)
 		}
@@ -190,10 +190,10 @@
 	return p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
 		for _, f := range finished {
-			if _, known := s.guests[f.Run]; !known {
-				s.ended[f.Run] = now
+			if _, known := s.peerRuns[f.Run]; !known {
+				s.endedRuns[f.Run] = now
 			}
-			delete(s.guests, f.Run)
+			delete(s.peerRuns, f.Run)
 			s.pool.Finish(now, f)
 		}
 	})
@@ -204,8 +204,8 @@
 	return p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
 		for _, run := range runs {
-			s.pool.Adopt(now, run.Request, run.Engine, run.Made)
-			s.guests[run.Request.Run] = from
+			s.pool.Adopt(now, run.Request, run.Engine, run.GeneratedTokens)
+			s.peerRuns[run.Request.Run] = from
 		}
 	})
 }
--- a/entry/backoff.go
+++ b/entry/backoff.go
@@ -27,7 +27,7 @@
 // or 5xx, and zero for any other error.
 func refusalBackoff(err error) time.Duration {
 	var refused *EngineRefusal
-	if errors.As(err, &refused) && (refused.Status == statusTooMany || refused.Status >= 500) {
+	if errors.As(err, &refused) && (refused.Status == statusTooManyRequests || refused.Status >= 500) {
 		return refused.RetryAfter
 	}
 	return 0
@@ -40,7 +40,7 @@
 		return nil, 0
 	}
 	now := e.now()
-	engines := e.members.EnginesFor(now, pool)
+	engines := e.members.EngineIDsFor(now, pool)
 	for _, id := range engines {
 		remaining := e.backoffs.Remaining(now, id)
 		if remaining <= 0 {
--- a/entry/backoff_test.go
+++ b/entry/backoff_test.go
@@ -17,7 +17,7 @@
 func TestEngineAsksForBackoffAndGetsGenerations(t *testing.T) {
 	refused := script{startErr: &EngineRefusal{Status: 503, Text: "full", RetryAfter: 3 * time.Second}}
 	succeeds := script{events: append(tokens(1, 5), ended(5))}
-	inSite(t, []script{refused, succeeds}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
+	withSite(t, []script{refused, succeeds}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		// Six concurrent generations, so that without backoff both engines would get some.
 		generateSix := func() {
@@ -52,7 +52,7 @@
 // all engines are in backoff.
 func TestEnginesAllAskForBackoff(t *testing.T) {
 	refused := script{startErr: &EngineRefusal{Status: 503, Text: "full", RetryAfter: 3 * time.Second}}
-	inSite(t, []script{refused}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
+	withSite(t, []script{refused}, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		for range 4 {
 			began := time.Now()
@@ -72,7 +72,7 @@
 // TestServiceAsksForBackoffAndGetsCalls checks that a service's upstreams get no calls until the
 // backoff that they asked for has ended.
 func TestServiceAsksForBackoffAndGetsCalls(t *testing.T) {
-	inSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
+	withSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		s.addService("s2", "az2")
 		s.addService("s3", "az3")
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -161,7 +161,7 @@
 		err := c.followOnce(ctx)
 		if failing != (err != nil) && ctx.Err() == nil {
 			failing = err != nil
-			logChange(c.entry.logger, "following the configuration", failing, err)
+			logFailureChange(c.entry.logger, "following the configuration", failing, err)
 		}
 		if err == nil {
 			wait = initialConfigRetryDelay
@@ -181,7 +181,7 @@
 		return err
 	}
 	c.setLoaded()
-	if !c.entry.members.Watches(c.entry.now()) {
+	if !c.entry.members.IsWatcher(c.entry.now()) {
 		c.waitForPollOrChange(ctx)
 		return nil
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -50,13 +50,13 @@
 
 func (s *Settings) setDefaults() {
 	if s.HostListInterval == 0 {
-		s.HostListInterval = hostListEvery
+		s.HostListInterval = hostListInterval
 	}
 	if s.ConfigPollInterval == 0 {
 		s.ConfigPollInterval = configPollInterval
 	}
 	if s.LoadInterval == 0 {
-		s.LoadInterval = loadEvery
+		s.LoadInterval = loadInterval
 	}
 }
 
@@ -195,19 +195,19 @@
 // call release when the call has ended.
 func (e *Entry) admit(name resource.Account) (release func(), failure *Failure) {
 	if !e.Ready() {
-		return nil, newFailure(CodeNotReady, NotRun, "this entry has no configuration yet").withRetryAfter(retryUnknown)
+		return nil, newFailure(CodeNotReady, NotRun, "this entry has no configuration yet").withRetryAfter(defaultRetryAfter)
 	}
 	if !e.beginCall() {
 		return nil, newFailure(CodeLeaving, NotRun, "this entry is stopping; another takes the call").withRetryAfter(leavingRetryAfter)
 	}
 	account, _ := e.config.Catalog().Account(name)
-	wait, ok := e.limits.enter(e.now(), name, account)
+	wait, ok := e.limits.acquire(e.now(), name, account)
 	if !ok {
 		e.endCall()
-		return nil, newFailure(CodeRateLimited, NotRun, "the account's limit is reached").withRetryAfter(max(wait, retryUnknown))
+		return nil, newFailure(CodeRateLimited, NotRun, "the account's limit is reached").withRetryAfter(max(wait, defaultRetryAfter))
 	}
 	return func() {
-		e.limits.leave(name)
+		e.limits.release(name)
 		e.endCall()
 	}, nil
 }
@@ -248,7 +248,7 @@
 	e.mu.Unlock()
 	_ = level.Info(e.logger).Log("msg", "stopping", "running", running, "grace", grace)
 	e.members.setLeaving()
-	e.members.beat(ctx)
+	e.members.sendHeartbeats(ctx)
 	pause(ctx, grace)
 	e.refuseCalls()
 	select {
--- a/entry/fakesite_test.go
+++ b/entry/fakesite_test.go
@@ -244,7 +244,7 @@
 }
 
 func quote() GenerationRequest {
-	return GenerationRequest{Account: "counter", Route: "quote", Shape: ShapeCompletion, Prompt: 10}
+	return GenerationRequest{Account: "counter", Route: "quote", Shape: ShapeCompletion, PromptTokens: 10}
 }
 
 var peerEntry = member.Entry{ID: "e9", Zone: "az1", PeerAddress: "e9"}
--- a/entry/follow.go
+++ b/entry/follow.go
@@ -74,12 +74,12 @@
 		case deliver:
 			r.pass(r.entry.now(), event)
 		case drop:
-			r.entry.observer.Spoilt("duplicate")
+			r.entry.observer.Withheld("duplicate")
 		case resume:
 			r.why = errGap
 			return RunResult{}, false, nil
 		case foreign:
-			r.entry.observer.Spoilt("foreign")
+			r.entry.observer.Withheld("foreign")
 			r.why = errForeign
 			return RunResult{}, false, nil
 		case done:
@@ -110,14 +110,14 @@
 }
 
 func (r *relay) begin() {
-	if !r.started {
-		r.started = true
+	if !r.begun {
+		r.begun = true
 		r.sinkErr = r.sink.Begin(r.id)
 	}
 }
 
 func (r *relay) flush() {
-	if r.started && r.sinkErr == nil {
+	if r.begun && r.sinkErr == nil {
 		r.sinkErr = r.sink.Flush()
 	}
 }
@@ -128,13 +128,13 @@
 		r.sinkErr = r.sink.Token(event.Index, event.Data)
 	}
 	r.fruitless = 0
-	r.running.made.Store(int64(event.Index))
+	r.ownRun.lastTokenIndex.Store(int64(event.Index))
 	if r.firstToken.IsZero() {
 		r.firstToken = now
 	}
 	if r.lastToken.IsZero() {
 		if !r.resumed {
-			r.entry.observer.FirstToken(r.pool, now.Sub(r.asked))
+			r.entry.observer.FirstToken(r.pool, now.Sub(r.requestedAt))
 		}
 	} else {
 		r.entry.observer.BetweenTokens(r.pool, now.Sub(r.lastToken))
@@ -146,10 +146,10 @@
 // doesn't have it or can't be reached any more.
 func (r *relay) takeUp(ctx context.Context) (Stream, *Failure) {
 	for {
-		if r.fruitless >= maxResumes {
+		if r.fruitless >= maxFruitlessResumes {
 			return nil, r.lost(CodeUpstreamLost, "engine %s was lost: %v", r.upstream.ID, r.why)
 		}
-		if r.fruitless > 0 && !pause(ctx, resumePause<<r.fruitless) {
+		if r.fruitless > 0 && !pause(ctx, resumeDelay<<r.fruitless) {
 			return nil, r.lost(CodeCancelled, "the caller left")
 		}
 		r.fruitless++
--- a/entry/generation.go
+++ b/entry/generation.go
@@ -25,12 +25,12 @@
 	Route   resource.Name
 	Shape   Shape
 	// Body asks the engine for a stream, whatever the caller asked for.
-	Body   []byte
-	Prompt policy.Tokens
-	// Limit bounds the answer; zero leaves it to the model.
-	Limit policy.Tokens
-	// Prefix is a hash of the first PrefixTokens of the prompt.
-	Prefix       uint64
+	Body         []byte
+	PromptTokens policy.Tokens
+	// MaxOutputTokens bounds the answer; zero leaves it to the model.
+	MaxOutputTokens policy.Tokens
+	// PrefixHash is a hash of the first PrefixTokens of the prompt.
+	PrefixHash   uint64
 	PrefixTokens policy.Tokens
 }
 
@@ -47,26 +47,26 @@
 	// maxStarts is how many engines a generation is started on, while its
 	// caller has seen nothing.
 	maxStarts = 3
-	// maxResumes is how often in a row a stream is taken up without a token
+	// maxFruitlessResumes is how often in a row a stream is taken up without a token
 	// coming of it.
-	maxResumes   = 4
-	resumePause  = 50 * time.Millisecond
-	retryUnknown = time.Second
+	maxFruitlessResumes = 4
+	resumeDelay         = 50 * time.Millisecond
+	defaultRetryAfter   = time.Second
 )
 
 // generation is one caller's generation on its way through this entry.
 type generation struct {
-	entry   *Entry
-	request GenerationRequest
-	pool    resource.Name
-	sink    Sink
-	asked   time.Time
-	// started is whether Begin was called.
-	started bool
+	entry       *Entry
+	request     GenerationRequest
+	pool        resource.Name
+	sink        Sink
+	requestedAt time.Time
+	// begun is whether Begin was called.
+	begun bool
 	// lastToken is when the last token was passed on; zero before the first.
 	lastToken time.Time
-	// running is this entry's record of the run, for its coordinator.
-	running *ownRun
+	// ownRun is this entry's record of the run, for its coordinator.
+	ownRun *ownRun
 	// sinkErr is the caller's link failing; everything else ends by itself.
 	sinkErr error
 	// asking is what the generation asks.
@@ -76,20 +76,20 @@
 // Generate runs a generation and passes its tokens to the sink. The error is a
 // *Failure.
 func (e *Entry) Generate(ctx context.Context, r GenerationRequest, sink Sink) (RunResult, error) {
-	ending, failure := e.generate(ctx, r, sink)
-	e.answered("generation", failure)
+	result, failure := e.generate(ctx, r, sink)
+	e.observeOutcome("generation", failure)
 	if failure != nil {
-		return ending, failure
+		return result, failure
 	}
-	return ending, nil
+	return result, nil
 }
 
-func (e *Entry) answered(kind string, failure *Failure) {
+func (e *Entry) observeOutcome(kind string, failure *Failure) {
 	if failure == nil {
-		e.observer.Answered(kind, "ok", "")
+		e.observer.CallEnded(kind, "ok", "")
 		return
 	}
-	e.observer.Answered(kind, string(failure.Code), failure.RunState)
+	e.observer.CallEnded(kind, string(failure.Code), failure.RunState)
 }
 
 func (e *Entry) generate(ctx context.Context, r GenerationRequest, sink Sink) (RunResult, *Failure) {
@@ -108,53 +108,53 @@
 		return RunResult{}, newFailure(CodeUnknownModel, NotRun, "the model %q behind %q is not declared", route.Model, r.Route)
 	}
 	window := policy.Tokens(model.ContextTokens)
-	if r.Prompt >= window {
+	if r.PromptTokens >= window {
 		return RunResult{}, newFailure(CodePromptTooLong, NotRun,
-			"the prompt has about %d tokens; the model takes %d with the answer", r.Prompt, window)
+			"the prompt has about %d tokens; the model takes %d with the answer", r.PromptTokens, window)
 	}
-	if r.Limit == 0 || r.Limit > window-r.Prompt {
-		r.Limit = window - r.Prompt
+	if r.MaxOutputTokens == 0 || r.MaxOutputTokens > window-r.PromptTokens {
+		r.MaxOutputTokens = window - r.PromptTokens
 	}
-	g := &generation{entry: e, request: r, pool: model.Pool, sink: sink, asked: e.now(), asking: asking{
+	g := &generation{entry: e, request: r, pool: model.Pool, sink: sink, requestedAt: e.now(), asking: asking{
 		Asked: quarantine.Asked{Caller: string(r.Account), Method: string(r.Shape), Target: string(r.Route), Body: r.Body}, route: r.Route,
 	}}
-	return g.run(ctx, g.asked.Add(time.Duration(route.Timeout)))
+	return g.run(ctx, g.requestedAt.Add(time.Duration(route.Timeout)))
 }
 
 // run starts the generation on one engine after another, until one has given
 // the caller a token or ended it.
 func (g *generation) run(ctx context.Context, deadline time.Time) (RunResult, *Failure) {
-	var avoid member.UpstreamID
-	var last *Failure
+	var previousEngine member.UpstreamID
+	var lastFailure *Failure
 	for starts := range maxStarts {
 		if failure := g.entry.held(&g.asking); failure != nil {
-			return RunResult{}, later(last, failure)
+			return RunResult{}, laterFailure(lastFailure, failure)
 		}
 		if starts > 0 && !g.entry.retries.take() {
 			break
 		}
 		run := newRunID()
-		decision, failure := g.place(ctx, run, avoid, deadline)
+		decision, failure := g.place(ctx, run, previousEngine, deadline)
 		if failure != nil {
-			return RunResult{}, later(last, failure)
+			return RunResult{}, laterFailure(lastFailure, failure)
 		}
 		// It may have waited for its place.
 		if failure := g.entry.held(&g.asking); failure != nil {
 			g.entry.placement.finish(g.pool, policy.Finish{Run: run})
-			return RunResult{}, later(last, failure)
+			return RunResult{}, laterFailure(lastFailure, failure)
 		}
-		ending, failure := g.onEngine(ctx, run, decision)
+		result, failure := g.runOnEngine(ctx, run, decision)
 		if failure == nil {
 			g.entry.retries.earn()
-			return ending, nil
+			return result, nil
 		}
-		if !g.repeatable(ctx, failure) {
-			return ending, failure
+		if !g.retryable(ctx, failure) {
+			return result, failure
 		}
 		g.entry.observer.Retried(string(failure.Code))
-		avoid, last = decision.Engine, failure
+		previousEngine, lastFailure = decision.Engine, failure
 	}
-	return RunResult{}, last.withRetryAfter(retryUnknown)
+	return RunResult{}, lastFailure.withRetryAfter(defaultRetryAfter)
 }
 
 // runIDBytes make a run id of 16 letters that nobody else draws. It travels in
@@ -168,35 +168,35 @@
 	return policy.RunID(base64.RawURLEncoding.EncodeToString(id))
 }
 
-// later answers with a second try's failure, unless the first may have run.
-func later(first, second *Failure) *Failure {
+// laterFailure answers with a second try's failure, unless the first may have run.
+func laterFailure(first, second *Failure) *Failure {
 	if first != nil && first.RunState != NotRun && second.RunState == NotRun {
 		second.RunState = first.RunState
 	}
 	return second
 }
 
-// repeatable reports whether the generation may be started again: the caller
+// retryable reports whether the generation may be started again: the caller
 // has seen nothing, is still there, and the fault wasn't its own.
-func (g *generation) repeatable(ctx context.Context, f *Failure) bool {
-	if g.started || g.sinkErr != nil || ctx.Err() != nil {
+func (g *generation) retryable(ctx context.Context, f *Failure) bool {
+	if g.begun || g.sinkErr != nil || ctx.Err() != nil {
 		return false
 	}
 	return f.Code == CodeUpstreamLost || f.Code == CodeBadStream || f.Code == CodeOverloaded
 }
 
-func (g *generation) place(ctx context.Context, run policy.RunID, avoid member.UpstreamID, deadline time.Time) (policy.Decision, *Failure) {
+func (g *generation) place(ctx context.Context, run policy.RunID, previousEngine member.UpstreamID, deadline time.Time) (policy.Decision, *Failure) {
 	ctx, span := g.entry.tracer.Start(ctx, "placement", trace.WithAttributes(attribute.String("pool", string(g.pool))))
 	defer span.End()
-	resting, wait := g.entry.enginesBackingOff(g.pool)
+	backingOff, wait := g.entry.enginesBackingOff(g.pool)
 	if wait > 0 {
 		return policy.Decision{}, newFailure(CodeOverloaded, NotRun, "every engine asked this entry to stay away").withRetryAfter(wait)
 	}
 	account, _ := g.entry.config.Catalog().Account(g.request.Account)
 	r := policy.Request{
 		Run: run, Route: g.request.Route, Account: g.request.Account, Priority: account.Priority,
-		PromptTokens: g.request.Prompt, MaxOutputTokens: g.request.Limit, QueueBytes: len(g.request.Body),
-		Prefix: g.request.Prefix, PrefixTokens: g.request.PrefixTokens, Deadline: deadline, PreviousEngine: avoid, ExcludedEngines: resting,
+		PromptTokens: g.request.PromptTokens, MaxOutputTokens: g.request.MaxOutputTokens, QueueBytes: len(g.request.Body),
+		Prefix: g.request.PrefixHash, PrefixTokens: g.request.PrefixTokens, Deadline: deadline, PreviousEngine: previousEngine, ExcludedEngines: backingOff,
 	}
 	decision, err := g.entry.placement.place(ctx, g.pool, r)
 	if err != nil {
@@ -205,14 +205,14 @@
 	span.SetAttributes(attribute.String("engine", string(decision.Engine)))
 	if decision.Verdict == policy.Refused {
 		g.entry.observer.Refused(g.pool, decision.Reason)
-		return decision, refusal(decision)
+		return decision, refusalFailure(decision)
 	}
-	g.running = g.entry.placement.ownRun(run)
+	g.ownRun = g.entry.placement.ownRun(run)
 	g.entry.observer.Waited(g.pool, decision.Waited)
 	return decision, nil
 }
 
-func refusal(d policy.Decision) *Failure {
+func refusalFailure(d policy.Decision) *Failure {
 	switch d.Reason {
 	case policy.ReasonTooLong:
 		return newFailure(CodePromptTooLong, NotRun, "no engine's memory holds the prompt")
@@ -223,8 +223,8 @@
 	}
 }
 
-// onEngine runs the generation on the engine that it was placed on.
-func (g *generation) onEngine(ctx context.Context, run policy.RunID, d policy.Decision) (RunResult, *Failure) {
+// runOnEngine runs the generation on the engine that it was placed on.
+func (g *generation) runOnEngine(ctx context.Context, run policy.RunID, d policy.Decision) (RunResult, *Failure) {
 	finish := policy.Finish{Run: run}
 	defer func() { g.entry.placement.finish(g.pool, finish) }()
 	upstream, known := g.entry.members.Upstream(d.Engine)
@@ -235,7 +235,7 @@
 		// It asked for that since the run was placed there.
 		return RunResult{}, newFailure(CodeOverloaded, NotRun, "engine %s asked this entry to stay away", d.Engine).withRetryAfter(wait)
 	}
-	id := newGenerationID(g.entry.generationKey, location{
+	id := newGenerationID(g.entry.generationKey, runLocation{
 		Engine: d.Engine, Run: run, Account: g.request.Account, Route: g.request.Route,
 	})
 	ctx, span := g.entry.tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient),
@@ -243,7 +243,7 @@
 	defer span.End()
 	stream, err := g.entry.engines.Start(ctx, upstream, RunRequest{
 		Run: run, ID: id, Shape: g.request.Shape, Body: g.request.Body, Priority: d.Priority,
-		Prefix: prefixName(g.request.Prefix), PrefixTokens: g.request.PrefixTokens,
+		Prefix: prefixName(g.request.PrefixHash), PrefixTokens: g.request.PrefixTokens,
 	})
 	if err != nil {
 		g.entry.recordBackoff(d.Engine, refusalBackoff(err))
@@ -254,14 +254,14 @@
 		return RunResult{}, failure
 	}
 	relay := relay{generation: g, upstream: upstream, id: id, sequence: sequence{run: run}}
-	ending, failure := relay.follow(ctx, stream)
+	result, failure := relay.follow(ctx, stream)
 	if failure == nil {
 		g.entry.survived(&g.asking)
 	}
 	finish.GeneratedTokens = policy.Tokens(relay.sequence.delivered)
 	finish.Complete = failure == nil
 	span.SetAttributes(attribute.Int("tokens", relay.sequence.delivered))
-	return ending, failure
+	return result, failure
 }
 
 func startFailure(ctx context.Context, engine member.UpstreamID, err error) *Failure {
@@ -271,7 +271,7 @@
 		return newFailure(CodeCancelled, Unknown, "the caller left")
 	case errors.Is(err, ErrNotSent):
 		return newFailure(CodeUpstreamLost, NotRun, "engine %s can't be reached", engine)
-	case errors.As(err, &refused) && refused.Status < 500 && refused.Status != statusTooMany:
+	case errors.As(err, &refused) && refused.Status < 500 && refused.Status != statusTooManyRequests:
 		return newFailure(CodeUpstreamRefused, NotRun, "%v", refused)
 	case errors.As(err, &refused):
 		return newFailure(CodeOverloaded, NotRun, "%v", refused).withRetryAfter(refused.RetryAfter)
@@ -280,17 +280,17 @@
 	}
 }
 
-const statusTooMany = 429
+const statusTooManyRequests = 429
 
 // Resume carries on with a generation whose entry was lost, behind the token
 // that the caller saw last. The error is a *Failure.
 func (e *Entry) Resume(ctx context.Context, account resource.Account, lastEvent string, sink Sink) (RunResult, error) {
-	ending, failure := e.resume(ctx, account, lastEvent, sink)
-	e.answered("resume", failure)
+	result, failure := e.resume(ctx, account, lastEvent, sink)
+	e.observeOutcome("resume", failure)
 	if failure != nil {
-		return ending, failure
+		return result, failure
 	}
-	return ending, nil
+	return result, nil
 }
 
 func (e *Entry) resume(ctx context.Context, account resource.Account, lastEvent string, sink Sink) (RunResult, *Failure) {
@@ -298,8 +298,8 @@
 	if err != nil {
 		return RunResult{}, newFailure(CodeBadGenerationID, Unknown, "%v", err)
 	}
-	at, err := id.open(e.generationKey)
-	if err != nil || at.Account != account {
+	location, err := id.decode(e.generationKey)
+	if err != nil || location.Account != account {
 		return RunResult{}, newFailure(CodeBadGenerationID, Unknown, "the generation id is not one of this account's")
 	}
 	release, failure := e.admit(account)
@@ -308,14 +308,14 @@
 		return RunResult{}, failure
 	}
 	defer release()
-	upstream, known := e.members.Upstream(at.Engine)
+	upstream, known := e.members.Upstream(location.Engine)
 	if !known {
 		return RunResult{}, newFailure(CodeGenerationGone, Partial, "the engine of this generation is gone")
 	}
 	g := &generation{
-		entry: e, sink: sink, asked: e.now(), request: GenerationRequest{Account: account, Route: at.Route},
-		pool: resource.Name(upstream.Pool), running: &ownRun{},
+		entry: e, sink: sink, requestedAt: e.now(), request: GenerationRequest{Account: account, Route: location.Route},
+		pool: resource.Name(upstream.Pool), ownRun: &ownRun{},
 	}
-	r := relay{generation: g, upstream: upstream, id: id, sequence: sequence{run: at.Run, delivered: index}, resumed: true}
+	r := relay{generation: g, upstream: upstream, id: id, sequence: sequence{run: location.Run, delivered: index}, resumed: true}
 	return r.follow(ctx, nil)
 }
--- a/entry/generation_test.go
+++ b/entry/generation_test.go
@@ -15,9 +15,9 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// inSite runs a test with one entry and the named engines, which follow the
+// withSite runs a test with one entry and the named engines, which follow the
 // scripts, in a bubble of synctest's time.
-func inSite(t *testing.T, scripts []script, engines []policy.EngineID, test func(t *testing.T, s *fakeSite, e *Entry)) {
+func withSite(t *testing.T, scripts []script, engines []policy.EngineID, test func(t *testing.T, s *fakeSite, e *Entry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -43,7 +43,7 @@
 	twoEngines = []policy.EngineID{"g1", "g2"}
 )
 
-var errLink = errors.New("the link broke")
+var errLinkBroken = errors.New("the link broke")
 
 // TestGenerationFailures has an engine fail at each point of a generation, and
 // checks what the caller gets and is told, and how often it was run.
@@ -52,26 +52,26 @@
 	rest := script{events: append(tokens(3, 5), ended(5))}
 	refused := func(status int) script { return script{startErr: &EngineRefusal{Status: status}} }
 	for name, c := range map[string]struct {
-		scripts []script
-		got     int
-		code    Code
-		run     RunState
-		started int
-		resumed []int
+		scripts      []script
+		wantTokens   int
+		wantCode     Code
+		wantRunState RunState
+		wantStarts   int
+		wantResumes  []int
 	}{
 		"whole":                       {[]script{whole}, 5, "", "", 1, nil},
 		"no engine reached":           {[]script{{startErr: ErrNotSent}}, 0, CodeUpstreamLost, NotRun, 0, nil},
 		"refused as wrong":            {[]script{refused(400)}, 0, CodeUpstreamRefused, NotRun, 1, nil},
 		"refused as full, then taken": {[]script{refused(503), whole}, 5, "", "", 2, nil},
 		"lost after sending, then taken": {
-			[]script{{startErr: errLink}, whole}, 5, "", "", 2, nil,
+			[]script{{startErr: errLinkBroken}, whole}, 5, "", "", 2, nil,
 		},
-		"always lost after sending": {[]script{{startErr: errLink}}, 0, CodeUpstreamLost, Unknown, 3, nil},
+		"always lost after sending": {[]script{{startErr: errLinkBroken}}, 0, CodeUpstreamLost, Unknown, 3, nil},
 		"link broken before a token, resumed": {
-			[]script{{endErr: errLink}, whole}, 5, "", "", 1, []int{0},
+			[]script{{endErr: errLinkBroken}, whole}, 5, "", "", 1, []int{0},
 		},
 		"link broken mid-stream, resumed": {
-			[]script{{events: tokens(1, 2), endErr: errLink}, rest}, 5, "", "", 1, []int{2},
+			[]script{{events: tokens(1, 2), endErr: errLinkBroken}, rest}, 5, "", "", 1, []int{2},
 		},
 		"silent mid-stream, resumed": {
 			[]script{{events: tokens(1, 2), endErr: ErrStreamIdle}, rest}, 5, "", "", 1, []int{2},
@@ -86,10 +86,10 @@
 			[]script{{events: append(tokens(1, 2), StreamEvent{Run: "other", Index: 3})}, rest}, 5, "", "", 1, []int{2},
 		},
 		"run gone mid-stream": {
-			[]script{{events: tokens(1, 2), endErr: errLink}, {resumeErr: ErrRunNotFound}}, 2, CodeUpstreamLost, Partial, 1, nil,
+			[]script{{events: tokens(1, 2), endErr: errLinkBroken}, {resumeErr: ErrRunNotFound}}, 2, CodeUpstreamLost, Partial, 1, nil,
 		},
 		"engine dead mid-stream": {
-			[]script{{events: tokens(1, 2), endErr: errLink}, {resumeErr: ErrNotSent}}, 2, CodeUpstreamLost, Partial, 1, nil,
+			[]script{{events: tokens(1, 2), endErr: errLinkBroken}, {resumeErr: ErrNotSent}}, 2, CodeUpstreamLost, Partial, 1, nil,
 		},
 		"end mark with too few": {
 			[]script{{events: append(tokens(1, 5), ended(3))}}, 5, CodeBadStream, Partial, 1, nil,
@@ -100,26 +100,26 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inSite(t, c.scripts, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
+			withSite(t, c.scripts, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 				is := is.New(t)
 				sink := &fakeSink{}
-				asked := time.Now()
+				start := time.Now()
 				_, err := e.Generate(s.ctx, quote(), sink)
 				var failure *Failure
 				if errors.As(err, &failure) {
-					is.Equal(failure.Code, c.code)
-					is.Equal(failure.RunState, c.run)
+					is.Equal(failure.Code, c.wantCode)
+					is.Equal(failure.RunState, c.wantRunState)
 				} else {
 					is.NoErr(err)
-					is.Equal(Code(""), c.code)
+					is.Equal(Code(""), c.wantCode)
 				}
-				is.Equal(len(sink.got), c.got)
+				is.Equal(len(sink.got), c.wantTokens)
 				for i, index := range sink.got {
 					is.Equal(index, i+1) // in order, each once
 				}
-				is.Equal(s.engines.totalStarted(), c.started)
-				is.Equal(s.engines.resumed, c.resumed)
-				is.True(time.Since(asked) < 5*time.Second) // given up at once
+				is.Equal(s.engines.totalStarted(), c.wantStarts)
+				is.Equal(s.engines.resumed, c.wantResumes)
+				is.True(time.Since(start) < 5*time.Second) // given up at once
 			})
 		})
 	}
@@ -128,9 +128,9 @@
 // TestResumeAtAnotherEntry carries on where the caller was, with the account's
 // own key only.
 func TestResumeAtAnotherEntry(t *testing.T) {
-	inSite(t, []script{{events: append(tokens(3, 5), ended(5))}}, oneEngine, func(t *testing.T, s *fakeSite, e *Entry) {
+	withSite(t, []script{{events: append(tokens(3, 5), ended(5))}}, oneEngine, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
-		id := newGenerationID([]byte("key"), location{Engine: "g1", Run: "r", Account: "counter", Route: "quote"})
+		id := newGenerationID([]byte("key"), runLocation{Engine: "g1", Run: "r", Account: "counter", Route: "quote"})
 		sink := &fakeSink{}
 		_, err := e.Resume(s.ctx, "another", id.EventID(2), sink)
 		var failure *Failure
@@ -143,11 +143,11 @@
 	})
 }
 
-// TestNothingRunAgainAfterAToken has a caller that saw one token never get a
+// TestNoRetryAfterFirstToken has a caller that saw one token never get a
 // second run.
-func TestNothingRunAgainAfterAToken(t *testing.T) {
-	lost := []script{{events: tokens(1, 1), endErr: errLink}, {resumeErr: ErrRunNotFound}}
-	inSite(t, lost, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
+func TestNoRetryAfterFirstToken(t *testing.T) {
+	lost := []script{{events: tokens(1, 1), endErr: errLinkBroken}, {resumeErr: ErrRunNotFound}}
+	withSite(t, lost, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		sink := &fakeSink{}
 		_, err := e.Generate(s.ctx, quote(), sink)
@@ -160,8 +160,8 @@
 
 // TestRetryBudget stops retries when everything fails.
 func TestRetryBudget(t *testing.T) {
-	always := []script{{startErr: errLink}}
-	inSite(t, always, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
+	always := []script{{startErr: errLinkBroken}}
+	withSite(t, always, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		const calls = 50
 		for range calls {
@@ -196,7 +196,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inSite(t, whole, oneEngine, func(t *testing.T, s *fakeSite, e *Entry) {
+			withSite(t, whole, oneEngine, func(t *testing.T, s *fakeSite, e *Entry) {
 				is := is.New(t)
 				s.engines.mu.Lock()
 				s.engines.hold = make(chan struct{})
@@ -223,10 +223,10 @@
 	}
 }
 
-// TestStopCutsNothing takes calls during the grace, refuses them after it, and
+// TestStopLetsCallsEnd takes calls during the grace, refuses them after it, and
 // waits for what runs.
-func TestStopCutsNothing(t *testing.T) {
-	inSite(t, []script{{events: append(tokens(1, 5), ended(5))}}, oneEngine, func(t *testing.T, s *fakeSite, e *Entry) {
+func TestStopLetsCallsEnd(t *testing.T) {
+	withSite(t, []script{{events: append(tokens(1, 5), ended(5))}}, oneEngine, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		s.engines.mu.Lock()
 		s.engines.hold = make(chan struct{})
--- a/entry/generationid.go
+++ b/entry/generationid.go
@@ -22,8 +22,8 @@
 // forged.
 type GenerationID string
 
-// location is what a generation id says.
-type location struct {
+// runLocation is what a generation id says.
+type runLocation struct {
 	Engine  member.UpstreamID
 	Run     policy.RunID
 	Account resource.Account
@@ -31,42 +31,42 @@
 }
 
 const (
-	generationPrefix = "gen_"
-	generationMAC    = 16
-	locationFields   = 4
+	generationIDPrefix = "gen_"
+	generationMACBytes = 16
+	locationFieldCount = 4
 )
 
-func sign(key []byte, text string) string {
+func signGenerationID(key []byte, text string) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte("shedpath generation 1\x00"))
 	mac.Write([]byte(text))
-	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:generationMAC])
+	return base64.RawURLEncoding.EncodeToString(mac.Sum(nil)[:generationMACBytes])
 }
 
-func newGenerationID(key []byte, at location) GenerationID {
-	fields := strings.Join([]string{string(at.Engine), string(at.Run), string(at.Account), string(at.Route)}, "\x00")
+func newGenerationID(key []byte, location runLocation) GenerationID {
+	fields := strings.Join([]string{string(location.Engine), string(location.Run), string(location.Account), string(location.Route)}, "\x00")
 	text := base64.RawURLEncoding.EncodeToString([]byte(fields))
-	return GenerationID(generationPrefix + text + "." + sign(key, text))
+	return GenerationID(generationIDPrefix + text + "." + signGenerationID(key, text))
 }
 
-// errForged marks a generation id that no entry of this site gave out.
-var errForged = trace.AccessDenied("the generation id is not one of ours")
+// errInvalidGenerationID marks a generation id that no entry of this site gave out.
+var errInvalidGenerationID = trace.AccessDenied("the generation id is not one of ours")
 
-func (id GenerationID) open(key []byte) (location, error) {
-	text, prefixed := strings.CutPrefix(string(id), generationPrefix)
+func (id GenerationID) decode(key []byte) (runLocation, error) {
+	text, prefixed := strings.CutPrefix(string(id), generationIDPrefix)
 	text, mac, signed := strings.Cut(text, ".")
-	if !prefixed || !signed || !hmac.Equal([]byte(mac), []byte(sign(key, text))) {
-		return location{}, errForged
+	if !prefixed || !signed || !hmac.Equal([]byte(mac), []byte(signGenerationID(key, text))) {
+		return runLocation{}, errInvalidGenerationID
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(text)
 	if err != nil {
-		return location{}, errForged
+		return runLocation{}, errInvalidGenerationID
 	}
 	fields := strings.Split(string(raw), "\x00")
-	if len(fields) != locationFields {
-		return location{}, errForged
+	if len(fields) != locationFieldCount {
+		return runLocation{}, errInvalidGenerationID
 	}
-	return location{
+	return runLocation{
 		Engine: member.UpstreamID(fields[0]), Run: policy.RunID(fields[1]),
 		Account: resource.Account(fields[2]), Route: resource.Name(fields[3]),
 	}, nil
--- a/entry/generationid_test.go
+++ b/entry/generationid_test.go
@@ -10,14 +10,14 @@
 	"github.com/matryer/is"
 )
 
-var idLocation = location{Engine: "g1", Run: "r1", Account: "counter", Route: "quote"}
+var testLocation = runLocation{Engine: "g1", Run: "r1", Account: "counter", Route: "quote"}
 
 func TestGenerationIDOpens(t *testing.T) {
 	is := is.New(t)
-	id := newGenerationID([]byte("key"), idLocation)
-	at, err := id.open([]byte("key"))
+	id := newGenerationID([]byte("key"), testLocation)
+	at, err := id.decode([]byte("key"))
 	is.NoErr(err)
-	is.Equal(at, idLocation)
+	is.Equal(at, testLocation)
 	back, index, err := ParseEventID(id.EventID(17))
 	is.NoErr(err)
 	is.Equal(back, id)
@@ -26,24 +26,24 @@
 
 func TestGenerationIDForged(t *testing.T) {
 	key := []byte("key")
-	id := string(newGenerationID(key, idLocation))
-	text, mac, _ := strings.Cut(strings.TrimPrefix(id, generationPrefix), ".")
-	other, _, _ := strings.Cut(strings.TrimPrefix(string(newGenerationID(key, location{Account: "another"})), generationPrefix), ".")
+	id := string(newGenerationID(key, testLocation))
+	text, mac, _ := strings.Cut(strings.TrimPrefix(id, generationIDPrefix), ".")
+	other, _, _ := strings.Cut(strings.TrimPrefix(string(newGenerationID(key, runLocation{Account: "another"})), generationIDPrefix), ".")
 	for name, forged := range map[string]string{
 		"empty":              "",
 		"no prefix":          text + "." + mac,
-		"no MAC":             generationPrefix + text,
-		"empty MAC":          generationPrefix + text + ".",
-		"another's MAC":      generationPrefix + other + "." + mac,
-		"a changed letter":   generationPrefix + "A" + text[1:] + "." + mac,
-		"another key's":      string(newGenerationID([]byte("other"), idLocation)),
-		"not base64":         generationPrefix + "!!." + sign(key, "!!"),
-		"too few fields":     generationPrefix + "YQ." + sign(key, "YQ"),
+		"no MAC":             generationIDPrefix + text,
+		"empty MAC":          generationIDPrefix + text + ".",
+		"another's MAC":      generationIDPrefix + other + "." + mac,
+		"a changed letter":   generationIDPrefix + "A" + text[1:] + "." + mac,
+		"another key's":      string(newGenerationID([]byte("other"), testLocation)),
+		"not base64":         generationIDPrefix + "!!." + signGenerationID(key, "!!"),
+		"too few fields":     generationIDPrefix + "YQ." + signGenerationID(key, "YQ"),
 		"cut in the middle":  id[:len(id)/2],
 		"MAC with more text": id + "x",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := GenerationID(forged).open(key); err == nil {
+			if _, err := GenerationID(forged).decode(key); err == nil {
 				t.Fatal("the forged id was opened")
 			}
 		})
@@ -51,7 +51,7 @@
 }
 
 func FuzzParseEventID(f *testing.F) {
-	f.Add(newGenerationID([]byte("key"), idLocation).EventID(3))
+	f.Add(newGenerationID([]byte("key"), testLocation).EventID(3))
 	f.Add("gen_:1")
 	f.Fuzz(func(t *testing.T, text string) {
 		id, index, err := ParseEventID(text)
@@ -61,7 +61,7 @@
 		if index < 0 {
 			t.Fatalf("index %d", index)
 		}
-		if at, err := id.open([]byte("key")); err == nil && newGenerationID([]byte("key"), at) != id {
+		if at, err := id.decode([]byte("key")); err == nil && newGenerationID([]byte("key"), at) != id {
 			t.Fatalf("%q opens, but isn't what its location is signed as", id)
 		}
 	})
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -16,20 +16,20 @@
 // value works.
 type accountLimits struct {
 	mu       sync.Mutex
-	accounts map[resource.Account]*accountUse
+	accounts map[resource.Account]*accountUsage
 }
 
-type accountUse struct {
+type accountUsage struct {
 	running int
 	limiter *rate.Limiter
 }
 
-// enter takes a call of the account in, or says when it may come back. A zero
+// acquire takes a call of the account in, or says when it may come back. A zero
 // wait with false means that its calls in flight are at the limit.
-func (l *accountLimits) enter(now time.Time, name resource.Account, a resource.ClientAccount) (wait time.Duration, ok bool) {
+func (l *accountLimits) acquire(now time.Time, name resource.Account, a resource.ClientAccount) (wait time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	use := l.use(name, a)
+	use := l.usage(name, a)
 	if a.MaxRunning > 0 && use.running >= a.MaxRunning {
 		return 0, false
 	}
@@ -44,13 +44,13 @@
 	return 0, true
 }
 
-func (l *accountLimits) use(name resource.Account, a resource.ClientAccount) *accountUse {
+func (l *accountLimits) usage(name resource.Account, a resource.ClientAccount) *accountUsage {
 	if l.accounts == nil {
-		l.accounts = map[resource.Account]*accountUse{}
+		l.accounts = map[resource.Account]*accountUsage{}
 	}
 	use := l.accounts[name]
 	if use == nil {
-		use = &accountUse{limiter: rate.NewLimiter(0, 1)}
+		use = &accountUsage{limiter: rate.NewLimiter(0, 1)}
 		l.accounts[name] = use
 	}
 	if perSecond := rate.Limit(a.RequestsPerSecond); use.limiter.Limit() != perSecond {
@@ -60,7 +60,7 @@
 	return use
 }
 
-func (l *accountLimits) leave(name resource.Account) {
+func (l *accountLimits) release(name resource.Account) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if use := l.accounts[name]; use != nil {
@@ -79,8 +79,8 @@
 }
 
 const (
-	// retryShare is how many successes earn one retry, as its inverse.
-	retryShare = 0.1
+	// retriesPerSuccess is how many successes earn one retry, as its inverse.
+	retriesPerSuccess = 0.1
 	// retryReserve is how many retries may be taken before any was earned.
 	retryReserve = 10
 )
@@ -98,5 +98,5 @@
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spent = max(b.spent-retryShare, -retryReserve)
+	b.spent = max(b.spent-retriesPerSuccess, -retryReserve)
 }
--- a/entry/load.go
+++ b/entry/load.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	loadEvery       = 250 * time.Millisecond
+	loadInterval    = 250 * time.Millisecond
 	loadTimeout     = time.Second
 	loadConcurrency = 64
-	// cacheEvery is in how many rounds the cache events are asked for, too:
+	// roundsPerCachePoll is in how many rounds the cache events are asked for, too:
 	// they are hints that come late anyway, and each call costs the same.
-	cacheEvery = 4
+	roundsPerCachePoll = 4
 )
 
 // runLoadReports asks the engines that this entry coordinates how they are.
 func (e *Entry) runLoadReports(ctx context.Context) {
-	seen := map[member.UpstreamID]uint64{}
-	for n := 0; ; n++ {
+	lastSeqs := map[member.UpstreamID]uint64{}
+	for round := 0; ; round++ {
 		for _, name := range e.config.Catalog().PoolNames() {
 			if e.members.Coordinator(e.now(), name).ID == e.self.ID {
-				e.askLoads(ctx, name, seen, n%cacheEvery == 0)
+				e.pollLoads(ctx, name, lastSeqs, round%roundsPerCachePoll == 0)
 			}
 		}
 		if !pause(ctx, jitter(e.settings.LoadInterval)) {
@@ -42,56 +42,56 @@
 
 // loadRound is what one round of reports brought.
 type loadRound struct {
-	// withCache asks for the cache events, too.
-	withCache bool
+	// withCacheEvents asks for the cache events, too.
+	withCacheEvents bool
 
-	mu      sync.Mutex
-	reports []policy.Report
-	silent  []member.UpstreamID
+	mu           sync.Mutex
+	reports      []policy.Report
+	unresponsive []member.UpstreamID
 	// models are the versions that each engine serves.
-	models map[member.UpstreamID]map[string]string
-	cache  map[member.UpstreamID][]policy.CacheEvent
+	models      map[member.UpstreamID]map[string]string
+	cacheEvents map[member.UpstreamID][]policy.CacheEvent
 }
 
-// askLoads asks every engine of a pool that this zone decides about. seen holds
+// pollLoads asks every engine of a pool that this zone decides about. seen holds
 // the last cache event had from each.
-func (e *Entry) askLoads(ctx context.Context, name resource.Name, seen map[member.UpstreamID]uint64, withCache bool) {
+func (e *Entry) pollLoads(ctx context.Context, name resource.Name, lastSeqs map[member.UpstreamID]uint64, withCache bool) {
 	round := loadRound{
-		withCache: withCache, cache: map[member.UpstreamID][]policy.CacheEvent{},
+		withCacheEvents: withCache, cacheEvents: map[member.UpstreamID][]policy.CacheEvent{},
 		models: map[member.UpstreamID]map[string]string{},
 	}
 	workers := pool.New().WithMaxGoroutines(loadConcurrency)
 	for _, u := range e.members.enginesFor(e.now(), name) {
-		after := seen[u.ID]
-		workers.Go(func() { e.askLoad(ctx, u, after, &round) })
+		after := lastSeqs[u.ID]
+		workers.Go(func() { e.pollLoad(ctx, u, after, &round) })
 	}
 	workers.Wait()
-	for engine, events := range round.cache {
+	for engine, events := range round.cacheEvents {
 		if len(events) > 0 {
-			seen[engine] = events[len(events)-1].Seq
+			lastSeqs[engine] = events[len(events)-1].Seq
 		}
 	}
-	e.placement.applyReports(ctx, name, round.reports, round.cache)
-	e.placement.markSuspect(ctx, name, round.silent)
+	e.placement.applyReports(ctx, name, round.reports, round.cacheEvents)
+	e.placement.markSuspect(ctx, name, round.unresponsive)
 	// Engines are emptied before their models change.
 	e.placement.withhold(ctx, name, order.EnginesToDrain(wantedModels(e.Catalog(), name), round.models))
 }
 
-func (e *Entry) askLoad(ctx context.Context, u member.Upstream, after uint64, round *loadRound) {
+func (e *Entry) pollLoad(ctx context.Context, u member.Upstream, after uint64, round *loadRound) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	load, err := e.engines.Load(ctx, u)
 	if err != nil {
 		round.mu.Lock()
 		defer round.mu.Unlock()
-		round.silent = append(round.silent, u.ID)
+		round.unresponsive = append(round.unresponsive, u.ID)
 		return
 	}
 	if load.Leaving {
 		e.members.MarkLeaving(u.ID)
 	}
 	var events []policy.CacheEvent
-	if round.withCache {
+	if round.withCacheEvents {
 		// Hints that can't be had are done without.
 		events, _ = e.engines.CacheEvents(ctx, u, after)
 	}
@@ -101,5 +101,5 @@
 	e.observer.EngineLoad(resource.Name(u.Pool), load)
 	round.reports = append(round.reports, load.Report)
 	round.models[u.ID] = load.Models
-	round.cache[u.ID] = events
+	round.cacheEvents[u.ID] = events
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -34,10 +34,10 @@
 	view *member.View
 	// leaving says that this entry is stopping.
 	leaving bool
-	// pools are the states of the pools coordinated here, as of the last beat.
-	pools []PoolStatus
-	// free is what other zones' pools had free, as last heard.
-	free map[zonePool]heardFree
+	// coordinatedPools are the states of the coordinatedPools coordinated here, as of the last beat.
+	coordinatedPools []PoolStatus
+	// freeReports is what other zones' pools had freeReports, as last heard.
+	freeReports map[zonePool]freeReport
 }
 
 type zonePool struct {
@@ -45,28 +45,28 @@
 	pool resource.Name
 }
 
-type heardFree struct {
-	free policy.Tokens
-	at   time.Time
+type freeReport struct {
+	tokens     policy.Tokens
+	receivedAt time.Time
 	// direct says that the zone itself told; what others tell isn't passed on,
 	// or it would never fade.
 	direct bool
 }
 
 const (
-	hostListEvery = 5 * time.Second
+	hostListInterval = 5 * time.Second
 	// A site that is started together forms quickly: the list is read more
 	// often at first.
-	formingTime          = 15 * time.Second
-	formingEvery         = time.Second
-	heartbeatTimeout     = 900 * time.Millisecond
-	heartbeatConcurrency = 32
-	// freeFades is how long another zone's word on its free memory counts.
-	freeFades = 5 * time.Second
+	startupPeriod           = 15 * time.Second
+	startupHostListInterval = time.Second
+	heartbeatTimeout        = 900 * time.Millisecond
+	heartbeatConcurrency    = 32
+	// freeReportTTL is how long another zone's word on its free memory counts.
+	freeReportTTL = 5 * time.Second
 )
 
 func newMembers(e *Entry, now time.Time, seeds []member.Entry) *members {
-	return &members{entry: e, view: member.NewView(now, e.self, seeds...), free: map[zonePool]heardFree{}, wake: make(chan struct{}, 1)}
+	return &members{entry: e, view: member.NewView(now, e.self, seeds...), freeReports: map[zonePool]freeReport{}, wake: make(chan struct{}, 1)}
 }
 
 // jitter spreads a period by a quarter up and down, so that hosts started
@@ -78,7 +78,7 @@
 // runHeartbeats sends a heartbeat to each linked peer once a period.
 func (m *members) runHeartbeats(ctx context.Context) {
 	for {
-		m.beat(ctx)
+		m.sendHeartbeats(ctx)
 		m.entry.crashes.Forget(m.entry.now(), m.isKnown)
 		timer := time.NewTimer(jitter(member.HeartbeatInterval))
 		select {
@@ -92,8 +92,8 @@
 	}
 }
 
-// nudge asks for a round of heartbeats at once.
-func (m *members) nudge() {
+// requestHeartbeats asks for a round of heartbeats at once.
+func (m *members) requestHeartbeats() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -106,33 +106,33 @@
 	return known
 }
 
-// beat sends one round of heartbeats.
-func (m *members) beat(ctx context.Context) {
-	pools := m.entry.placement.status(ctx)
+// sendHeartbeats sends one round of heartbeats.
+func (m *members) sendHeartbeats(ctx context.Context) {
+	pools := m.entry.placement.coordinatedPoolStatuses(ctx)
 	m.mu.Lock()
-	m.pools = pools
-	calls := m.view.HeartbeatTargets(m.entry.now())
+	m.coordinatedPools = pools
+	targets := m.view.HeartbeatTargets(m.entry.now())
 	m.mu.Unlock()
-	round := pool.New().WithMaxGoroutines(heartbeatConcurrency)
-	for _, to := range calls {
-		round.Go(func() { m.beatOne(ctx, to, pools) })
+	workers := pool.New().WithMaxGoroutines(heartbeatConcurrency)
+	for _, to := range targets {
+		workers.Go(func() { m.sendHeartbeat(ctx, to, pools) })
 	}
-	round.Wait()
+	workers.Wait()
 }
 
-func (m *members) beatOne(ctx context.Context, to member.Entry, pools []PoolStatus) {
+func (m *members) sendHeartbeat(ctx context.Context, to member.Entry, pools []PoolStatus) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	slept := m.entry.settings.Clock.TotalSuspended()
-	h, upTo := m.heartbeat(m.entry.now(), to, pools)
+	suspendedBefore := m.entry.settings.Clock.TotalSuspended()
+	h, upTo := m.buildHeartbeat(m.entry.now(), to, pools)
 	answer, err := m.entry.peers.Heartbeat(ctx, to, h)
 	if err != nil {
 		if ctx.Err() == nil {
-			m.lost(to)
+			m.markLinkBroken(to)
 		}
 		return
 	}
-	answer.age(m.entry.settings.Clock.TotalSuspended() - slept)
+	answer.addDelay(m.entry.settings.Clock.TotalSuspended() - suspendedBefore)
 	m.receive(m.entry.now(), answer)
 	m.entry.crashes.Told(answer.From.ID, answer.Epoch, upTo)
 	if answer.Revision > m.entry.config.Catalog().Revision() {
@@ -147,17 +147,17 @@
 	m.view.MarkLinkBroken(from)
 }
 
-// lost takes a refused or broken link for the peer's end; a silent one counts
+// markLinkBroken takes a refused or broken link for the peer's end; a silent one counts
 // only after member.SuspectAfter.
-func (m *members) lost(to member.Entry) {
+func (m *members) markLinkBroken(to member.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.MarkLinkBroken(to.ID)
 }
 
-// heartbeat is what this entry tells a peer, and the change of the crashes up to which that
+// buildHeartbeat is what this entry tells a peer, and the change of the crashes up to which that
 // tells everything.
-func (m *members) heartbeat(now time.Time, peer member.Entry, pools []PoolStatus) (Heartbeat, uint64) {
+func (m *members) buildHeartbeat(now time.Time, peer member.Entry, pools []PoolStatus) (Heartbeat, uint64) {
 	revision, to := m.entry.config.Catalog().Revision(), peer.Zone
 	crashes, upTo := m.entry.crashes.Tell(now, peer.ID)
 	m.mu.Lock()
@@ -166,55 +166,55 @@
 		From: m.entry.self, Revision: revision, Leaving: m.leaving, LeavingUpstreams: m.view.LeavingUpstreams(),
 		Epoch: m.entry.crashes.epoch, Crashes: crashes, Era: m.entry.Era(),
 	}
-	h.Zones = m.zonesFor(now, to, revision)
+	h.Zones = m.zoneStatusesFor(now, to, revision)
 	for _, status := range pools {
 		if to != m.entry.self.Zone {
 			status.Reports = nil
 		}
 		h.Pools = append(h.Pools, status)
 	}
-	for at, heard := range m.free {
-		if heard.direct && now.Sub(heard.at) < freeFades && to == m.entry.self.Zone {
-			h.Pools = append(h.Pools, PoolStatus{Pool: at.pool, Zone: at.zone, Free: heard.free})
+	for at, report := range m.freeReports {
+		if report.direct && now.Sub(report.receivedAt) < freeReportTTL && to == m.entry.self.Zone {
+			h.Pools = append(h.Pools, PoolStatus{Pool: at.pool, Zone: at.zone, Free: report.tokens})
 		}
 	}
 	return h, upTo
 }
 
-// zonesFor lists the zones' reports for a peer. Within the zone, only the
+// zoneStatusesFor lists the zones' reports for a peer. Within the zone, only the
 // entries that have links to other zones have something to tell. The mutex is
 // held.
-func (m *members) zonesFor(now time.Time, to member.Zone, revision resource.Revision) []ZoneStatus {
+func (m *members) zoneStatusesFor(now time.Time, to member.Zone, revision resource.Revision) []ZoneStatus {
 	if to == m.entry.self.Zone && !m.view.IsWatcher(now) {
 		return nil
 	}
-	var told []ZoneStatus
+	var statuses []ZoneStatus
 	for _, z := range m.view.Zones() {
 		report := m.view.LastZoneReport(z)
 		if z == m.entry.self.Zone {
 			report = m.view.OwnZoneReport(now, uint64(revision))
 		}
 		if !report.ObservedAt.IsZero() {
-			told = append(told, ZoneStatus{
+			statuses = append(statuses, ZoneStatus{
 				Zone: z, Revision: resource.Revision(report.MinRevision), Entries: report.Entries, Age: now.Sub(report.ObservedAt),
 			})
 		}
 	}
-	return told
+	return statuses
 }
 
 // OnHeartbeat serves a peer's heartbeat.
 func (m *members) OnHeartbeat(now time.Time, h Heartbeat) Heartbeat {
 	// It may have waited here while this machine was suspended.
-	h.age(m.entry.settings.Clock.MaxMessageDelay(now))
+	h.addDelay(m.entry.settings.Clock.MaxMessageDelay(now))
 	m.receive(now, h)
 	m.mu.Lock()
-	pools := m.pools
+	pools := m.coordinatedPools
 	m.mu.Unlock()
 	if h.Revision > m.entry.config.Catalog().Revision() {
 		m.entry.spawn(func(ctx context.Context) { m.entry.config.pull(ctx, h.From) })
 	}
-	answer, _ := m.heartbeat(now, h.From, pools)
+	answer, _ := m.buildHeartbeat(now, h.From, pools)
 	return answer
 }
 
@@ -233,8 +233,8 @@
 	}
 	for _, status := range h.Pools {
 		if status.Zone != m.entry.self.Zone {
-			m.free[zonePool{status.Zone, status.Pool}] = heardFree{
-				free: status.Free, at: now, direct: status.Zone == h.From.Zone,
+			m.freeReports[zonePool{status.Zone, status.Pool}] = freeReport{
+				tokens: status.Free, receivedAt: now, direct: status.Zone == h.From.Zone,
 			}
 		}
 	}
@@ -265,7 +265,7 @@
 // runHostList follows the platform's list.
 func (m *members) runHostList(ctx context.Context) {
 	failing := false
-	began := m.entry.now()
+	startedAt := m.entry.now()
 	for {
 		list, err := m.entry.hosts.Hosts(ctx)
 		if err == nil {
@@ -275,11 +275,11 @@
 		}
 		if failing != (err != nil) {
 			failing = err != nil
-			logChange(m.entry.logger, "host list", failing, err)
+			logFailureChange(m.entry.logger, "host list", failing, err)
 		}
 		period := m.entry.settings.HostListInterval
-		if m.entry.now().Sub(began) < formingTime {
-			period = min(period, formingEvery)
+		if m.entry.now().Sub(startedAt) < startupPeriod {
+			period = min(period, startupHostListInterval)
 		}
 		if !pause(ctx, jitter(period)) {
 			return
@@ -287,8 +287,8 @@
 	}
 }
 
-// logChange writes a line when something starts or stops failing.
-func logChange(logger log.Logger, what string, failing bool, err error) {
+// logFailureChange writes a line when something starts or stops failing.
+func logFailureChange(logger log.Logger, what string, failing bool, err error) {
 	if failing {
 		_ = level.Warn(logger).Log("msg", what+" is failing", "err", err)
 		return
@@ -340,8 +340,8 @@
 	return engines
 }
 
-// EnginesFor lists the ids of those engines.
-func (m *members) EnginesFor(now time.Time, name resource.Name) []policy.EngineID {
+// EngineIDsFor lists the ids of those engines.
+func (m *members) EngineIDsFor(now time.Time, name resource.Name) []policy.EngineID {
 	var ids []policy.EngineID
 	for _, u := range m.enginesFor(now, name) {
 		ids = append(ids, u.ID)
@@ -349,8 +349,8 @@
 	return ids
 }
 
-// LiveHere lists the live entries of this zone.
-func (m *members) LiveHere(now time.Time) []member.Entry {
+// AvailableInOwnZone lists the live entries of this zone.
+func (m *members) AvailableInOwnZone(now time.Time) []member.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.AvailableEntries(now, m.entry.self.Zone)
@@ -363,8 +363,8 @@
 	return m.view.Alive(now, id)
 }
 
-// Gone reports whether an entry's runs are taken to have ended with it.
-func (m *members) Gone(now time.Time, id member.HostID) bool {
+// PresumedDead reports whether an entry's runs are taken to have ended with it.
+func (m *members) PresumedDead(now time.Time, id member.HostID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.PresumedDead(now, id)
@@ -390,27 +390,27 @@
 
 func poolDuty(name resource.Name) string { return "pool/" + string(name) }
 
-// OtherCoordinators lists, for each other zone that lately had room for the
+// CoordinatorsInOtherZones lists, for each other zone that lately had room for the
 // prompt, an entry to ask there.
-func (m *members) OtherCoordinators(now time.Time, name resource.Name, prompt policy.Tokens) []member.Entry {
+func (m *members) CoordinatorsInOtherZones(now time.Time, name resource.Name, prompt policy.Tokens) []member.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var asked []member.Entry
+	var coordinators []member.Entry
 	for _, z := range m.view.Zones() {
-		heard := m.free[zonePool{z, name}]
-		if z == m.entry.self.Zone || now.Sub(heard.at) > freeFades || heard.free <= prompt {
+		report := m.freeReports[zonePool{z, name}]
+		if z == m.entry.self.Zone || now.Sub(report.receivedAt) > freeReportTTL || report.tokens <= prompt {
 			continue
 		}
 		if owner, found := m.view.ProbableOwner(now, poolDuty(name), z); found {
-			asked = append(asked, owner)
+			coordinators = append(coordinators, owner)
 		}
 	}
-	return asked
+	return coordinators
 }
 
-// decidesAlone reports whether this entry has a duty of which there is one for the whole
+// ownsSiteDuty reports whether this entry has a duty of which there is one for the whole
 // site: the owner in the zone that the duty falls to.
-func (m *members) decidesAlone(now time.Time, duty string) bool {
+func (m *members) ownsSiteDuty(now time.Time, duty string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	zones := []member.Entry{{ID: member.HostID(m.entry.self.Zone)}}
@@ -424,8 +424,8 @@
 	return found && owner.ID == m.entry.self.ID
 }
 
-// Watches reports whether this entry keeps the platform's watch for its zone.
-func (m *members) Watches(now time.Time) bool {
+// IsWatcher reports whether this entry keeps the platform's watch for its zone.
+func (m *members) IsWatcher(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.IsWatcher(now)
--- a/entry/observer.go
+++ b/entry/observer.go
@@ -17,8 +17,8 @@
 	FirstToken(pool resource.Name, d time.Duration)
 	// BetweenTokens is the time from one token to the next.
 	BetweenTokens(pool resource.Name, d time.Duration)
-	// Answered counts a call's end: "ok" or the code of its failure.
-	Answered(kind, outcome string, run RunState)
+	// CallEnded counts a call's end: "ok" or the code of its failure.
+	CallEnded(kind, outcome string, run RunState)
 	// Waited is how long a generation was queued for a place.
 	Waited(pool resource.Name, d time.Duration)
 	// Placed counts who decided: "coordinator", "local" or "zone".
@@ -31,8 +31,8 @@
 	Retried(why string)
 	// Resumed counts a stream taken up again.
 	Resumed(why string)
-	// Spoilt counts an upstream's event or answer that was kept from the caller.
-	Spoilt(what string)
+	// Withheld counts an upstream's event or answer that was kept from the caller.
+	Withheld(what string)
 }
 
 // noObserver counts nothing.
@@ -40,11 +40,11 @@
 
 func (noObserver) FirstToken(resource.Name, time.Duration)    {}
 func (noObserver) BetweenTokens(resource.Name, time.Duration) {}
-func (noObserver) Answered(string, string, RunState)          {}
+func (noObserver) CallEnded(string, string, RunState)         {}
 func (noObserver) Waited(resource.Name, time.Duration)        {}
 func (noObserver) Placed(resource.Name, string)               {}
 func (noObserver) Refused(resource.Name, policy.Reason)       {}
 func (noObserver) EngineLoad(resource.Name, EngineLoad)       {}
 func (noObserver) Retried(string)                             {}
 func (noObserver) Resumed(string)                             {}
-func (noObserver) Spoilt(string)                              {}
+func (noObserver) Withheld(string)                            {}
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -16,11 +16,11 @@
 
 const (
 	orderLeaseTTL = 10 * time.Second
-	orderEvery    = time.Second
+	orderInterval = time.Second
 	orderTimeout  = 2 * time.Second
-	// reconcileEvery is how often engines are looked at that nothing seems to
+	// reconcileInterval is how often engines are looked at that nothing seems to
 	// be wanted of: one may have been restarted.
-	reconcileEvery = 10 * time.Second
+	reconcileInterval = 10 * time.Second
 )
 
 // runOrders holds the zone's order lease while this entry has that duty, and
@@ -28,23 +28,23 @@
 func (e *Entry) runOrders(ctx context.Context) {
 	var holder order.Holder
 	var lease Lease
-	var looked reconciled
+	var last reconcileState
 	for {
-		wanted := e.ordersAreOurs(e.now())
+		wanted := e.ownsOrderDuty(e.now())
 		switch holder.Next(e.now(), wanted) {
 		case order.Acquire:
-			lease = e.acquireOrders(ctx, &holder)
+			lease = e.acquireOrderLease(ctx, &holder)
 		case order.Renew:
-			e.renewOrders(ctx, &holder, lease)
+			e.renewOrderLease(ctx, &holder, lease)
 		case order.Release:
-			e.releaseOrders(ctx, &holder, lease)
+			e.releaseOrderLease(ctx, &holder, lease)
 		case order.Wait:
 		}
-		if holder.LeaseValid(e.now()) && looked.due(e.now(), e.Catalog().Revision()) {
+		if holder.LeaseValid(e.now()) && last.due(e.now(), e.Catalog().Revision()) {
 			settled := e.reconcile(ctx, &holder)
-			looked = reconciled{at: e.now(), revision: e.Catalog().Revision(), settled: settled}
+			last = reconcileState{checkedAt: e.now(), revision: e.Catalog().Revision(), settled: settled}
 		}
-		if !pause(ctx, jitter(orderEvery)) {
+		if !pause(ctx, jitter(orderInterval)) {
 			break
 		}
 	}
@@ -55,9 +55,9 @@
 	}
 }
 
-// ordersAreOurs reports whether this entry has the duty, and there is
+// ownsOrderDuty reports whether this entry has the duty, and there is
 // something to order.
-func (e *Entry) ordersAreOurs(now time.Time) bool {
+func (e *Entry) ownsOrderDuty(now time.Time) bool {
 	if e.leases == nil || len(e.Catalog().List(resource.Models)) == 0 || e.Leaving() {
 		return false
 	}
@@ -67,32 +67,32 @@
 	return found && owner.ID == e.self.ID
 }
 
-func orderKey(z member.Zone) string { return "shedpath/orders/" + string(z) }
+func orderLeaseKey(z member.Zone) string { return "shedpath/orders/" + string(z) }
 
-func (e *Entry) acquireOrders(ctx context.Context, h *order.Holder) Lease {
-	asked := e.now()
+func (e *Entry) acquireOrderLease(ctx context.Context, h *order.Holder) Lease {
+	sentAt := e.now()
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	lease, err := e.leases.Acquire(ctx, orderKey(e.self.Zone), string(e.self.ID), orderLeaseTTL)
+	lease, err := e.leases.Acquire(ctx, orderLeaseKey(e.self.Zone), string(e.self.ID), orderLeaseTTL)
 	if err != nil || lease.Token == 0 {
 		h.Refused(e.now())
 		return Lease{}
 	}
-	h.Acquired(asked, lease.Token, orderLeaseTTL)
+	h.Acquired(sentAt, lease.Token, orderLeaseTTL)
 	_ = level.Info(e.logger).Log("msg", "holding the order lease", "token", lease.Token)
 	return lease
 }
 
-func (e *Entry) renewOrders(ctx context.Context, h *order.Holder, lease Lease) {
-	asked := e.now()
+func (e *Entry) renewOrderLease(ctx context.Context, h *order.Holder, lease Lease) {
+	sentAt := e.now()
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if err := e.leases.Renew(ctx, lease); err == nil {
-		h.Renewed(asked, orderLeaseTTL)
+		h.Renewed(sentAt, orderLeaseTTL)
 	}
 }
 
-func (e *Entry) releaseOrders(ctx context.Context, h *order.Holder, lease Lease) {
+func (e *Entry) releaseOrderLease(ctx context.Context, h *order.Holder, lease Lease) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	h.Released()
@@ -101,17 +101,17 @@
 	}
 }
 
-// reconciled is the last look at the zone's engines.
-type reconciled struct {
-	at       time.Time
-	revision resource.Revision
+// reconcileState is the last look at the zone's engines.
+type reconcileState struct {
+	checkedAt time.Time
+	revision  resource.Revision
 	// settled says that nothing was left to order then.
 	settled bool
 }
 
 // due reports whether the engines are to be looked at again.
-func (r reconciled) due(now time.Time, revision resource.Revision) bool {
-	return !r.settled || r.revision != revision || now.Sub(r.at) >= reconcileEvery
+func (r reconcileState) due(now time.Time, revision resource.Revision) bool {
+	return !r.settled || r.revision != revision || now.Sub(r.checkedAt) >= reconcileInterval
 }
 
 // reconcile orders each engine of this zone to serve the declared models, and
--- a/entry/orders_test.go
+++ b/entry/orders_test.go
@@ -19,7 +19,7 @@
 // other one goes on serving meanwhile.
 func TestEngineIsEmptiedBeforeItsModelChanges(t *testing.T) {
 	whole := []script{{events: append(tokens(1, 5), ended(5))}}
-	inSite(t, whole, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
+	withSite(t, whole, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		time.Sleep(time.Minute)
 		is.Equal(len(s.engines.taken()), 2) // a fresh engine is ordered at once
@@ -49,7 +49,7 @@
 
 // TestOrdersOfOneHolder has one entry of a zone order each engine once.
 func TestOrdersOfOneHolder(t *testing.T) {
-	inPair(t, func(t *testing.T, s *fakeSite, _, _ *Entry) {
+	withTwoEntries(t, func(t *testing.T, s *fakeSite, _, _ *Entry) {
 		is := is.New(t)
 		time.Sleep(time.Minute)
 		is.Equal(s.engines.taken(), []string{"g1 1"})
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -35,8 +35,8 @@
 	Era history.Era
 }
 
-// age has what it tells be older: its word was late by that.
-func (h *Heartbeat) age(late time.Duration) {
+// addDelay has what it tells be older: its word was late by that.
+func (h *Heartbeat) addDelay(late time.Duration) {
 	for i := range h.Zones {
 		h.Zones[i].Age += late
 	}
@@ -63,9 +63,9 @@
 
 // PlacedRun tells a new coordinator of a run that holds a place.
 type PlacedRun struct {
-	Request policy.Request
-	Engine  member.UpstreamID
-	Made    policy.Tokens
+	Request         policy.Request
+	Engine          member.UpstreamID
+	GeneratedTokens policy.Tokens
 }
 
 // LogTail is a part of the configuration log. Snapshot is set when the entries
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -23,17 +23,17 @@
 	// coordinator placed the run and is told of its end; empty means that
 	// this entry placed it.
 	coordinator member.Entry
-	// made is the index of the last token passed on.
-	made atomic.Int64
+	// lastTokenIndex is the index of the last token passed on.
+	lastTokenIndex atomic.Int64
 }
 
 // waiter is a request of this entry's own that has no place yet.
 type waiter struct {
-	request policy.Request
-	decided chan policy.Decision
-	// asked is when a coordinator last had the request; zero when the pool
+	request  policy.Request
+	decision chan policy.Decision
+	// requestedAt is when a coordinator last had the request; zero when the pool
 	// here has it.
-	asked       time.Time
+	requestedAt time.Time
 	coordinator member.Entry
 }
 
@@ -45,19 +45,19 @@
 	pool *policy.Pool
 	// owner coordinates the pool in this zone, as of the last tick.
 	owner member.Entry
-	// distrusted is until when the owner isn't asked, after it failed to
+	// distrustedUntil is until when the owner isn't asked, after it failed to
 	// answer in time.
-	distrusted time.Time
-	waiters    map[policy.RunID]*waiter
-	// guests are the peers' requests that the pool here holds, by run.
-	guests map[policy.RunID]member.HostID
-	// ended are the runs whose end was told before their request came, by when:
+	distrustedUntil time.Time
+	waiters         map[policy.RunID]*waiter
+	// peerRuns are the peers' requests that the pool here holds, by run.
+	peerRuns map[policy.RunID]member.HostID
+	// endedRuns are the runs whose end was told before their request came, by when:
 	// messages may overtake each other.
-	ended map[policy.RunID]time.Time
+	endedRuns map[policy.RunID]time.Time
 	// outbox is what other entries are to be told at the next turn.
-	asks      []policy.Request
-	finished  map[member.HostID][]policy.Finish
-	decisions map[member.HostID][]policy.Decision
+	pendingRequests  []policy.Request
+	pendingFinishes  map[member.HostID][]policy.Finish
+	pendingDecisions map[member.HostID][]policy.Decision
 }
 
 // placement is the duty that finds engines for generations. One goroutine owns
@@ -73,24 +73,24 @@
 }
 
 const (
-	placementRing = 4096
-	placementTick = 20 * time.Millisecond
-	membersTick   = 200 * time.Millisecond
-	// answerWithin is how long the coordinator may take to say how a request
+	commandBufferSize = 4096
+	placementInterval = 20 * time.Millisecond
+	membersInterval   = 200 * time.Millisecond
+	// placeTimeout is how long the coordinator may take to say how a request
 	// stands, before this entry decides alone.
-	answerWithin = 30 * time.Millisecond
+	placeTimeout = 30 * time.Millisecond
 	distrustFor  = time.Second
-	// askAgainAfter is how long a queued request trusts its coordinator's
+	// requestRetryInterval is how long a queued request trusts its coordinator's
 	// silence.
-	askAgainAfter = time.Second
-	otherZoneWait = 250 * time.Millisecond
-	// endedKept is how long a request may come after its end.
-	endedKept = time.Minute
+	requestRetryInterval = time.Second
+	otherZoneTimeout     = 250 * time.Millisecond
+	// endedRunTTL is how long a request may come after its end.
+	endedRunTTL = time.Minute
 )
 
 func newPlacement(e *Entry) *placement {
 	return &placement{
-		entry: e, commands: make(chan func(time.Time), placementRing),
+		entry: e, commands: make(chan func(time.Time), commandBufferSize),
 		pools: map[resource.Name]*poolState{}, runs: map[policy.RunID]*ownRun{},
 	}
 }
@@ -114,9 +114,9 @@
 
 // run carries the duty out until the context ends.
 func (p *placement) run(ctx context.Context) {
-	tick := time.NewTimer(membersTick)
+	tick := time.NewTimer(membersInterval)
 	defer tick.Stop()
-	lastMembers := time.Time{}
+	lastUpdate := time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -127,31 +127,31 @@
 		case <-tick.C:
 		}
 		now := p.entry.now()
-		if now.Sub(lastMembers) >= membersTick {
-			lastMembers = now
-			p.followMembers(now)
+		if now.Sub(lastUpdate) >= membersInterval {
+			lastUpdate = now
+			p.updatePools(now)
 		}
 		for _, s := range p.pools {
 			p.advance(now, s)
 			p.flushOutbox(s)
 		}
-		tick.Reset(p.untilNextTurn())
+		tick.Reset(p.nextTickDelay())
 	}
 }
 
-// untilNextTurn is short while something waits for a place.
-func (p *placement) untilNextTurn() time.Duration {
+// nextTickDelay is short while something waits for a place.
+func (p *placement) nextTickDelay() time.Duration {
 	for _, s := range p.pools {
 		if len(s.waiters) > 0 || s.pool.Waiting() > 0 {
-			return placementTick
+			return placementInterval
 		}
 	}
-	return membersTick
+	return membersInterval
 }
 
 // drainCommands takes what else is at hand, so that one turn serves many.
 func (p *placement) drainCommands() {
-	for range placementRing {
+	for range commandBufferSize {
 		select {
 		case command := <-p.commands:
 			command(p.entry.now())
@@ -166,11 +166,11 @@
 	if s == nil {
 		s = &poolState{
 			name: name, pool: policy.NewPool(p.settings(name)),
-			ended: map[policy.RunID]time.Time{}, waiters: map[policy.RunID]*waiter{}, guests: map[policy.RunID]member.HostID{},
-			finished: map[member.HostID][]policy.Finish{}, decisions: map[member.HostID][]policy.Decision{},
+			endedRuns: map[policy.RunID]time.Time{}, waiters: map[policy.RunID]*waiter{}, peerRuns: map[policy.RunID]member.HostID{},
+			pendingFinishes: map[member.HostID][]policy.Finish{}, pendingDecisions: map[member.HostID][]policy.Decision{},
 		}
 		p.pools[name] = s
-		p.followPool(p.entry.now(), s)
+		p.updatePool(p.entry.now(), s)
 	}
 	return s
 }
@@ -183,44 +183,44 @@
 	}
 }
 
-// followMembers brings every pool up to date with the members and the
+// updatePools brings every pool up to date with the members and the
 // configuration.
-func (p *placement) followMembers(now time.Time) {
+func (p *placement) updatePools(now time.Time) {
 	p.entry.backoffs.RemoveExpired(now)
 	for _, name := range p.entry.config.Catalog().PoolNames() {
-		p.followPool(now, p.state(name))
+		p.updatePool(now, p.state(name))
 	}
 }
 
-func (p *placement) followPool(now time.Time, s *poolState) {
-	engines := p.entry.members.EnginesFor(now, s.name)
+func (p *placement) updatePool(now time.Time, s *poolState) {
+	engines := p.entry.members.EngineIDsFor(now, s.name)
 	s.pool.SetSettings(p.settings(s.name))
 	s.pool.SetEngines(engines)
-	live := p.entry.members.LiveHere(now)
+	live := p.entry.members.AvailableInOwnZone(now)
 	owner := p.entry.members.Coordinator(now, s.name)
 	if owner.ID != s.owner.ID {
-		s.owner, s.distrusted = owner, time.Time{}
+		s.owner, s.distrustedUntil = owner, time.Time{}
 		p.announceRuns(s)
 	}
 	s.pool.SetDeciderCount(len(live))
 	if p.coordinates(s) && !p.entry.settings.LocalPlacement {
 		s.pool.SetDeciderCount(1)
 	}
-	p.dropLostGuests(now, s)
-	for run, at := range s.ended {
-		if now.Sub(at) > endedKept {
-			delete(s.ended, run)
+	p.dropDeadPeerRuns(now, s)
+	for run, at := range s.endedRuns {
+		if now.Sub(at) > endedRunTTL {
+			delete(s.endedRuns, run)
 		}
 	}
 }
 
 func (p *placement) coordinates(s *poolState) bool { return s.owner.ID == p.entry.self.ID }
 
-// dropLostGuests frees the places of runs whose entry died.
-func (p *placement) dropLostGuests(now time.Time, s *poolState) {
-	for run, host := range s.guests {
-		if p.entry.members.Gone(now, host) {
-			delete(s.guests, run)
+// dropDeadPeerRuns frees the places of runs whose entry died.
+func (p *placement) dropDeadPeerRuns(now time.Time, s *poolState) {
+	for run, host := range s.peerRuns {
+		if p.entry.members.PresumedDead(now, host) {
+			delete(s.peerRuns, run)
 			s.pool.Finish(now, policy.Finish{Run: run})
 		}
 	}
@@ -233,7 +233,7 @@
 	for _, run := range p.runs {
 		if u, ok := p.entry.members.Upstream(run.engine); ok && u.Pool == string(s.name) && u.Zone == p.entry.self.Zone {
 			run.coordinator = s.owner
-			placed = append(placed, PlacedRun{Request: run.request, Engine: run.engine, Made: policy.Tokens(run.made.Load())})
+			placed = append(placed, PlacedRun{Request: run.request, Engine: run.engine, GeneratedTokens: policy.Tokens(run.lastTokenIndex.Load())})
 		}
 	}
 	p.mu.Unlock()
@@ -252,11 +252,11 @@
 // place finds a place for one of this entry's own requests, and waits for it
 // as long as the context allows. Its error means that the caller left.
 func (p *placement) place(ctx context.Context, pool resource.Name, r policy.Request) (policy.Decision, error) {
-	w := &waiter{request: r, decided: make(chan policy.Decision, 1)}
+	w := &waiter{request: r, decision: make(chan policy.Decision, 1)}
 	err := p.do(ctx, func(now time.Time) { p.submit(now, p.state(pool), w) })
 	if err == nil {
 		select {
-		case d := <-w.decided:
+		case d := <-w.decision:
 			return p.tryOtherZones(ctx, pool, r, d), nil
 		case <-ctx.Done():
 			err = ctx.Err()
@@ -269,22 +269,22 @@
 // submit brings a request to the pool's coordinator, or decides here.
 func (p *placement) submit(now time.Time, s *poolState, w *waiter) {
 	s.waiters[w.request.Run] = w
-	if p.coordinates(s) || p.entry.settings.LocalPlacement || now.Before(s.distrusted) {
-		p.submitHere(now, s, w)
+	if p.coordinates(s) || p.entry.settings.LocalPlacement || now.Before(s.distrustedUntil) {
+		p.submitLocally(now, s, w)
 		return
 	}
-	w.asked, w.coordinator = now, s.owner
-	s.asks = append(s.asks, w.request)
+	w.requestedAt, w.coordinator = now, s.owner
+	s.pendingRequests = append(s.pendingRequests, w.request)
 }
 
-func (p *placement) submitHere(now time.Time, s *poolState, w *waiter) {
-	w.asked, w.coordinator = time.Time{}, member.Entry{}
-	p.decide(s, s.pool.Submit(now, w.request), member.Entry{})
+func (p *placement) submitLocally(now time.Time, s *poolState, w *waiter) {
+	w.requestedAt, w.coordinator = time.Time{}, member.Entry{}
+	p.deliverDecision(s, s.pool.Submit(now, w.request), member.Entry{})
 }
 
-// decide hands a decision to the request that waits for it. It reports whether
+// deliverDecision hands a decision to the request that waits for it. It reports whether
 // there was one.
-func (p *placement) decide(s *poolState, d policy.Decision, by member.Entry) bool {
+func (p *placement) deliverDecision(s *poolState, d policy.Decision, coordinator member.Entry) bool {
 	w := s.waiters[d.Run]
 	if w == nil {
 		return false
@@ -295,16 +295,16 @@
 	delete(s.waiters, d.Run)
 	if d.Verdict == policy.Granted {
 		p.mu.Lock()
-		p.runs[d.Run] = &ownRun{request: w.request, engine: d.Engine, coordinator: by}
+		p.runs[d.Run] = &ownRun{request: w.request, engine: d.Engine, coordinator: coordinator}
 		p.mu.Unlock()
-		p.entry.observer.Placed(s.name, p.decider(s, by))
+		p.entry.observer.Placed(s.name, p.deciderLabel(s, coordinator))
 	}
-	w.decided <- d
+	w.decision <- d
 	return true
 }
 
-func (p *placement) decider(s *poolState, by member.Entry) string {
-	if by.ID != "" || p.coordinates(s) {
+func (p *placement) deciderLabel(s *poolState, coordinator member.Entry) string {
+	if coordinator.ID != "" || p.coordinates(s) {
 		return "coordinator"
 	}
 	return "local"
@@ -314,17 +314,17 @@
 // elsewhere.
 func (p *placement) advance(now time.Time, s *poolState) {
 	for _, d := range s.pool.Advance(now) {
-		if host, guest := s.guests[d.Run]; guest {
+		if host, guest := s.peerRuns[d.Run]; guest {
 			if d.Verdict == policy.Refused {
-				delete(s.guests, d.Run)
+				delete(s.peerRuns, d.Run)
 			}
-			s.decisions[host] = append(s.decisions[host], d)
+			s.pendingDecisions[host] = append(s.pendingDecisions[host], d)
 			continue
 		}
-		p.decide(s, d, member.Entry{})
+		p.deliverDecision(s, d, member.Entry{})
 	}
 	for _, w := range s.waiters {
-		if w.asked.IsZero() || now.Sub(w.asked) < askAgainAfter {
+		if w.requestedAt.IsZero() || now.Sub(w.requestedAt) < requestRetryInterval {
 			continue
 		}
 		p.submit(now, s, w)
@@ -368,17 +368,17 @@
 		if own != nil && f.Complete {
 			s.pool.LearnLength(&own.request, f.GeneratedTokens)
 		}
-		s.finished[coordinator.ID] = append(s.finished[coordinator.ID], f)
+		s.pendingFinishes[coordinator.ID] = append(s.pendingFinishes[coordinator.ID], f)
 	})
 }
 
-// status is what this entry tells of the pools that it coordinates.
-func (p *placement) status(ctx context.Context) []PoolStatus {
-	var told []PoolStatus
+// coordinatedPoolStatuses is what this entry tells of the pools that it coordinates.
+func (p *placement) coordinatedPoolStatuses(ctx context.Context) []PoolStatus {
+	var statuses []PoolStatus
 	err := p.do(ctx, func(time.Time) {
 		for _, s := range p.pools {
 			if p.coordinates(s) {
-				told = append(told, PoolStatus{
+				statuses = append(statuses, PoolStatus{
 					Pool: s.name, Zone: p.entry.self.Zone, Free: s.pool.FreeTokens(),
 					Waiting: s.pool.Waiting(), Reports: s.pool.Reports(),
 				})
@@ -388,5 +388,5 @@
 	if err != nil {
 		return nil
 	}
-	return told
+	return statuses
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -84,7 +84,7 @@
 // tries reports whether a request is the one by which an entry finds out whether upstreams
 // bear it by now. One entry does so for all.
 func (e *Entry) tries(a *asking) bool {
-	if !a.isTry && e.members.decidesAlone(e.now(), a.print.String()) && e.crashes.TakeTry(e.now(), *a.print) {
+	if !a.isTry && e.members.ownsSiteDuty(e.now(), a.print.String()) && e.crashes.TakeTry(e.now(), *a.print) {
 		a.isTry = true
 		_ = level.Info(e.logger).Log("msg", "tried again", "asks", a.print)
 	}
@@ -122,7 +122,7 @@
 	}
 	evidence := e.crashes.Crashed(now, *a.print, quarantine.Origin{Caller: a.Caller, Route: string(a.route)}, e.crashes.endOf(now, u.ID))
 	_ = level.Warn(e.logger).Log("msg", "upstream ended under it", "upstream", u.ID, "asks", a.print, "upstreams_ended", evidence.Ended, "held", evidence.Standing == quarantine.Held)
-	e.members.nudge()
+	e.members.requestHeartbeats()
 }
 
 // survived takes in that an upstream has run the request and gone on.
@@ -143,6 +143,6 @@
 		return false
 	}
 	_ = level.Info(e.logger).Log("msg", "let through again", "asks", f, "by", "operator")
-	e.members.nudge()
+	e.members.requestHeartbeats()
 	return true
 }
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -57,7 +57,7 @@
 // TestRequestThatCrashesEngines has a request under which three engines ended be started on
 // no further one, at any entry, and its caller be told so at once.
 func TestRequestThatCrashesEngines(t *testing.T) {
-	inCrashSite(t, script{startErr: errLink, ends: true}, true, func(is *is.I, s *fakeSite, entries []*Entry) {
+	inCrashSite(t, script{startErr: errLinkBroken, ends: true}, true, func(is *is.I, s *fakeSite, entries []*Entry) {
 		for n := range 12 {
 			began := time.Now()
 			_, err := entries[n%len(entries)].Generate(s.ctx, quote(), &fakeSink{})
@@ -81,7 +81,7 @@
 		s.addService("s2", "az1")
 		s.addService("s3", "az0")
 		time.Sleep(5 * time.Second)
-		s.services.err = errLink
+		s.services.err = errLinkBroken
 		call := ServiceRequest{Account: "counter", Route: "stock", Method: "GET", Path: "/x"}
 		for n := range 12 {
 			_, err := entries[n%len(entries)].CallService(s.ctx, call)
@@ -99,7 +99,7 @@
 // TestLostLinksHoldNothing has requests whose links broke, while their engines live, be
 // started again as ever.
 func TestLostLinksHoldNothing(t *testing.T) {
-	inCrashSite(t, script{startErr: errLink}, false, func(is *is.I, s *fakeSite, entries []*Entry) {
+	inCrashSite(t, script{startErr: errLinkBroken}, false, func(is *is.I, s *fakeSite, entries []*Entry) {
 		for n := range 6 {
 			_, err := entries[n%len(entries)].Generate(s.ctx, quote(), &fakeSink{})
 			var failure *Failure
--- a/entry/service.go
+++ b/entry/service.go
@@ -68,7 +68,7 @@
 // CallService runs a plain service call. The error is a *Failure.
 func (e *Entry) CallService(ctx context.Context, r ServiceRequest) (ServiceAnswer, error) {
 	answer, failure := e.callService(ctx, r)
-	e.answered("service", failure)
+	e.observeOutcome("service", failure)
 	if failure != nil {
 		return answer, failure
 	}
@@ -90,7 +90,7 @@
 		return ServiceAnswer{}, newFailure(CodeOverloaded, NotRun, "every upstream of service %s asked this entry to stay away", route.Service).withRetryAfter(wait)
 	}
 	if len(upstreams) == 0 {
-		return ServiceAnswer{}, newFailure(CodeOverloaded, NotRun, "no upstream of service %s takes work now", route.Service).withRetryAfter(retryUnknown)
+		return ServiceAnswer{}, newFailure(CodeOverloaded, NotRun, "no upstream of service %s takes work now", route.Service).withRetryAfter(defaultRetryAfter)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(route.Timeout))
 	defer cancel()
@@ -142,7 +142,7 @@
 	}, route: r.Route}
 	for tries, u := range upstreams {
 		if failure := e.held(&asks); failure != nil {
-			return ServiceAnswer{}, later(last, failure)
+			return ServiceAnswer{}, laterFailure(last, failure)
 		}
 		if tries > 0 && !e.retries.take() {
 			break
@@ -156,7 +156,7 @@
 			}
 			return answer, nil
 		}
-		last = later(last, failure)
+		last = laterFailure(last, failure)
 		if failure.Code == CodeUpstreamLost && failure.RunState != NotRun {
 			e.broke(ctx, &asks, u, time.Time{})
 		}
@@ -181,11 +181,11 @@
 	case err == nil:
 		return answer, nil
 	case errors.Is(err, ErrNotSent) && ctx.Err() != nil:
-		return answer, newFailure(CodeTimeout, NotRun, "the time was over before the call was sent").withRetryAfter(retryUnknown)
+		return answer, newFailure(CodeTimeout, NotRun, "the time was over before the call was sent").withRetryAfter(defaultRetryAfter)
 	case errors.Is(err, ErrNotSent):
-		return answer, newFailure(CodeUpstreamLost, NotRun, "upstream %s can't be reached", u.ID).withRetryAfter(retryUnknown)
+		return answer, newFailure(CodeUpstreamLost, NotRun, "upstream %s can't be reached", u.ID).withRetryAfter(defaultRetryAfter)
 	case errors.Is(err, ErrCrossed):
-		e.observer.Spoilt("crossed")
+		e.observer.Withheld("crossed")
 		return answer, newFailure(CodeBadStream, Unknown, "upstream %s answered another request", u.ID)
 	case errors.Is(err, ErrCutShort):
 		return answer, newFailure(CodeUpstreamLost, Unknown, "the answer of upstream %s broke off", u.ID)
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -49,7 +49,7 @@
 		"model route as service route": {"quote", "", nil, 0, NotRun, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
+			withSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
 				is := is.New(t)
 				s.addService("s2", "az2")
 				s.addService("s3", "az3")
@@ -70,7 +70,7 @@
 // TestClaimAfterNotRun lets a caller that was told not_run try again with its
 // key.
 func TestClaimAfterNotRun(t *testing.T) {
-	inSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
+	withSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		s.services.err = ErrNotSent
 		_, err := e.CallService(s.ctx, call("orders", "k"))
@@ -174,7 +174,7 @@
 
 // TestPausedClaimant never sends a call that it claimed too long ago.
 func TestPausedClaimant(t *testing.T) {
-	inSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
+	withSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		// The pause: the claim's write takes effect, and its answer is lost for
 		// longer than the claimant may take.
--- a/entry/status.go
+++ b/entry/status.go
@@ -73,7 +73,7 @@
 func (e *Entry) Status(ctx context.Context, now time.Time) Status {
 	s := Status{
 		Self: e.self, Revision: e.config.Catalog().Revision(), Era: e.Era(), Ready: e.Ready(), Leaving: e.Leaving(),
-		Zones: e.ZoneStates(now), Pools: e.placement.status(ctx), Coordinators: map[resource.Name]member.HostID{},
+		Zones: e.ZoneStates(now), Pools: e.placement.coordinatedPoolStatuses(ctx), Coordinators: map[resource.Name]member.HostID{},
 	}
 	for _, name := range e.config.Catalog().PoolNames() {
 		s.Coordinators[name] = e.members.Coordinator(now, name).ID
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -20,7 +20,7 @@
 // onSuspendable plays a test on an entry whose machine can be suspended.
 func onSuspendable(t *testing.T, play func(is *is.I, s *fakeSite, e *Entry, m *clocktest.Machine)) {
 	t.Helper()
-	inSite(t, []script{{events: append(tokens(1, 5), ended(5))}}, oneEngine, func(t *testing.T, s *fakeSite, _ *Entry) {
+	withSite(t, []script{{events: append(tokens(1, 5), ended(5))}}, oneEngine, func(t *testing.T, s *fakeSite, _ *Entry) {
 		m := clocktest.NewMachine(t)
 		s.clock = m.Clock()
 		// Alone in its zone, it has every duty there.
--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -62,7 +62,7 @@
 	request := wireRunning{Pool: string(pool)}
 	now := m.clock.Now()
 	for _, r := range runs {
-		request.Runs = append(request.Runs, wireRun{Request: toWireRequest(now, r.Request), Engine: string(r.Engine), Made: int(r.Made)})
+		request.Runs = append(request.Runs, wireRun{Request: toWireRequest(now, r.Request), Engine: string(r.Engine), Made: int(r.GeneratedTokens)})
 	}
 	var answer bool
 	return m.call(ctx, to.PeerAddress, kindRunning, request, &answer)
@@ -167,7 +167,7 @@
 	runs := make([]entry.PlacedRun, 0, len(w.Runs))
 	for _, r := range w.Runs {
 		runs = append(runs, entry.PlacedRun{
-			Request: r.Request.request(now), Engine: member.UpstreamID(r.Engine), Made: policy.Tokens(r.Made),
+			Request: r.Request.request(now), Engine: member.UpstreamID(r.Engine), GeneratedTokens: policy.Tokens(r.Made),
 		})
 	}
 	return true, h.OnRunning(ctx, from, resource.Name(w.Pool), runs)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -165,8 +165,8 @@
 	is.Equal(h.told[0].Engine, member.UpstreamID("g"))
 	is.NoErr(m.Finished(ctx, to, "desk", []policy.Finish{{Run: "r", GeneratedTokens: 4, Complete: true}}))
 	is.Equal(h.done, []policy.Finish{{Run: "r", GeneratedTokens: 4, Complete: true}})
-	is.NoErr(m.Running(ctx, to, "desk", []entry.PlacedRun{{Request: asked, Engine: "g", Made: 3}}))
-	is.Equal(h.runs[0].Made, policy.Tokens(3))
+	is.NoErr(m.Running(ctx, to, "desk", []entry.PlacedRun{{Request: asked, Engine: "g", GeneratedTokens: 3}}))
+	is.Equal(h.runs[0].GeneratedTokens, policy.Tokens(3))
 
 	tail, err := m.Log(ctx, to, 0)
 	is.NoErr(err)
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -81,8 +81,8 @@
 	m.waited.WithLabelValues(string(pool)).Observe(d.Seconds())
 }
 
-// Answered counts a call's end.
-func (m *Metrics) Answered(kind, outcome string, run entry.RunState) {
+// CallEnded counts a call's end.
+func (m *Metrics) CallEnded(kind, outcome string, run entry.RunState) {
 	m.answered.WithLabelValues(kind, outcome, string(run)).Inc()
 }
 
@@ -109,8 +109,8 @@
 // Resumed counts a stream taken up again.
 func (m *Metrics) Resumed(why string) { m.resumed.WithLabelValues(why).Inc() }
 
-// Spoilt counts what was kept from a caller.
-func (m *Metrics) Spoilt(what string) { m.spoilt.WithLabelValues(what).Inc() }
+// Withheld counts what was kept from a caller.
+func (m *Metrics) Withheld(what string) { m.spoilt.WithLabelValues(what).Inc() }
 
 // PlatformCall counts a call to the platform's service.
 func (m *Metrics) PlatformCall(call, outcome string) {
--- a/internal/web/request.go
+++ b/internal/web/request.go
@@ -101,10 +101,10 @@
 	}
 	request = entry.GenerationRequest{
 		Account: account, Route: resource.Name(asked.Model), Shape: shape, Body: body,
-		Prompt: policy.Tokens(len(prompt)/bytesPerToken + 1), Limit: policy.Tokens(asked.limit()),
+		PromptTokens: policy.Tokens(len(prompt)/bytesPerToken + 1), MaxOutputTokens: policy.Tokens(asked.limit()),
 	}
 	if len(prompt) >= prefixBytes {
-		request.Prefix = xxhash.Sum64String(asked.Model + "\x00" + string(prompt[:prefixBytes]))
+		request.PrefixHash = xxhash.Sum64String(asked.Model + "\x00" + string(prompt[:prefixBytes]))
 		request.PrefixTokens = prefixBytes / bytesPerToken
 	}
 	return request, asked, nil
