--- a/entry/generation.go
+++ b/entry/generation.go
@@ -24,57 +24,58 @@
 	Account resource.Account
 	Route   resource.Name
 	Shape   Shape
-	// Body asks the engine for a stream, whatever the caller asked for.
+	// Body is the request to the engine. It always asks for a streamed answer, even if the caller
+	// didn't.
 	Body         []byte
 	PromptTokens policy.Tokens
-	// MaxOutputTokens bounds the answer; zero leaves it to the model.
+	// MaxOutputTokens bounds the length of the answer; zero means up to the model's context window.
 	MaxOutputTokens policy.Tokens
-	// PrefixHash is a hash of the first PrefixTokens of the prompt.
+	// PrefixHash is a hash of the first PrefixTokens tokens of the prompt.
 	PrefixHash   uint64
 	PrefixTokens policy.Tokens
 }
 
-// Sink takes an answer on its way to the caller. Begin comes once, before the
-// first token; Flush whenever no more is at hand.
+// Sink receives an answer and passes it on to the caller. Begin is called once, before the first
+// token, and Flush whenever no further token is available yet.
 type Sink interface {
 	Begin(id GenerationID) error
 	Token(index int, data string) error
 	Flush() error
 }
 
-// Limits of how long the entry tries.
+// Bounds and delays of retries.
 const (
-	// maxStarts is how many engines a generation is started on, while its
-	// caller has seen nothing.
+	// maxStarts is the number of times that a generation may be started, as long as its caller
+	// hasn't received anything.
 	maxStarts = 3
-	// maxFruitlessResumes is how often in a row a stream is taken up without a token
-	// coming of it.
+	// maxFruitlessResumes is how often in a row a stream is resumed without receiving a token.
 	maxFruitlessResumes = 4
-	resumeDelay         = 50 * time.Millisecond
-	defaultRetryAfter   = time.Second
+	// resumeDelay is the base of the exponential delay between fruitless resumes.
+	resumeDelay = 50 * time.Millisecond
+	// defaultRetryAfter is the Retry-After of a failure for which no better estimate exists.
+	defaultRetryAfter = time.Second
 )
 
-// generation is one caller's generation on its way through this entry.
+// generation is the state of one caller's generation at this entry.
 type generation struct {
 	entry       *Entry
 	request     GenerationRequest
 	pool        resource.Name
 	sink        Sink
 	requestedAt time.Time
-	// begun is whether Begin was called.
+	// begun reports whether Begin was called on the sink.
 	begun bool
-	// lastToken is when the last token was passed on; zero before the first.
+	// lastToken is the time at which the last token was passed on; zero before the first token.
 	lastToken time.Time
-	// ownRun is this entry's record of the run, for its coordinator.
+	// ownRun is this entry's record of the run, which is reported to a new coordinator.
 	ownRun *ownRun
-	// sinkErr is the caller's link failing; everything else ends by itself.
+	// sinkErr is the error of the connection to the caller. No other fault is recorded here.
 	sinkErr error
-	// asking is what the generation asks.
+	// asking identifies the request for the quarantine.
 	asking asking
 }
 
-// Generate runs a generation and passes its tokens to the sink. The error is a
-// *Failure.
+// Generate runs a generation and passes its tokens to the sink. The error is a *Failure.
 func (e *Entry) Generate(ctx context.Context, r GenerationRequest, sink Sink) (RunResult, error) {
 	result, failure := e.generate(ctx, r, sink)
 	e.observeOutcome("generation", failure)
@@ -84,6 +85,7 @@
 	return result, nil
 }
 
+// observeOutcome passes the outcome of a call to the observer.
 func (e *Entry) observeOutcome(kind string, failure *Failure) {
 	if failure == nil {
 		e.observer.CallEnded(kind, "ok", "")
@@ -121,8 +123,8 @@
 	return g.run(ctx, g.requestedAt.Add(time.Duration(route.Timeout)))
 }
 
-// run starts the generation on one engine after another, until one has given
-// the caller a token or ended it.
+// run starts the generation on one engine after another until one of them has delivered a token or
+// completed the run, or the failure can't be retried.
 func (g *generation) run(ctx context.Context, deadline time.Time) (RunResult, *Failure) {
 	var previousEngine member.UpstreamID
 	var lastFailure *Failure
@@ -138,7 +140,7 @@
 		if failure != nil {
 			return RunResult{}, laterFailure(lastFailure, failure)
 		}
-		// It may have waited for its place.
+		// The request may have been quarantined while it waited for a place.
 		if failure := g.entry.held(&g.asking); failure != nil {
 			g.entry.placement.finish(g.pool, policy.Finish{Run: run})
 			return RunResult{}, laterFailure(lastFailure, failure)
@@ -157,18 +159,20 @@
 	return RunResult{}, lastFailure.withRetryAfter(defaultRetryAfter)
 }
 
-// runIDBytes make a run id of 16 letters that nobody else draws. It travels in
-// each message about the run, so it is no longer than it has to be.
+// runIDBytes is the number of random bytes in a run id, which make 16 characters in base64. That
+// many are enough to make ids unique. Each message about a run carries its id, so the id is no
+// longer than necessary.
 const runIDBytes = 12
 
 func newRunID() policy.RunID {
 	id := make([]byte, runIDBytes)
-	// rand.Read never fails.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(id)
 	return policy.RunID(base64.RawURLEncoding.EncodeToString(id))
 }
 
-// laterFailure answers with a second try's failure, unless the first may have run.
+// laterFailure returns the failure of a later try. If an earlier try may have run, the returned
+// failure says so too.
 func laterFailure(first, second *Failure) *Failure {
 	if first != nil && first.RunState != NotRun && second.RunState == NotRun {
 		second.RunState = first.RunState
@@ -176,8 +180,8 @@
 	return second
 }
 
-// retryable reports whether the generation may be started again: the caller
-// has seen nothing, is still there, and the fault wasn't its own.
+// retryable reports whether the generation may be started again: the caller has received nothing
+// and is still connected, and the request didn't cause the failure.
 func (g *generation) retryable(ctx context.Context, f *Failure) bool {
 	if g.begun || g.sinkErr != nil || ctx.Err() != nil {
 		return false
@@ -185,6 +189,8 @@
 	return f.Code == CodeUpstreamLost || f.Code == CodeBadStream || f.Code == CodeOverloaded
 }
 
+// place finds an engine for the run. It returns a failure if no engine takes the run, or if the
+// caller leaves first.
 func (g *generation) place(ctx context.Context, run policy.RunID, previousEngine member.UpstreamID, deadline time.Time) (policy.Decision, *Failure) {
 	ctx, span := g.entry.tracer.Start(ctx, "placement", trace.WithAttributes(attribute.String("pool", string(g.pool))))
 	defer span.End()
@@ -212,6 +218,7 @@
 	return decision, nil
 }
 
+// refusalFailure returns the failure for a refused placement.
 func refusalFailure(d policy.Decision) *Failure {
 	switch d.Reason {
 	case policy.ReasonTooLong:
@@ -223,7 +230,8 @@
 	}
 }
 
-// runOnEngine runs the generation on the engine that it was placed on.
+// runOnEngine runs the generation on the engine on which it was placed, and gives its place back
+// when it ends.
 func (g *generation) runOnEngine(ctx context.Context, run policy.RunID, d policy.Decision) (RunResult, *Failure) {
 	finish := policy.Finish{Run: run}
 	defer func() { g.entry.placement.finish(g.pool, finish) }()
@@ -232,7 +240,7 @@
 		return RunResult{}, newFailure(CodeUpstreamLost, NotRun, "engine %s is gone", d.Engine)
 	}
 	if wait := g.entry.backoffs.Remaining(g.entry.now(), d.Engine); wait > 0 {
-		// It asked for that since the run was placed there.
+		// The engine asked for backoff after the run was placed on it.
 		return RunResult{}, newFailure(CodeOverloaded, NotRun, "engine %s asked this entry to stay away", d.Engine).withRetryAfter(wait)
 	}
 	id := newGenerationID(g.entry.generationKey, runLocation{
@@ -264,6 +272,7 @@
 	return result, failure
 }
 
+// startFailure returns the failure for a run that could not be started on an engine.
 func startFailure(ctx context.Context, engine member.UpstreamID, err error) *Failure {
 	var refused *EngineRefusal
 	switch {
@@ -282,8 +291,8 @@
 
 const statusTooManyRequests = 429
 
-// Resume carries on with a generation whose entry was lost, behind the token
-// that the caller saw last. The error is a *Failure.
+// Resume continues a generation whose entry was lost, from the token after the last one that the
+// caller received. The error is a *Failure.
 func (e *Entry) Resume(ctx context.Context, account resource.Account, lastEvent string, sink Sink) (RunResult, error) {
 	result, failure := e.resume(ctx, account, lastEvent, sink)
 	e.observeOutcome("resume", failure)
--- a/entry/generation_test.go
+++ b/entry/generation_test.go
@@ -15,8 +15,8 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// withSite runs a test with one entry and the named engines, which follow the
-// scripts, in a bubble of synctest's time.
+// withSite runs a test in a synctest bubble, with one entry and the given engines, which follow the
+// scripts.
 func withSite(t *testing.T, scripts []script, engines []policy.EngineID, test func(t *testing.T, s *fakeSite, e *Entry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -45,8 +45,8 @@
 
 var errLinkBroken = errors.New("the link broke")
 
-// TestGenerationFailures has an engine fail at each point of a generation, and
-// checks what the caller gets and is told, and how often it was run.
+// TestGenerationFailures makes an engine fail at each point of a generation. It checks which tokens
+// and which failure the caller gets, and how often the run was started and resumed.
 func TestGenerationFailures(t *testing.T) {
 	whole := script{events: append(tokens(1, 5), ended(5))}
 	rest := script{events: append(tokens(3, 5), ended(5))}
@@ -119,14 +119,14 @@
 				}
 				is.Equal(s.engines.totalStarted(), c.wantStarts)
 				is.Equal(s.engines.resumed, c.wantResumes)
-				is.True(time.Since(start) < 5*time.Second) // given up at once
+				is.True(time.Since(start) < 5*time.Second) // gives up without waiting for the deadline
 			})
 		})
 	}
 }
 
-// TestResumeAtAnotherEntry carries on where the caller was, with the account's
-// own key only.
+// TestResumeAtAnotherEntry resumes a generation by its id alone. Only the account that owns the
+// generation may resume it.
 func TestResumeAtAnotherEntry(t *testing.T) {
 	withSite(t, []script{{events: append(tokens(3, 5), ended(5))}}, oneEngine, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
@@ -143,8 +143,8 @@
 	})
 }
 
-// TestNoRetryAfterFirstToken has a caller that saw one token never get a
-// second run.
+// TestNoRetryAfterFirstToken checks that a generation isn't started a second time once its caller
+// has received a token.
 func TestNoRetryAfterFirstToken(t *testing.T) {
 	lost := []script{{events: tokens(1, 1), endErr: errLinkBroken}, {resumeErr: ErrRunNotFound}}
 	withSite(t, lost, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
@@ -158,7 +158,7 @@
 	})
 }
 
-// TestRetryBudget stops retries when everything fails.
+// TestRetryBudget checks that the retry budget bounds the retries when every call fails.
 func TestRetryBudget(t *testing.T) {
 	always := []script{{startErr: errLinkBroken}}
 	withSite(t, always, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
@@ -172,8 +172,8 @@
 	})
 }
 
-// TestLeavingEngine has each sign by itself keep new work away within 3 s,
-// while running work ends whole.
+// TestLeavingEngine checks that each way of learning that an engine leaves keeps new work off the
+// engine within 3 s, while its running work completes.
 func TestLeavingEngine(t *testing.T) {
 	whole := []script{{events: append(tokens(1, 5), ended(5))}}
 	for name, sign := range map[string]func(s *fakeSite, e *Entry) error{
@@ -223,8 +223,8 @@
 	}
 }
 
-// TestStopLetsCallsEnd takes calls during the grace, refuses them after it, and
-// waits for what runs.
+// TestStopLetsCallsEnd checks that a stopping entry takes calls during the grace period, refuses
+// them afterwards, and waits for the running ones.
 func TestStopLetsCallsEnd(t *testing.T) {
 	withSite(t, []script{{events: append(tokens(1, 5), ended(5))}}, oneEngine, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
@@ -244,7 +244,7 @@
 			close(stopped)
 		}()
 		time.Sleep(time.Second)
-		go generate() // within the grace
+		go generate() // within the grace period
 		time.Sleep(2 * time.Second)
 		_, err := e.Generate(s.ctx, quote(), &fakeSink{})
 		var failure *Failure
@@ -255,7 +255,7 @@
 		synctest.Wait()
 		select {
 		case <-stopped:
-			t.Fatal("the entry stopped while calls ran")
+			t.Fatal("Stop returned while generations were still running")
 		default:
 		}
 		close(s.engines.hold)
--- a/entry/generationid.go
+++ b/entry/generationid.go
@@ -17,12 +17,12 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// GenerationID names a generation to its caller. It says where the run is, so
-// that any entry can carry on with it, and has a MAC, so that it can't be
-// forged.
+// GenerationID identifies a generation to its caller. It holds the location of the run, so that any
+// entry can resume the run, and a MAC that protects the location against forgery.
 type GenerationID string
 
-// runLocation is what a generation id says.
+// runLocation is the content of a generation id: the engine that has the run, and the caller's
+// account and route.
 type runLocation struct {
 	Engine  member.UpstreamID
 	Run     policy.RunID
@@ -36,6 +36,7 @@
 	locationFieldCount = 4
 )
 
+// signGenerationID returns the truncated MAC of an encoded location.
 func signGenerationID(key []byte, text string) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte("shedpath generation 1\x00"))
@@ -49,9 +50,10 @@
 	return GenerationID(generationIDPrefix + text + "." + signGenerationID(key, text))
 }
 
-// errInvalidGenerationID marks a generation id that no entry of this site gave out.
-var errInvalidGenerationID = trace.AccessDenied("the generation id is not one of ours")
+// errInvalidGenerationID reports a generation id that no entry of this site issued.
+var errInvalidGenerationID = trace.AccessDenied("the generation id was not issued by an entry of this site")
 
+// decode checks the MAC of a generation id and returns the location in it.
 func (id GenerationID) decode(key []byte) (runLocation, error) {
 	text, prefixed := strings.CutPrefix(string(id), generationIDPrefix)
 	text, mac, signed := strings.Cut(text, ".")
@@ -72,12 +74,14 @@
 	}, nil
 }
 
-// EventID is the id of one token's event: the generation and the index.
+// EventID returns the id of a token's event, which consists of the generation id and the token's
+// index.
 func (id GenerationID) EventID(index int) string {
 	return string(id) + ":" + strconv.Itoa(index)
 }
 
-// ParseEventID takes apart what EventID made.
+// ParseEventID splits an event id into the generation id and the token's index. It doesn't check
+// the MAC.
 func ParseEventID(event string) (GenerationID, int, error) {
 	id, indexText, found := strings.Cut(event, ":")
 	index, err := strconv.Atoi(indexText)
--- a/entry/generationid_test.go
+++ b/entry/generationid_test.go
@@ -12,7 +12,7 @@
 
 var testLocation = runLocation{Engine: "g1", Run: "r1", Account: "counter", Route: "quote"}
 
-func TestGenerationIDOpens(t *testing.T) {
+func TestGenerationIDRoundTrip(t *testing.T) {
 	is := is.New(t)
 	id := newGenerationID([]byte("key"), testLocation)
 	at, err := id.decode([]byte("key"))
@@ -44,7 +44,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := GenerationID(forged).decode(key); err == nil {
-				t.Fatal("the forged id was opened")
+				t.Fatalf("decode of the forged id %q succeeded, want an error", forged)
 			}
 		})
 	}
@@ -59,10 +59,10 @@
 			return
 		}
 		if index < 0 {
-			t.Fatalf("index %d", index)
+			t.Fatalf("ParseEventID(%q) returned the negative index %d", text, index)
 		}
 		if at, err := id.decode([]byte("key")); err == nil && newGenerationID([]byte("key"), at) != id {
-			t.Fatalf("%q opens, but isn't what its location is signed as", id)
+			t.Fatalf("id %q decodes, but encoding its location again gives another id", id)
 		}
 	})
 }
--- a/entry/limits.go
+++ b/entry/limits.go
@@ -12,38 +12,39 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// accountLimits keeps each account within its limits at this entry. The zero
-// value works.
+// accountLimits enforces the limits of each account at this entry. The zero value is ready to use.
 type accountLimits struct {
 	mu       sync.Mutex
 	accounts map[resource.Account]*accountUsage
 }
 
+// accountUsage is an account's number of running calls and its rate limiter.
 type accountUsage struct {
 	running int
 	limiter *rate.Limiter
 }
 
-// acquire takes a call of the account in, or says when it may come back. A zero
-// wait with false means that its calls in flight are at the limit.
+// acquire admits a call of the account, or returns how long the caller must wait before it retries.
+// If ok is false and wait is zero, the account has reached its maximum of running calls.
 func (l *accountLimits) acquire(now time.Time, name resource.Account, a resource.ClientAccount) (wait time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	use := l.usage(name, a)
-	if a.MaxRunning > 0 && use.running >= a.MaxRunning {
+	usage := l.usage(name, a)
+	if a.MaxRunning > 0 && usage.running >= a.MaxRunning {
 		return 0, false
 	}
 	if a.RequestsPerSecond > 0 {
-		reservation := use.limiter.ReserveN(now, 1)
+		reservation := usage.limiter.ReserveN(now, 1)
 		if wait := reservation.DelayFrom(now); wait > 0 {
 			reservation.CancelAt(now)
 			return wait, false
 		}
 	}
-	use.running++
+	usage.running++
 	return 0, true
 }
 
+// usage returns the account's usage and updates its rate limit. The caller must hold the mutex.
 func (l *accountLimits) usage(name resource.Account, a resource.ClientAccount) *accountUsage {
 	if l.accounts == nil {
 		l.accounts = map[resource.Account]*accountUsage{}
@@ -60,31 +61,32 @@
 	return use
 }
 
+// release ends a call that acquire admitted.
 func (l *accountLimits) release(name resource.Account) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if use := l.accounts[name]; use != nil {
-		use.running--
+	if usage := l.accounts[name]; usage != nil {
+		usage.running--
 	}
 }
 
-// retryBudget allows retries as a share of recent successes, so that a fault
-// that hits everyone isn't answered with twice the load. The zero value has
-// the first few retries to give.
+// retryBudget limits retries to a share of the recent successes, so that a fault that hits all
+// calls doesn't multiply the load. The zero value allows retryReserve retries.
 type retryBudget struct {
 	mu sync.Mutex
-	// spent is the retries taken less those earned; it stays between the two
-	// bounds below.
+	// spent is the number of retries taken minus the number earned. It stays between -retryReserve
+	// and retryReserve.
 	spent float64
 }
 
 const (
-	// retriesPerSuccess is how many successes earn one retry, as its inverse.
+	// retriesPerSuccess is the number of retries that one success earns.
 	retriesPerSuccess = 0.1
-	// retryReserve is how many retries may be taken before any was earned.
+	// retryReserve is the number of retries that may be taken before any is earned.
 	retryReserve = 10
 )
 
+// take takes a retry from the budget. It reports false if the budget is used up.
 func (b *retryBudget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -95,6 +97,7 @@
 	return true
 }
 
+// earn adds the retries that one success earns.
 func (b *retryBudget) earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/load.go
+++ b/entry/load.go
@@ -20,12 +20,13 @@
 	loadInterval    = 250 * time.Millisecond
 	loadTimeout     = time.Second
 	loadConcurrency = 64
-	// roundsPerCachePoll is in how many rounds the cache events are asked for, too:
-	// they are hints that come late anyway, and each call costs the same.
+	// roundsPerCachePoll is the number of load polls for each poll of the cache events. Cache
+	// events are only hints that are late anyway, and each poll of them costs as much as one of the
+	// load.
 	roundsPerCachePoll = 4
 )
 
-// runLoadReports asks the engines that this entry coordinates how they are.
+// runLoadReports polls the load of the engines in the pools that this entry coordinates.
 func (e *Entry) runLoadReports(ctx context.Context) {
 	lastSeqs := map[member.UpstreamID]uint64{}
 	for round := 0; ; round++ {
@@ -40,21 +41,22 @@
 	}
 }
 
-// loadRound is what one round of reports brought.
+// loadRound collects the results of one poll of a pool's engines.
 type loadRound struct {
-	// withCacheEvents asks for the cache events, too.
+	// withCacheEvents tells whether the cache events are polled too.
 	withCacheEvents bool
 
-	mu           sync.Mutex
-	reports      []policy.Report
+	mu      sync.Mutex
+	reports []policy.Report
+	// unresponsive lists the engines that didn't answer.
 	unresponsive []member.UpstreamID
-	// models are the versions that each engine serves.
+	// models maps each engine to the versions of the models that it serves.
 	models      map[member.UpstreamID]map[string]string
 	cacheEvents map[member.UpstreamID][]policy.CacheEvent
 }
 
-// pollLoads asks every engine of a pool that this zone decides about. seen holds
-// the last cache event had from each.
+// pollLoads polls all engines of a pool that are placed from this zone. lastSeqs holds the sequence
+// number of the last cache event received from each engine.
 func (e *Entry) pollLoads(ctx context.Context, name resource.Name, lastSeqs map[member.UpstreamID]uint64, withCache bool) {
 	round := loadRound{
 		withCacheEvents: withCache, cacheEvents: map[member.UpstreamID][]policy.CacheEvent{},
@@ -73,10 +75,11 @@
 	}
 	e.placement.applyReports(ctx, name, round.reports, round.cacheEvents)
 	e.placement.markSuspect(ctx, name, round.unresponsive)
-	// Engines are emptied before their models change.
+	// Engines are drained before their models change.
 	e.placement.withhold(ctx, name, order.EnginesToDrain(wantedModels(e.Catalog(), name), round.models))
 }
 
+// pollLoad polls one engine and adds the result to the round.
 func (e *Entry) pollLoad(ctx context.Context, u member.Upstream, after uint64, round *loadRound) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -92,7 +95,7 @@
 	}
 	var events []policy.CacheEvent
 	if round.withCacheEvents {
-		// Hints that can't be had are done without.
+		// Cache events are only hints, so an error is ignored.
 		events, _ = e.engines.CacheEvents(ctx, u, after)
 	}
 	round.mu.Lock()
--- a/entry/members.go
+++ b/entry/members.go
@@ -18,50 +18,52 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Hosts is the platform's list of live and leaving hosts.
+// Hosts reads the platform's list of live and leaving hosts.
 type Hosts interface {
 	Hosts(ctx context.Context) (member.HostList, error)
 }
 
-// members is the duty that knows who is alive. Its view is shared by all
-// duties under one mutex.
+// members tracks which entries and upstreams are alive. All duties share its view under one mutex.
 type members struct {
 	entry *Entry
-	// wake asks for heartbeats at once.
+	// wake triggers a round of heartbeats at once.
 	wake chan struct{}
 
 	mu   sync.Mutex
 	view *member.View
-	// leaving says that this entry is stopping.
+	// leaving reports whether this entry is stopping.
 	leaving bool
-	// coordinatedPools are the states of the coordinatedPools coordinated here, as of the last beat.
+	// coordinatedPools holds the states of the pools that this entry coordinates, as of the last
+	// round of heartbeats.
 	coordinatedPools []PoolStatus
-	// freeReports is what other zones' pools had freeReports, as last heard.
+	// freeReports holds the last report of the free memory in each pool of the other zones.
 	freeReports map[zonePool]freeReport
 }
 
+// zonePool identifies a pool's engines in one zone.
 type zonePool struct {
 	zone member.Zone
 	pool resource.Name
 }
 
+// freeReport is a received report of the free memory of a pool in another zone.
 type freeReport struct {
 	tokens     policy.Tokens
 	receivedAt time.Time
-	// direct says that the zone itself told; what others tell isn't passed on,
-	// or it would never fade.
+	// direct reports whether the report came from the zone itself. Relayed reports aren't passed on
+	// again, because they would otherwise never expire.
 	direct bool
 }
 
 const (
 	hostListInterval = 5 * time.Second
-	// A site that is started together forms quickly: the list is read more
-	// often at first.
+	// During startupPeriod after its start, an entry reads the host list at
+	// startupHostListInterval, so that a site whose hosts start together forms quickly.
 	startupPeriod           = 15 * time.Second
 	startupHostListInterval = time.Second
 	heartbeatTimeout        = 900 * time.Millisecond
 	heartbeatConcurrency    = 32
-	// freeReportTTL is how long another zone's word on its free memory counts.
+	// freeReportTTL is how long another zone's report of its free memory counts.
 	freeReportTTL = 5 * time.Second
 )
 
@@ -69,13 +71,14 @@
 	return &members{entry: e, view: member.NewView(now, e.self, seeds...), freeReports: map[zonePool]freeReport{}, wake: make(chan struct{}, 1)}
 }
 
-// jitter spreads a period by a quarter up and down, so that hosts started
-// together don't call together.
+// jitter returns a random duration within a quarter of d above or below it, so that hosts that were
+// started together don't send at the same moments.
 func jitter(d time.Duration) time.Duration {
 	return d*3/4 + rand.N(d/2)
 }
 
-// runHeartbeats sends a heartbeat to each linked peer once a period.
+// runHeartbeats sends heartbeats at about member.HeartbeatInterval, and whenever requestHeartbeats
+// asks for them.
 func (m *members) runHeartbeats(ctx context.Context) {
 	for {
 		m.sendHeartbeats(ctx)
@@ -100,7 +103,7 @@
 	}
 }
 
-// isKnown reports whether an entry is still remembered.
+// isKnown reports whether the view still contains an entry.
 func (m *members) isKnown(id member.HostID) bool {
 	_, known := m.Entry(id)
 	return known
@@ -120,6 +123,8 @@
 	workers.Wait()
 }
 
+// sendHeartbeat sends a peer a heartbeat and handles its answer. It also pulls the configuration if
+// the peer has a newer one.
 func (m *members) sendHeartbeat(ctx context.Context, to member.Entry, pools []PoolStatus) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -140,23 +145,24 @@
 	}
 }
 
-// OnLinkDown takes in that a peer's own link to this entry broke.
+// OnLinkDown records that a peer's link to this entry broke.
 func (m *members) OnLinkDown(from member.HostID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.MarkLinkBroken(from)
 }
 
-// markLinkBroken takes a refused or broken link for the peer's end; a silent one counts
-// only after member.SuspectAfter.
+// markLinkBroken records that the link to a peer was refused or broke. The peer doesn't count as
+// alive until its next heartbeat. It isn't called for a peer that is merely silent, which counts as
+// alive until member.SuspectTimeout has passed.
 func (m *members) markLinkBroken(to member.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.MarkLinkBroken(to.ID)
 }
 
-// buildHeartbeat is what this entry tells a peer, and the change of the crashes up to which that
-// tells everything.
+// buildHeartbeat returns the heartbeat for a peer. Once the peer has received it, the peer knows
+// all changes of the crash marks up to the returned number.
 func (m *members) buildHeartbeat(now time.Time, peer member.Entry, pools []PoolStatus) (Heartbeat, uint64) {
 	revision, to := m.entry.config.Catalog().Revision(), peer.Zone
 	crashes, upTo := m.entry.crashes.Tell(now, peer.ID)
@@ -175,15 +181,14 @@
 	}
 	for at, report := range m.freeReports {
 		if report.direct && now.Sub(report.receivedAt) < freeReportTTL && to == m.entry.self.Zone {
-			h.Pools = append(h.Pools, PoolStatus{Pool: at.pool, Zone: at.zone, Free: report.tokens})
+			h.Pools = append(h.Pools, PoolStatus{Pool: at.pool, Zone: at.zone, FreeTokens: report.tokens})
 		}
 	}
 	return h, upTo
 }
 
-// zoneStatusesFor lists the zones' reports for a peer. Within the zone, only the
-// entries that have links to other zones have something to tell. The mutex is
-// held.
+// zoneStatusesFor lists the zone reports to send to a peer in the given zone. Within its own zone,
+// only an entry with links to other zones sends reports. The caller must hold the mutex.
 func (m *members) zoneStatusesFor(now time.Time, to member.Zone, revision resource.Revision) []ZoneStatus {
 	if to == m.entry.self.Zone && !m.view.IsWatcher(now) {
 		return nil
@@ -203,9 +208,9 @@
 	return statuses
 }
 
-// OnHeartbeat serves a peer's heartbeat.
+// OnHeartbeat handles a peer's heartbeat and returns this entry's own.
 func (m *members) OnHeartbeat(now time.Time, h Heartbeat) Heartbeat {
-	// It may have waited here while this machine was suspended.
+	// The heartbeat may have been received before this machine was suspended.
 	h.addDelay(m.entry.settings.Clock.MaxMessageDelay(now))
 	m.receive(now, h)
 	m.mu.Lock()
@@ -218,7 +223,7 @@
 	return answer
 }
 
-// receive takes in what a peer told.
+// receive records the contents of a peer's heartbeat.
 func (m *members) receive(now time.Time, h Heartbeat) {
 	m.entry.crashes.Met(h.From.ID, h.Epoch)
 	m.entry.crashes.Receive(now, h.Crashes)
@@ -234,7 +239,7 @@
 	for _, status := range h.Pools {
 		if status.Zone != m.entry.self.Zone {
 			m.freeReports[zonePool{status.Zone, status.Pool}] = freeReport{
-				tokens: status.Free, receivedAt: now, direct: status.Zone == h.From.Zone,
+				tokens: status.FreeTokens, receivedAt: now, direct: status.Zone == h.From.Zone,
 			}
 		}
 	}
@@ -248,21 +253,22 @@
 	}
 }
 
-// markLeaving records a sign that an upstream leaves. The mutex is held.
+// markLeaving records that an upstream is leaving. sign names the source of the information in the
+// log. The caller must hold the mutex.
 func (m *members) markLeaving(id member.UpstreamID, sign string) {
 	if m.view.MarkLeaving(id) {
 		_ = level.Info(m.entry.logger).Log("msg", "upstream is leaving", "upstream", id, "sign", sign)
 	}
 }
 
-// MarkLeaving records an upstream's own word that it is leaving.
+// MarkLeaving records that an upstream announced that it is leaving.
 func (m *members) MarkLeaving(id member.UpstreamID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.markLeaving(id, "upstream")
 }
 
-// runHostList follows the platform's list.
+// runHostList polls the platform's host list.
 func (m *members) runHostList(ctx context.Context) {
 	failing := false
 	startedAt := m.entry.now()
@@ -287,7 +293,7 @@
 	}
 }
 
-// logFailureChange writes a line when something starts or stops failing.
+// logFailureChange logs that something has started or stopped failing.
 func logFailureChange(logger log.Logger, what string, failing bool, err error) {
 	if failing {
 		_ = level.Warn(logger).Log("msg", what+" is failing", "err", err)
@@ -296,7 +302,7 @@
 	_ = level.Info(logger).Log("msg", what+" works again")
 }
 
-// setLeaving makes the next heartbeats say that this entry is stopping.
+// setLeaving makes the next heartbeats announce that this entry is stopping.
 func (m *members) setLeaving() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -304,15 +310,15 @@
 	m.view.MarkSelfLeaving()
 }
 
-// Upstream finds an upstream by its id, also one that is leaving.
+// Upstream returns the upstream with the given id, even if it is leaving.
 func (m *members) Upstream(id member.UpstreamID) (member.Upstream, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Upstream(id)
 }
 
-// upstreamsFor lists the upstreams of a zone that take new work; with an empty
-// zone, of all.
+// upstreamsFor lists the upstreams of a zone that take new work. With an empty zone it lists those
+// of all zones.
 func (m *members) upstreamsFor(kind member.UpstreamKind, name resource.Name, z member.Zone) []member.Upstream {
 	catalog := m.entry.config.Catalog()
 	m.mu.Lock()
@@ -327,8 +333,8 @@
 	return kept
 }
 
-// enginesFor lists the engines of a pool that this zone decides about and that
-// take new work: its own, and those of zones that no entry is heard from.
+// enginesFor lists the engines of a pool that take new work and are placed from this zone: the
+// zone's own engines, and those of orphaned zones, on which no report arrives any longer.
 func (m *members) enginesFor(now time.Time, name resource.Name) []member.Upstream {
 	engines := m.upstreamsFor(member.KindEngine, name, m.entry.self.Zone)
 	m.mu.Lock()
@@ -340,7 +346,7 @@
 	return engines
 }
 
-// EngineIDsFor lists the ids of those engines.
+// EngineIDsFor lists the ids of the engines that enginesFor returns.
 func (m *members) EngineIDsFor(now time.Time, name resource.Name) []policy.EngineID {
 	var ids []policy.EngineID
 	for _, u := range m.enginesFor(now, name) {
@@ -349,49 +355,50 @@
 	return ids
 }
 
-// AvailableInOwnZone lists the live entries of this zone.
+// AvailableInOwnZone lists the entries of this zone that are alive and not leaving.
 func (m *members) AvailableInOwnZone(now time.Time) []member.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.AvailableEntries(now, m.entry.self.Zone)
 }
 
-// Alive reports whether an entry was heard of lately.
+// Alive reports whether an entry is alive, leaving or not.
 func (m *members) Alive(now time.Time, id member.HostID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Alive(now, id)
 }
 
-// PresumedDead reports whether an entry's runs are taken to have ended with it.
+// PresumedDead reports whether an entry's runs are presumed to have ended with it.
 func (m *members) PresumedDead(now time.Time, id member.HostID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.PresumedDead(now, id)
 }
 
-// Entry finds an entry by its id.
+// Entry returns the entry with the given id.
 func (m *members) Entry(id member.HostID) (member.Entry, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Entry(id)
 }
 
-// Coordinator is the live entry of this zone that coordinates a pool.
+// Coordinator returns the available entry of this zone that coordinates a pool.
 func (m *members) Coordinator(now time.Time, name resource.Name) member.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if owner, found := m.view.Owner(now, poolDuty(name), m.entry.self.Zone); found {
 		return owner
 	}
-	// An entry that leaves alone keeps its duties to the end.
+	// No entry of the zone is available: this entry is leaving, and keeps its duties to the end.
 	return m.entry.self
 }
 
+// poolDuty returns the name of the duty to coordinate a pool.
 func poolDuty(name resource.Name) string { return "pool/" + string(name) }
 
-// CoordinatorsInOtherZones lists, for each other zone that lately had room for the
-// prompt, an entry to ask there.
+// CoordinatorsInOtherZones lists the entries to ask for a place in the other zones that recently
+// reported enough free memory for the prompt, one for each zone.
 func (m *members) CoordinatorsInOtherZones(now time.Time, name resource.Name, prompt policy.Tokens) []member.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -408,8 +415,8 @@
 	return coordinators
 }
 
-// ownsSiteDuty reports whether this entry has a duty of which there is one for the whole
-// site: the owner in the zone that the duty falls to.
+// ownsSiteDuty reports whether this entry has a duty that exists once per site. Rank assigns the
+// duty to a zone, in which its owner has it.
 func (m *members) ownsSiteDuty(now time.Time, duty string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -424,7 +431,7 @@
 	return found && owner.ID == m.entry.self.ID
 }
 
-// IsWatcher reports whether this entry keeps the platform's watch for its zone.
+// IsWatcher reports whether this entry is one of the entries of its zone that watch the platform.
 func (m *members) IsWatcher(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/entry/observer.go
+++ b/entry/observer.go
@@ -10,32 +10,32 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Observer counts what happens. Its methods are called on the data path and
-// must be quick.
+// Observer receives measurements and counts of events. Its methods are called on the data path and
+// must return quickly.
 type Observer interface {
-	// FirstToken is the time from the caller's request to its first token.
+	// FirstToken records the time from the caller's request to its first token.
 	FirstToken(pool resource.Name, d time.Duration)
-	// BetweenTokens is the time from one token to the next.
+	// BetweenTokens records the time from one token to the next.
 	BetweenTokens(pool resource.Name, d time.Duration)
-	// CallEnded counts a call's end: "ok" or the code of its failure.
+	// CallEnded counts a call by its outcome, which is "ok" or the code of its failure.
 	CallEnded(kind, outcome string, run RunState)
-	// Waited is how long a generation was queued for a place.
+	// Waited records how long a generation was queued for a place.
 	Waited(pool resource.Name, d time.Duration)
-	// Placed counts who decided: "coordinator", "local" or "zone".
+	// Placed counts a placement by the decider: "coordinator", "local" or "zone".
 	Placed(pool resource.Name, by string)
-	// Refused counts a generation that got no place.
+	// Refused counts a generation that was refused a place.
 	Refused(pool resource.Name, reason policy.Reason)
-	// EngineLoad is an engine's last report.
+	// EngineLoad records an engine's latest load report.
 	EngineLoad(pool resource.Name, load EngineLoad)
-	// Retried counts a generation that was started again elsewhere.
+	// Retried counts a failure after which a generation may be started again, by the failure's code.
 	Retried(why string)
-	// Resumed counts a stream taken up again.
+	// Resumed counts an attempt to resume a stream, by its reason.
 	Resumed(why string)
-	// Withheld counts an upstream's event or answer that was kept from the caller.
+	// Withheld counts an event or answer of an upstream that was not passed on to the caller.
 	Withheld(what string)
 }
 
-// noObserver counts nothing.
+// noObserver discards everything.
 type noObserver struct{}
 
 func (noObserver) FirstToken(resource.Name, time.Duration)    {}
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -18,13 +18,13 @@
 	orderLeaseTTL = 10 * time.Second
 	orderInterval = time.Second
 	orderTimeout  = 2 * time.Second
-	// reconcileInterval is how often engines are looked at that nothing seems to
-	// be wanted of: one may have been restarted.
+	// reconcileInterval is how often engines are checked even if they all serve the declared
+	// models, because an engine may have been restarted.
 	reconcileInterval = 10 * time.Second
 )
 
-// runOrders holds the zone's order lease while this entry has that duty, and
-// brings the engines to the declared models.
+// runOrders holds the zone's order lease while this entry has the order duty, and orders the
+// engines to serve the declared models.
 func (e *Entry) runOrders(ctx context.Context) {
 	var holder order.Holder
 	var lease Lease
@@ -55,8 +55,8 @@
 	}
 }
 
-// ownsOrderDuty reports whether this entry has the duty, and there is
-// something to order.
+// ownsOrderDuty reports whether this entry should hold the order lease: it has the order duty of
+// its zone, isn't leaving, and models are declared.
 func (e *Entry) ownsOrderDuty(now time.Time) bool {
 	if e.leases == nil || len(e.Catalog().List(resource.Models)) == 0 || e.Leaving() {
 		return false
@@ -67,6 +67,7 @@
 	return found && owner.ID == e.self.ID
 }
 
+// orderLeaseKey returns the key of a zone's order lease.
 func orderLeaseKey(z member.Zone) string { return "shedpath/orders/" + string(z) }
 
 func (e *Entry) acquireOrderLease(ctx context.Context, h *order.Holder) Lease {
@@ -101,22 +102,22 @@
 	}
 }
 
-// reconcileState is the last look at the zone's engines.
+// reconcileState is the result of the last reconcile.
 type reconcileState struct {
 	checkedAt time.Time
 	revision  resource.Revision
-	// settled says that nothing was left to order then.
+	// settled reports whether all engines served the declared models.
 	settled bool
 }
 
-// due reports whether the engines are to be looked at again.
+// due reports whether it is time to reconcile again.
 func (r reconcileState) due(now time.Time, revision resource.Revision) bool {
 	return !r.settled || r.revision != revision || now.Sub(r.checkedAt) >= reconcileInterval
 }
 
-// reconcile orders each engine of this zone to serve the declared models, and
-// reports whether they all do. An order is only sent while the lease surely
-// holds, and its effect is read back in the next round.
+// reconcile orders each engine of this zone to serve the declared models, and reports whether they
+// all do already. An order is sent only while the lease certainly holds. Its effect is checked in
+// the next round.
 func (e *Entry) reconcile(ctx context.Context, h *order.Holder) bool {
 	catalog := e.Catalog()
 	settled := true
@@ -130,6 +131,7 @@
 	return settled
 }
 
+// wantedModels maps the models that are declared for a pool to their versions.
 func wantedModels(catalog *resource.Catalog, pool resource.Name) map[string]string {
 	wanted := map[string]string{}
 	for _, r := range catalog.List(resource.Models) {
@@ -140,8 +142,9 @@
 	return wanted
 }
 
-// reconcileEngine reports whether nothing is left to order. An engine that
-// serves an old version is only ordered once it is empty.
+// reconcileEngine sends an engine the orders that it needs, and reports whether it needed none. An
+// engine that serves an outdated version is ordered only once it is drained. checks tells whether
+// the engine checks the fencing tokens of orders.
 func (e *Entry) reconcileEngine(ctx context.Context, h *order.Holder, u member.Upstream, wanted map[string]string, checks bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/entry/orders_test.go
+++ b/entry/orders_test.go
@@ -14,22 +14,22 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// TestEngineIsEmptiedBeforeItsModelChanges gives a pool another version while
-// one engine runs: it gets no new work and no order until it is empty, and the
-// other one goes on serving meanwhile.
-func TestEngineIsEmptiedBeforeItsModelChanges(t *testing.T) {
+// TestEngineIsDrainedBeforeItsModelChanges declares a new model version while one of two engines
+// has a run. That engine gets neither new work nor the order until it is drained. The other engine
+// serves meanwhile.
+func TestEngineIsDrainedBeforeItsModelChanges(t *testing.T) {
 	whole := []script{{events: append(tokens(1, 5), ended(5))}}
 	withSite(t, whole, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		time.Sleep(time.Minute)
-		is.Equal(len(s.engines.taken()), 2) // a fresh engine is ordered at once
+		is.Equal(len(s.engines.taken()), 2) // new engines are ordered at once
 		s.engines.setRunning("g1", 1)
 		_, err := e.Propose(s.ctx, resource.Change{
 			Kind: resource.Models, Name: "m", Spec: json.RawMessage(`{"pool":"desk","version":"2"}`),
 		}, nil)
 		is.NoErr(err)
 		time.Sleep(time.Minute)
-		is.Equal(s.engines.taken(), []string{"g2 2"}) // idle, so it needn't wait
+		is.Equal(s.engines.taken(), []string{"g2 2"}) // idle, so it is ordered without waiting
 		started := map[policy.EngineID]int{}
 		for range 5 {
 			_, err := e.Generate(s.ctx, quote(), &fakeSink{})
@@ -47,7 +47,8 @@
 	})
 }
 
-// TestOrdersOfOneHolder has one entry of a zone order each engine once.
+// TestOrdersOfOneHolder checks that with two entries in a zone, only one orders an engine, and only
+// once.
 func TestOrdersOfOneHolder(t *testing.T) {
 	withTwoEntries(t, func(t *testing.T, s *fakeSite, _, _ *Entry) {
 		is := is.New(t)
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -16,75 +16,83 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// ownRun is a run that this entry carries.
+// ownRun is a run of one of this entry's own callers.
 type ownRun struct {
 	request policy.Request
 	engine  member.UpstreamID
-	// coordinator placed the run and is told of its end; empty means that
-	// this entry placed it.
+	// coordinator is the entry that placed the run and receives the report of its end. It is empty
+	// if this entry placed the run.
 	coordinator member.Entry
-	// lastTokenIndex is the index of the last token passed on.
+	// lastTokenIndex is the index of the last token passed on to the caller.
 	lastTokenIndex atomic.Int64
 }
 
-// waiter is a request of this entry's own that has no place yet.
+// waiter is a request of one of this entry's own callers that waits for a place.
 type waiter struct {
 	request  policy.Request
 	decision chan policy.Decision
-	// requestedAt is when a coordinator last had the request; zero when the pool
-	// here has it.
+	// requestedAt is when the request was last sent to a coordinator. It is zero while this entry's
+	// own pool has the request.
 	requestedAt time.Time
 	coordinator member.Entry
 }
 
-// poolState is one pool as this entry sees it.
+// poolState is this entry's state of one pool.
 type poolState struct {
 	name resource.Name
-	// pool decides for this entry alone, and for the whole zone while this
-	// entry is its coordinator.
+	// pool places the runs that this entry decides about: those of the whole zone while this entry
+	// is the coordinator, and otherwise its own.
 	pool *policy.Pool
-	// owner coordinates the pool in this zone, as of the last tick.
+	// owner is the pool's coordinator in this zone, as of the last update.
 	owner member.Entry
-	// distrustedUntil is until when the owner isn't asked, after it failed to
-	// answer in time.
+	// distrustedUntil is the time until which the owner isn't asked, because it didn't answer in
+	// time.
 	distrustedUntil time.Time
 	waiters         map[policy.RunID]*waiter
-	// peerRuns are the peers' requests that the pool here holds, by run.
+	// peerRuns maps the peers' runs and queued requests that the pool holds to the peers.
 	peerRuns map[policy.RunID]member.HostID
-	// endedRuns are the runs whose end was told before their request came, by when:
-	// messages may overtake each other.
+	// endedRuns holds the time of each report of an ended run that arrived before the request for
+	// its place, because messages may overtake each other.
 	endedRuns map[policy.RunID]time.Time
-	// outbox is what other entries are to be told at the next turn.
+	// pendingRequests, pendingFinishes and pendingDecisions are the messages to other entries that
+	// flushOutbox sends next.
 	pendingRequests  []policy.Request
 	pendingFinishes  map[member.HostID][]policy.Finish
 	pendingDecisions map[member.HostID][]policy.Decision
 }
 
-// placement is the duty that finds engines for generations. One goroutine owns
-// its pools; everything else reaches them by a bounded ring of commands.
+// placement is the duty that finds engines for generations. Its goroutine owns the pools; all other
+// code reaches them through a bounded channel of commands.
 type placement struct {
 	entry    *Entry
 	commands chan func(now time.Time)
 	pools    map[resource.Name]*poolState
 
 	mu sync.Mutex
-	// runs are those that this entry carries.
+	// runs holds the runs of this entry's own callers.
 	runs map[policy.RunID]*ownRun
 }
 
 const (
+	// commandBufferSize is the capacity of the command channel, and the most commands that are
+	// drained at once.
 	commandBufferSize = 4096
+	// placementInterval is the time until the next placement round while requests wait for a place,
+	// unless a command triggers a round earlier. membersInterval is that time otherwise, and the
+	// interval of updatePools.
 	placementInterval = 20 * time.Millisecond
 	membersInterval   = 200 * time.Millisecond
-	// placeTimeout is how long the coordinator may take to say how a request
-	// stands, before this entry decides alone.
+	// placeTimeout is how long the coordinator may take to answer a request for places before this
+	// entry decides itself.
 	placeTimeout = 30 * time.Millisecond
-	distrustFor  = time.Second
-	// requestRetryInterval is how long a queued request trusts its coordinator's
-	// silence.
+	// distrustFor is how long a coordinator isn't asked after it failed to answer.
+	distrustFor = time.Second
+	// requestRetryInterval is how long a queued request waits for its coordinator's decision before
+	// it is sent again.
 	requestRetryInterval = time.Second
-	otherZoneTimeout     = 250 * time.Millisecond
-	// endedRunTTL is how long a request may come after its end.
+	// otherZoneTimeout bounds a request for a place in another zone.
+	otherZoneTimeout = 250 * time.Millisecond
+	// endedRunTTL is how long after the report of its end a run's late request is still refused.
 	endedRunTTL = time.Minute
 )
 
@@ -95,8 +103,8 @@
 	}
 }
 
-// do runs a command on the duty's goroutine and waits for it. After an error the
-// command may still run later: what it writes must not be read then.
+// do runs a command on the placement goroutine and waits for it. If do returns an error, the
+// command may still run later, so the caller must not read the variables that the command writes.
 func (p *placement) do(ctx context.Context, command func(now time.Time)) error {
 	done := make(chan struct{})
 	select {
@@ -112,7 +120,7 @@
 	}
 }
 
-// run carries the duty out until the context ends.
+// run executes commands and placement rounds until the context ends.
 func (p *placement) run(ctx context.Context) {
 	tick := time.NewTimer(membersInterval)
 	defer tick.Stop()
@@ -139,7 +147,8 @@
 	}
 }
 
-// nextTickDelay is short while something waits for a place.
+// nextTickDelay returns the time until the next round, which is shorter while a request waits for a
+// place.
 func (p *placement) nextTickDelay() time.Duration {
 	for _, s := range p.pools {
 		if len(s.waiters) > 0 || s.pool.Waiting() > 0 {
@@ -149,7 +158,8 @@
 	return membersInterval
 }
 
-// drainCommands takes what else is at hand, so that one turn serves many.
+// drainCommands runs the commands that are already in the channel, so that one round covers them
+// all.
 func (p *placement) drainCommands() {
 	for range commandBufferSize {
 		select {
@@ -161,6 +171,7 @@
 	}
 }
 
+// state returns the state of a pool, and creates it if it doesn't exist yet.
 func (p *placement) state(name resource.Name) *poolState {
 	s := p.pools[name]
 	if s == nil {
@@ -175,6 +186,7 @@
 	return s
 }
 
+// settings returns the declared settings of a pool.
 func (p *placement) settings(name resource.Name) policy.Settings {
 	declared, _ := p.entry.config.Catalog().Pool(name)
 	return policy.Settings{
@@ -183,8 +195,7 @@
 	}
 }
 
-// updatePools brings every pool up to date with the members and the
-// configuration.
+// updatePools updates every pool to the current members and configuration.
 func (p *placement) updatePools(now time.Time) {
 	p.entry.backoffs.RemoveExpired(now)
 	for _, name := range p.entry.config.Catalog().PoolNames() {
@@ -192,6 +203,8 @@
 	}
 }
 
+// updatePool updates a pool's settings, engines and coordinator, and drops the state of dead peers
+// and of expired ended runs.
 func (p *placement) updatePool(now time.Time, s *poolState) {
 	engines := p.entry.members.EngineIDsFor(now, s.name)
 	s.pool.SetSettings(p.settings(s.name))
@@ -214,9 +227,10 @@
 	}
 }
 
+// coordinates reports whether this entry is the pool's coordinator.
 func (p *placement) coordinates(s *poolState) bool { return s.owner.ID == p.entry.self.ID }
 
-// dropDeadPeerRuns frees the places of runs whose entry died.
+// dropDeadPeerRuns frees the places of runs whose entry is presumed dead.
 func (p *placement) dropDeadPeerRuns(now time.Time, s *poolState) {
 	for run, host := range s.peerRuns {
 		if p.entry.members.PresumedDead(now, host) {
@@ -226,7 +240,7 @@
 	}
 }
 
-// announceRuns tells a new coordinator what its engines carry.
+// announceRuns reports this entry's runs on the pool's engines to a new coordinator.
 func (p *placement) announceRuns(s *poolState) {
 	var placed []PlacedRun
 	p.mu.Lock()
@@ -244,13 +258,15 @@
 	p.entry.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		// A coordinator that misses this sees the memory in the reports.
+		// A coordinator that doesn't receive the runs still sees the memory that they use in the
+		// engines' load reports.
 		_ = p.entry.peers.Running(ctx, owner, s.name, placed)
 	})
 }
 
-// place finds a place for one of this entry's own requests, and waits for it
-// as long as the context allows. Its error means that the caller left.
+// place requests a place for a run of one of this entry's own callers and waits for the decision.
+// It returns an error only if the context ends first, that is, if the caller left. It then gives up
+// the place or the request.
 func (p *placement) place(ctx context.Context, pool resource.Name, r policy.Request) (policy.Decision, error) {
 	w := &waiter{request: r, decision: make(chan policy.Decision, 1)}
 	err := p.do(ctx, func(now time.Time) { p.submit(now, p.state(pool), w) })
@@ -266,7 +282,8 @@
 	return policy.Decision{}, trace.Wrap(err)
 }
 
-// submit brings a request to the pool's coordinator, or decides here.
+// submit sends a request to the pool's coordinator, or to the pool of this entry if this entry
+// decides itself.
 func (p *placement) submit(now time.Time, s *poolState, w *waiter) {
 	s.waiters[w.request.Run] = w
 	if p.coordinates(s) || p.entry.settings.LocalPlacement || now.Before(s.distrustedUntil) {
@@ -277,13 +294,14 @@
 	s.pendingRequests = append(s.pendingRequests, w.request)
 }
 
+// submitLocally submits a request to the pool of this entry.
 func (p *placement) submitLocally(now time.Time, s *poolState, w *waiter) {
 	w.requestedAt, w.coordinator = time.Time{}, member.Entry{}
 	p.deliverDecision(s, s.pool.Submit(now, w.request), member.Entry{})
 }
 
-// deliverDecision hands a decision to the request that waits for it. It reports whether
-// there was one.
+// deliverDecision passes a final decision to the request that waits for it. A decision that the
+// request is queued leaves it waiting. deliverDecision reports whether a request was waiting.
 func (p *placement) deliverDecision(s *poolState, d policy.Decision, coordinator member.Entry) bool {
 	w := s.waiters[d.Run]
 	if w == nil {
@@ -303,6 +321,7 @@
 	return true
 }
 
+// deciderLabel returns the decider of a placement as Observer.Placed expects it.
 func (p *placement) deciderLabel(s *poolState, coordinator member.Entry) string {
 	if coordinator.ID != "" || p.coordinates(s) {
 		return "coordinator"
@@ -310,11 +329,11 @@
 	return "local"
 }
 
-// advance decides about what waits here and asks again about what waits
-// elsewhere.
+// advance decides about the requests that are queued here, and sends those that wait for a
+// coordinator again after requestRetryInterval.
 func (p *placement) advance(now time.Time, s *poolState) {
 	for _, d := range s.pool.Advance(now) {
-		if host, guest := s.peerRuns[d.Run]; guest {
+		if host, isPeerRun := s.peerRuns[d.Run]; isPeerRun {
 			if d.Verdict == policy.Refused {
 				delete(s.peerRuns, d.Run)
 			}
@@ -331,7 +350,8 @@
 	}
 }
 
-// ownRun returns the record of a run that this entry carries.
+// ownRun returns the record of a run of this entry's own callers, or an empty record if there is
+// none.
 func (p *placement) ownRun(run policy.RunID) *ownRun {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -341,14 +361,13 @@
 	return &ownRun{}
 }
 
-// finish frees a run's place, wherever it was placed or is queued.
+// finish frees a run's place or removes its request from the queue, here or at its coordinator.
 func (p *placement) finish(pool resource.Name, f policy.Finish) {
 	p.mu.Lock()
 	own := p.runs[f.Run]
 	delete(p.runs, f.Run)
 	p.mu.Unlock()
-	// The ring is always drained while the entry runs; after that nobody
-	// needs the place.
+	// Commands are always executed while the entry runs. After that, the place needn't be freed.
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = p.do(ctx, func(now time.Time) {
@@ -372,14 +391,15 @@
 	})
 }
 
-// coordinatedPoolStatuses is what this entry tells of the pools that it coordinates.
+// coordinatedPoolStatuses returns the statuses of the pools that this entry coordinates, or none if
+// the context ends first.
 func (p *placement) coordinatedPoolStatuses(ctx context.Context) []PoolStatus {
 	var statuses []PoolStatus
 	err := p.do(ctx, func(time.Time) {
 		for _, s := range p.pools {
 			if p.coordinates(s) {
 				statuses = append(statuses, PoolStatus{
-					Pool: s.name, Zone: p.entry.self.Zone, Free: s.pool.FreeTokens(),
+					Pool: s.name, Zone: p.entry.self.Zone, FreeTokens: s.pool.FreeTokens(),
 					Waiting: s.pool.Waiting(), Reports: s.pool.Reports(),
 				})
 			}
--- a/entry/placement_test.go
+++ b/entry/placement_test.go
@@ -16,8 +16,8 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// withTwoEntries runs a test with two entries of one zone and an engine; the first
-// returned coordinates the pool.
+// withTwoEntries runs a test with two entries of one zone and an engine. It passes the entry that
+// coordinates the pool first.
 func withTwoEntries(t *testing.T, test func(t *testing.T, s *fakeSite, coordinator, other *Entry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -39,8 +39,8 @@
 	})
 }
 
-// startHeldGeneration starts a generation whose stream stays open until release, and waits
-// until it runs.
+// startHeldGeneration starts a generation whose stream stays open until release is called. It
+// returns once the generation runs.
 func startHeldGeneration(s *fakeSite, e *Entry) (ended <-chan error, release func()) {
 	hold, done := make(chan struct{}), make(chan error)
 	s.engines.mu.Lock()
@@ -54,7 +54,7 @@
 	return done, func() { close(hold) }
 }
 
-// placedRuns is how many runs an entry's pool holds.
+// placedRuns returns the number of runs that hold a place in an entry's pool.
 func placedRuns(e *Entry) (placed int) {
 	_ = e.placement.do(context.Background(), func(time.Time) { placed = e.placement.state("desk").pool.Running() })
 	return placed
@@ -69,12 +69,13 @@
 		release()
 		is.NoErr(<-ended)
 		time.Sleep(time.Second)
-		is.Equal(placedRuns(coordinator), 0) // it was told of the end
+		is.Equal(placedRuns(coordinator), 0) // it received the report of the end
 	})
 }
 
-// TestFrozenCoordinator costs a generation 30 ms, the next ones nothing, and the
-// entry takes the duty over.
+// TestFrozenCoordinator checks that a frozen coordinator delays one generation by at most
+// placeTimeout and a placement interval, and the next generation not at all, because the entry then
+// decides itself.
 func TestFrozenCoordinator(t *testing.T) {
 	withTwoEntries(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
@@ -90,8 +91,8 @@
 	})
 }
 
-// TestLatePlaceIsGivenBack has the coordinator grant a place after the entry gave
-// it up and decided alone: nobody would ever free that place.
+// TestLatePlaceIsGivenBack makes the coordinator grant a place after the entry timed out and
+// decided itself. A place that isn't given back would never be freed.
 func TestLatePlaceIsGivenBack(t *testing.T) {
 	withTwoEntries(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
@@ -103,8 +104,8 @@
 	})
 }
 
-// TestEndBeforePlace has the word that a place isn't wanted overtake the request
-// for it.
+// TestEndBeforePlace makes the report that a run ended overtake the request for its place. The
+// request must be refused, or its place would never be freed.
 func TestEndBeforePlace(t *testing.T) {
 	withTwoEntries(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
@@ -116,8 +117,8 @@
 	})
 }
 
-// TestDeadCoordinator has the other entry take the duty at the next heartbeat,
-// and the runs that the dead one's callers had are freed.
+// TestDeadCoordinator checks that the other entry becomes the coordinator, and places generations,
+// within 2 s after the coordinator died.
 func TestDeadCoordinator(t *testing.T) {
 	withTwoEntries(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
@@ -131,8 +132,8 @@
 	})
 }
 
-// TestNewCoordinatorLearnsOfRuns tells a coordinator that took over of the runs
-// that are under way.
+// TestNewCoordinatorLearnsOfRuns checks that a new coordinator receives the runs that are in
+// progress.
 func TestNewCoordinatorLearnsOfRuns(t *testing.T) {
 	withTwoEntries(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
@@ -148,8 +149,8 @@
 	})
 }
 
-// TestOtherZoneTakesOver sends a generation to another zone when its own has no
-// engine left.
+// TestOtherZoneTakesOver checks that a generation is placed in another zone when its own zone has
+// no engine left.
 func TestOtherZoneTakesOver(t *testing.T) {
 	withTwoEntries(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
@@ -170,7 +171,7 @@
 	})
 }
 
-// TestDeadEntrysRunsAreFreed frees the places of an entry that died.
+// TestDeadEntrysRunsAreFreed checks that the places of a dead entry's runs are freed.
 func TestDeadEntrysRunsAreFreed(t *testing.T) {
 	withTwoEntries(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
@@ -188,8 +189,8 @@
 	})
 }
 
-// TestBrokenLinkKeepsPlaces has a link break for a moment: the entry behind it
-// is alive, and its runs keep their places.
+// TestBrokenLinkKeepsPlaces breaks a link for a moment. The entry behind it is alive, so its runs
+// must keep their places.
 func TestBrokenLinkKeepsPlaces(t *testing.T) {
 	withTwoEntries(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
@@ -203,8 +204,9 @@
 	})
 }
 
-// TestAbandonedCommands has callers leave while the duty comes to their commands:
-// what these write later is nothing of theirs. The race detector judges it.
+// TestAbandonedCommands cancels callers' contexts while the placement goroutine executes their
+// commands. A command that runs late must not write variables that its caller still reads. Only the
+// race detector finds such a fault.
 func TestAbandonedCommands(t *testing.T) {
 	e := New(Settings{Self: member.Entry{ID: "e1", Zone: "az1"}}, Dependencies{})
 	e.config.apply(resource.LogEntry{Revision: 1, Changes: []resource.Change{poolChange("desk", 1)}})
--- a/internal/peer/bytes_bench_test.go
+++ b/internal/peer/bytes_bench_test.go
@@ -19,7 +19,7 @@
 		h.Zones = append(h.Zones, entry.ZoneStatus{Zone: member.Zone(fmt.Sprintf("zone-%02d", z)), Revision: 4_000_000, Entries: 23, Age: time.Second})
 	}
 	for p := range pools {
-		status := entry.PoolStatus{Pool: "pool-01", Zone: "zone-01", Free: 100_000, Waiting: 10}
+		status := entry.PoolStatus{Pool: "pool-01", Zone: "zone-01", FreeTokens: 100_000, Waiting: 10}
 		for e := range engines {
 			status.Reports = append(status.Reports, policy.Report{
 				Engine: member.UpstreamID(fmt.Sprintf("engine-%d-%d", p, e)), TotalMemory: 400_000, UsedMemory: 300_000, Running: 200, StepTime: 30 * time.Millisecond,
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -136,7 +136,7 @@
 		From: member.Entry{ID: "a", Zone: "az1", PeerAddress: "10.0.0.1:1"}, Revision: 7, Leaving: true,
 		LeavingUpstreams: []member.UpstreamID{"g1"},
 		Zones:            []entry.ZoneStatus{{Zone: "az2", Revision: 6, Entries: 3, Age: time.Second}},
-		Pools: []entry.PoolStatus{{Pool: "desk", Zone: "az1", Free: 5, Waiting: 2, Reports: []policy.Report{
+		Pools: []entry.PoolStatus{{Pool: "desk", Zone: "az1", FreeTokens: 5, Waiting: 2, Reports: []policy.Report{
 			{Engine: "g1", TotalMemory: 100, UsedMemory: 50, Running: 4, Waiting: 1, StepTime: 20 * time.Millisecond},
 		}}},
 	}
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -93,7 +93,7 @@
 }
 
 func toWirePool(p entry.PoolStatus) wirePool {
-	w := wirePool{Pool: string(p.Pool), Zone: string(p.Zone), Free: int(p.Free), Waiting: p.Waiting}
+	w := wirePool{Pool: string(p.Pool), Zone: string(p.Zone), Free: int(p.FreeTokens), Waiting: p.Waiting}
 	for _, r := range p.Reports {
 		w.Reports = append(w.Reports, wireReport{
 			Engine: string(r.Engine), Memory: int(r.TotalMemory), Used: int(r.UsedMemory),
@@ -124,7 +124,7 @@
 
 func (w wirePool) status() entry.PoolStatus {
 	p := entry.PoolStatus{
-		Pool: resource.Name(w.Pool), Zone: member.Zone(w.Zone), Free: policy.Tokens(w.Free), Waiting: w.Waiting,
+		Pool: resource.Name(w.Pool), Zone: member.Zone(w.Zone), FreeTokens: policy.Tokens(w.Free), Waiting: w.Waiting,
 	}
 	for _, r := range w.Reports {
 		p.Reports = append(p.Reports, policy.Report{
--- a/internal/web/watch.go
+++ b/internal/web/watch.go
@@ -166,7 +166,7 @@
 	}
 	for _, p := range s.Pools {
 		answer.Pools = append(answer.Pools, poolAnswer{
-			Pool: string(p.Pool), FreeTokens: int(p.Free), Waiting: p.Waiting, Engines: len(p.Reports),
+			Pool: string(p.Pool), FreeTokens: int(p.FreeTokens), Waiting: p.Waiting, Engines: len(p.Reports),
 		})
 	}
 	return answer
