--- a/entry/fakeengines_test.go
+++ b/entry/fakeengines_test.go
@@ -16,32 +16,33 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// script is what one engine does with each reading of a run, in order. The
+// script is an engine's behaviour for one call of Start or Resume. Scripts are used in order; the
 // last one is repeated.
 type script struct {
-	// startErr and resumeErr refuse the reading.
+	// startErr and resumeErr are returned by Start and Resume.
 	startErr, resumeErr error
 	events              []StreamEvent
-	// endErr breaks the link after the events.
+	// endErr breaks the stream after the events.
 	endErr error
-	// crashes has the engine end, so that it can't be reached any more.
+	// crashes makes the engine unreachable from then on.
 	crashes bool
 }
 
-// fakeEngines are engines that follow scripts.
+// fakeEngines is a set of engines that follow scripts.
 type fakeEngines struct {
 	mu sync.Mutex
-	// scripts are followed in order, whichever engine is asked.
+	// scripts are used in order by all engines together.
 	scripts []script
-	// started and resumed count the calls that reached an engine.
+	// started counts the Start calls that reached each engine, and resumed holds the last received
+	// index of each successful Resume call.
 	started map[member.UpstreamID]int
 	resumed []int
-	// orders are those taken, as "ENGINE VERSION".
+	// orders are the orders received, as "ENGINE VERSION".
 	orders []string
 	loads  map[member.UpstreamID]EngineLoad
-	// crashed are the engines that have.
+	// crashed holds the engines that have crashed.
 	crashed map[member.UpstreamID]bool
-	// holdOpen keeps a stream open until it closes.
+	// holdOpen, if set, delays the last event of each stream until the channel is closed.
 	holdOpen chan struct{}
 }
 
@@ -77,7 +78,7 @@
 	return &fakeStream{run: r.Run, script: s, holdOpen: f.holdOpen}, nil
 }
 
-// startsByEngine counts the starts that reached each engine.
+// startsByEngine returns the number of Start calls that reached each engine.
 func (f *fakeEngines) startsByEngine() map[member.UpstreamID]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -132,7 +133,7 @@
 	f.loads[id] = load
 }
 
-// takeOrders returns the orders takeOrders so far and forgets them.
+// takeOrders returns the orders received since its last call.
 func (f *fakeEngines) takeOrders() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -141,16 +142,16 @@
 	return orders
 }
 
-// fakeLeases gives the lease to whoever asks while nobody holds it.
+// fakeLeases grants a lease to the first holder that asks for it.
 type fakeLeases struct {
 	mu    sync.Mutex
 	token uint64
 	held  map[string]bool
-	// renewalsFail says that the platform doesn't answer.
+	// renewalsFail makes Renew fail, as if the platform didn't answer.
 	renewalsFail bool
 }
 
-// failRenewals has the platform not answer any more.
+// failRenewals makes all later renewals fail.
 func (l *fakeLeases) failRenewals() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -238,7 +239,7 @@
 	return StreamEvent{Kind: EventEnd, Index: count, End: RunResult{Complete: true, CompletionTokens: count}}
 }
 
-// fakeSink gathers what reached the caller.
+// fakeSink records the tokens that reach the caller.
 type fakeSink struct {
 	mu       sync.Mutex
 	id       GenerationID
@@ -260,15 +261,14 @@
 
 func (s *fakeSink) Flush() error { return nil }
 
-// fakeServices counts the calls that reach an upstream.
+// fakeServices counts the calls that reach an upstream, by idempotency key.
 type fakeServices struct {
 	mu    sync.Mutex
 	calls map[string]int
-	// err is what each call ends with, after it was counted unless it wraps
-	// ErrNotSent.
+	// err is the result of each call. A call is counted unless err wraps ErrNotSent.
 	err   error
 	delay time.Duration
-	// backoff has each upstream answer 503 and ask for so long.
+	// backoff, if set, makes each upstream answer 503 with this Retry-After.
 	backoff time.Duration
 }
 
--- a/entry/fakesite_test.go
+++ b/entry/fakesite_test.go
@@ -16,20 +16,21 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// fakePeers reaches the entries of one test directly, but for the links that
-// are cut.
+// fakePeers connects an entry directly to the other entries of the test's site, except over links
+// that are down.
 type fakePeers struct {
 	mu       sync.Mutex
 	from     member.HostID
 	site     *fakeSite
 	linkDown map[member.HostID]bool
-	// frozen peers take a call and never answer.
+	// frozen peers accept a call and never answer.
 	frozen map[member.HostID]bool
-	// answersLate peers carry calls for places out when the caller has given up.
+	// answersLate holds the peers that handle a placement request only after its caller has given
+	// up.
 	answersLate map[member.HostID]bool
 }
 
-var errLinkDown = errors.New("the link is cut")
+var errLinkDown = errors.New("the link to the peer is down")
 
 func (p *fakePeers) reach(to member.Entry) (*Entry, error) {
 	p.mu.Lock()
@@ -71,7 +72,7 @@
 	return p.frozen[id]
 }
 
-func (p *fakePeers) Place(ctx context.Context, to member.Entry, pool resource.Name, asked []policy.Request) ([]policy.Decision, error) {
+func (p *fakePeers) Place(ctx context.Context, to member.Entry, pool resource.Name, requests []policy.Request) ([]policy.Decision, error) {
 	if p.isFrozen(to.ID) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -82,10 +83,10 @@
 	}
 	if p.isAnsweringLate(to.ID) {
 		<-ctx.Done()
-		_, _ = e.OnPlace(p.site.ctx, p.from, pool, asked)
+		_, _ = e.OnPlace(p.site.ctx, p.from, pool, requests)
 		return nil, ctx.Err()
 	}
-	return e.OnPlace(ctx, p.from, pool, asked)
+	return e.OnPlace(ctx, p.from, pool, requests)
 }
 
 func (p *fakePeers) setAnswersLate(id member.HostID) {
@@ -132,7 +133,7 @@
 	return e.OnLog(after), nil
 }
 
-// fakeHosts is a host list that tests change.
+// fakeHosts is a host list that a test can change.
 type fakeHosts struct {
 	mu   sync.Mutex
 	list member.HostList
@@ -154,7 +155,7 @@
 	change(&h.list)
 }
 
-// fakeSite is a set of entries over fakes.
+// fakeSite is a set of entries that share fake dependencies.
 type fakeSite struct {
 	store    *fakeStore
 	hosts    *fakeHosts
@@ -166,9 +167,9 @@
 	leases   fakeLeases
 	running  sync.WaitGroup
 	ctx      context.Context
-	// clock is of the entries that are added from now on; nil is the usual one.
+	// clock is the clock of entries that are added after it is set; nil means the default clock.
 	clock *clock.Clock
-	// upstreams tell of entries that are added from now on whether an upstream listens.
+	// upstreams is the prober of entries that are added after it is set.
 	upstreams UpstreamProber
 	// mu guards entries.
 	mu sync.Mutex
@@ -189,7 +190,7 @@
 	}
 }
 
-// addEntry starts an entry; it ends with the site's context.
+// addEntry starts an entry. The entry stops when the site's context ends.
 func (s *fakeSite) addEntry(id member.HostID, zone member.Zone) *Entry {
 	self := member.Entry{ID: id, Zone: zone, PeerAddress: string(id)}
 	peers := &fakePeers{from: id, site: s, linkDown: map[member.HostID]bool{}}
@@ -207,7 +208,7 @@
 	return e
 }
 
-// addEngine lists an engine that reports plenty of room.
+// addEngine lists an engine that reports much free memory.
 func (s *fakeSite) addEngine(id member.UpstreamID, zone member.Zone) {
 	s.engines.mu.Lock()
 	s.engines.loads[id] = EngineLoad{Report: policy.Report{TotalMemory: 100_000, StepTime: 20 * time.Millisecond}}
@@ -249,6 +250,7 @@
 
 var peerEntry = member.Entry{ID: "e9", Zone: "az1", PeerAddress: "e9"}
 
+// markG1Leaving marks the upstream g1 as leaving.
 func markG1Leaving(list *member.HostList) {
 	upstreams := append([]member.Upstream(nil), list.Upstreams...)
 	for i := range upstreams {
--- a/entry/fakestore_test.go
+++ b/entry/fakestore_test.go
@@ -17,37 +17,38 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-var errAnswerLost = errors.New("the answer was lost")
+var errAnswerLost = errors.New("the platform's answer was lost")
 
-// fakeStore is a platform in memory with scripted faults.
+// fakeStore is a Store in memory that can be made to fail.
 type fakeStore struct {
 	mu    sync.Mutex
 	items map[string]Item
 	index uint64
-	// faultFor is asked before each write; nil means that all goes well.
+	// faultFor returns the fault of each write; nil means that no write fails.
 	faultFor func(key string) writeFault
 	down     bool
 	// reads counts the calls of Get.
 	reads atomic.Int64
-	// writeDelay is how long each write's answer takes.
+	// writeDelay delays the answer to each write.
 	writeDelay time.Duration
 	// changed is closed and replaced at every write.
 	changed chan struct{}
-	// era rises with each restore; zero tells none. restored breaks the watches that wait.
+	// era rises with each restore; zero means that the store reports none. reportedEra is the era
+	// at the last answer. restored makes waiting watches fail.
 	era, reportedEra history.Era
 	restored         bool
 }
 
-// writeFault is what happens to one write.
+// writeFault is a failure of one write.
 type writeFault int
 
 const (
 	faultNone writeFault = iota
 	// faultNotSent refuses the write before it has an effect.
 	faultNotSent
-	// faultAnswerLost carries the write out and loses the answer.
+	// faultAnswerLost applies the write and loses the answer.
 	faultAnswerLost
-	// faultWriteLost loses the write, and its answer.
+	// faultWriteLost loses the write itself, and so also the answer.
 	faultWriteLost
 )
 
@@ -68,21 +69,21 @@
 	return item, nil
 }
 
-// Era is the present one: each call tells it.
+// Era returns the era of the last answer.
 func (s *fakeStore) Era() history.Era {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reportedEra
 }
 
-// snapshot returns the store as it is, for restore.
+// snapshot returns a copy of the items and the index, for restore.
 func (s *fakeStore) snapshot() (map[string]Item, uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.items), s.index
 }
 
-// restore has the store come back from a copy; it tells eras if it did before.
+// restore replaces the contents by those of a snapshot. The era rises if the store reports one.
 func (s *fakeStore) restore(items map[string]Item, index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,9 +97,9 @@
 }
 
 func (s *fakeStore) Swap(_ context.Context, key string, value []byte, v Version) (bool, error) {
-	wrote, slow, err := s.swap(key, value, v)
-	time.Sleep(slow)
-	return wrote, err
+	written, delay, err := s.swap(key, value, v)
+	time.Sleep(delay)
+	return written, err
 }
 
 func (s *fakeStore) swap(key string, value []byte, v Version) (written bool, delay time.Duration, err error) {
@@ -111,7 +112,7 @@
 	}
 	switch {
 	case down || fault == faultNotSent:
-		return false, s.writeDelay, fmt.Errorf("down: %w", ErrNotSent)
+		return false, s.writeDelay, fmt.Errorf("the store is down: %w", ErrNotSent)
 	case fault == faultWriteLost:
 		return false, s.writeDelay, errAnswerLost
 	}
@@ -178,7 +179,7 @@
 	s.changed = make(chan struct{})
 }
 
-// configLog returns the configuration configLog as it is written.
+// configLog returns the entries of the configuration log.
 func (s *fakeStore) configLog() []resource.LogEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -190,13 +191,14 @@
 		}
 		var e resource.LogEntry
 		if json.Unmarshal(item.Value, &e) != nil {
-			panic("an entry that can't be read")
+			panic("an entry of the configuration log is not valid JSON")
 		}
 		entries = append(entries, e)
 	}
 }
 
-// disconnectableStore cuts one entry off from the platform.
+// disconnectableStore is one entry's connection to the shared store, which can be cut for reads and
+// watches.
 type disconnectableStore struct {
 	*fakeStore
 	mu           sync.Mutex
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -16,36 +16,39 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// UpstreamProber tells whether an upstream still listens.
+// UpstreamProber checks whether an upstream's process still listens.
 type UpstreamProber interface {
-	// Closed reports whether nobody listens at an upstream's address, by the word of its
-	// machine; without that the error says why it isn't known.
+	// Closed reports whether the upstream's host refuses connections to the upstream's address, so
+	// that no process listens there. It returns an error if this can't be determined.
 	Closed(ctx context.Context, u member.Upstream) (bool, error)
 }
 
 const (
-	// crashWindow is how long after its first token a run counts as beginning on its
-	// engine; what has run for longer only ran beside.
+	// crashWindow is how long after its first token a run may be the cause of its engine's crash. A
+	// run that lasts longer only ran beside the request that caused it.
 	crashWindow = 500 * time.Millisecond
-	// closedCheckTimeout bounds the look at an upstream whose link broke: one that ended
-	// refuses a connection within a round trip.
+	// closedCheckTimeout bounds the check of an upstream whose link broke. The host of an ended
+	// upstream refuses a connection within a round trip.
 	closedCheckTimeout = 50 * time.Millisecond
-	// sameEndWindow is within how long two runs that lost their upstream lost it by one end.
+	// sameEndWindow is the time within which lost runs of one upstream are attributed to the same
+	// end of that upstream.
 	sameEndWindow = time.Second
 )
 
-// crashRegister are the requests under which upstreams ended, as this entry knows them.
+// crashRegister holds the requests under which upstreams ended, as far as this entry knows.
 type crashRegister struct {
 	quarantine.Register
-	// epoch tells this process from an earlier one of the host.
+	// epoch distinguishes this process from earlier ones on the same host.
 	epoch uint64
 
 	mu sync.Mutex
-	// recentEnds are the upstreams' last recentEnds that this entry saw. The host list tells one
-	// start of an upstream from another by nothing but its id, which some keep.
+	// recentEnds holds the last end of each upstream that this entry saw. It distinguishes
+	// successive instances of an upstream: the host list identifies an instance only by the
+	// upstream's id, and some upstreams keep their id after a restart.
 	recentEnds map[member.UpstreamID]upstreamEnd
 }
 
+// upstreamEnd is the end of one instance of an upstream.
 type upstreamEnd struct {
 	endedAt    time.Time
 	instanceID int64
@@ -55,7 +58,8 @@
 	return &crashRegister{epoch: rand.Uint64(), recentEnds: map[member.UpstreamID]upstreamEnd{}}
 }
 
-// endedInstance names the start of an upstream that has just ended.
+// endedInstance returns the instance of an upstream that has just ended. Calls within sameEndWindow
+// of the recorded end return the same instance.
 func (c *crashRegister) endedInstance(now time.Time, id member.UpstreamID) quarantine.Upstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,17 +76,17 @@
 	return quarantine.Upstream{ID: id, Life: end.instanceID}
 }
 
-// trackedRequest is one request as the quarantine tells it from others.
+// trackedRequest is a request with the properties by which the quarantine recognizes it.
 type trackedRequest struct {
 	quarantine.Asked
 	route       resource.Name
 	fingerprint *quarantine.Fingerprint
-	// isProbe says that this one finds out whether upstreams bear the request by now.
+	// isProbe reports whether this request is sent to find out whether upstreams now survive it.
 	isProbe bool
 }
 
-// mayProbe reports whether a request is the one by which an entry finds out whether upstreams
-// bear it by now. One entry does so for all.
+// mayProbe reports whether this request may be sent to find out whether upstreams now survive it.
+// Only one entry of the site sends such probes for a given request.
 func (e *Entry) mayProbe(r *trackedRequest) bool {
 	if !r.isProbe && e.members.decidesAlone(e.now(), r.fingerprint.String()) && e.crashes.TakeTry(e.now(), *r.fingerprint) {
 		r.isProbe = true
@@ -91,7 +95,7 @@
 	return r.isProbe
 }
 
-// checkQuarantine refuses a request under which upstreams ended, for it isn't sent any more.
+// checkQuarantine returns a failure if the request is quarantined because upstreams ended under it.
 func (e *Entry) checkQuarantine(r *trackedRequest) *Failure {
 	evidence, fingerprint := e.crashes.Judge(e.now(), r.Asked, r.fingerprint)
 	r.fingerprint = fingerprint
@@ -102,8 +106,10 @@
 	return newFailure(CodeQuarantined, NotRun, "%d upstreams ended while this request began to run on them; it is not sent to another", evidence.Ended)
 }
 
-// handleLostUpstream looks whether an upstream ended when the link to it handleLostUpstream, and if so counts that
-// against the request, which had begun there at a moment; zero for not yet.
+// handleLostUpstream checks whether an upstream has ended after the link to it broke, and if so
+// counts the end against the request. firstTokenAt is when the upstream's first token of the
+// request came; zero if none has come. An end isn't counted if the upstream is known to be leaving,
+// or if it comes later than crashWindow after the first token.
 func (e *Entry) handleLostUpstream(ctx context.Context, r *trackedRequest, u member.Upstream, firstTokenAt time.Time) {
 	now := e.now()
 	known, listed := e.members.Upstream(u.ID)
@@ -113,7 +119,7 @@
 	checkCtx, cancel := context.WithTimeout(ctx, closedCheckTimeout)
 	defer cancel()
 	if closed, _ := e.upstreams.Closed(checkCtx, u); !closed {
-		// It is there, or nothing is known of it: a link broke.
+		// The upstream still listens, or its state is unknown: only the link broke.
 		return
 	}
 	if r.fingerprint == nil {
@@ -125,7 +131,8 @@
 	e.members.nudge()
 }
 
-// recordSuccess takes in that an upstream has run the request and gone on.
+// recordSuccess records that an upstream ran the request and survived, which clears the request of
+// earlier ends.
 func (e *Entry) recordSuccess(r *trackedRequest) {
 	evidence, fingerprint := e.crashes.Judge(e.now(), r.Asked, r.fingerprint)
 	r.fingerprint = fingerprint
@@ -134,10 +141,11 @@
 	}
 }
 
-// Quarantine lists the requests under which upstreams ended.
+// Quarantine returns the requests under which upstreams ended.
 func (e *Entry) Quarantine() []quarantine.Entry { return e.crashes.Entries(e.now()) }
 
-// Release lets a request through again. It reports whether anything was against it.
+// Release clears a request of all ends of upstreams, so that it is sent again. It reports whether
+// any were recorded.
 func (e *Entry) Release(f quarantine.Fingerprint) bool {
 	if !e.crashes.RanWell(e.now(), f) {
 		return false
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -16,27 +16,26 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// What happened, before the other entry of the product: a request ended each engine that
-// began to run it, and its caller sent it anew to any host. Here the entry itself starts a
-// generation that was lost on up to three engines, so that one arrival ended three.
-//
-// The cause: engines and accounts were judged, but not what was asked.
+// These tests guard against a request that crashes every engine that starts it. An entry starts a
+// lost generation on up to three engines, so three engines crash each time the caller sends the
+// request, to whatever entry. Judging only engines and accounts, but not the request, doesn't stop
+// this.
 
-// fixedProber have all ended, or none.
+// fixedProber reports every upstream as closed, or none.
 type fixedProber struct{ closed bool }
 
 func (c fixedProber) Closed(context.Context, member.Upstream) (bool, error) { return c.closed, nil }
 
-// runInCrashSite plays a test on two entries in each of two zones before six engines; the
-// engines do what the script says.
-func runInCrashSite(t *testing.T, s script, ended bool, test func(is *is.I, s *fakeSite, entries []*Entry)) {
+// runInCrashSite runs a test on two entries in each of two zones and on six engines, all of which
+// follow the script. closed is what the prober reports.
+func runInCrashSite(t *testing.T, s script, closed bool, test func(is *is.I, s *fakeSite, entries []*Entry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		site := newFakeSite(ctx)
 		defer site.running.Wait()
 		defer cancel()
-		site.upstreams = fixedProber{ended}
+		site.upstreams = fixedProber{closed}
 		var entries []*Entry
 		for n := range 4 {
 			entries = append(entries, site.addEntry(member.HostID(fmt.Sprint("e", n)), member.Zone(fmt.Sprint("az", n%2))))
@@ -54,8 +53,8 @@
 	})
 }
 
-// TestRequestThatCrashesEngines has a request under which three engines ended be started on
-// no further one, at any entry, and its caller be told so at once.
+// TestRequestThatCrashesEngines checks that a request under which three engines ended is started on
+// no further engine by any entry, and that its caller gets the failure at once.
 func TestRequestThatCrashesEngines(t *testing.T) {
 	runInCrashSite(t, script{startErr: errLink, crashes: true}, true, func(is *is.I, s *fakeSite, entries []*Entry) {
 		for n := range 12 {
@@ -75,7 +74,8 @@
 	})
 }
 
-// TestServiceCallThatCrashesUpstreams is the same for calls of plain services.
+// TestServiceCallThatCrashesUpstreams checks that a service call under which three upstreams ended
+// is sent to no further upstream, while other calls are served.
 func TestServiceCallThatCrashesUpstreams(t *testing.T) {
 	runInCrashSite(t, script{}, true, func(is *is.I, s *fakeSite, entries []*Entry) {
 		s.addService("s2", "az1")
@@ -92,12 +92,12 @@
 		call.Path = "/y"
 		s.services.err = nil
 		_, err := entries[0].CallService(s.ctx, call)
-		is.NoErr(err) // another call is served
+		is.NoErr(err) // a different request to the same route is served
 	})
 }
 
-// TestBrokenLinksAreNotQuarantined has requests whose links broke, while their engines live, be
-// started again as ever.
+// TestBrokenLinksAreNotQuarantined checks that requests whose links broke while their engines kept
+// running are still started again.
 func TestBrokenLinksAreNotQuarantined(t *testing.T) {
 	runInCrashSite(t, script{startErr: errLink}, false, func(is *is.I, s *fakeSite, entries []*Entry) {
 		for n := range 6 {
--- a/entry/runrelay.go
+++ b/entry/runrelay.go
@@ -12,24 +12,25 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// relay passes one run's tokens from its engine to the caller, taking the
-// stream up again where the link fails.
+// relay passes a run's tokens from its engine to the caller. When the link to the engine fails, it
+// resumes the stream.
 type relay struct {
 	*generation
 	upstream member.Upstream
 	id       GenerationID
 	sequence sequence
-	// startedElsewhere says that the caller already has a part of the answer from
-	// another entry.
+	// startedElsewhere reports whether another entry started the run and has sent the caller a part
+	// of the answer.
 	startedElsewhere bool
-	// firstTokenAt is when this entry's first token of the run came; zero before that.
+	// firstTokenAt is when this entry received its first token of the run; zero before that.
 	firstTokenAt time.Time
 	// resumesWithoutToken counts the resumes since the last token.
 	resumesWithoutToken int
-	// lastErr is what ended the last reading.
+	// lastErr is the error that ended the last stream.
 	lastErr error
 }
 
+// formatPrefix returns the prefix hash in hexadecimal, or an empty string for zero.
 func formatPrefix(prefix uint64) string {
 	if prefix == 0 {
 		return ""
@@ -37,7 +38,7 @@
 	return strconv.FormatUint(prefix, 16)
 }
 
-// follow reads the run to its end. Without a stream it begins by resuming.
+// follow relays the run to its end. If the stream is nil, it resumes the run first.
 func (r *relay) follow(ctx context.Context, stream Stream) (RunResult, *Failure) {
 	for {
 		if stream == nil {
@@ -52,15 +53,15 @@
 			return result, failure
 		}
 		if !r.startedElsewhere {
-			// What a run asks that another entry began isn't known here.
+			// The request of a run that another entry started isn't known here.
 			r.entry.handleLostUpstream(ctx, &r.asking, r.upstream, r.firstTokenAt)
 		}
 		stream = nil
 	}
 }
 
-// relayEvents passes on what one stream brings. With neither an end nor a failure,
-// the run is to be taken up again.
+// relayEvents passes on the events of one stream. It reports whether the run has ended. If the run
+// has neither ended nor failed, the stream must be resumed.
 func (r *relay) relayEvents(ctx context.Context, stream Stream) (RunResult, bool, *Failure) {
 	for event, err := range stream.Events(r.flush) {
 		if ctx.Err() != nil || r.sinkErr != nil {
@@ -93,14 +94,14 @@
 	return RunResult{}, false, nil
 }
 
-// What makes a relay take a stream up again, besides a failing link.
+// Reasons for resuming a stream other than a failed link.
 var (
 	errMissingToken = errors.New("a token is missing")
 	errForeignRun   = errors.New("the link carries another run")
 	errNoEndEvent   = errors.New("the stream ended without an end mark")
 )
 
-// finish tells the sink of an answer that has no token at all.
+// finish begins the answer at the sink if the run had no token.
 func (r *relay) finish() *Failure {
 	r.begin()
 	if r.sinkErr != nil {
@@ -109,6 +110,7 @@
 	return nil
 }
 
+// begin calls the sink's Begin once.
 func (r *relay) begin() {
 	if !r.started {
 		r.started = true
@@ -122,6 +124,7 @@
 	}
 }
 
+// deliverToken passes a token to the sink and records its latency.
 func (r *relay) deliverToken(now time.Time, event StreamEvent) {
 	r.begin()
 	if r.sinkErr == nil {
@@ -142,8 +145,9 @@
 	r.lastToken = now
 }
 
-// resumeStream resumes the same run at the next index, until the engine says that it
-// doesn't have it or can't be reached any more.
+// resumeStream resumes the run behind the last delivered token. It retries with backoff until the
+// engine no longer has the run, the caller has left, or maxResumes resumes in a row have brought no
+// token.
 func (r *relay) resumeStream(ctx context.Context) (Stream, *Failure) {
 	for {
 		if r.resumesWithoutToken >= maxResumes {
@@ -167,6 +171,8 @@
 	}
 }
 
+// resumeReason returns the reason for a resume, as the observer counts it. Without an error, the
+// run was started by another entry.
 func resumeReason(err error) string {
 	switch {
 	case err == nil:
@@ -182,9 +188,9 @@
 	}
 }
 
-// sleepContext waits, and reports whether the context outlived the wait.
-func sleepContext(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
+// sleepContext waits for the delay. It reports false if the context ended first.
+func sleepContext(ctx context.Context, delay time.Duration) bool {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -194,7 +200,7 @@
 	}
 }
 
-// runFailure is the failure of a run that may have done its work.
+// runFailure returns the failure of a run whose work may have been done.
 func (r *relay) runFailure(code Code, format string, args ...any) *Failure {
 	state := Unknown
 	if r.sequence.delivered > 0 {
--- a/entry/sequence.go
+++ b/entry/sequence.go
@@ -9,31 +9,32 @@
 type eventAction int
 
 const (
-	// actionDeliver passes the token on: it is the next of the run.
+	// actionDeliver passes the token on: it is the next one of the run.
 	actionDeliver eventAction = iota
-	// actionDrop leaves out a token that the caller already has.
+	// actionDrop discards a token that the caller already has.
 	actionDrop
-	// actionResume asks the engine again from the next index: some are missing.
+	// actionResume resumes the run behind the last delivered token, because tokens are missing.
 	actionResume
-	// actionRejectForeign gives the link up: it carries another run's events.
+	// actionRejectForeign closes the stream, because it carries another run's events, and resumes
+	// the run.
 	actionRejectForeign
-	// actionFinish ends the answer: every token came.
+	// actionFinish ends the answer: all tokens were delivered.
 	actionFinish
-	// actionFail ends the answer as partial: the engine contradicts itself.
+	// actionFail ends the answer as incomplete: the engine reports fewer tokens than were
+	// delivered, or that the run isn't complete.
 	actionFail
 )
 
-// sequence decides which events of a stream reach the caller: exactly those of
-// its own run, in order, once each. The zero value with a run set has
-// delivered nothing.
+// sequence selects the events of a stream that reach the caller: exactly the tokens of its run, in
+// order, each once. With only run set, no token has been delivered.
 type sequence struct {
 	run policy.RunID
-	// delivered is the index of the last token passed on; the caller has
-	// exactly the tokens 1 to delivered.
+	// delivered is the index of the last token passed on. The caller has exactly the tokens 1 to
+	// delivered.
 	delivered int
 }
 
-// classify decides about an event. Only deliver moves the sequence on.
+// classify returns what to do with an event. It advances the sequence only for actionDeliver.
 func (s *sequence) classify(e StreamEvent) eventAction {
 	if e.Run != s.run {
 		return actionRejectForeign
@@ -51,6 +52,7 @@
 	return actionDeliver
 }
 
+// classifyEnd returns what to do with the run's end event.
 func (s *sequence) classifyEnd(end RunResult) eventAction {
 	switch {
 	case end.CompletionTokens > s.delivered:
--- a/entry/sequence_test.go
+++ b/entry/sequence_test.go
@@ -11,9 +11,9 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// TestSequenceDeliversOneRunInOrder feeds streams with duplicated, missing,
-// swapped and foreign events; what is delivered is always a prefix of the run,
-// each token once, and done is only said when all of it was delivered.
+// TestSequenceDeliversOneRunInOrder feeds a sequence with duplicated, missing, reordered and
+// foreign events. The delivered tokens must always be a prefix of the run, each token once, and
+// actionFinish may only be returned after the last token.
 func TestSequenceDeliversOneRunInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const run = policy.RunID("r")
@@ -31,15 +31,15 @@
 			switch s.classify(event) {
 			case actionDeliver:
 				if event.Run != run || event.Kind != EventToken || event.Index != before+1 || s.delivered != before+1 {
-					t.Fatalf("delivered %+v after %d tokens", event, before)
+					t.Fatalf("event %+v was delivered after %d tokens; want only the next token of the run, and the sequence to advance by 1", event, before)
 				}
 			case actionFinish:
 				if !ended || before != length {
-					t.Fatalf("done after %d of %d tokens", before, length)
+					t.Fatalf("actionFinish after %d of %d tokens; want it only for an end event after all tokens", before, length)
 				}
 			default:
 				if s.delivered != before {
-					t.Fatalf("an event that isn't delivered moved the sequence on: %+v", event)
+					t.Fatalf("event %+v was not delivered but advanced the sequence", event)
 				}
 			}
 		}
@@ -51,7 +51,7 @@
 	end := func(count int, whole bool) StreamEvent {
 		return StreamEvent{Run: "r", Kind: EventEnd, End: RunResult{Complete: whole, CompletionTokens: count}}
 	}
-	for name, test := range map[string]struct {
+	for name, tt := range map[string]struct {
 		event StreamEvent
 		want  eventAction
 	}{
@@ -69,8 +69,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := sequence{run: "r", delivered: 5}
-			if got := s.classify(test.event); got != test.want {
-				t.Fatalf("judged %d, want %d", got, test.want)
+			if got := s.classify(tt.event); got != tt.want {
+				t.Fatalf("classify returned action %d, want %d", got, tt.want)
 			}
 		})
 	}
--- a/entry/service.go
+++ b/entry/service.go
@@ -18,54 +18,55 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// ServiceRequest is a caller's call of a plain service.
+// ServiceRequest is a caller's request to a service route.
 type ServiceRequest struct {
 	Account resource.Account
 	Route   resource.Name
-	// ID is unique to the call; the upstream's answer must carry it or none.
+	// ID is unique to the call. The upstream's answer must carry the same ID or none.
 	ID     string
 	Method string
-	// Path is what follows the route's name, with the query.
+	// Path is the part of the request path after the route's name, with the query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// IdempotencyKey is the caller's; empty means that it gave none.
+	// IdempotencyKey is the caller's key; empty if it gave none.
 	IdempotencyKey string
 }
 
-// ServiceAnswer is an upstream's answer, whole unless Rest is set.
+// ServiceAnswer is an upstream's answer. Body is complete unless RemainingBody is set.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// RetryAfter is for how long the upstream wants nothing; zero doesn't ask.
+	// RetryAfter is how long the upstream asks for no further requests; zero if it doesn't ask.
 	RetryAfter time.Duration
-	// RemainingBody continues a body too long to be held; it is to be closed.
+	// RemainingBody reads the rest of a body that is too long to be buffered. The receiver must
+	// close it.
 	RemainingBody interface {
 		Read(p []byte) (int, error)
 		Close() error
 	}
 }
 
-// Services is the interface to the plain services.
+// Services is the client of the services.
 //
-// Call sends the request once, on no account twice. Its error wraps ErrNotSent
-// when no byte of the request can have left, and ErrCrossed when the answer
-// was another request's.
+// Call sends the request at most once. Its error wraps ErrNotSent if no byte of the request can
+// have been sent, ErrMismatchedAnswer if the answer belongs to another request, and
+// ErrTruncatedAnswer if the answer was cut short.
 type Services interface {
 	Call(ctx context.Context, u member.Upstream, r ServiceRequest) (ServiceAnswer, error)
 }
 
-// ErrMismatchedAnswer says that an upstream's answer belongs to another request.
-var ErrMismatchedAnswer = errors.New("the answer belongs to another request")
+// ErrMismatchedAnswer reports that an upstream's answer belongs to another request.
+var ErrMismatchedAnswer = errors.New("the upstream's answer belongs to another request")
 
-// ErrTruncatedAnswer says that an upstream's answer broke off.
-var ErrTruncatedAnswer = errors.New("the answer broke off")
+// ErrTruncatedAnswer reports that an upstream's answer ended early.
+var ErrTruncatedAnswer = errors.New("the upstream's answer ended early")
 
-// maxServiceAttempts is how many upstreams a call is tried on.
+// maxServiceAttempts bounds the upstreams that a call is tried on.
 const maxServiceAttempts = 3
 
-// CallService runs a plain service call. The error is a *Failure.
+// CallService sends a call to a service and returns the answer. The error is a *Failure.
 func (e *Entry) CallService(ctx context.Context, r ServiceRequest) (ServiceAnswer, error) {
 	answer, failure := e.callService(ctx, r)
 	e.answered("service", failure)
@@ -106,7 +107,7 @@
 	case failure == nil:
 		e.recordOutcome(claimed, answer.Status)
 	case failure.RunState == NotRun:
-		// Nothing left this entry: the caller may try again with the key.
+		// Nothing was sent, so the caller may retry with the same key.
 		e.spawn(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 			defer cancel()
@@ -116,15 +117,15 @@
 	return answer, failure
 }
 
-// serviceUpstreams lists a service's upstreams in the order to try: this
-// zone's in a random order, then the others'. wait is how long it is until one takes calls
-// where all asked this entry to stay away.
+// serviceUpstreams returns the upstreams of a service in the order in which they are tried: those
+// of this entry's zone, then the others, each in random order. If all of them asked this entry for
+// backoff, wait is the time until the first takes calls again.
 func (e *Entry) serviceUpstreams(name resource.Name) (upstreams []member.Upstream, wait time.Duration) {
-	all, wait := e.excludeBackingOff(e.members.upstreamsFor(member.KindService, name, ""))
-	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	ordered := make([]member.Upstream, 0, len(all))
+	available, wait := e.excludeBackingOff(e.members.upstreamsFor(member.KindService, name, ""))
+	rand.Shuffle(len(available), func(i, j int) { available[i], available[j] = available[j], available[i] })
+	ordered := make([]member.Upstream, 0, len(available))
 	for _, sameZone := range []bool{true, false} {
-		for _, u := range all {
+		for _, u := range available {
 			if (u.Zone == e.self.Zone) == sameZone {
 				ordered = append(ordered, u)
 			}
@@ -133,8 +134,8 @@
 	return ordered[:min(len(ordered), maxServiceAttempts)], wait
 }
 
-// callUpstreams tries one upstream after another: always while no byte has
-// left, and after that only where the route allows repeats.
+// callUpstreams tries one upstream after another. After an attempt that may have reached its
+// upstream, it goes on only if the route is repeatable.
 func (e *Entry) callUpstreams(ctx context.Context, route resource.Route, upstreams []member.Upstream, r ServiceRequest) (ServiceAnswer, *Failure) {
 	var lastFailure *Failure
 	tracked := trackedRequest{Asked: quarantine.Asked{
@@ -151,7 +152,8 @@
 		if failure == nil {
 			e.retries.earn()
 			if answer.Status != http.StatusServiceUnavailable && answer.Status != http.StatusTooManyRequests {
-				// These are said by one that is full, and needn't have run it.
+				// An overloaded upstream sends these two statuses, and may not have run the
+				// request.
 				e.recordSuccess(&tracked)
 			}
 			return answer, nil
@@ -168,6 +170,7 @@
 	return ServiceAnswer{}, lastFailure
 }
 
+// callUpstream sends the call to one upstream.
 func (e *Entry) callUpstream(ctx context.Context, u member.Upstream, r ServiceRequest) (ServiceAnswer, *Failure) {
 	ctx, span := e.tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("upstream", string(u.ID))))
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -23,10 +23,10 @@
 	return ServiceRequest{Account: "counter", Route: route, ID: "id", Method: "POST", Path: "/x", IdempotencyKey: key}
 }
 
-// TestServiceRetries repeats a call only where no byte can have left, or where
-// the route allows it.
+// TestServiceRetries checks that a call is repeated only if no byte can have been sent or if the
+// route allows repeats.
 func TestServiceRetries(t *testing.T) {
-	for name, test := range map[string]struct {
+	for name, tt := range map[string]struct {
 		route  resource.Name
 		key    string
 		err    error
@@ -54,20 +54,20 @@
 				s.addService("s2", "az2")
 				s.addService("s3", "az3")
 				time.Sleep(5 * time.Second)
-				s.services.err = test.err
-				_, err := e.CallService(s.ctx, serviceCall(test.route, test.key))
-				is.Equal(err != nil, test.denied)
+				s.services.err = tt.err
+				_, err := e.CallService(s.ctx, serviceCall(tt.route, tt.key))
+				is.Equal(err != nil, tt.denied)
 				var failure *Failure
 				if errors.As(err, &failure) {
-					is.Equal(failure.RunState, test.run)
+					is.Equal(failure.RunState, tt.run)
 				}
-				is.Equal(s.services.count(test.key), test.calls)
+				is.Equal(s.services.count(tt.key), tt.calls)
 			})
 		})
 	}
 }
 
-// TestClaimAfterNotRun lets a caller that was told not_run try again with its
+// TestClaimAfterNotRun checks that a caller whose call failed with not_run can retry with the same
 // key.
 func TestClaimAfterNotRun(t *testing.T) {
 	inSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
@@ -93,9 +93,9 @@
 	})
 }
 
-// TestAtMostOnceUnderFaults sends one call through several entries, again and
-// again, while the platform refuses, loses and half-loses writes. It is never
-// run twice, and when any caller was told not_run by all, it wasn't run.
+// TestAtMostOnceUnderFaults sends one call repeatedly through several entries, while the store
+// refuses writes, loses writes or loses their answers. The call must not run twice, and if it ran,
+// at least one caller must be told that it ran or that its outcome is unknown.
 func TestAtMostOnceUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		faults := rapid.SliceOfN(rapid.SampledFrom([]writeFault{
@@ -163,21 +163,21 @@
 	runs := s.services.count("k")
 	switch {
 	case runs > 1:
-		return fmt.Errorf("the call ran %d times", runs)
+		return fmt.Errorf("the call ran %d times, want at most once", runs)
 	case ok > 1:
-		return fmt.Errorf("%d callers were told that theirs ran", ok)
+		return fmt.Errorf("%d callers were told that their call ran, want at most 1", ok)
 	case runs == 1 && ok == 0 && unknown == 0:
-		return errors.New("the call ran, and all callers were told that it didn't")
+		return errors.New("the call ran, but every caller was told that it did not run")
 	}
 	return nil
 }
 
-// TestPausedClaimant never sends a call that it claimed too long ago.
+// TestPausedClaimant checks that a call is not sent if its claim was made too long ago.
 func TestPausedClaimant(t *testing.T) {
 	inSite(t, nil, nil, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
-		// The pause: the claim's write takes effect, and its answer is lost for
-		// longer than the claimant may take.
+		// The write of the claim takes effect, but its answer takes longer than claimTimeout and
+		// is then lost.
 		s.store.mu.Lock()
 		s.store.writeDelay = time.Hour
 		s.store.faultFor = func(string) writeFault { return faultAnswerLost }
@@ -190,7 +190,8 @@
 	})
 }
 
-// TestCallRunsTwiceAfterARestore: a claim that the platform has lost must not be made again.
+// TestCallRunsTwiceAfterARestore checks that a call isn't claimed and run again after a restore of
+// the platform has lost its claim.
 func TestCallRunsTwiceAfterARestore(t *testing.T) {
 	for name, second := range map[string]int{"at the same entry": 0, "at another": 1, "in another zone": 2} {
 		t.Run(name, func(t *testing.T) {
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -17,13 +17,13 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// runOnSuspendableEntry plays a test on an entry whose machine can be suspended.
+// runOnSuspendableEntry runs a test on an entry whose machine can be suspended.
 func runOnSuspendableEntry(t *testing.T, test func(is *is.I, s *fakeSite, e *Entry, m *clocktest.Machine)) {
 	t.Helper()
 	inSite(t, []script{{events: append(tokenEvents(1, 5), endEvent(5))}}, oneEngine, func(t *testing.T, s *fakeSite, _ *Entry) {
 		m := clocktest.NewMachine(t)
 		s.clock = m.Clock()
-		// Alone in its zone, it has every duty there.
+		// As the only entry of its zone, e2 has all duties of the zone.
 		e := s.addEntry("e2", "az2")
 		s.addEngine("g2", "az2")
 		time.Sleep(time.Minute)
@@ -32,8 +32,8 @@
 	})
 }
 
-// TestOrdersAcrossSuspension has an entry that was suspended for longer than its lease
-// holds give no order any more: another has the lease by now.
+// TestOrdersAcrossSuspension checks that an entry that was suspended for at least the TTL of its
+// order lease sends no further order, because another entry may hold the lease by then.
 func TestOrdersAcrossSuspension(t *testing.T) {
 	for _, slept := range clocktest.SuspensionDurations {
 		t.Run(slept.String(), func(t *testing.T) {
@@ -55,15 +55,15 @@
 				case slept <= time.Second:
 					is.True(ordered)
 				default:
-					// Whether the lease still holds depends on when it was last renewed.
+					// Whether the lease is still valid depends on when it was last renewed.
 				}
 			})
 		})
 	}
 }
 
-// TestClaimAcrossSuspension has a call whose claim took longer than a claim may, because
-// the machine was suspended meanwhile, not be sent.
+// TestClaimAcrossSuspension checks that a call isn't sent if claiming it took longer than
+// claimTimeout because the machine was suspended meanwhile.
 func TestClaimAcrossSuspension(t *testing.T) {
 	for _, slept := range clocktest.SuspensionDurations {
 		t.Run(slept.String(), func(t *testing.T) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// suspendingStore has the machine be suspended before the answer to a write is read.
+// suspendingStore suspends the machine after each write, before the caller reads the answer.
 type suspendingStore struct {
 	Store
 	machine    *clocktest.Machine
@@ -98,7 +98,8 @@
 	return written, err
 }
 
-// TestZonesAcrossSuspension has what is told of other zones be as old as it is.
+// TestZonesAcrossSuspension checks that the age of another zone's report includes the time for
+// which the machine was suspended.
 func TestZonesAcrossSuspension(t *testing.T) {
 	for _, slept := range clocktest.SuspensionDurations {
 		t.Run(slept.String(), func(t *testing.T) {
@@ -116,7 +117,7 @@
 				m.Suspend(slept)
 				is.True(reportAge() >= before+slept)
 				e.OnHeartbeat(e.Now(), Heartbeat{From: member.Entry{ID: "e1", Zone: "az1"}, Zones: []ZoneStatus{{Zone: "az1", Revision: 1, Entries: 1}}})
-				is.True(reportAge() >= slept) // it may have waited while the machine was suspended
+				is.True(reportAge() >= slept) // the report may have waited while the machine was suspended
 			})
 		})
 	}
