--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -28,10 +28,10 @@
 }
 
 // Place asks a coordinator for places.
-func (m *Mesh) Place(ctx context.Context, to member.Entry, pool resource.Name, asked []policy.Request) ([]policy.Decision, error) {
-	request := wirePlace{Pool: string(pool)}
+func (m *Mesh) Place(ctx context.Context, to member.Entry, pool resource.Name, requests []policy.Request) ([]policy.Decision, error) {
+	request := wirePlaceRequest{Pool: string(pool)}
 	now := m.clock.Now()
-	for _, r := range asked {
+	for _, r := range requests {
 		request.Asked = append(request.Asked, toWireRequest(now, r))
 	}
 	var answer wireDecisions
@@ -70,9 +70,9 @@
 
 // Log returns the configuration after a revision.
 func (m *Mesh) Log(ctx context.Context, to member.Entry, after resource.Revision) (entry.LogTail, error) {
-	var answer wireTail
+	var answer wireLogTail
 	var tail entry.LogTail
-	if err := m.call(ctx, to.PeerAddress, kindLog, wireLog{After: uint64(after)}, &answer); err != nil {
+	if err := m.call(ctx, to.PeerAddress, kindLog, wireLogRequest{After: uint64(after)}, &answer); err != nil {
 		return tail, err
 	}
 	if len(answer.Snapshot) > 0 {
@@ -90,13 +90,13 @@
 
 // Serve serves the peers' calls until the context ends. refused is told of
 // each connection that failed the greeting.
-func (m *Mesh) Serve(ctx context.Context, listener net.Listener, h entry.PeerHandler, refused func(error)) error {
-	return m.serve(ctx, listener, func(ctx context.Context, from member.HostID, k kind, body []byte) (any, error) {
-		return dispatch(ctx, m.clock.Now(), h, from, k, body)
-	}, h.OnLinkDown, refused)
+func (m *Mesh) Serve(ctx context.Context, listener net.Listener, h entry.PeerHandler, onRefused func(error)) error {
+	return m.serve(ctx, listener, func(ctx context.Context, from member.HostID, k callKind, body []byte) (any, error) {
+		return dispatchEntryCall(ctx, m.clock.Now(), h, from, k, body)
+	}, h.OnLinkDown, onRefused)
 }
 
-func dispatch(ctx context.Context, now time.Time, h entry.PeerHandler, from member.HostID, k kind, body []byte) (any, error) {
+func dispatchEntryCall(ctx context.Context, now time.Time, h entry.PeerHandler, from member.HostID, k callKind, body []byte) (any, error) {
 	switch k {
 	case kindHeartbeat:
 		return onHeartbeat(now, h, body)
@@ -124,15 +124,15 @@
 }
 
 func onPlace(ctx context.Context, now time.Time, h entry.PeerHandler, from member.HostID, body []byte) (any, error) {
-	var w wirePlace
+	var w wirePlaceRequest
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	asked := make([]policy.Request, 0, len(w.Asked))
+	requests := make([]policy.Request, 0, len(w.Asked))
 	for _, r := range w.Asked {
-		asked = append(asked, r.request(now))
+		requests = append(requests, r.request(now))
 	}
-	decisions, err := h.OnPlace(ctx, from, resource.Name(w.Pool), asked)
+	decisions, err := h.OnPlace(ctx, from, resource.Name(w.Pool), requests)
 	if err != nil {
 		return nil, err
 	}
@@ -174,12 +174,12 @@
 }
 
 func onLog(h entry.PeerHandler, body []byte) (any, error) {
-	var w wireLog
+	var w wireLogRequest
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	tail := h.OnLog(resource.Revision(w.After))
-	var answer wireTail
+	var answer wireLogTail
 	var err error
 	if tail.Snapshot != nil {
 		if answer.Snapshot, err = json.Marshal(tail.Snapshot); err != nil {
--- a/internal/peer/config_bench_test.go
+++ b/internal/peer/config_bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/shedpath/shedpath/forward"
 )
 
-// manyRoutes is a configuration of 1,500 routes, as one had that held hosts up.
-func manyRoutes() *forward.Config {
+// largeConfig is a configuration of 1,500 routes, as one had that held hosts up.
+func largeConfig() *forward.Config {
 	c := &forward.Config{Version: 9, Services: []forward.Service{{Name: "app"}}}
 	for n := range 1500 {
 		name := fmt.Sprintf("%x", uint32(n)*2654435761)
@@ -28,12 +28,12 @@
 	return c
 }
 
-// TestPackedConfig has a configuration arrive as it was, in a tenth of its bytes.
-func TestPackedConfig(t *testing.T) {
+// TestPackedConfigRoundTrip has a configuration arrive as it was, in a tenth of its bytes.
+func TestPackedConfigRoundTrip(t *testing.T) {
 	is := is.New(t)
-	c := manyRoutes()
+	c := largeConfig()
 	var p configPacker
-	w, err := p.wire(forward.ConfigReply{Config: c, Age: time.Second})
+	w, err := p.wireReply(forward.ConfigReply{Config: c, Age: time.Second})
 	is.NoErr(err)
 	got, err := w.reply()
 	is.NoErr(err)
@@ -43,7 +43,7 @@
 	is.NoErr(err)
 	t.Logf("%d bytes, packed %d", len(plain), len(w.Config))
 	is.True(len(w.Config)*10 <= len(plain))
-	none, err := p.wire(forward.ConfigReply{Age: time.Minute})
+	none, err := p.wireReply(forward.ConfigReply{Age: time.Minute})
 	is.NoErr(err)
 	got, err = none.reply()
 	is.NoErr(err)
@@ -54,7 +54,7 @@
 // 22 hosts ask for it: 25.9 ms and 8.1 MB when each got it as plain JSON, 2.7 ms and
 // 0.49 MB packed once.
 func BenchmarkConfigToPeers(b *testing.B) {
-	c := manyRoutes()
+	c := largeConfig()
 	const peers = 22
 	b.Run("each plain", func(b *testing.B) {
 		for b.Loop() {
@@ -71,7 +71,7 @@
 		for b.Loop() {
 			var p configPacker
 			for range peers {
-				w, err := p.wire(forward.ConfigReply{Config: c})
+				w, err := p.wireReply(forward.ConfigReply{Config: c})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -26,73 +26,73 @@
 
 // conn is the dialer's end of one connection, with many calls under way.
 type conn struct {
-	net net.Conn
+	netConn net.Conn
 
 	mu      sync.Mutex
 	nextID  uint64
 	pending map[uint64]chan *frame
-	// closed is the error that ended the connection; nil while it is up.
-	closed error
-	// heard is when the last frame came.
-	heard time.Time
+	// closeErr is the error that ended the connection; nil while it is up.
+	closeErr error
+	// lastFrameAt is when the last frame came.
+	lastFrameAt time.Time
 
-	// sent and received count the bytes of both directions.
-	sent, received *atomic.Int64
+	// sentBytes and receivedBytes count the bytes of both directions.
+	sentBytes, receivedBytes *atomic.Int64
 }
 
 func newConn(c net.Conn, sent, received *atomic.Int64) *conn {
-	return &conn{net: c, pending: map[uint64]chan *frame{}, sent: sent, received: received}
+	return &conn{netConn: c, pending: map[uint64]chan *frame{}, sentBytes: sent, receivedBytes: received}
 }
 
-// readerBytes is read at once from a link. Most messages are shorter, and a host has many links.
-const readerBytes = 1024
+// readBufferBytes is read at once from a link. Most messages are shorter, and a host has many links.
+const readBufferBytes = 1024
 
 // writeTimeout is how long a peer may leave a full socket unread before the
 // connection is given up.
 const writeTimeout = 2 * time.Second
 
 // call sends a request and waits for its reply.
-func (c *conn) call(ctx context.Context, k kind, request, reply any) error {
+func (c *conn) call(ctx context.Context, k callKind, request, reply any) error {
 	body, err := encode(request)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	sent := time.Now()
+	sentAt := time.Now()
 	id, answered, err := c.send(k, body)
 	if err != nil {
 		return err
 	}
 	select {
-	case f, up := <-answered:
-		return decodeReply(f, up, reply)
+	case f, ok := <-answered:
+		return decodeReply(f, ok, reply)
 	case <-ctx.Done():
-		c.abandon(time.Now(), id, sent, ctx.Err())
+		c.abandon(time.Now(), id, sentAt, ctx.Err())
 		return ctx.Err()
 	}
 }
 
-// silentFor is how long a link may bring nothing, while an answer is due, before
+// silenceTimeout is how long a link may bring nothing, while an answer is due, before
 // it is given up. Links can go silent for good without a reset while new ones work;
 // the kernel would notice after minutes, and the hosts would place on each other's
 // engines unseen for as long. Hosts answer each other within some milliseconds.
-const silentFor = 250 * time.Millisecond
+const silenceTimeout = 250 * time.Millisecond
 
-var errSilent = errors.New("the link to the peer is silent")
+var errLinkSilent = errors.New("the link to the peer is silent")
 
 // abandon forgets a call that got no answer in time, and gives the link up if
 // nothing has come over it since the call was sent.
-func (c *conn) abandon(now time.Time, id uint64, sent time.Time, why error) {
+func (c *conn) abandon(now time.Time, id uint64, sentAt time.Time, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
-	if errors.Is(why, context.DeadlineExceeded) && now.Sub(sent) >= silentFor && c.heard.Before(sent) {
-		c.fail(errSilent)
+	if errors.Is(cause, context.DeadlineExceeded) && now.Sub(sentAt) >= silenceTimeout && c.lastFrameAt.Before(sentAt) {
+		c.fail(errLinkSilent)
 	}
 }
 
-func decodeReply(f *frame, up bool, reply any) error {
+func decodeReply(f *frame, ok bool, reply any) error {
 	switch {
-	case !up:
+	case !ok:
 		return trace.ConnectionProblem(nil, "the link to the peer broke")
 	case f.Error != "":
 		return &callError{Message: f.Error}
@@ -101,11 +101,11 @@
 	}
 }
 
-func (c *conn) send(k kind, body []byte) (uint64, <-chan *frame, error) {
+func (c *conn) send(k callKind, body []byte) (uint64, <-chan *frame, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed != nil {
-		return 0, nil, c.closed
+	if c.closeErr != nil {
+		return 0, nil, c.closeErr
 	}
 	c.nextID++
 	id := c.nextID
@@ -115,19 +115,19 @@
 	}
 	answered := make(chan *frame, 1)
 	c.pending[id] = answered
-	if err := writeWhole(c.net, message); err != nil {
+	if err := writeMessage(c.netConn, message); err != nil {
 		c.fail(err)
 		return 0, nil, err
 	}
-	c.sent.Add(int64(len(message)))
+	c.sentBytes.Add(int64(len(message)))
 	return id, answered, nil
 }
 
-func writeWhole(to net.Conn, message []byte) error {
-	if err := to.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+func writeMessage(conn net.Conn, message []byte) error {
+	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return trace.Wrap(err)
 	}
-	if _, err := to.Write(message); err != nil {
+	if _, err := conn.Write(message); err != nil {
 		return trace.Wrap(err)
 	}
 	return nil
@@ -135,11 +135,11 @@
 
 // fail ends the connection and every call on it. The mutex is held.
 func (c *conn) fail(err error) {
-	if c.closed != nil {
+	if c.closeErr != nil {
 		return
 	}
-	c.closed = err
-	_ = c.net.Close()
+	c.closeErr = err
+	_ = c.netConn.Close()
 	for id, answered := range c.pending {
 		close(answered)
 		delete(c.pending, id)
@@ -148,7 +148,7 @@
 
 // readReplies hands replies to their calls until the connection ends.
 func (c *conn) readReplies() {
-	reader := bufio.NewReaderSize(&countingReader{from: c.net, count: c.received}, readerBytes)
+	reader := bufio.NewReaderSize(&countingReader{from: c.netConn, count: c.receivedBytes}, readBufferBytes)
 	for {
 		f, err := readFrame(reader)
 		c.mu.Lock()
@@ -157,7 +157,7 @@
 			c.mu.Unlock()
 			return
 		}
-		c.heard = time.Now()
+		c.lastFrameAt = time.Now()
 		if answered := c.pending[f.ID]; answered != nil && f.Reply {
 			delete(c.pending, f.ID)
 			answered <- f
@@ -172,10 +172,10 @@
 	c.fail(net.ErrClosed)
 }
 
-func (c *conn) up() bool {
+func (c *conn) isUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closed == nil
+	return c.closeErr == nil
 }
 
 type countingReader struct {
--- a/internal/peer/era_test.go
+++ b/internal/peer/era_test.go
@@ -14,8 +14,8 @@
 	"github.com/shedpath/shedpath/history"
 )
 
-// TestEraIsLostOnTheWire: a revision without its era is taken for one of another history.
-func TestEraIsLostOnTheWire(t *testing.T) {
+// TestEraRoundTrip: a revision without its era is taken for one of another history.
+func TestEraRoundTrip(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	orders := []forward.ZoneOrder{
@@ -25,11 +25,11 @@
 		Complete: true, ListRevision: history.NewPoint(4, 9), EraFirstSeen: history.NewPoint(4, 7), Zones: orders,
 		Changes: []forward.Change{{Upstream: forward.Upstream{ID: "u", Revision: history.NewPoint(3, 8)}, BelievedFrom: now.Add(5 * time.Second)}},
 	}
-	wire, err := toWireFollowed(now, sent, &listPacker{})
+	wire, err := toWireFollowReply(now, sent, &listPacker{})
 	is.NoErr(err)
 	text, err := msgpack.Marshal(wire)
 	is.NoErr(err)
-	var got wireFollowed
+	var got wireFollowReply
 	is.NoErr(msgpack.Unmarshal(text, &got))
 	reply, err := got.reply(now)
 	is.NoErr(err)
--- a/internal/peer/follow.go
+++ b/internal/peer/follow.go
@@ -13,8 +13,8 @@
 	"github.com/shedpath/shedpath/roster"
 )
 
-// wireFollow is forward.FollowRequest; the wait is in milliseconds.
-type wireFollow struct {
+// wireFollowRequest is forward.FollowRequest; the wait is in milliseconds.
+type wireFollowRequest struct {
 	Version, List uint64
 	ListEra       uint64 `msgpack:",omitempty"`
 	Epoch, Found  uint64
@@ -23,8 +23,8 @@
 	Announced     []wireAnnouncement
 }
 
-// wireFollowed is forward.FollowReply.
-type wireFollowed struct {
+// wireFollowReply is forward.FollowReply.
+type wireFollowReply struct {
 	Version uint64
 	Changes []wireChange
 	// Packed are the changes compressed, in place of Changes.
@@ -65,33 +65,33 @@
 	Age               int64
 }
 
-func toWireAnnouncements(told []roster.Announcement) []wireAnnouncement {
+func toWireAnnouncements(announced []roster.Announcement) []wireAnnouncement {
 	var w []wireAnnouncement
-	for _, a := range told {
+	for _, a := range announced {
 		w = append(w, wireAnnouncement{string(a.ID), string(a.Zone), a.PeerAddress, a.Capacity, a.Epoch, a.Count, a.Age.Milliseconds()})
 	}
 	return w
 }
 
 func announcements(w []wireAnnouncement) []roster.Announcement {
-	var told []roster.Announcement
+	var announced []roster.Announcement
 	for _, a := range w {
-		told = append(told, roster.Announcement{
+		announced = append(announced, roster.Announcement{
 			Entry: member.Entry{ID: member.HostID(a.ID), Zone: member.Zone(a.Zone), PeerAddress: a.Address, Capacity: a.Capacity},
 			Epoch: a.Epoch, Count: a.Count, Age: time.Duration(max(a.Age, 0)) * time.Millisecond,
 		})
 	}
-	return told
+	return announced
 }
 
-func toWireFollowed(now time.Time, r forward.FollowReply, packer *listPacker) (wireFollowed, error) {
-	w := wireFollowed{
+func toWireFollowReply(now time.Time, r forward.FollowReply, packer *listPacker) (wireFollowReply, error) {
+	w := wireFollowReply{
 		Busy:    r.Busy,
 		Version: uint64(r.Version), Whole: r.Complete, Gaps: r.HasGaps, EraFrom: uint64(r.EraFirstSeen.Revision()), EraAge: r.EraAge.Milliseconds(), Epoch: r.HostCursor.Epoch, Found: r.HostCursor.Position,
 		ConfigAge: r.ConfigAge.Milliseconds(), OriginAge: r.OriginAge.Milliseconds(),
 		Zones: toWireZones(now, r.Zones), Rollouts: toWireRollouts(r.Rollouts),
 	}
-	w.ListEra, w.List = numbers(r.ListRevision)
+	w.ListEra, w.List = pointNumbers(r.ListRevision)
 	w.Hosts = toWireAnnouncements(r.Announcements)
 	var err error
 	if w.Packed, err = packer.pack(now, r); err != nil || len(w.Packed) > 0 {
@@ -109,17 +109,17 @@
 		Slots: c.Slots, Leaving: c.Leaving, Gone: c.Gone, Missing: c.Missing,
 		Version: string(c.Version), Unusable: c.Unusable, Life: int64(c.Incarnation), Cold: max(c.ColdUntil.Sub(now).Milliseconds(), 0),
 	}
-	change.Era, change.Revision = numbers(c.Revision)
-	change.Believed = believedIn(now, c.BelievedFrom)
+	change.Era, change.Revision = pointNumbers(c.Revision)
+	change.Believed = believedDelayMillis(now, c.BelievedFrom)
 	return change
 }
 
-func (w wireFollowed) reply(now time.Time) (forward.FollowReply, error) {
+func (w wireFollowReply) reply(now time.Time) (forward.FollowReply, error) {
 	r := forward.FollowReply{
 		Busy:    w.Busy,
-		Version: forward.Version(w.Version), Complete: w.Whole, HasGaps: w.Gaps, ListRevision: point(w.ListEra, w.List), EraFirstSeen: point(w.ListEra, w.EraFrom), EraAge: time.Duration(w.EraAge) * time.Millisecond, HostCursor: forward.HostCursor{Epoch: w.Epoch, Position: w.Found},
+		Version: forward.Version(w.Version), Complete: w.Whole, HasGaps: w.Gaps, ListRevision: newPoint(w.ListEra, w.List), EraFirstSeen: newPoint(w.ListEra, w.EraFrom), EraAge: time.Duration(w.EraAge) * time.Millisecond, HostCursor: forward.HostCursor{Epoch: w.Epoch, Position: w.Found},
 		ConfigAge: time.Duration(w.ConfigAge) * time.Millisecond, OriginAge: time.Duration(w.OriginAge) * time.Millisecond,
-		Zones: zoneOrders(now, w.Zones), Rollouts: rollouts(w.Rollouts),
+		Zones: zoneOrders(now, w.Zones), Rollouts: rolloutStatuses(w.Rollouts),
 	}
 	for _, c := range w.Changes {
 		r.Changes = append(r.Changes, c.change(now))
@@ -137,25 +137,25 @@
 	c := forward.Change{
 		Upstream: forward.Upstream{
 			ID: member.UpstreamID(w.ID), Service: forward.ServiceName(w.Service), Address: w.Address,
-			Zone: member.Zone(w.Zone), Slots: w.Slots, Version: rollout.Version(w.Version), Leaving: w.Leaving, Incarnation: forward.Incarnation(w.Life), Revision: point(w.Era, w.Revision),
+			Zone: member.Zone(w.Zone), Slots: w.Slots, Version: rollout.Version(w.Version), Leaving: w.Leaving, Incarnation: forward.Incarnation(w.Life), Revision: newPoint(w.Era, w.Revision),
 		},
 		Gone: w.Gone, Missing: w.Missing, Unusable: w.Unusable,
 	}
 	if w.Cold > 0 {
 		c.ColdUntil = now.Add(time.Duration(w.Cold) * time.Millisecond)
 	}
-	c.BelievedFrom = believedFrom(now, w.Believed)
+	c.BelievedFrom = believedFromDelay(now, w.Believed)
 	return c
 }
 
 // Follow asks a peer for what is newer there.
 func (m *Mesh) Follow(ctx context.Context, to forward.Peer, r forward.FollowRequest) (forward.FollowReply, error) {
-	var answer wireFollowed
-	request := wireFollow{
+	var answer wireFollowReply
+	request := wireFollowRequest{
 		Version: uint64(r.Version), Epoch: r.HostCursor.Epoch, Found: r.HostCursor.Position, Wait: r.Wait.Milliseconds(),
 		From: string(r.From), Announced: toWireAnnouncements(r.Announcements),
 	}
-	request.ListEra, request.List = numbers(r.ListRevision)
+	request.ListEra, request.List = pointNumbers(r.ListRevision)
 	if err := m.call(ctx, to.PeerAddress, kindFollow, request, &answer); err != nil {
 		return forward.FollowReply{}, err
 	}
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -18,8 +18,8 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// forwardPeer is what peers ask of a forwarder.
-type forwardPeer interface {
+// forwardHandler is what peers ask of a forwarder.
+type forwardHandler interface {
 	OnShare(s forward.Share) forward.Share
 	OnFollow(ctx context.Context, r forward.FollowRequest) forward.FollowReply
 	OnConfig(have forward.Version) forward.ConfigReply
@@ -33,14 +33,14 @@
 }
 
 // ServeForward serves the peers of a forwarder until the context ends.
-func (m *Mesh) ServeForward(ctx context.Context, listener net.Listener, f forwardPeer, refused func(error)) error {
-	handle := func(ctx context.Context, _ member.HostID, k kind, body []byte) (any, error) {
-		return m.serveForward(ctx, f, k, body)
+func (m *Mesh) ServeForward(ctx context.Context, listener net.Listener, f forwardHandler, onRefused func(error)) error {
+	handle := func(ctx context.Context, _ member.HostID, k callKind, body []byte) (any, error) {
+		return m.dispatchForwardCall(ctx, f, k, body)
 	}
-	return m.serve(ctx, listener, handle, func(member.HostID) {}, refused)
+	return m.serve(ctx, listener, handle, func(member.HostID) {}, onRefused)
 }
 
-func (m *Mesh) serveForward(ctx context.Context, f forwardPeer, k kind, body []byte) (any, error) {
+func (m *Mesh) dispatchForwardCall(ctx context.Context, f forwardHandler, k callKind, body []byte) (any, error) {
 	switch k {
 	case kindShare:
 		var w wireShare
@@ -49,30 +49,30 @@
 		}
 		return toWireShare(m.clock.Now(), f.OnShare(w.share(m.clock.Now()))), nil
 	case kindFollow:
-		var w wireFollow
+		var w wireFollowRequest
 		if err := msgpack.Unmarshal(body, &w); err != nil {
 			return nil, trace.Wrap(err)
 		}
 		r := forward.FollowRequest{
 			From: member.HostID(w.From), Announcements: announcements(w.Announced),
-			Version: forward.Version(w.Version), ListRevision: point(w.ListEra, w.List),
+			Version: forward.Version(w.Version), ListRevision: newPoint(w.ListEra, w.List),
 			HostCursor: forward.HostCursor{Epoch: w.Epoch, Position: w.Found}, Wait: time.Duration(w.Wait) * time.Millisecond,
 		}
 		reply := f.OnFollow(ctx, r)
-		return toWireFollowed(m.clock.Now(), reply, &m.lists)
+		return toWireFollowReply(m.clock.Now(), reply, &m.lists)
 	case kindConfig:
 		var have uint64
 		if err := msgpack.Unmarshal(body, &have); err != nil {
 			return nil, trace.Wrap(err)
 		}
-		return m.packed.wire(f.OnConfig(forward.Version(have)))
+		return m.configs.wireReply(f.OnConfig(forward.Version(have)))
 	case kindAsk:
-		var w wireAsk
+		var w wirePlacementRequest
 		if err := msgpack.Unmarshal(body, &w); err != nil {
 			return nil, trace.Wrap(err)
 		}
-		grant := f.OnAsk(w.ask())
-		return wireGrant{Engine: string(grant.Engine), First: grant.TimeToFirstToken.Milliseconds()}, nil
+		grant := f.OnAsk(w.request())
+		return wirePlacementGrant{Engine: string(grant.Engine), First: grant.TimeToFirstToken.Milliseconds()}, nil
 	case kindPermit:
 		return onPermit(f, body)
 	case kindRollout:
@@ -82,7 +82,7 @@
 	case kindQuarantine:
 		return onQuarantine(f, body)
 	case kindTurn, kindEndTurn:
-		var w wireTurn
+		var w wireTurnRequest
 		if err := msgpack.Unmarshal(body, &w); err != nil {
 			return nil, trace.Wrap(err)
 		}
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -28,14 +28,14 @@
 	// ID pairs a reply with its call.
 	ID    uint64
 	Reply bool
-	Kind  kind
+	Kind  callKind
 	// Error is set in the reply to a call that failed.
 	Error string
 	Body  msgpack.RawMessage
 }
 
-// kind says what a call asks for.
-type kind uint8
+// callKind says what a call asks for.
+type callKind uint8
 
 // encode writes a value in msgpack with structs as arrays, to keep messages
 // small.
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -31,15 +31,15 @@
 )
 
 const (
-	dialerPart   = "shedpath peer dialer 1"
-	acceptorPart = "shedpath peer acceptor 1"
+	dialerRole   = "shedpath peer dialer 1"
+	acceptorRole = "shedpath peer acceptor 1"
 )
 
-func proof(key []byte, part string, theirs, ours []byte, name string) []byte {
+func handshakeMAC(key []byte, role string, receivedNonce, sentNonce []byte, name string) []byte {
 	mac := hmac.New(sha256.New, key)
-	mac.Write([]byte(part))
-	mac.Write(theirs)
-	mac.Write(ours)
+	mac.Write([]byte(role))
+	mac.Write(receivedNonce)
+	mac.Write(sentNonce)
 	mac.Write([]byte(name))
 	return mac.Sum(nil)
 }
@@ -51,21 +51,21 @@
 	return nonce
 }
 
-// greet does the dialer's side.
-func greet(conn net.Conn, key []byte, self member.HostID) error {
+// handshakeAsDialer does the dialer's side.
+func handshakeAsDialer(conn net.Conn, key []byte, self member.HostID) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return trace.Wrap(err)
 	}
-	theirs := make([]byte, nonceBytes)
-	if _, err := io.ReadFull(conn, theirs); err != nil {
+	acceptorNonce := make([]byte, nonceBytes)
+	if _, err := io.ReadFull(conn, acceptorNonce); err != nil {
 		return trace.Wrap(err)
 	}
-	ours, name := newNonce(), string(self)
+	dialerNonce, name := newNonce(), string(self)
 	var hello bytes.Buffer
-	hello.Write(ours)
+	hello.Write(dialerNonce)
 	hello.WriteByte(byte(len(name)))
 	hello.WriteString(name)
-	hello.Write(proof(key, dialerPart, theirs, ours, name))
+	hello.Write(handshakeMAC(key, dialerRole, acceptorNonce, dialerNonce, name))
 	if _, err := conn.Write(hello.Bytes()); err != nil {
 		return trace.Wrap(err)
 	}
@@ -73,35 +73,35 @@
 	if _, err := io.ReadFull(conn, mac); err != nil {
 		return trace.AccessDenied("the peer closed the handshake: its key may differ: %v", err)
 	}
-	if !hmac.Equal(mac, proof(key, acceptorPart, ours, theirs, name)) {
+	if !hmac.Equal(mac, handshakeMAC(key, acceptorRole, dialerNonce, acceptorNonce, name)) {
 		return trace.AccessDenied("the peer's key differs")
 	}
 	return conn.SetDeadline(time.Time{})
 }
 
-// welcome does the acceptor's side and returns the dialer's name.
-func welcome(conn net.Conn, key []byte) (member.HostID, error) {
+// handshakeAsAcceptor does the acceptor's side and returns the dialer's name.
+func handshakeAsAcceptor(conn net.Conn, key []byte) (member.HostID, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return "", trace.Wrap(err)
 	}
-	ours := newNonce()
-	if _, err := conn.Write(ours); err != nil {
+	acceptorNonce := newNonce()
+	if _, err := conn.Write(acceptorNonce); err != nil {
 		return "", trace.Wrap(err)
 	}
 	head := make([]byte, nonceBytes+1)
 	if _, err := io.ReadFull(conn, head); err != nil {
 		return "", trace.Wrap(err)
 	}
-	theirs, nameLength := head[:nonceBytes], int(head[nonceBytes])
+	dialerNonce, nameLength := head[:nonceBytes], int(head[nonceBytes])
 	rest := make([]byte, nameLength+macBytes)
 	if _, err := io.ReadFull(conn, rest); err != nil {
 		return "", trace.Wrap(err)
 	}
 	name, mac := string(rest[:nameLength]), rest[nameLength:]
-	if !hmac.Equal(mac, proof(key, dialerPart, ours, theirs, name)) {
+	if !hmac.Equal(mac, handshakeMAC(key, dialerRole, acceptorNonce, dialerNonce, name)) {
 		return "", trace.AccessDenied("a peer that calls itself %q has another key", name)
 	}
-	if _, err := conn.Write(proof(key, acceptorPart, theirs, ours, name)); err != nil {
+	if _, err := conn.Write(handshakeMAC(key, acceptorRole, dialerNonce, acceptorNonce, name)); err != nil {
 		return "", trace.Wrap(err)
 	}
 	return member.HostID(name), conn.SetDeadline(time.Time{})
--- a/internal/peer/list.go
+++ b/internal/peer/list.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// packedFrom is how many changes are compressed: a host that starts is told of every upstream.
-	packedFrom = 64
-	// packedFor is for how long a list is passed on as it was packed. What of it is told as the
+	// minPackedChanges is how many changes are compressed: a host that starts is told of every upstream.
+	minPackedChanges = 64
+	// packedListTTL is for how long a list is passed on as it was packed. What of it is told as the
 	// time that is left is late by as much at most.
-	packedFor = time.Second
+	packedListTTL = time.Second
 )
 
 // listPacker packs a list once for all peers that ask for it. The zero value works.
@@ -29,7 +29,7 @@
 	// generation and count are of the list that was packed last, at a time.
 	generation uint64
 	count      int
-	at         time.Time
+	packedAt   time.Time
 	packed     []byte
 }
 
@@ -37,29 +37,29 @@
 func (p *listPacker) pack(now time.Time, r forward.FollowReply) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.at) >= packedFor {
+	if now.Sub(p.packedAt) >= packedListTTL {
 		p.packed, p.count = nil, 0
 	}
-	if len(r.Changes) < packedFrom {
+	if len(r.Changes) < minPackedChanges {
 		return nil, nil
 	}
-	if r.Complete && p.generation == r.Generation && p.count == len(r.Changes) && now.Sub(p.at) < packedFor {
+	if r.Complete && p.generation == r.Generation && p.count == len(r.Changes) && now.Sub(p.packedAt) < packedListTTL {
 		return p.packed, nil
 	}
 	packed, err := packChanges(now, r.Changes)
 	if err == nil && r.Complete {
-		p.generation, p.count, p.at, p.packed = r.Generation, len(r.Changes), now, packed
+		p.generation, p.count, p.packedAt, p.packed = r.Generation, len(r.Changes), now, packed
 	}
 	return packed, err
 }
 
 func packChanges(now time.Time, changes []forward.Change) ([]byte, error) {
 	var packed bytes.Buffer
-	to, err := flate.NewWriter(&packed, flate.BestSpeed)
+	compressor, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	encoder := msgpack.NewEncoder(to)
+	encoder := msgpack.NewEncoder(compressor)
 	encoder.UseArrayEncodedStructs(true)
 	encoder.UseCompactInts(true)
 	if err := encoder.EncodeInt(int64(len(changes))); err != nil {
@@ -70,14 +70,14 @@
 			return nil, trace.Wrap(err)
 		}
 	}
-	if err := to.Close(); err != nil {
+	if err := compressor.Close(); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	return packed.Bytes(), nil
 }
 
-// mostPacked bounds the changes that are believed to be in a reply.
-const mostPacked = 1 << 20
+// maxPackedChanges bounds the changes that are believed to be in a reply.
+const maxPackedChanges = 1 << 20
 
 func unpackChanges(now time.Time, packed []byte) ([]forward.Change, error) {
 	decoder := msgpack.NewDecoder(flate.NewReader(bytes.NewReader(packed)))
@@ -85,10 +85,10 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "the peer's list can't be read")
 	}
-	if count < 0 || count > mostPacked {
+	if count < 0 || count > maxPackedChanges {
 		return nil, trace.BadParameter("the peer's list of %d can't be read", count)
 	}
-	names := map[string]string{}
+	interned := map[string]string{}
 	var changes []forward.Change
 	for range count {
 		var w wireChange
@@ -97,10 +97,10 @@
 		}
 		// Thousands of upstreams have few services, zones and versions.
 		for _, name := range []*string{&w.Service, &w.Zone, &w.Version} {
-			if kept, known := names[*name]; known {
-				*name = kept
+			if existing, found := interned[*name]; found {
+				*name = existing
 			} else {
-				names[*name] = *name
+				interned[*name] = *name
 			}
 		}
 		changes = append(changes, w.change(now))
--- a/internal/peer/list_test.go
+++ b/internal/peer/list_test.go
@@ -16,8 +16,8 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// wholeList is a reply with the list of a large fleet.
-func wholeList(now time.Time, upstreams int) forward.FollowReply {
+// fullListReply is a reply with the list of a large fleet.
+func fullListReply(now time.Time, upstreams int) forward.FollowReply {
 	r := forward.FollowReply{Complete: true, Generation: 1, ListRevision: history.NewPoint(2, 90)}
 	for n := range upstreams {
 		c := forward.Change{Upstream: forward.Upstream{
@@ -37,18 +37,18 @@
 func TestWholeListIsPackedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	sent := wholeList(now, 10000)
+	sent := fullListReply(now, 10000)
 	var packer listPacker
-	w, err := toWireFollowed(now, sent, &packer)
+	w, err := toWireFollowReply(now, sent, &packer)
 	is.NoErr(err)
-	again, err := toWireFollowed(now.Add(packedFor/2), sent, &packer)
+	again, err := toWireFollowReply(now.Add(packedListTTL/2), sent, &packer)
 	is.NoErr(err)
 	is.True(&w.Packed[0] == &again.Packed[0])
 	text, err := msgpack.Marshal(w)
 	is.NoErr(err)
 	t.Logf("%d bytes", len(text))
 	is.True(len(text) < 64*len(sent.Changes))
-	var got wireFollowed
+	var got wireFollowReply
 	is.NoErr(msgpack.Unmarshal(text, &got))
 	reply, err := got.reply(now)
 	is.NoErr(err)
@@ -59,7 +59,7 @@
 		}
 	}
 	sent.Generation++
-	changed, err := toWireFollowed(now, sent, &packer)
+	changed, err := toWireFollowReply(now, sent, &packer)
 	is.NoErr(err)
 	is.True(&w.Packed[0] != &changed.Packed[0])
 }
@@ -67,10 +67,10 @@
 // TestBrokenPackedList has a list that can't be read be refused.
 func TestBrokenPackedList(t *testing.T) {
 	is := is.New(t)
-	whole, err := packChanges(time.Now(), wholeList(time.Now(), 200).Changes)
+	whole, err := packChanges(time.Now(), fullListReply(time.Now(), 200).Changes)
 	is.NoErr(err)
 	for name, packed := range map[string][]byte{"cut": whole[:len(whole)/2], "noise": []byte("no list"), "start missing": whole[3:]} {
-		_, err := wireFollowed{Packed: packed}.reply(time.Now())
+		_, err := wireFollowReply{Packed: packed}.reply(time.Now())
 		if err == nil {
 			t.Errorf("%s: no error", name)
 		}
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -30,11 +30,11 @@
 	conns map[string]*conn
 	// dialing holds, by address, a channel that closes when the dial is done.
 	dialing map[string]chan struct{}
-	wait    conc.WaitGroup
-	packed  configPacker
+	readers conc.WaitGroup
+	configs configPacker
 	lists   listPacker
 
-	sent, received atomic.Int64
+	sentBytes, receivedBytes atomic.Int64
 }
 
 // Option changes a Mesh.
@@ -54,7 +54,7 @@
 
 // Bytes returns how much was sent and received so far, on connections that
 // this side dialled and on those it accepted.
-func (m *Mesh) Bytes() (sent, received int64) { return m.sent.Load(), m.received.Load() }
+func (m *Mesh) Bytes() (sent, received int64) { return m.sentBytes.Load(), m.receivedBytes.Load() }
 
 // Close ends the connections and waits for their readers.
 func (m *Mesh) Close() {
@@ -63,13 +63,13 @@
 		c.close()
 	}
 	m.mu.Unlock()
-	m.wait.Wait()
+	m.readers.Wait()
 }
 
 const dialTimeout = time.Second
 
 // call sends a request to the peer at an address and decodes its reply.
-func (m *Mesh) call(ctx context.Context, address string, k kind, request, reply any) error {
+func (m *Mesh) call(ctx context.Context, address string, k callKind, request, reply any) error {
 	c, err := m.connect(ctx, address)
 	if err != nil {
 		return err
@@ -82,17 +82,17 @@
 func (m *Mesh) connect(ctx context.Context, address string) (*conn, error) {
 	for {
 		m.mu.Lock()
-		if c := m.conns[address]; c != nil && c.up() {
+		if c := m.conns[address]; c != nil && c.isUp() {
 			m.mu.Unlock()
 			return c, nil
 		}
-		done, under := m.dialing[address]
-		if !under {
+		done, dialing := m.dialing[address]
+		if !dialing {
 			done = make(chan struct{})
 			m.dialing[address] = done
 		}
 		m.mu.Unlock()
-		if !under {
+		if !dialing {
 			return m.dial(ctx, address, done)
 		}
 		select {
@@ -104,7 +104,7 @@
 }
 
 func (m *Mesh) dial(ctx context.Context, address string, done chan struct{}) (*conn, error) {
-	c, err := m.open(ctx, address)
+	c, err := m.openConn(ctx, address)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.dialing, address)
@@ -113,37 +113,37 @@
 		return nil, err
 	}
 	m.conns[address] = c
-	m.wait.Go(c.readReplies)
+	m.readers.Go(c.readReplies)
 	return c, nil
 }
 
-func (m *Mesh) open(ctx context.Context, address string) (*conn, error) {
+func (m *Mesh) openConn(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	link, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "dialling peer %s", address)
 	}
-	if err := greet(link, m.key, m.self); err != nil {
+	if err := handshakeAsDialer(link, m.key, m.self); err != nil {
 		_ = link.Close()
 		return nil, trace.Wrap(err, "greeting peer %s", address)
 	}
-	return newConn(link, &m.sent, &m.received), nil
+	return newConn(link, &m.sentBytes, &m.receivedBytes), nil
 }
 
-// handler serves one call.
-type handler func(ctx context.Context, from member.HostID, k kind, body []byte) (any, error)
+// callHandler serves one call.
+type callHandler func(ctx context.Context, from member.HostID, k callKind, body []byte) (any, error)
 
-// maxCallsUnderWay bounds the calls that one peer may have open here.
-const maxCallsUnderWay = 256
+// maxCallsPerConn bounds the calls that one peer may have open here.
+const maxCallsPerConn = 256
 
 // serve takes connections until the listener is closed, and waits for their
 // calls to end.
-func (m *Mesh) serve(ctx context.Context, listener net.Listener, handle handler, down func(member.HostID), refused func(error)) error {
-	var wait conc.WaitGroup
-	defer wait.Wait()
+func (m *Mesh) serve(ctx context.Context, listener net.Listener, handle callHandler, onDisconnect func(member.HostID), onRefused func(error)) error {
+	var connections conc.WaitGroup
+	defer connections.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait.Go(func() {
+	connections.Go(func() {
 		<-ctx.Done()
 		_ = listener.Close()
 	})
@@ -155,48 +155,48 @@
 			}
 			return trace.Wrap(err)
 		}
-		wait.Go(func() {
+		connections.Go(func() {
 			defer link.Close()
 			from, err := m.serveConn(ctx, link, handle)
 			if err != nil {
-				refused(err)
+				onRefused(err)
 				return
 			}
-			down(from)
+			onDisconnect(from)
 		})
 	}
 }
 
 // serveConn serves one peer until its connection ends, and returns its name.
 // Only a failed greeting is an error: a link that breaks is everyday.
-func (m *Mesh) serveConn(ctx context.Context, link net.Conn, handle handler) (member.HostID, error) {
-	from, err := welcome(link, m.key)
+func (m *Mesh) serveConn(ctx context.Context, link net.Conn, handle callHandler) (member.HostID, error) {
+	from, err := handshakeAsAcceptor(link, m.key)
 	if err != nil {
 		return "", err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = link.Close() })
-	var wait conc.WaitGroup
-	defer wait.Wait()
+	var calls conc.WaitGroup
+	defer calls.Wait()
 	defer cancel()
 	defer stop()
-	var writing sync.Mutex
-	slots := make(chan struct{}, maxCallsUnderWay)
-	reader := bufio.NewReaderSize(&countingReader{from: link, count: &m.received}, readerBytes)
+	var writeLock sync.Mutex
+	slots := make(chan struct{}, maxCallsPerConn)
+	reader := bufio.NewReaderSize(&countingReader{from: link, count: &m.receivedBytes}, readBufferBytes)
 	for {
 		f, err := readFrame(reader)
 		if err != nil {
 			return from, nil
 		}
 		slots <- struct{}{}
-		wait.Go(func() {
+		calls.Go(func() {
 			defer func() { <-slots }()
-			m.answer(ctx, link, &writing, f, from, handle)
+			m.handleCall(ctx, link, &writeLock, f, from, handle)
 		})
 	}
 }
 
-func (m *Mesh) answer(ctx context.Context, link net.Conn, writing *sync.Mutex, f *frame, from member.HostID, handle handler) {
+func (m *Mesh) handleCall(ctx context.Context, link net.Conn, writeLock *sync.Mutex, f *frame, from member.HostID, handle callHandler) {
 	reply := frame{ID: f.ID, Reply: true, Kind: f.Kind}
 	result, err := handle(ctx, from, f.Kind, f.Body)
 	if err == nil {
@@ -210,11 +210,11 @@
 		_ = link.Close()
 		return
 	}
-	writing.Lock()
-	defer writing.Unlock()
-	if writeWhole(link, message) != nil {
+	writeLock.Lock()
+	defer writeLock.Unlock()
+	if writeMessage(link, message) != nil {
 		_ = link.Close()
 		return
 	}
-	m.sent.Add(int64(len(message)))
+	m.sentBytes.Add(int64(len(message)))
 }
--- a/internal/peer/message_size_bench_test.go
+++ b/internal/peer/message_size_bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-func heartbeatOf(zones, pools, engines int) entry.Heartbeat {
+func newTestHeartbeat(zones, pools, engines int) entry.Heartbeat {
 	h := entry.Heartbeat{From: member.Entry{ID: "entry-0123", Zone: "zone-01", PeerAddress: "10.11.12.13:8082"}, Revision: 4_000_000}
 	for z := range zones {
 		h.Zones = append(h.Zones, entry.ZoneStatus{Zone: member.Zone(fmt.Sprintf("zone-%02d", z)), Revision: 4_000_000, Entries: 23, Age: time.Second})
@@ -42,7 +42,7 @@
 		{"15 zones, 2 pools of 10 engines", 15, 2, 10},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			h := heartbeatOf(c.zones, c.pools, c.engines)
+			h := newTestHeartbeat(c.zones, c.pools, c.engines)
 			size := 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -55,7 +55,7 @@
 					b.Fatal(err)
 				}
 				size = len(message)
-				if _, err := onHeartbeat(time.Now(), &recorder{}, body); err != nil {
+				if _, err := onHeartbeat(time.Now(), &recordingHandler{}, body); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -75,7 +75,7 @@
 	for b.Loop() {
 		size = 0
 		for _, part := range []any{
-			wirePlace{Pool: "pool-01", Asked: []wireRequest{toWireRequest(time.Now(), asked)}},
+			wirePlaceRequest{Pool: "pool-01", Asked: []wireRequest{toWireRequest(time.Now(), asked)}},
 			toWireDecisions("pool-01", []policy.Decision{{Run: asked.Run, Verdict: policy.Granted, Engine: "engine-123", Priority: 200}}),
 			wireFinished{Pool: "pool-01", Finished: []wireFinish{{Run: string(asked.Run), Made: 400, Whole: true}}},
 			true,
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -26,71 +26,71 @@
 
 var testKey = []byte("a key of the test")
 
-// recorder is a handler that keeps what it was given.
-type recorder struct {
-	mu    sync.Mutex
-	from  member.HostID
-	pool  resource.Name
-	heard entry.Heartbeat
-	asked []policy.Request
-	done  []policy.Finish
-	runs  []entry.PlacedRun
-	told  []policy.Decision
-	down  member.HostID
-	// block holds OnPlace back until it closes.
-	block chan struct{}
+// recordingHandler is a handler that keeps what it was given.
+type recordingHandler struct {
+	mu        sync.Mutex
+	from      member.HostID
+	pool      resource.Name
+	heartbeat entry.Heartbeat
+	requests  []policy.Request
+	finishes  []policy.Finish
+	runs      []entry.PlacedRun
+	decisions []policy.Decision
+	down      member.HostID
+	// unblockPlace holds OnPlace back until it closes.
+	unblockPlace chan struct{}
 }
 
-func (r *recorder) OnHeartbeat(_ time.Time, h entry.Heartbeat) entry.Heartbeat {
+func (r *recordingHandler) OnHeartbeat(_ time.Time, h entry.Heartbeat) entry.Heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard = h
+	r.heartbeat = h
 	return entry.Heartbeat{From: member.Entry{ID: "b"}, Revision: 9}
 }
 
-func (r *recorder) OnPlace(_ context.Context, from member.HostID, pool resource.Name, asked []policy.Request) ([]policy.Decision, error) {
-	if r.block != nil {
-		<-r.block
+func (r *recordingHandler) OnPlace(_ context.Context, from member.HostID, pool resource.Name, requests []policy.Request) ([]policy.Decision, error) {
+	if r.unblockPlace != nil {
+		<-r.unblockPlace
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.from, r.pool, r.asked = from, pool, asked
+	r.from, r.pool, r.requests = from, pool, requests
 	if pool == "none" {
 		return nil, errors.New("no such pool")
 	}
 	return []policy.Decision{{
-		Run: asked[0].Run, Verdict: policy.Refused, Reason: policy.ReasonDeadline, RetryAfter: time.Second,
+		Run: requests[0].Run, Verdict: policy.Refused, Reason: policy.ReasonDeadline, RetryAfter: time.Second,
 	}}, nil
 }
 
-func (r *recorder) OnDecided(_ context.Context, _ member.HostID, _ resource.Name, told []policy.Decision) error {
+func (r *recordingHandler) OnDecided(_ context.Context, _ member.HostID, _ resource.Name, decisions []policy.Decision) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.told = told
+	r.decisions = decisions
 	return nil
 }
 
-func (r *recorder) OnFinished(_ context.Context, _ resource.Name, done []policy.Finish) error {
+func (r *recordingHandler) OnFinished(_ context.Context, _ resource.Name, finishes []policy.Finish) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.done = done
+	r.finishes = finishes
 	return nil
 }
 
-func (r *recorder) OnRunning(_ context.Context, _ member.HostID, _ resource.Name, runs []entry.PlacedRun) error {
+func (r *recordingHandler) OnRunning(_ context.Context, _ member.HostID, _ resource.Name, runs []entry.PlacedRun) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs = runs
 	return nil
 }
 
-func (r *recorder) OnLinkDown(from member.HostID) {
+func (r *recordingHandler) OnLinkDown(from member.HostID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = from
 }
 
-func (r *recorder) OnLog(after resource.Revision) entry.LogTail {
+func (r *recordingHandler) OnLog(after resource.Revision) entry.LogTail {
 	if after == 0 {
 		return entry.LogTail{Snapshot: &resource.Snapshot{Revision: 3, Resources: []resource.Resource{
 			{Kind: resource.Routes, Name: "quote", Revision: 2, Spec: json.RawMessage(`{"model":"m"}`)},
@@ -99,8 +99,8 @@
 	return entry.LogTail{Entries: []resource.LogEntry{{Revision: after + 1, Operation: "op"}}}
 }
 
-// serveTo starts a mesh that serves the handler and returns its address.
-func serveTo(t *testing.T, h entry.PeerHandler, refused func(error)) member.Entry {
+// startServer starts a mesh that serves the handler and returns its address.
+func startServer(t *testing.T, h entry.PeerHandler, onRefused func(error)) member.Entry {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,7 +110,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = NewMesh("b", testKey).Serve(ctx, listener, h, refused)
+		_ = NewMesh("b", testKey).Serve(ctx, listener, h, onRefused)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -119,20 +119,20 @@
 	return member.Entry{ID: "b", PeerAddress: listener.Addr().String()}
 }
 
-func newCaller(t *testing.T, key []byte) *Mesh {
+func newTestMesh(t *testing.T, key []byte) *Mesh {
 	t.Helper()
 	m := NewMesh("a", key)
 	t.Cleanup(m.Close)
 	return m
 }
 
-func ignore(error) {}
+func ignoreError(error) {}
 
 func TestCalls(t *testing.T) {
 	is := is.New(t)
-	h := &recorder{}
-	to, m, ctx := serveTo(t, h, ignore), newCaller(t, testKey), t.Context()
-	beat := entry.Heartbeat{
+	h := &recordingHandler{}
+	to, m, ctx := startServer(t, h, ignoreError), newTestMesh(t, testKey), t.Context()
+	heartbeat := entry.Heartbeat{
 		From: member.Entry{ID: "a", Zone: "az1", PeerAddress: "10.0.0.1:1"}, Revision: 7, Leaving: true,
 		LeavingUpstreams: []member.UpstreamID{"g1"},
 		Zones:            []entry.ZoneStatus{{Zone: "az2", Revision: 6, Entries: 3, Age: time.Second}},
@@ -140,10 +140,10 @@
 			{Engine: "g1", TotalMemory: 100, UsedMemory: 50, Running: 4, Waiting: 1, StepTime: 20 * time.Millisecond},
 		}}},
 	}
-	answer, err := m.Heartbeat(ctx, to, beat)
+	answer, err := m.Heartbeat(ctx, to, heartbeat)
 	is.NoErr(err)
 	is.Equal(answer.Revision, resource.Revision(9))
-	is.Equal(h.heard, beat)
+	is.Equal(h.heartbeat, heartbeat)
 
 	asked := policy.Request{
 		Run: "r", Route: "quote", Account: "c", Priority: -3, PromptTokens: 10, MaxOutputTokens: 20, Prefix: 1 << 63, PrefixTokens: 4,
@@ -153,18 +153,18 @@
 	is.NoErr(err)
 	is.Equal(decisions[0].RetryAfter, time.Second)
 	is.Equal(h.from, member.HostID("a"))
-	drift := h.asked[0].Deadline.Sub(asked.Deadline)
+	drift := h.requests[0].Deadline.Sub(asked.Deadline)
 	is.True(drift >= 0 && drift < time.Minute) // what was left, not the clock's time
-	h.asked[0].Deadline = asked.Deadline
-	is.Equal(h.asked[0], asked)
+	h.requests[0].Deadline = asked.Deadline
+	is.Equal(h.requests[0], asked)
 
 	_, err = m.Place(ctx, to, "none", []policy.Request{asked})
 	var refused *callError
 	is.True(errors.As(err, &refused)) // the link stays up
 	is.NoErr(m.Decided(ctx, to, "desk", []policy.Decision{{Run: "r", Verdict: policy.Granted, Engine: "g", Priority: 2}}))
-	is.Equal(h.told[0].Engine, member.UpstreamID("g"))
+	is.Equal(h.decisions[0].Engine, member.UpstreamID("g"))
 	is.NoErr(m.Finished(ctx, to, "desk", []policy.Finish{{Run: "r", GeneratedTokens: 4, Complete: true}}))
-	is.Equal(h.done, []policy.Finish{{Run: "r", GeneratedTokens: 4, Complete: true}})
+	is.Equal(h.finishes, []policy.Finish{{Run: "r", GeneratedTokens: 4, Complete: true}})
 	is.NoErr(m.Running(ctx, to, "desk", []entry.PlacedRun{{Request: asked, Engine: "g", Made: 3}}))
 	is.Equal(h.runs[0].Made, policy.Tokens(3))
 
@@ -176,23 +176,23 @@
 	is.Equal(tail.Entries[0].Revision, resource.Revision(5))
 }
 
-// TestSlowCallHoldsNoOther has a heartbeat pass while a call is held back, and
+// TestSlowCallDoesNotBlockOthers has a heartbeat pass while a call is held back, and
 // the held call ends with its context.
-func TestSlowCallHoldsNoOther(t *testing.T) {
+func TestSlowCallDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
-	h := &recorder{block: make(chan struct{})}
-	to, m := serveTo(t, h, ignore), newCaller(t, testKey)
+	h := &recordingHandler{unblockPlace: make(chan struct{})}
+	to, m := startServer(t, h, ignoreError), newTestMesh(t, testKey)
 	ctx, cancel := context.WithCancel(t.Context())
-	held := make(chan error)
+	slowCall := make(chan error)
 	go func() {
 		_, err := m.Place(ctx, to, "desk", []policy.Request{{Run: "r"}})
-		held <- err
+		slowCall <- err
 	}()
 	_, err := m.Heartbeat(t.Context(), to, entry.Heartbeat{})
 	is.NoErr(err)
 	cancel()
-	is.True(errors.Is(<-held, context.Canceled))
-	close(h.block)
+	is.True(errors.Is(<-slowCall, context.Canceled))
+	close(h.unblockPlace)
 	_, err = m.Heartbeat(t.Context(), to, entry.Heartbeat{})
 	is.NoErr(err)
 }
@@ -200,41 +200,41 @@
 func TestWrongKey(t *testing.T) {
 	is := is.New(t)
 	refused := make(chan error, 1)
-	h := &recorder{}
-	to := serveTo(t, h, func(err error) { refused <- err })
-	_, err := newCaller(t, []byte("another key")).Heartbeat(t.Context(), to, entry.Heartbeat{})
+	h := &recordingHandler{}
+	to := startServer(t, h, func(err error) { refused <- err })
+	_, err := newTestMesh(t, []byte("another key")).Heartbeat(t.Context(), to, entry.Heartbeat{})
 	is.True(err != nil)
 	is.True(<-refused != nil)
-	is.Equal(h.heard.From.ID, member.HostID("")) // nothing was handled
+	is.Equal(h.heartbeat.From.ID, member.HostID("")) // nothing was handled
 }
 
 // TestBrokenLink ends the calls under way and dials anew for the next.
 func TestBrokenLink(t *testing.T) {
 	is := is.New(t)
-	h := &recorder{block: make(chan struct{})}
-	to, m := serveTo(t, h, ignore), newCaller(t, testKey)
-	held := make(chan error)
+	h := &recordingHandler{unblockPlace: make(chan struct{})}
+	to, m := startServer(t, h, ignoreError), newTestMesh(t, testKey)
+	slowCall := make(chan error)
 	go func() {
 		_, err := m.Place(t.Context(), to, "desk", []policy.Request{{Run: "r"}})
-		held <- err
+		slowCall <- err
 	}()
 	_, err := m.Heartbeat(t.Context(), to, entry.Heartbeat{})
 	is.NoErr(err)
 	m.mu.Lock()
 	link := m.conns[to.PeerAddress]
 	m.mu.Unlock()
-	_ = link.net.Close()
-	close(h.block)
-	<-held // broken, or answered just before
+	_ = link.netConn.Close()
+	close(h.unblockPlace)
+	<-slowCall // broken, or answered just before
 	_, err = m.Heartbeat(t.Context(), to, entry.Heartbeat{})
 	for err != nil {
 		_, err = m.Heartbeat(t.Context(), to, entry.Heartbeat{})
 	}
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestCallToClosedPort(t *testing.T) {
 	is := is.New(t)
-	_, err := newCaller(t, testKey).Heartbeat(t.Context(), member.Entry{PeerAddress: "127.0.0.1:1"}, entry.Heartbeat{})
+	_, err := newTestMesh(t, testKey).Heartbeat(t.Context(), member.Entry{PeerAddress: "127.0.0.1:1"}, entry.Heartbeat{})
 	is.True(err != nil)
 }
 
@@ -276,12 +276,12 @@
 	}
 	f.Fuzz(func(_ *testing.T, k byte, body []byte) {
 		h := &fuzzHandler{}
-		_, _ = dispatch(context.Background(), time.Now(), h, "a", kind(k), body)
+		_, _ = dispatchEntryCall(context.Background(), time.Now(), h, "a", callKind(k), body)
 	})
 }
 
 // fuzzHandler takes anything.
-type fuzzHandler struct{ recorder }
+type fuzzHandler struct{ recordingHandler }
 
 func (*fuzzHandler) OnPlace(context.Context, member.HostID, resource.Name, []policy.Request) ([]policy.Decision, error) {
 	return nil, nil
--- a/internal/peer/permits.go
+++ b/internal/peer/permits.go
@@ -16,34 +16,34 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// wireLimit is ratelimit.Mark; Age is in milliseconds.
-type wireLimit struct {
+// wireLimitMark is ratelimit.Mark; Age is in milliseconds.
+type wireLimitMark struct {
 	Upstream  string
 	Life, Age int64
 	Named     bool
 	Rate      float64
 }
 
-func toWireLimit(m ratelimit.Mark) wireLimit {
-	return wireLimit{Upstream: string(m.Upstream), Life: m.Life, Age: m.Age.Milliseconds(), Named: m.Named, Rate: float64(m.Rate)}
+func toWireLimitMark(m ratelimit.Mark) wireLimitMark {
+	return wireLimitMark{Upstream: string(m.Upstream), Life: m.Life, Age: m.Age.Milliseconds(), Named: m.Named, Rate: float64(m.Rate)}
 }
 
-func toWireLimits(marks []ratelimit.Mark) []wireLimit {
-	var w []wireLimit
+func toWireLimitMarks(marks []ratelimit.Mark) []wireLimitMark {
+	var w []wireLimitMark
 	for _, m := range marks {
-		w = append(w, toWireLimit(m))
+		w = append(w, toWireLimitMark(m))
 	}
 	return w
 }
 
-func (w wireLimit) mark() ratelimit.Mark {
+func (w wireLimitMark) mark() ratelimit.Mark {
 	return ratelimit.Mark{
 		Upstream: member.UpstreamID(w.Upstream), Life: w.Life, Age: time.Duration(w.Age) * time.Millisecond,
 		Named: w.Named, Rate: ratelimit.Rate(w.Rate).Sane(),
 	}
 }
 
-func limitMarks(w []wireLimit) []ratelimit.Mark {
+func limitMarks(w []wireLimitMark) []ratelimit.Mark {
 	var marks []ratelimit.Mark
 	for _, l := range w {
 		marks = append(marks, l.mark())
@@ -51,26 +51,26 @@
 	return marks
 }
 
-// wirePermit is permit.Ask; Word is empty where there is none.
-type wirePermit struct {
+// wirePermitRequest is permit.Ask; Word is empty where there is none.
+type wirePermitRequest struct {
 	From, Upstream string
 	Rate           float64
 	Rank           int
 	Repeat, Must   bool
-	Word           []wireLimit
+	Word           []wireLimitMark
 }
 
-func toWirePermit(a permit.Ask) wirePermit {
-	w := wirePermit{
+func toWirePermitRequest(a permit.Ask) wirePermitRequest {
+	w := wirePermitRequest{
 		From: string(a.From), Upstream: string(a.Upstream), Rate: float64(a.Rate), Rank: a.Rank, Repeat: a.Repeat, Must: a.Must,
 	}
 	if a.HasWord {
-		w.Word = []wireLimit{toWireLimit(a.Word)}
+		w.Word = []wireLimitMark{toWireLimitMark(a.Word)}
 	}
 	return w
 }
 
-func (w wirePermit) ask() permit.Ask {
+func (w wirePermitRequest) request() permit.Ask {
 	a := permit.Ask{
 		Upstream: member.UpstreamID(w.Upstream),
 		Ask:      ratelimit.Ask{From: member.HostID(w.From), Rate: ratelimit.Rate(w.Rate).Sane(), Rank: w.Rank, Repeat: w.Repeat, Must: w.Must},
@@ -81,28 +81,28 @@
 	return a
 }
 
-// wirePermitted is permit.Reply; Wait is in milliseconds.
-type wirePermitted struct {
+// wirePermitReply is permit.Reply; Wait is in milliseconds.
+type wirePermitReply struct {
 	Granted, Passed bool
 	Wait            int64
 	// ID, Zone and Address are those of the host that grants instead; empty for none.
 	ID, Zone, Address string
 	Unknown           bool
-	Word              []wireLimit
+	Word              []wireLimitMark
 }
 
-func toWirePermitted(r permit.Reply) wirePermitted {
-	w := wirePermitted{
+func toWirePermitReply(r permit.Reply) wirePermitReply {
+	w := wirePermitReply{
 		Granted: r.Granted, Passed: r.Passed, Wait: r.Wait.Milliseconds(), Unknown: r.Unknown,
 		ID: string(r.Granter.ID), Zone: string(r.Granter.Zone), Address: r.Granter.PeerAddress,
 	}
 	if r.HasWord {
-		w.Word = []wireLimit{toWireLimit(r.Word)}
+		w.Word = []wireLimitMark{toWireLimitMark(r.Word)}
 	}
 	return w
 }
 
-func (w wirePermitted) reply() permit.Reply {
+func (w wirePermitReply) reply() permit.Reply {
 	r := permit.Reply{
 		Grant:   ratelimit.Grant{Granted: w.Granted, Passed: w.Passed, Wait: time.Duration(w.Wait) * time.Millisecond},
 		Granter: forward.Peer{ID: member.HostID(w.ID), Zone: member.Zone(w.Zone), PeerAddress: w.Address},
@@ -116,17 +116,17 @@
 
 // Permit asks a peer for leave to send to an upstream.
 func (m *Mesh) Permit(ctx context.Context, to forward.Peer, a permit.Ask) (permit.Reply, error) {
-	var answer wirePermitted
-	if err := m.call(ctx, to.PeerAddress, kindPermit, toWirePermit(a), &answer); err != nil {
+	var answer wirePermitReply
+	if err := m.call(ctx, to.PeerAddress, kindPermit, toWirePermitRequest(a), &answer); err != nil {
 		return permit.Reply{}, err
 	}
 	return answer.reply(), nil
 }
 
-func onPermit(f forwardPeer, body []byte) (any, error) {
-	var w wirePermit
+func onPermit(f forwardHandler, body []byte) (any, error) {
+	var w wirePermitRequest
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return toWirePermitted(f.OnPermit(w.ask())), nil
+	return toWirePermitReply(f.OnPermit(w.request())), nil
 }
--- a/internal/peer/places.go
+++ b/internal/peer/places.go
@@ -13,27 +13,27 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// wireTurn is forward.TurnRequest. Wait is how long the arbiter may hold it, in
+// wireTurnRequest is forward.TurnRequest. Wait is how long the arbiter may hold it, in
 // milliseconds: the caller's context doesn't travel.
-type wireTurn struct {
+type wireTurnRequest struct {
 	Engine, Run string
 	Worth       int
 	AtOnce      bool
 	Wait        int64
 }
 
-func toWireTurn(r forward.TurnRequest) wireTurn {
-	return wireTurn{Engine: string(r.Engine), Run: string(r.Run), Worth: r.Worth, AtOnce: r.AtOnce}
+func toWireTurnRequest(r forward.TurnRequest) wireTurnRequest {
+	return wireTurnRequest{Engine: string(r.Engine), Run: string(r.Run), Worth: r.Worth, AtOnce: r.AtOnce}
 }
 
-func (w wireTurn) request() forward.TurnRequest {
+func (w wireTurnRequest) request() forward.TurnRequest {
 	return forward.TurnRequest{Engine: member.UpstreamID(w.Engine), Run: policy.RunID(w.Run), Worth: w.Worth, AtOnce: w.AtOnce}
 }
 
 // Turn waits at an arbiter for the turn to move a run.
 func (m *Mesh) Turn(ctx context.Context, to forward.Peer, r forward.TurnRequest) error {
 	var answer bool
-	w := toWireTurn(r)
+	w := toWireTurnRequest(r)
 	if deadline, ok := ctx.Deadline(); ok {
 		w.Wait = time.Until(deadline).Milliseconds()
 	}
@@ -43,11 +43,11 @@
 // EndTurn gives a turn back to its arbiter.
 func (m *Mesh) EndTurn(ctx context.Context, to forward.Peer, r forward.TurnRequest) error {
 	var answer bool
-	return m.call(ctx, to.PeerAddress, kindEndTurn, toWireTurn(r), &answer)
+	return m.call(ctx, to.PeerAddress, kindEndTurn, toWireTurnRequest(r), &answer)
 }
 
-// wireAsk is forward.PlaceAsk; times are in milliseconds.
-type wireAsk struct {
+// wirePlacementRequest is forward.PlaceAsk; times are in milliseconds.
+type wirePlacementRequest struct {
 	From, Service, Run, Route, Account string
 	Urgency, Prompt, Limit             int
 	Objective, Waited                  int64
@@ -55,14 +55,14 @@
 	OnlyGroup, ButGroup                string
 }
 
-// wireGrant is forward.PlaceGrant; First is in milliseconds.
-type wireGrant struct {
+// wirePlacementGrant is forward.PlaceGrant; First is in milliseconds.
+type wirePlacementGrant struct {
 	Engine string
 	First  int64
 }
 
-func toWireAsk(a forward.PlacementRequest) wireAsk {
-	w := wireAsk{
+func toWirePlacementRequest(a forward.PlacementRequest) wirePlacementRequest {
+	w := wirePlacementRequest{
 		From: string(a.From), Service: string(a.Service), Run: string(a.Run), Route: string(a.Route), Account: string(a.Account),
 		Urgency: a.Priority, Prompt: int(a.PromptTokens), Limit: int(a.MaxOutputTokens),
 		Objective: a.Objective.Milliseconds(), Waited: a.Elapsed.Milliseconds(), OnlyGroup: a.OnlyGroup, ButGroup: a.ExcludedGroup,
@@ -73,7 +73,7 @@
 	return w
 }
 
-func (w wireAsk) ask() forward.PlacementRequest {
+func (w wirePlacementRequest) request() forward.PlacementRequest {
 	a := forward.PlacementRequest{
 		From: member.HostID(w.From), Service: forward.ServiceName(w.Service), Run: policy.RunID(w.Run),
 		Route: resource.Name(w.Route), Account: resource.Account(w.Account),
@@ -89,8 +89,8 @@
 
 // Ask asks a peer for a place on one of its zone's engines.
 func (m *Mesh) Ask(ctx context.Context, to forward.Peer, a forward.PlacementRequest) (forward.PlacementGrant, error) {
-	var answer wireGrant
-	if err := m.call(ctx, to.PeerAddress, kindAsk, toWireAsk(a), &answer); err != nil {
+	var answer wirePlacementGrant
+	if err := m.call(ctx, to.PeerAddress, kindAsk, toWirePlacementRequest(a), &answer); err != nil {
 		return forward.PlacementGrant{}, err
 	}
 	return forward.PlacementGrant{Engine: member.UpstreamID(answer.Engine), TimeToFirstToken: time.Duration(answer.First) * time.Millisecond}, nil
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -14,8 +14,8 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// wireCrashes is quarantine.Mark.
-type wireCrashes struct {
+// wireCrashMark is quarantine.Mark.
+type wireCrashMark struct {
 	Head, Body    []byte
 	Caller, Route string
 	Ended         []wireCrash
@@ -28,10 +28,10 @@
 	Life, Ago int64
 }
 
-func toWireCrashes(marks []quarantine.Mark) []wireCrashes {
-	var all []wireCrashes
+func toWireCrashMarks(marks []quarantine.Mark) []wireCrashMark {
+	var all []wireCrashMark
 	for _, m := range marks {
-		w := wireCrashes{Head: m.Request.Head[:], Body: m.Request.Body[:], Caller: m.Origin.Caller, Route: m.Origin.Route}
+		w := wireCrashMark{Head: m.Request.Head[:], Body: m.Request.Body[:], Caller: m.Origin.Caller, Route: m.Origin.Route}
 		for _, c := range m.Crashes {
 			w.Ended = append(w.Ended, wireCrash{ID: string(c.ID), Life: c.Life, Ago: c.Ago.Milliseconds()})
 		}
@@ -44,7 +44,7 @@
 }
 
 // crashMarks leaves out what names no request.
-func crashMarks(all []wireCrashes) []quarantine.Mark {
+func crashMarks(all []wireCrashMark) []quarantine.Mark {
 	var marks []quarantine.Mark
 	for _, w := range all {
 		m := quarantine.Mark{Origin: quarantine.Origin{Caller: w.Caller, Route: w.Route}}
@@ -68,30 +68,30 @@
 	return quarantine.Upstream{ID: member.UpstreamID(w.ID), Life: w.Life}
 }
 
-// wireQuarantined is a quarantine.Entry; Ago is in milliseconds.
-type wireQuarantined struct {
+// wireQuarantineEntry is a quarantine.Entry; Ago is in milliseconds.
+type wireQuarantineEntry struct {
 	Request, Caller, Route string
 	Standing, Ended        int
 	Ago                    int64
 }
 
-// wireQuarantine is what OnQuarantine returns.
-type wireQuarantine struct {
-	Entries  []wireQuarantined
+// wireQuarantineReply is what OnQuarantine returns.
+type wireQuarantineReply struct {
+	Entries  []wireQuarantineEntry
 	Released bool
 }
 
-func toWireQuarantine(entries []quarantine.Entry, released bool) wireQuarantine {
-	w := wireQuarantine{Released: released}
+func toWireQuarantineReply(entries []quarantine.Entry, released bool) wireQuarantineReply {
+	w := wireQuarantineReply{Released: released}
 	for _, e := range entries {
-		w.Entries = append(w.Entries, wireQuarantined{
+		w.Entries = append(w.Entries, wireQuarantineEntry{
 			Request: e.Request.String(), Caller: e.Caller, Route: e.Route, Standing: int(e.Standing), Ended: e.Ended, Ago: e.Last.Milliseconds(),
 		})
 	}
 	return w
 }
 
-func (w wireQuarantine) entries() ([]quarantine.Entry, error) {
+func (w wireQuarantineReply) entries() ([]quarantine.Entry, error) {
 	var entries []quarantine.Entry
 	for _, q := range w.Entries {
 		f, err := quarantine.ParseFingerprint(q.Request)
@@ -109,29 +109,29 @@
 // Quarantine asks the host at an address for the requests under which upstreams ended, and
 // has it let one through again if one is named.
 func (m *Mesh) Quarantine(ctx context.Context, address string, release *quarantine.Fingerprint) ([]quarantine.Entry, bool, error) {
-	name := ""
+	fingerprint := ""
 	if release != nil {
-		name = release.String()
+		fingerprint = release.String()
 	}
-	var answer wireQuarantine
-	if err := m.call(ctx, address, kindQuarantine, name, &answer); err != nil {
+	var answer wireQuarantineReply
+	if err := m.call(ctx, address, kindQuarantine, fingerprint, &answer); err != nil {
 		return nil, false, err
 	}
 	entries, err := answer.entries()
 	return entries, answer.Released, err
 }
 
-func onQuarantine(f forwardPeer, body []byte) (any, error) {
-	var name string
-	if err := msgpack.Unmarshal(body, &name); err != nil {
+func onQuarantine(f forwardHandler, body []byte) (any, error) {
+	var fingerprint string
+	if err := msgpack.Unmarshal(body, &fingerprint); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if name == "" {
-		return toWireQuarantine(f.OnQuarantine(nil)), nil
+	if fingerprint == "" {
+		return toWireQuarantineReply(f.OnQuarantine(nil)), nil
 	}
-	release, err := quarantine.ParseFingerprint(name)
+	release, err := quarantine.ParseFingerprint(fingerprint)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return toWireQuarantine(f.OnQuarantine(&release)), nil
+	return toWireQuarantineReply(f.OnQuarantine(&release)), nil
 }
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -15,14 +15,14 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// quarantinePeer has one request held, until it is released.
-type quarantinePeer struct {
-	forwardPeer
+// quarantineHandler has one request held, until it is released.
+type quarantineHandler struct {
+	forwardHandler
 	entry    quarantine.Entry
 	released bool
 }
 
-func (p *quarantinePeer) OnQuarantine(release *quarantine.Fingerprint) ([]quarantine.Entry, bool) {
+func (p *quarantineHandler) OnQuarantine(release *quarantine.Fingerprint) ([]quarantine.Entry, bool) {
 	if release != nil && *release == p.entry.Request {
 		p.released = true
 		return nil, true
@@ -30,9 +30,9 @@
 	return []quarantine.Entry{p.entry}, false
 }
 
-// TestQuarantineByMesh has an operator's command see what a host has held, and let it
+// TestQuarantineCall has an operator's command see what a host has held, and let it
 // through again.
-func TestQuarantineByMesh(t *testing.T) {
+func TestQuarantineCall(t *testing.T) {
 	is := is.New(t)
 	asked := quarantine.Asked{Caller: "counter", Target: "/llm/x"}
 	held := quarantine.Entry{
@@ -43,7 +43,7 @@
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	host := &quarantinePeer{entry: held}
+	host := &quarantineHandler{entry: held}
 	go func() { _ = NewMesh("h1", testKey).ServeForward(ctx, listener, host, func(error) {}) }()
 	m := NewMesh("operator", testKey)
 	defer m.Close()
@@ -57,9 +57,9 @@
 	is.True(released && host.released)
 }
 
-// TestCrashesOnTheWire has what a host tells of such requests be heard as it was told, and
+// TestCrashMarkRoundTrip has what a host tells of such requests be heard as it was told, and
 // what names no request be left out.
-func TestCrashesOnTheWire(t *testing.T) {
+func TestCrashMarkRoundTrip(t *testing.T) {
 	is := is.New(t)
 	asked := quarantine.Asked{Caller: "counter", Target: "/llm/x", Body: []byte("b")}
 	marks := []quarantine.Mark{{
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -31,8 +31,8 @@
 		Service: string(s.Service), Target: string(s.Target), Lasts: s.Lasts.Milliseconds(), Age: s.Age.Milliseconds(),
 		Withdrawn: s.Withdrawn, Phase: int(s.Phase), RecordedPhase: int(s.RecordedPhase),
 	}
-	w.GivenEra, w.Given = numbers(s.Given)
-	w.RecordedEra, w.Record = numbers(s.Recorded)
+	w.GivenEra, w.Given = pointNumbers(s.Given)
+	w.RecordedEra, w.Record = pointNumbers(s.Recorded)
 	return w
 }
 
@@ -48,9 +48,9 @@
 	s := rollout.Status{
 		Order: rollout.Order{
 			Service: resource.Name(w.Service), Target: rollout.Version(w.Target), Lasts: time.Duration(w.Lasts) * time.Millisecond,
-			Given: point(w.GivenEra, w.Given), Withdrawn: w.Withdrawn,
+			Given: newPoint(w.GivenEra, w.Given), Withdrawn: w.Withdrawn,
 		},
-		Age: time.Duration(w.Age) * time.Millisecond, Recorded: point(w.RecordedEra, w.Record),
+		Age: time.Duration(w.Age) * time.Millisecond, Recorded: newPoint(w.RecordedEra, w.Record),
 		RecordedPhase: rollout.Phase(w.RecordedPhase),
 	}
 	if p := rollout.Phase(w.Phase); p.Valid() {
@@ -59,7 +59,7 @@
 	return s
 }
 
-func rollouts(w []wireRollout) []rollout.Status {
+func rolloutStatuses(w []wireRollout) []rollout.Status {
 	var all []rollout.Status
 	for _, r := range w {
 		all = append(all, r.status())
@@ -88,7 +88,7 @@
 
 func toWireRolloutReport(r rollout.Report) wireRolloutReport {
 	w := wireRolloutReport{From: string(r.From), Service: string(r.Service), Phase: int(r.Phase), Running: r.Running, Age: r.Age.Milliseconds(), Epoch: r.Epoch}
-	w.GivenEra, w.Given = numbers(r.Given)
+	w.GivenEra, w.Given = pointNumbers(r.Given)
 	for _, e := range r.Evidence {
 		evidence := wireEvidence{Route: e.Route, Measure: int(e.Measure), Target: e.Target, Good: e.Good, Failed: e.Failed}
 		for bucket, n := range e.Times {
@@ -103,7 +103,7 @@
 
 func (w wireRolloutReport) report() rollout.Report {
 	r := rollout.Report{
-		From: member.HostID(w.From), Service: resource.Name(w.Service), Given: point(w.GivenEra, w.Given),
+		From: member.HostID(w.From), Service: resource.Name(w.Service), Given: newPoint(w.GivenEra, w.Given),
 		Phase: rollout.Phase(w.Phase), Running: w.Running, Age: time.Duration(max(w.Age, 0)) * time.Millisecond, Epoch: w.Epoch,
 	}
 	for _, e := range w.Evidence {
@@ -128,7 +128,7 @@
 	return answer.status(), nil
 }
 
-func onRollout(f forwardPeer, body []byte) (any, error) {
+func onRollout(f forwardHandler, body []byte) (any, error) {
 	var w wireRolloutReport
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, trace.Wrap(err)
@@ -159,7 +159,7 @@
 	return all, nil
 }
 
-func onRollouts(f forwardPeer) (any, error) {
+func onRollouts(f forwardHandler) (any, error) {
 	var w []wireRolloutEntry
 	for _, e := range f.Rollouts() {
 		w = append(w, wireRolloutEntry{
--- a/internal/peer/share.go
+++ b/internal/peer/share.go
@@ -34,8 +34,8 @@
 	ListEra           uint64 `msgpack:",omitempty"`
 	Zones             []wireZoneOrder
 	Epoch             uint64
-	Crashes           []wireCrashes
-	Limits            []wireLimit
+	Crashes           []wireCrashMark
+	Limits            []wireLimitMark
 	Backoffs          []wireBackoff
 	Announced         []wireAnnouncement `msgpack:",omitempty"`
 }
@@ -62,34 +62,36 @@
 	Believed int64 `msgpack:",omitempty"`
 }
 
-// believedIn is in how many milliseconds something is believed; zero for now.
-func believedIn(now, from time.Time) int64 {
+// believedDelayMillis is in how many milliseconds something is believed; zero for now.
+func believedDelayMillis(now, from time.Time) int64 {
 	if from.IsZero() {
 		return 0
 	}
 	return max(from.Sub(now).Milliseconds(), 1)
 }
 
-func believedFrom(now time.Time, in int64) time.Time {
-	if in <= 0 {
+func believedFromDelay(now time.Time, delayMillis int64) time.Time {
+	if delayMillis <= 0 {
 		return time.Time{}
 	}
-	return now.Add(time.Duration(in) * time.Millisecond)
+	return now.Add(time.Duration(delayMillis) * time.Millisecond)
 }
 
-// point is a point as two numbers of a message.
-func point(era, revision uint64) history.Point {
+// newPoint is a newPoint as two numbers of a message.
+func newPoint(era, revision uint64) history.Point {
 	return history.NewPoint(history.Era(era), history.Revision(revision))
 }
 
-// numbers are a point's, for a message.
-func numbers(p history.Point) (era, revision uint64) { return uint64(p.Era()), uint64(p.Revision()) }
+// pointNumbers are a point's, for a message.
+func pointNumbers(p history.Point) (era, revision uint64) {
+	return uint64(p.Era()), uint64(p.Revision())
+}
 
 func toWireZones(now time.Time, orders []forward.ZoneOrder) []wireZoneOrder {
 	var w []wireZoneOrder
 	for _, o := range orders {
-		order := wireZoneOrder{Zone: string(o.Zone), Out: o.OutOfService, Believed: believedIn(now, o.BelievedFrom)}
-		order.Era, order.Revision = numbers(o.Revision)
+		order := wireZoneOrder{Zone: string(o.Zone), Out: o.OutOfService, Believed: believedDelayMillis(now, o.BelievedFrom)}
+		order.Era, order.Revision = pointNumbers(o.Revision)
 		w = append(w, order)
 	}
 	return w
@@ -99,7 +101,7 @@
 	var orders []forward.ZoneOrder
 	for _, o := range w {
 		orders = append(orders, forward.ZoneOrder{
-			Zone: member.Zone(o.Zone), OutOfService: o.Out, Revision: point(o.Era, o.Revision), BelievedFrom: believedFrom(now, o.Believed),
+			Zone: member.Zone(o.Zone), OutOfService: o.Out, Revision: newPoint(o.Era, o.Revision), BelievedFrom: believedFromDelay(now, o.Believed),
 		})
 	}
 	return orders
@@ -136,10 +138,10 @@
 	w := wireShare{
 		ID: string(s.From.ID), Zone: string(s.From.Zone), Address: s.From.PeerAddress, Capacity: s.From.Capacity, Announcement: s.AnnouncementCount, AnnouncedAgo: s.AnnouncementAge.Milliseconds(), Version: uint64(s.Version),
 		ConfigAge: s.ConfigAge.Milliseconds(), OriginAge: s.OriginAge.Milliseconds(), Stopping: s.Stopping,
-		Zones: toWireZones(now, s.Zones), Epoch: s.Epoch, Crashes: toWireCrashes(s.Crashes),
-		Limits: toWireLimits(s.Limits), Announced: toWireAnnouncements(s.Announcements),
+		Zones: toWireZones(now, s.Zones), Epoch: s.Epoch, Crashes: toWireCrashMarks(s.Crashes),
+		Limits: toWireLimitMarks(s.Limits), Announced: toWireAnnouncements(s.Announcements),
 	}
-	w.ListEra, w.List = numbers(s.List)
+	w.ListEra, w.List = pointNumbers(s.List)
 	for _, r := range s.Runs {
 		w.Runs = append(w.Runs, wireRunState{
 			Run: string(r.Run), Service: string(r.Service), Engine: string(r.Engine), Life: int64(r.Life), Route: string(r.Route), Account: string(r.Account),
@@ -170,7 +172,7 @@
 		AnnouncementCount: w.Announcement, AnnouncementAge: time.Duration(max(w.AnnouncedAgo, 0)) * time.Millisecond,
 		Version: forward.Version(w.Version), ConfigAge: time.Duration(w.ConfigAge) * time.Millisecond,
 		OriginAge: time.Duration(w.OriginAge) * time.Millisecond, Stopping: w.Stopping,
-		List: point(w.ListEra, w.List), Zones: zoneOrders(now, w.Zones), Epoch: w.Epoch, Crashes: crashMarks(w.Crashes),
+		List: newPoint(w.ListEra, w.List), Zones: zoneOrders(now, w.Zones), Epoch: w.Epoch, Crashes: crashMarks(w.Crashes),
 		Limits: limitMarks(w.Limits), Announcements: announcements(w.Announced),
 	}
 	for _, r := range w.Runs {
--- a/internal/peer/silent_link_test.go
+++ b/internal/peer/silent_link_test.go
@@ -37,7 +37,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				ours, theirs := net.Pipe()
-				go answerSome(theirs, c.answers)
+				go answerCalls(theirs, c.answers)
 				var sent, received atomic.Int64
 				link := newConn(ours, &sent, &received)
 				go link.readReplies()
@@ -55,7 +55,7 @@
 				}
 				time.Sleep(time.Second)
 				synctest.Wait()
-				is.Equal(link.up(), c.up)
+				is.Equal(link.isUp(), c.up)
 				link.close()
 				is.NoErr(theirs.Close())
 			})
@@ -63,8 +63,8 @@
 	}
 }
 
-// answerSome reads calls and answers some of them, as a peer does.
-func answerSome(link net.Conn, answers func(n int) bool) {
+// answerCalls reads calls and answers some of them, as a peer does.
+func answerCalls(link net.Conn, answers func(n int) bool) {
 	reader := bufio.NewReader(link)
 	for n := 1; ; n++ {
 		f, err := readFrame(reader)
@@ -79,7 +79,7 @@
 			return
 		}
 		message, err := appendFrame(nil, &frame{ID: f.ID, Reply: true, Kind: f.Kind, Body: body})
-		if err != nil || writeWhole(link, message) != nil {
+		if err != nil || writeMessage(link, message) != nil {
 			return
 		}
 	}
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -15,7 +15,7 @@
 
 // The kinds of call.
 const (
-	kindHeartbeat kind = iota + 1
+	kindHeartbeat callKind = iota + 1
 	kindPlace
 	kindDecided
 	kindFinished
@@ -46,7 +46,7 @@
 	Zones    []wireZone
 	Pools    []wirePool
 	Epoch    uint64
-	Crashes  []wireCrashes
+	Crashes  []wireCrashMark
 	Era      uint64
 }
 
@@ -78,7 +78,7 @@
 func toWireHeartbeat(h entry.Heartbeat) wireHeartbeat {
 	w := wireHeartbeat{
 		ID: string(h.From.ID), Zone: string(h.From.Zone), Address: h.From.PeerAddress,
-		Revision: uint64(h.Revision), Leaving: h.Leaving, Epoch: h.Epoch, Crashes: toWireCrashes(h.Crashes), Era: uint64(h.Era),
+		Revision: uint64(h.Revision), Leaving: h.Leaving, Epoch: h.Epoch, Crashes: toWireCrashMarks(h.Crashes), Era: uint64(h.Era),
 	}
 	for _, id := range h.LeavingUpstreams {
 		w.Gone = append(w.Gone, string(id))
@@ -175,7 +175,7 @@
 	return r
 }
 
-type wirePlace struct {
+type wirePlaceRequest struct {
 	Pool  string
 	Asked []wireRequest
 }
@@ -239,13 +239,13 @@
 	Runs []wireRun
 }
 
-// wireLog carries resources and entries in JSON, the form that they are stored
+// wireLogRequest carries resources and entries in JSON, the form that they are stored
 // and checked in.
-type wireLog struct {
+type wireLogRequest struct {
 	After uint64
 }
 
-type wireTail struct {
+type wireLogTail struct {
 	Snapshot []byte
 	Entries  []byte
 }
