--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -27,7 +27,7 @@
 	return answer.heartbeat(), nil
 }
 
-// Place asks a coordinator for places.
+// Place requests placement decisions for runs of a pool from its coordinator.
 func (m *Mesh) Place(ctx context.Context, to member.Entry, pool resource.Name, requests []policy.Request) ([]policy.Decision, error) {
 	request := wirePlaceRequest{Pool: string(pool)}
 	now := m.clock.Now()
@@ -41,13 +41,13 @@
 	return answer.decisions(), nil
 }
 
-// Decided tells an entry what became of its queued requests.
+// Decided sends an entry host the decisions about its queued requests.
 func (m *Mesh) Decided(ctx context.Context, to member.Entry, pool resource.Name, decisions []policy.Decision) error {
 	var answer bool
 	return m.call(ctx, to.PeerAddress, kindDecided, toWireDecisions(pool, decisions), &answer)
 }
 
-// Finished tells a coordinator of runs that left their engines.
+// Finished reports to a coordinator the runs that left their engines.
 func (m *Mesh) Finished(ctx context.Context, to member.Entry, pool resource.Name, finished []policy.Finish) error {
 	request := wireFinished{Pool: string(pool)}
 	for _, f := range finished {
@@ -57,7 +57,7 @@
 	return m.call(ctx, to.PeerAddress, kindFinished, request, &answer)
 }
 
-// Running tells a new coordinator what its engines carry.
+// Running reports to a new coordinator the runs that are placed on its engines.
 func (m *Mesh) Running(ctx context.Context, to member.Entry, pool resource.Name, runs []entry.PlacedRun) error {
 	request := wireRunning{Pool: string(pool)}
 	now := m.clock.Now()
@@ -68,7 +68,7 @@
 	return m.call(ctx, to.PeerAddress, kindRunning, request, &answer)
 }
 
-// Log returns the configuration after a revision.
+// Log fetches the part of the peer's configuration log that follows a revision.
 func (m *Mesh) Log(ctx context.Context, to member.Entry, after resource.Revision) (entry.LogTail, error) {
 	var answer wireLogTail
 	var tail entry.LogTail
@@ -77,25 +77,27 @@
 	}
 	if len(answer.Snapshot) > 0 {
 		if err := json.Unmarshal(answer.Snapshot, &tail.Snapshot); err != nil {
-			return tail, trace.Wrap(err, "the peer's snapshot can't be read")
+			return tail, trace.Wrap(err, "decoding the snapshot from peer %s", to.PeerAddress)
 		}
 	}
 	if len(answer.Entries) > 0 {
 		if err := json.Unmarshal(answer.Entries, &tail.Entries); err != nil {
-			return tail, trace.Wrap(err, "the peer's log can't be read")
+			return tail, trace.Wrap(err, "decoding the log entries from peer %s", to.PeerAddress)
 		}
 	}
 	return tail, nil
 }
 
-// Serve serves the peers' calls until the context ends. refused is told of
-// each connection that failed the greeting.
+// Serve answers the peers' calls until the context ends. onRefused is called with
+// the error of each connection whose handshake failed.
 func (m *Mesh) Serve(ctx context.Context, listener net.Listener, h entry.PeerHandler, onRefused func(error)) error {
 	return m.serve(ctx, listener, func(ctx context.Context, from member.HostID, k callKind, body []byte) (any, error) {
 		return dispatchEntryCall(ctx, m.clock.Now(), h, from, k, body)
 	}, h.OnLinkDown, onRefused)
 }
 
+// dispatchEntryCall decodes the body of a call, passes it to the handler, and returns the
+// value to send as the reply.
 func dispatchEntryCall(ctx context.Context, now time.Time, h entry.PeerHandler, from member.HostID, k callKind, body []byte) (any, error) {
 	switch k {
 	case kindHeartbeat:
--- a/internal/peer/config.go
+++ b/internal/peer/config.go
@@ -16,8 +16,8 @@
 	"github.com/shedpath/shedpath/forward"
 )
 
-// wireConfigReply is forward.ConfigReply: the configuration as compressed JSON, and its age
-// in milliseconds.
+// wireConfigReply encodes forward.ConfigReply. Config is gzipped JSON, empty for no configuration;
+// Age is in milliseconds.
 type wireConfigReply struct {
 	Config []byte
 	Age    int64
@@ -30,25 +30,26 @@
 	}
 	decompressor, err := gzip.NewReader(bytes.NewReader(w.Config))
 	if err != nil {
-		return r, trace.Wrap(err, "the peer's configuration can't be read")
+		return r, trace.Wrap(err, "decompressing the peer's configuration")
 	}
 	r.Config = &forward.Config{}
 	if err := json.NewDecoder(decompressor).Decode(r.Config); err != nil {
-		return r, trace.Wrap(err, "the peer's configuration can't be read")
+		return r, trace.Wrap(err, "decoding the peer's configuration")
 	}
 	return r, nil
 }
 
-// configPacker packs a configuration once for all peers that ask for it. The zero value
-// works.
+// configPacker compresses a configuration once for all peers that request it. The zero value is
+// ready for use.
 type configPacker struct {
 	mu sync.Mutex
-	// packedConfig is the configuration that was packed last, and text that; nil before the first.
+	// packedConfig is the last compressed configuration, and packed its compressed JSON; both are
+	// nil before the first.
 	packedConfig *forward.Config
 	packed       []byte
 }
 
-// wireReply returns a reply as it travels.
+// wireReply encodes a reply and reuses the compressed JSON if the configuration is unchanged.
 func (p *configPacker) wireReply(r forward.ConfigReply) (wireConfigReply, error) {
 	w := wireConfigReply{Age: r.Age.Milliseconds()}
 	if r.Config == nil {
@@ -67,6 +68,7 @@
 	return w, nil
 }
 
+// packConfig returns the configuration as gzipped JSON.
 func packConfig(c *forward.Config) ([]byte, error) {
 	var text bytes.Buffer
 	compressor, err := gzip.NewWriterLevel(&text, gzip.BestSpeed)
@@ -82,7 +84,7 @@
 	return text.Bytes(), nil
 }
 
-// Config asks a peer for its configuration, if that is newer than a version.
+// Config fetches a peer's configuration if it is newer than the version that this host has.
 func (m *Mesh) Config(ctx context.Context, to forward.Peer, have forward.Version) (forward.ConfigReply, error) {
 	var answer wireConfigReply
 	if err := m.call(ctx, to.PeerAddress, kindConfig, uint64(have), &answer); err != nil {
--- a/internal/peer/config_bench_test.go
+++ b/internal/peer/config_bench_test.go
@@ -14,7 +14,8 @@
 	"github.com/shedpath/shedpath/forward"
 )
 
-// largeConfig is a configuration of 1,500 routes, as one had that held hosts up.
+// largeConfig returns a configuration with 1,500 routes. One of that size delayed other messages
+// between hosts.
 func largeConfig() *forward.Config {
 	c := &forward.Config{Version: 9, Services: []forward.Service{{Name: "app"}}}
 	for n := range 1500 {
@@ -28,7 +29,8 @@
 	return c
 }
 
-// TestPackedConfigRoundTrip has a configuration arrive as it was, in a tenth of its bytes.
+// TestPackedConfigRoundTrip checks that a configuration is decoded unchanged and takes at most a
+// tenth of the size of its JSON.
 func TestPackedConfigRoundTrip(t *testing.T) {
 	is := is.New(t)
 	c := largeConfig()
@@ -41,7 +43,7 @@
 	is.Equal(got.Age, time.Second)
 	plain, err := json.Marshal(c)
 	is.NoErr(err)
-	t.Logf("%d bytes, packed %d", len(plain), len(w.Config))
+	t.Logf("JSON %d bytes, packed %d bytes", len(plain), len(w.Config))
 	is.True(len(w.Config)*10 <= len(plain))
 	none, err := p.wireReply(forward.ConfigReply{Age: time.Minute})
 	is.NoErr(err)
@@ -50,9 +52,8 @@
 	is.True(got.Config == nil)
 }
 
-// BenchmarkConfigToPeers is what one configuration of 1,500 routes costs its giver when
-// 22 hosts ask for it: 25.9 ms and 8.1 MB when each got it as plain JSON, 2.7 ms and
-// 0.49 MB packed once.
+// BenchmarkConfigToPeers compares what the sender spends on a configuration that 22 hosts request:
+// encoded as plain JSON for each, and compressed once for all.
 func BenchmarkConfigToPeers(b *testing.B) {
 	c := largeConfig()
 	const peers = 22
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -17,26 +17,29 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// callError is what a peer's handler answered a call with.
+// callError is the error that a peer's handler returned for a call. The connection stays up.
 type callError struct {
 	Message string
 }
 
-func (e *callError) Error() string { return "the peer answered: " + e.Message }
+func (e *callError) Error() string { return "the peer returned an error: " + e.Message }
 
-// conn is the dialer's end of one connection, with many calls under way.
+// conn is the dialer's end of one connection. It carries many concurrent calls.
 type conn struct {
 	netConn net.Conn
 
-	mu      sync.Mutex
-	nextID  uint64
+	mu     sync.Mutex
+	nextID uint64
+	// pending holds, by call ID, the channel that receives the reply. It is closed without a
+	// reply if the connection ends.
 	pending map[uint64]chan *frame
 	// closeErr is the error that ended the connection; nil while it is up.
 	closeErr error
-	// lastFrameAt is when the last frame came.
+	// lastFrameAt is when the last frame was received.
 	lastFrameAt time.Time
 
-	// sentBytes and receivedBytes count the bytes of both directions.
+	// sentBytes and receivedBytes count the bytes of each direction; they are shared with other
+	// connections.
 	sentBytes, receivedBytes *atomic.Int64
 }
 
@@ -44,14 +47,15 @@
 	return &conn{netConn: c, pending: map[uint64]chan *frame{}, sentBytes: sent, receivedBytes: received}
 }
 
-// readBufferBytes is read at once from a link. Most messages are shorter, and a host has many links.
+// readBufferBytes is the size of a connection's read buffer. Most messages are shorter, and a
+// host has many connections.
 const readBufferBytes = 1024
 
-// writeTimeout is how long a peer may leave a full socket unread before the
-// connection is given up.
+// writeTimeout bounds the write of one message: a connection whose peer doesn't read is closed
+// after that time.
 const writeTimeout = 2 * time.Second
 
-// call sends a request and waits for its reply.
+// call sends a request, waits for its reply and decodes it into reply.
 func (c *conn) call(ctx context.Context, k callKind, request, reply any) error {
 	body, err := encode(request)
 	if err != nil {
@@ -71,16 +75,18 @@
 	}
 }
 
-// silenceTimeout is how long a link may bring nothing, while an answer is due, before
-// it is given up. Links can go silent for good without a reset while new ones work;
-// the kernel would notice after minutes, and the hosts would place on each other's
-// engines unseen for as long. Hosts answer each other within some milliseconds.
+// silenceTimeout is how long a connection may deliver nothing while a reply is due
+// before it is closed. A connection can go silent for good without a reset, although
+// new connections work. The kernel notices that only after minutes, and until then each
+// host would place runs on the other's engines without the other seeing them. Hosts
+// normally reply within a few milliseconds.
 const silenceTimeout = 250 * time.Millisecond
 
-var errLinkSilent = errors.New("the link to the peer is silent")
+var errLinkSilent = errors.New("the connection to the peer is silent")
 
-// abandon forgets a call that got no answer in time, and gives the link up if
-// nothing has come over it since the call was sent.
+// abandon removes a call whose context ended without a reply. It closes the connection if
+// the call's deadline passed, at least silenceTimeout after it was sent, and no frame has
+// been received since.
 func (c *conn) abandon(now time.Time, id uint64, sentAt time.Time, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,10 +96,11 @@
 	}
 }
 
+// decodeReply decodes the frame of a reply; ok is false if the connection ended without one.
 func decodeReply(f *frame, ok bool, reply any) error {
 	switch {
 	case !ok:
-		return trace.ConnectionProblem(nil, "the link to the peer broke")
+		return trace.ConnectionProblem(nil, "the connection to the peer broke")
 	case f.Error != "":
 		return &callError{Message: f.Error}
 	default:
@@ -101,6 +108,7 @@
 	}
 }
 
+// send writes a request and returns its call ID and the channel that receives the reply.
 func (c *conn) send(k callKind, body []byte) (uint64, <-chan *frame, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,6 +131,7 @@
 	return id, answered, nil
 }
 
+// writeMessage writes a message within writeTimeout.
 func writeMessage(conn net.Conn, message []byte) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return trace.Wrap(err)
@@ -133,7 +142,7 @@
 	return nil
 }
 
-// fail ends the connection and every call on it. The mutex is held.
+// fail closes the connection and ends every pending call. c.mu must be held.
 func (c *conn) fail(err error) {
 	if c.closeErr != nil {
 		return
@@ -146,14 +155,14 @@
 	}
 }
 
-// readReplies hands replies to their calls until the connection ends.
+// readReplies passes replies to their pending calls until the connection ends.
 func (c *conn) readReplies() {
 	reader := bufio.NewReaderSize(&countingReader{from: c.netConn, count: c.receivedBytes}, readBufferBytes)
 	for {
 		f, err := readFrame(reader)
 		c.mu.Lock()
 		if err != nil {
-			c.fail(trace.ConnectionProblem(err, "the link to the peer broke"))
+			c.fail(trace.ConnectionProblem(err, "the connection to the peer broke"))
 			c.mu.Unlock()
 			return
 		}
@@ -178,6 +187,7 @@
 	return c.closeErr == nil
 }
 
+// countingReader adds the number of bytes read to count.
 type countingReader struct {
 	from  io.Reader
 	count *atomic.Int64
--- a/internal/peer/era_test.go
+++ b/internal/peer/era_test.go
@@ -14,7 +14,8 @@
 	"github.com/shedpath/shedpath/history"
 )
 
-// TestEraRoundTrip: a revision without its era is taken for one of another history.
+// TestEraRoundTrip checks that points keep their era when sent. A revision that loses its era
+// counts as one of another history.
 func TestEraRoundTrip(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
--- a/internal/peer/follow.go
+++ b/internal/peer/follow.go
@@ -13,7 +13,7 @@
 	"github.com/shedpath/shedpath/roster"
 )
 
-// wireFollowRequest is forward.FollowRequest; the wait is in milliseconds.
+// wireFollowRequest encodes forward.FollowRequest; Wait is in milliseconds.
 type wireFollowRequest struct {
 	Version, List uint64
 	ListEra       uint64 `msgpack:",omitempty"`
@@ -23,11 +23,11 @@
 	Announced     []wireAnnouncement
 }
 
-// wireFollowReply is forward.FollowReply.
+// wireFollowReply encodes forward.FollowReply; ages are in milliseconds.
 type wireFollowReply struct {
 	Version uint64
 	Changes []wireChange
-	// Packed are the changes compressed, in place of Changes.
+	// Packed holds the compressed changes if there are many; Changes is then empty.
 	Packed               []byte
 	Busy                 bool
 	Zones                []wireZoneOrder
@@ -42,6 +42,7 @@
 	ConfigAge, OriginAge int64
 }
 
+// wireChange encodes forward.Change.
 type wireChange struct {
 	ID, Service, Address, Zone string
 	Slots                      int
@@ -49,15 +50,15 @@
 	Unusable                   bool
 	Version                    string
 	Life                       int64
-	// Cold is how much longer it is cold, in milliseconds.
+	// Cold is how much longer the upstream is cold, in milliseconds.
 	Cold int64
-	// Believed is in how many milliseconds this is believed; zero for now.
+	// Believed is in how many milliseconds the change takes effect; zero for at once.
 	Believed int64 `msgpack:",omitempty"`
 	Revision uint64
 	Era      uint64 `msgpack:",omitempty"`
 }
 
-// wireAnnouncement is roster.Announcement; Age is in milliseconds.
+// wireAnnouncement encodes roster.Announcement; Age is in milliseconds.
 type wireAnnouncement struct {
 	ID, Zone, Address string
 	Capacity          int
@@ -148,7 +149,7 @@
 	return c
 }
 
-// Follow asks a peer for what is newer there.
+// Follow asks a peer for what is newer than this host's state.
 func (m *Mesh) Follow(ctx context.Context, to forward.Peer, r forward.FollowRequest) (forward.FollowReply, error) {
 	var answer wireFollowReply
 	request := wireFollowRequest{
--- a/internal/peer/forward.go
+++ b/internal/peer/forward.go
@@ -18,7 +18,7 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// forwardHandler is what peers ask of a forwarder.
+// forwardHandler answers the calls of a forwarder's peers.
 type forwardHandler interface {
 	OnShare(s forward.Share) forward.Share
 	OnFollow(ctx context.Context, r forward.FollowRequest) forward.FollowReply
@@ -32,7 +32,8 @@
 	OnQuarantine(release *quarantine.Fingerprint) ([]quarantine.Entry, bool)
 }
 
-// ServeForward serves the peers of a forwarder until the context ends.
+// ServeForward answers the calls of a forwarder's peers until the context ends. onRefused is
+// called with the error of each connection whose handshake failed.
 func (m *Mesh) ServeForward(ctx context.Context, listener net.Listener, f forwardHandler, onRefused func(error)) error {
 	handle := func(ctx context.Context, _ member.HostID, k callKind, body []byte) (any, error) {
 		return m.dispatchForwardCall(ctx, f, k, body)
@@ -40,6 +41,8 @@
 	return m.serve(ctx, listener, handle, func(member.HostID) {}, onRefused)
 }
 
+// dispatchForwardCall decodes the body of a call, passes it to the handler, and returns the value
+// to send as the reply.
 func (m *Mesh) dispatchForwardCall(ctx context.Context, f forwardHandler, k callKind, body []byte) (any, error) {
 	switch k {
 	case kindShare:
@@ -94,6 +97,6 @@
 		defer cancel()
 		return true, f.OnTurn(ctx, w.request())
 	default:
-		return nil, trace.BadParameter("unknown call %d", k)
+		return nil, trace.BadParameter("unknown kind of call %d", k)
 	}
 }
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,12 +1,13 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package peer is the adapter between entries: calls in msgpack over TCP
-// frames, many at a time on one connection, authenticated by a shared key.
+// Package peer implements the calls between entry hosts: msgpack messages in
+// frames over TCP, with many concurrent calls on one connection, authenticated
+// by a shared key.
 //
 // A frame is a big-endian length of four bytes and one msgpack value. The
-// shared key proves who speaks; it doesn't hide what is said, so the peers'
-// network is to be a private one.
+// shared key authenticates the peers but encrypts nothing, so the network
+// between them must be private.
 package peer
 
 import (
@@ -18,23 +19,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrameBytes bounds a frame; a longer one closes the connection.
+// MaxFrameBytes bounds a frame; a longer frame closes the connection.
 const MaxFrameBytes = 32 << 20
 
 const frameHeaderBytes = 4
 
-// frame is one message of a connection.
+// frame is one message on a connection: a call or its reply.
 type frame struct {
 	// ID pairs a reply with its call.
 	ID    uint64
 	Reply bool
 	Kind  callKind
-	// Error is set in the reply to a call that failed.
+	// Error is the error text in the reply to a call that failed; empty otherwise.
 	Error string
 	Body  msgpack.RawMessage
 }
 
-// callKind says what a call asks for.
+// callKind identifies the method of a call. The numbers are part of the wire format.
 type callKind uint8
 
 // encode writes a value in msgpack with structs as arrays, to keep messages
@@ -50,7 +51,7 @@
 	return out.Bytes(), nil
 }
 
-// appendFrame encodes the frame behind its length.
+// appendFrame appends the frame's length and its encoding to a buffer.
 func appendFrame(into []byte, f *frame) ([]byte, error) {
 	body, err := encode(f)
 	if err != nil {
@@ -63,8 +64,8 @@
 	return append(into, body...), nil
 }
 
-// readFrame reads the next frame. The memory it takes grows with what has
-// arrived, not with what the length promises.
+// readFrame reads the next frame. Its memory grows with the bytes received rather
+// than with the announced length.
 func readFrame(r io.Reader) (*frame, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -83,7 +84,7 @@
 	}
 	var f frame
 	if err := msgpack.Unmarshal(body, &f); err != nil {
-		return nil, trace.Wrap(err, "a frame can't be read")
+		return nil, trace.Wrap(err, "decoding a frame of %d bytes", size)
 	}
 	return &f, nil
 }
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -18,7 +18,7 @@
 )
 
 // Each side sends a fresh nonce and proves that it has the key by a MAC over
-// both nonces, its part in the connection and its name.
+// its role, both nonces and the dialer's name.
 //
 //	acceptor -> dialer    nonce
 //	dialer   -> acceptor  nonce, length of name, name, MAC
@@ -35,6 +35,8 @@
 	acceptorRole = "shedpath peer acceptor 1"
 )
 
+// handshakeMAC returns the MAC by which the sender of sentNonce proves to the sender of
+// receivedNonce that it has the key. name is the dialer's.
 func handshakeMAC(key []byte, role string, receivedNonce, sentNonce []byte, name string) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(role))
@@ -51,7 +53,7 @@
 	return nonce
 }
 
-// handshakeAsDialer does the dialer's side.
+// handshakeAsDialer performs the dialer's side of the handshake.
 func handshakeAsDialer(conn net.Conn, key []byte, self member.HostID) error {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return trace.Wrap(err)
@@ -71,15 +73,15 @@
 	}
 	mac := make([]byte, macBytes)
 	if _, err := io.ReadFull(conn, mac); err != nil {
-		return trace.AccessDenied("the peer closed the handshake: its key may differ: %v", err)
+		return trace.AccessDenied("the peer ended the handshake, its key may differ: %v", err)
 	}
 	if !hmac.Equal(mac, handshakeMAC(key, acceptorRole, dialerNonce, acceptorNonce, name)) {
-		return trace.AccessDenied("the peer's key differs")
+		return trace.AccessDenied("the peer's key differs from this host's")
 	}
 	return conn.SetDeadline(time.Time{})
 }
 
-// handshakeAsAcceptor does the acceptor's side and returns the dialer's name.
+// handshakeAsAcceptor performs the acceptor's side of the handshake and returns the dialer's name.
 func handshakeAsAcceptor(conn net.Conn, key []byte) (member.HostID, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return "", trace.Wrap(err)
@@ -99,7 +101,7 @@
 	}
 	name, mac := string(rest[:nameLength]), rest[nameLength:]
 	if !hmac.Equal(mac, handshakeMAC(key, dialerRole, acceptorNonce, dialerNonce, name)) {
-		return "", trace.AccessDenied("a peer that calls itself %q has another key", name)
+		return "", trace.AccessDenied("a peer that claims to be %q has a key that differs from this host's", name)
 	}
 	if _, err := conn.Write(handshakeMAC(key, acceptorRole, dialerNonce, acceptorNonce, name)); err != nil {
 		return "", trace.Wrap(err)
--- a/internal/peer/list.go
+++ b/internal/peer/list.go
@@ -16,24 +16,27 @@
 )
 
 const (
-	// minPackedChanges is how many changes are compressed: a host that starts is told of every upstream.
+	// minPackedChanges is the number of changes from which a reply is compressed: a host that
+	// starts receives every upstream.
 	minPackedChanges = 64
-	// packedListTTL is for how long a list is passed on as it was packed. What of it is told as the
-	// time that is left is late by as much at most.
+	// packedListTTL is how long a compressed list is reused. The remaining times in it are too
+	// long by at most as much.
 	packedListTTL = time.Second
 )
 
-// listPacker packs a list once for all peers that ask for it. The zero value works.
+// listPacker compresses the list of upstreams once for all peers that request it. The zero value is
+// ready for use.
 type listPacker struct {
 	mu sync.Mutex
-	// generation and count are of the list that was packed last, at a time.
+	// generation and count are the generation and length of the last compressed list, and
+	// packedAt is when it was compressed.
 	generation uint64
 	count      int
 	packedAt   time.Time
 	packed     []byte
 }
 
-// pack returns a reply's changes compressed; nil for few of them.
+// pack returns a reply's changes compressed, or nil if they are fewer than minPackedChanges.
 func (p *listPacker) pack(now time.Time, r forward.FollowReply) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,6 +56,7 @@
 	return packed, err
 }
 
+// packChanges returns the number of changes and the changes, encoded and compressed.
 func packChanges(now time.Time, changes []forward.Change) ([]byte, error) {
 	var packed bytes.Buffer
 	compressor, err := flate.NewWriter(&packed, flate.BestSpeed)
@@ -76,26 +80,27 @@
 	return packed.Bytes(), nil
 }
 
-// maxPackedChanges bounds the changes that are believed to be in a reply.
+// maxPackedChanges bounds the number of changes that a reply may announce.
 const maxPackedChanges = 1 << 20
 
+// unpackChanges decodes what packChanges returned.
 func unpackChanges(now time.Time, packed []byte) ([]forward.Change, error) {
 	decoder := msgpack.NewDecoder(flate.NewReader(bytes.NewReader(packed)))
 	count, err := decoder.DecodeInt()
 	if err != nil {
-		return nil, trace.Wrap(err, "the peer's list can't be read")
+		return nil, trace.Wrap(err, "decoding the length of the peer's list")
 	}
 	if count < 0 || count > maxPackedChanges {
-		return nil, trace.BadParameter("the peer's list of %d can't be read", count)
+		return nil, trace.BadParameter("the peer's list has %d changes, expected 0 to %d", count, maxPackedChanges)
 	}
 	interned := map[string]string{}
 	var changes []forward.Change
 	for range count {
 		var w wireChange
 		if err := decoder.Decode(&w); err != nil {
-			return nil, trace.Wrap(err, "the peer's list can't be read")
+			return nil, trace.Wrap(err, "decoding change %d of %d of the peer's list", len(changes)+1, count)
 		}
-		// Thousands of upstreams have few services, zones and versions.
+		// Thousands of upstreams share a few services, zones and versions: keep one copy of each.
 		for _, name := range []*string{&w.Service, &w.Zone, &w.Version} {
 			if existing, found := interned[*name]; found {
 				*name = existing
--- a/internal/peer/list_test.go
+++ b/internal/peer/list_test.go
@@ -16,7 +16,7 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// fullListReply is a reply with the list of a large fleet.
+// fullListReply returns a reply with the complete list of a fleet.
 func fullListReply(now time.Time, upstreams int) forward.FollowReply {
 	r := forward.FollowReply{Complete: true, Generation: 1, ListRevision: history.NewPoint(2, 90)}
 	for n := range upstreams {
@@ -32,8 +32,8 @@
 	return r
 }
 
-// TestWholeListIsPackedOnce has a long list arrive as it was sent, be packed once for all who ask
-// while it is the same, and be small.
+// TestWholeListIsPackedOnce checks that a long list is decoded unchanged, that it is compressed only
+// once for all peers while it doesn't change, and that it is small.
 func TestWholeListIsPackedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -46,7 +46,7 @@
 	is.True(&w.Packed[0] == &again.Packed[0])
 	text, err := msgpack.Marshal(w)
 	is.NoErr(err)
-	t.Logf("%d bytes", len(text))
+	t.Logf("the reply with %d changes has %d bytes", len(sent.Changes), len(text))
 	is.True(len(text) < 64*len(sent.Changes))
 	var got wireFollowReply
 	is.NoErr(msgpack.Unmarshal(text, &got))
@@ -55,7 +55,7 @@
 	is.Equal(len(reply.Changes), len(sent.Changes))
 	for i := range reply.Changes {
 		if reply.Changes[i] != sent.Changes[i] {
-			t.Fatalf("%+v was sent, %+v came", sent.Changes[i], reply.Changes[i])
+			t.Fatalf("change %d: sent %+v, received %+v", i, sent.Changes[i], reply.Changes[i])
 		}
 	}
 	sent.Generation++
@@ -64,7 +64,7 @@
 	is.True(&w.Packed[0] != &changed.Packed[0])
 }
 
-// TestBrokenPackedList has a list that can't be read be refused.
+// TestBrokenPackedList checks that a list which can't be decoded is an error.
 func TestBrokenPackedList(t *testing.T) {
 	is := is.New(t)
 	whole, err := packChanges(time.Now(), fullListReply(time.Now(), 200).Changes)
@@ -72,7 +72,7 @@
 	for name, packed := range map[string][]byte{"cut": whole[:len(whole)/2], "noise": []byte("no list"), "start missing": whole[3:]} {
 		_, err := wireFollowReply{Packed: packed}.reply(time.Now())
 		if err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: decoding %d bytes returned no error", name, len(packed))
 		}
 	}
 }
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -18,18 +18,20 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Mesh keeps the connections to the peers, dialling each when it is first
-// called. Use NewMesh.
+// Mesh holds the connections to the peers. Each peer is dialled at the first call to it. Use
+// NewMesh.
 type Mesh struct {
 	self member.HostID
 	key  []byte
-	// clock is the one by which the moments that are told were taken.
+	// clock is the clock of the moments in messages, which are sent as the time until them; nil
+	// for the usual clock.
 	clock *clock.Clock
 
 	mu    sync.Mutex
 	conns map[string]*conn
-	// dialing holds, by address, a channel that closes when the dial is done.
+	// dialing holds, by address, a channel that is closed when the dial ends.
 	dialing map[string]chan struct{}
+	// readers are the goroutines that read the replies of dialled connections.
 	readers conc.WaitGroup
 	configs configPacker
 	lists   listPacker
@@ -37,10 +39,11 @@
 	sentBytes, receivedBytes atomic.Int64
 }
 
-// Option changes a Mesh.
+// Option configures a Mesh.
 type Option func(*Mesh)
 
-// WithClock has moments be told and heard by a clock; without it, by the usual one.
+// WithClock sets the clock by which moments are encoded and decoded. The default is the usual
+// clock.
 func WithClock(c *clock.Clock) Option { return func(m *Mesh) { m.clock = c } }
 
 // NewMesh returns a mesh without connections.
@@ -52,11 +55,11 @@
 	return m
 }
 
-// Bytes returns how much was sent and received so far, on connections that
-// this side dialled and on those it accepted.
+// Bytes returns how many bytes were sent and received so far, on both dialled and
+// accepted connections.
 func (m *Mesh) Bytes() (sent, received int64) { return m.sentBytes.Load(), m.receivedBytes.Load() }
 
-// Close ends the connections and waits for their readers.
+// Close closes the dialled connections and waits for their readers.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	for _, c := range m.conns {
@@ -77,8 +80,8 @@
 	return c.call(ctx, k, request, reply)
 }
 
-// connect returns the connection to an address. One dial goes at a time; the
-// others wait for it no longer than their contexts allow.
+// connect returns the connection to an address and dials it if necessary. One caller
+// dials an address at a time; the others wait until that ends or their contexts do.
 func (m *Mesh) connect(ctx context.Context, address string) (*conn, error) {
 	for {
 		m.mu.Lock()
@@ -103,6 +106,7 @@
 	}
 }
 
+// dial opens a connection, stores it and starts its reader. It closes done in any case.
 func (m *Mesh) dial(ctx context.Context, address string, done chan struct{}) (*conn, error) {
 	c, err := m.openConn(ctx, address)
 	m.mu.Lock()
@@ -117,6 +121,7 @@
 	return c, nil
 }
 
+// openConn dials an address and performs the handshake.
 func (m *Mesh) openConn(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	link, err := dialer.DialContext(ctx, "tcp", address)
@@ -125,19 +130,20 @@
 	}
 	if err := handshakeAsDialer(link, m.key, m.self); err != nil {
 		_ = link.Close()
-		return nil, trace.Wrap(err, "greeting peer %s", address)
+		return nil, trace.Wrap(err, "handshake with peer %s", address)
 	}
 	return newConn(link, &m.sentBytes, &m.receivedBytes), nil
 }
 
-// callHandler serves one call.
+// callHandler handles one call and returns the value to send as the reply.
 type callHandler func(ctx context.Context, from member.HostID, k callKind, body []byte) (any, error)
 
-// maxCallsPerConn bounds the calls that one peer may have open here.
+// maxCallsPerConn bounds the concurrent calls of one accepted connection.
 const maxCallsPerConn = 256
 
-// serve takes connections until the listener is closed, and waits for their
-// calls to end.
+// serve accepts connections until the context ends or the listener fails, and waits
+// for their calls to end. For each connection it calls onRefused if the handshake fails,
+// and otherwise onDisconnect when the connection ends.
 func (m *Mesh) serve(ctx context.Context, listener net.Listener, handle callHandler, onDisconnect func(member.HostID), onRefused func(error)) error {
 	var connections conc.WaitGroup
 	defer connections.Wait()
@@ -167,8 +173,8 @@
 	}
 }
 
-// serveConn serves one peer until its connection ends, and returns its name.
-// Only a failed greeting is an error: a link that breaks is everyday.
+// serveConn serves one peer until its connection ends, and returns the peer's name.
+// Only a failed handshake is an error, because connections break regularly.
 func (m *Mesh) serveConn(ctx context.Context, link net.Conn, handle callHandler) (member.HostID, error) {
 	from, err := handshakeAsAcceptor(link, m.key)
 	if err != nil {
@@ -196,6 +202,7 @@
 	}
 }
 
+// handleCall handles one call and writes its reply.
 func (m *Mesh) handleCall(ctx context.Context, link net.Conn, writeLock *sync.Mutex, f *frame, from member.HostID, handle callHandler) {
 	reply := frame{ID: f.ID, Reply: true, Kind: f.Kind}
 	result, err := handle(ctx, from, f.Kind, f.Body)
--- a/internal/peer/message_size_bench_test.go
+++ b/internal/peer/message_size_bench_test.go
@@ -13,6 +13,8 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
+// newTestHeartbeat returns a heartbeat with the given numbers of zones and pools, and of engines
+// in each pool.
 func newTestHeartbeat(zones, pools, engines int) entry.Heartbeat {
 	h := entry.Heartbeat{From: member.Entry{ID: "entry-0123", Zone: "zone-01", PeerAddress: "10.11.12.13:8082"}, Revision: 4_000_000}
 	for z := range zones {
@@ -30,8 +32,8 @@
 	return h
 }
 
-// BenchmarkHeartbeat gives the size of a heartbeat and what it takes to write
-// and read one.
+// BenchmarkHeartbeat measures the size of a heartbeat and the cost of encoding and
+// decoding it.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, c := range []struct {
 		name                  string
@@ -64,8 +66,8 @@
 	}
 }
 
-// BenchmarkGrantCall gives the bytes of one generation's placement: the
-// request, its decision and the end, each in a message of its own.
+// BenchmarkGrantCall measures the total size of the messages for the placement of one
+// generation: the request, the decision, the end and a bare reply.
 func BenchmarkGrantCall(b *testing.B) {
 	asked := policy.Request{
 		Run: "abcdefghijklmnop", Route: "route-12", Account: "account-1234", Priority: 3, PromptTokens: 3000,
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -26,7 +26,7 @@
 
 var testKey = []byte("a key of the test")
 
-// recordingHandler is a handler that keeps what it was given.
+// recordingHandler records the arguments of the calls.
 type recordingHandler struct {
 	mu        sync.Mutex
 	from      member.HostID
@@ -37,7 +37,7 @@
 	runs      []entry.PlacedRun
 	decisions []policy.Decision
 	down      member.HostID
-	// unblockPlace holds OnPlace back until it closes.
+	// unblockPlace, if not nil, blocks OnPlace until it is closed.
 	unblockPlace chan struct{}
 }
 
@@ -99,7 +99,7 @@
 	return entry.LogTail{Entries: []resource.LogEntry{{Revision: after + 1, Operation: "op"}}}
 }
 
-// startServer starts a mesh that serves the handler and returns its address.
+// startServer starts a mesh that serves the handler, and returns its host ID and address.
 func startServer(t *testing.T, h entry.PeerHandler, onRefused func(error)) member.Entry {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -154,13 +154,13 @@
 	is.Equal(decisions[0].RetryAfter, time.Second)
 	is.Equal(h.from, member.HostID("a"))
 	drift := h.requests[0].Deadline.Sub(asked.Deadline)
-	is.True(drift >= 0 && drift < time.Minute) // what was left, not the clock's time
+	is.True(drift >= 0 && drift < time.Minute) // the remaining time is sent, not the time of day
 	h.requests[0].Deadline = asked.Deadline
 	is.Equal(h.requests[0], asked)
 
 	_, err = m.Place(ctx, to, "none", []policy.Request{asked})
 	var refused *callError
-	is.True(errors.As(err, &refused)) // the link stays up
+	is.True(errors.As(err, &refused)) // the connection stays up
 	is.NoErr(m.Decided(ctx, to, "desk", []policy.Decision{{Run: "r", Verdict: policy.Granted, Engine: "g", Priority: 2}}))
 	is.Equal(h.decisions[0].Engine, member.UpstreamID("g"))
 	is.NoErr(m.Finished(ctx, to, "desk", []policy.Finish{{Run: "r", GeneratedTokens: 4, Complete: true}}))
@@ -176,8 +176,8 @@
 	is.Equal(tail.Entries[0].Revision, resource.Revision(5))
 }
 
-// TestSlowCallDoesNotBlockOthers has a heartbeat pass while a call is held back, and
-// the held call ends with its context.
+// TestSlowCallDoesNotBlockOthers checks that a heartbeat is answered while another call
+// of the connection is blocked, and that the blocked call ends with its context.
 func TestSlowCallDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	h := &recordingHandler{unblockPlace: make(chan struct{})}
@@ -205,10 +205,11 @@
 	_, err := newTestMesh(t, []byte("another key")).Heartbeat(t.Context(), to, entry.Heartbeat{})
 	is.True(err != nil)
 	is.True(<-refused != nil)
-	is.Equal(h.heartbeat.From.ID, member.HostID("")) // nothing was handled
+	is.Equal(h.heartbeat.From.ID, member.HostID("")) // no call was handled
 }
 
-// TestBrokenLink ends the calls under way and dials anew for the next.
+// TestBrokenLink checks that a broken connection ends its pending calls and that later calls
+// dial again.
 func TestBrokenLink(t *testing.T) {
 	is := is.New(t)
 	h := &recordingHandler{unblockPlace: make(chan struct{})}
@@ -225,7 +226,7 @@
 	m.mu.Unlock()
 	_ = link.netConn.Close()
 	close(h.unblockPlace)
-	<-slowCall // broken, or answered just before
+	<-slowCall // an error, or a reply that arrived just before the break
 	_, err = m.Heartbeat(t.Context(), to, entry.Heartbeat{})
 	for err != nil {
 		_, err = m.Heartbeat(t.Context(), to, entry.Heartbeat{})
@@ -260,16 +261,17 @@
 		}
 		again, err := appendFrame(nil, got)
 		if err != nil {
-			t.Skip("a body that isn't one value")
+			t.Skip("the body isn't a single msgpack value")
 		}
 		back, err := readFrame(bytes.NewReader(again))
 		if err != nil || !reflect.DeepEqual(back, got) {
-			t.Fatalf("%+v became %+v: %v", got, back, err)
+			t.Fatalf("frame %+v, decoded again %+v, error %v", got, back, err)
 		}
 	})
 }
 
-// FuzzDispatch has any body of any call end with an answer or an error.
+// FuzzDispatch checks that a call with any kind and body ends with a reply or an error and doesn't
+// panic.
 func FuzzDispatch(f *testing.F) {
 	for k := kindHeartbeat; k <= kindLog; k++ {
 		f.Add(byte(k), []byte{0x91, 0xa1, 'x'})
@@ -280,7 +282,7 @@
 	})
 }
 
-// fuzzHandler takes anything.
+// fuzzHandler accepts any arguments.
 type fuzzHandler struct{ recordingHandler }
 
 func (*fuzzHandler) OnPlace(context.Context, member.HostID, resource.Name, []policy.Request) ([]policy.Decision, error) {
--- a/internal/peer/permits.go
+++ b/internal/peer/permits.go
@@ -16,7 +16,7 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// wireLimitMark is ratelimit.Mark; Age is in milliseconds.
+// wireLimitMark encodes ratelimit.Mark; Age is in milliseconds.
 type wireLimitMark struct {
 	Upstream  string
 	Life, Age int64
@@ -51,7 +51,8 @@
 	return marks
 }
 
-// wirePermitRequest is permit.Ask; Word is empty where there is none.
+// wirePermitRequest encodes permit.Ask. Word has at most one element, the sender's newest
+// observation of the upstream's limit.
 type wirePermitRequest struct {
 	From, Upstream string
 	Rate           float64
@@ -81,11 +82,12 @@
 	return a
 }
 
-// wirePermitReply is permit.Reply; Wait is in milliseconds.
+// wirePermitReply encodes permit.Reply; Wait is in milliseconds. Word has at most one element, the
+// replying host's newest observation of the upstream's limit.
 type wirePermitReply struct {
 	Granted, Passed bool
 	Wait            int64
-	// ID, Zone and Address are those of the host that grants instead; empty for none.
+	// ID, Zone and Address are those of the host that grants in place of this one; empty for none.
 	ID, Zone, Address string
 	Unknown           bool
 	Word              []wireLimitMark
@@ -114,7 +116,7 @@
 	return r
 }
 
-// Permit asks a peer for leave to send to an upstream.
+// Permit asks a peer for a permit to send a request to an upstream.
 func (m *Mesh) Permit(ctx context.Context, to forward.Peer, a permit.Ask) (permit.Reply, error) {
 	var answer wirePermitReply
 	if err := m.call(ctx, to.PeerAddress, kindPermit, toWirePermitRequest(a), &answer); err != nil {
--- a/internal/peer/permits_test.go
+++ b/internal/peer/permits_test.go
@@ -19,8 +19,8 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// TestPermitRoundTrip has questions for permits, their answers and words of limits arrive as
-// they were; a rate that can't be is taken for the nearest one that can.
+// TestPermitRoundTrip checks that permit requests, their replies and observed limits are decoded
+// unchanged, and that an invalid rate is replaced by the nearest valid one.
 func TestPermitRoundTrip(t *testing.T) {
 	is := is.New(t)
 	mark := ratelimit.Mark{Upstream: "u", Life: 3, Named: true, Rate: 2.8, Age: 40 * time.Millisecond}
@@ -43,8 +43,8 @@
 	is.Equal(wireLimitMark{Rate: math.Inf(1)}.mark().Rate, ratelimit.MostRate)
 }
 
-// BenchmarkPermit is one question for a permit and its answer between two processes' ends on
-// one machine, both counted: the processor time that one host's request costs both.
+// BenchmarkPermit measures one permit request and its reply between two meshes in one process. The
+// figures include both sides.
 func BenchmarkPermit(b *testing.B) {
 	key := make([]byte, 32)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	}
 }
 
-// nopLog and nopMetrics keep nothing.
+// nopLog and nopMetrics discard everything.
 type (
 	nopLog     struct{}
 	nopMetrics struct{}
--- a/internal/peer/places.go
+++ b/internal/peer/places.go
@@ -13,8 +13,8 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// wireTurnRequest is forward.TurnRequest. Wait is how long the arbiter may hold it, in
-// milliseconds: the caller's context doesn't travel.
+// wireTurnRequest encodes forward.TurnRequest. Wait is how long the arbiter may keep the request
+// waiting, in milliseconds, because the caller's context isn't sent.
 type wireTurnRequest struct {
 	Engine, Run string
 	Worth       int
@@ -30,7 +30,8 @@
 	return forward.TurnRequest{Engine: member.UpstreamID(w.Engine), Run: policy.RunID(w.Run), Worth: w.Worth, AtOnce: w.AtOnce}
 }
 
-// Turn waits at an arbiter for the turn to move a run.
+// Turn requests the turn to move a run off an engine from the engine's arbiter, and waits for the
+// reply.
 func (m *Mesh) Turn(ctx context.Context, to forward.Peer, r forward.TurnRequest) error {
 	var answer bool
 	w := toWireTurnRequest(r)
@@ -40,13 +41,13 @@
 	return m.call(ctx, to.PeerAddress, kindTurn, w, &answer)
 }
 
-// EndTurn gives a turn back to its arbiter.
+// EndTurn returns a turn to the arbiter that granted it.
 func (m *Mesh) EndTurn(ctx context.Context, to forward.Peer, r forward.TurnRequest) error {
 	var answer bool
 	return m.call(ctx, to.PeerAddress, kindEndTurn, toWireTurnRequest(r), &answer)
 }
 
-// wirePlacementRequest is forward.PlaceAsk; times are in milliseconds.
+// wirePlacementRequest encodes forward.PlacementRequest; times are in milliseconds.
 type wirePlacementRequest struct {
 	From, Service, Run, Route, Account string
 	Urgency, Prompt, Limit             int
@@ -55,7 +56,8 @@
 	OnlyGroup, ButGroup                string
 }
 
-// wirePlacementGrant is forward.PlaceGrant; First is in milliseconds.
+// wirePlacementGrant encodes forward.PlacementGrant; First is the expected time to the first token,
+// in milliseconds.
 type wirePlacementGrant struct {
 	Engine string
 	First  int64
@@ -87,7 +89,7 @@
 	return a
 }
 
-// Ask asks a peer for a place on one of its zone's engines.
+// Ask asks a peer to reserve a place for a run on one of its zone's engines.
 func (m *Mesh) Ask(ctx context.Context, to forward.Peer, a forward.PlacementRequest) (forward.PlacementGrant, error) {
 	var answer wirePlacementGrant
 	if err := m.call(ctx, to.PeerAddress, kindAsk, toWirePlacementRequest(a), &answer); err != nil {
--- a/internal/peer/quarantine.go
+++ b/internal/peer/quarantine.go
@@ -14,7 +14,8 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// wireCrashMark is quarantine.Mark.
+// wireCrashMark encodes quarantine.Mark. Head and Body are the two parts of the request's
+// fingerprint.
 type wireCrashMark struct {
 	Head, Body    []byte
 	Caller, Route string
@@ -22,7 +23,8 @@
 	Cleared       []wireCrash
 }
 
-// wireCrash is a quarantine.CrashAge, or an upstream alone; Ago is in milliseconds.
+// wireCrash encodes quarantine.CrashAge or, without Ago, quarantine.Upstream; Ago is in
+// milliseconds.
 type wireCrash struct {
 	ID        string
 	Life, Ago int64
@@ -43,7 +45,7 @@
 	return all
 }
 
-// crashMarks leaves out what names no request.
+// crashMarks decodes marks and skips those without a valid fingerprint.
 func crashMarks(all []wireCrashMark) []quarantine.Mark {
 	var marks []quarantine.Mark
 	for _, w := range all {
@@ -68,14 +70,14 @@
 	return quarantine.Upstream{ID: member.UpstreamID(w.ID), Life: w.Life}
 }
 
-// wireQuarantineEntry is a quarantine.Entry; Ago is in milliseconds.
+// wireQuarantineEntry encodes quarantine.Entry; Ago is in milliseconds.
 type wireQuarantineEntry struct {
 	Request, Caller, Route string
 	Standing, Ended        int
 	Ago                    int64
 }
 
-// wireQuarantineReply is what OnQuarantine returns.
+// wireQuarantineReply encodes the results of OnQuarantine.
 type wireQuarantineReply struct {
 	Entries  []wireQuarantineEntry
 	Released bool
@@ -106,8 +108,9 @@
 	return entries, nil
 }
 
-// Quarantine asks the host at an address for the requests under which upstreams ended, and
-// has it let one through again if one is named.
+// Quarantine fetches from the host at an address the requests during which upstreams crashed. If
+// release isn't nil, the host first releases that request from quarantine. The bool reports
+// whether it was released.
 func (m *Mesh) Quarantine(ctx context.Context, address string, release *quarantine.Fingerprint) ([]quarantine.Entry, bool, error) {
 	fingerprint := ""
 	if release != nil {
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -15,7 +15,7 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// quarantineHandler has one request held, until it is released.
+// quarantineHandler holds one request in quarantine until it is released.
 type quarantineHandler struct {
 	forwardHandler
 	entry    quarantine.Entry
@@ -30,8 +30,8 @@
 	return []quarantine.Entry{p.entry}, false
 }
 
-// TestQuarantineCall has an operator's command see what a host has held, and let it
-// through again.
+// TestQuarantineCall checks that an operator's command can list the requests that a host holds in
+// quarantine, and release one.
 func TestQuarantineCall(t *testing.T) {
 	is := is.New(t)
 	asked := quarantine.Asked{Caller: "counter", Target: "/llm/x"}
@@ -57,8 +57,8 @@
 	is.True(released && host.released)
 }
 
-// TestCrashMarkRoundTrip has what a host tells of such requests be heard as it was told, and
-// what names no request be left out.
+// TestCrashMarkRoundTrip checks that marks of requests during which upstreams crashed are decoded
+// unchanged, and that a mark without a valid fingerprint is skipped.
 func TestCrashMarkRoundTrip(t *testing.T) {
 	is := is.New(t)
 	asked := quarantine.Asked{Caller: "counter", Target: "/llm/x", Body: []byte("b")}
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -16,7 +16,7 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// wireRollout is rollout.Status; times are in milliseconds.
+// wireRollout encodes rollout.Status; times are in milliseconds.
 type wireRollout struct {
 	Service, Target      string
 	Lasts, Age           int64
@@ -67,7 +67,7 @@
 	return all
 }
 
-// wireRolloutReport is rollout.Report.
+// wireRolloutReport encodes rollout.Report; Age is in milliseconds.
 type wireRolloutReport struct {
 	From, Service   string
 	GivenEra, Given uint64
@@ -77,7 +77,8 @@
 	Evidence        []wireEvidence
 }
 
-// wireEvidence is rollout.Evidence. Times has the buckets that aren't empty, each before its count.
+// wireEvidence encodes rollout.Evidence. Times holds the index and the count of each non-empty
+// bucket, in pairs.
 type wireEvidence struct {
 	Route        string
 	Measure      int
@@ -119,7 +120,8 @@
 	return r
 }
 
-// Rollout tells the peer that decides what was seen of a rollout.
+// Rollout reports this host's evidence about a rollout to the peer that decides, and returns that
+// peer's status of the rollout.
 func (m *Mesh) Rollout(ctx context.Context, to forward.Peer, r rollout.Report) (rollout.Status, error) {
 	var answer wireRollout
 	if err := m.call(ctx, to.PeerAddress, kindRollout, toWireRolloutReport(r), &answer); err != nil {
@@ -136,7 +138,7 @@
 	return toWireRollout(f.OnRollout(w.report())), nil
 }
 
-// wireRolloutEntry is forward.RolloutEntry.
+// wireRolloutEntry encodes forward.RolloutEntry. Only the evidence of Seen is set.
 type wireRolloutEntry struct {
 	Status  wireRollout
 	Decides string
@@ -144,7 +146,7 @@
 	Seen    wireRolloutReport
 }
 
-// Rollouts asks a host for the rollouts that it knows.
+// Rollouts fetches the rollouts that the host at an address knows.
 func (m *Mesh) Rollouts(ctx context.Context, address string) ([]forward.RolloutEntry, error) {
 	var answer []wireRolloutEntry
 	if err := m.call(ctx, address, kindRollouts, true, &answer); err != nil {
--- a/internal/peer/share.go
+++ b/internal/peer/share.go
@@ -15,7 +15,7 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// wireShare is forward.Share; ages are in milliseconds.
+// wireShare encodes forward.Share; ages are in milliseconds.
 type wireShare struct {
 	ID, Zone, Address string
 	Capacity          int
@@ -40,29 +40,30 @@
 	Announced         []wireAnnouncement `msgpack:",omitempty"`
 }
 
-// wireBackoff is backoff.Mark; For is in milliseconds.
+// wireBackoff encodes backoff.Mark; For is the remaining time in milliseconds.
 type wireBackoff struct {
 	Upstream  string
 	Life, For int64
 }
 
-// wireCold is forward.ColdMark; For is in milliseconds.
+// wireCold encodes forward.ColdMark; For is the remaining time in milliseconds.
 type wireCold struct {
 	Upstream  string
 	Life, For int64
 }
 
-// wireZoneOrder is forward.ZoneOrder.
+// wireZoneOrder encodes forward.ZoneOrder.
 type wireZoneOrder struct {
 	Zone     string
 	Out      bool
 	Revision uint64
 	Era      uint64 `msgpack:",omitempty"`
-	// Believed is in how many milliseconds this is believed; zero for now.
+	// Believed is in how many milliseconds the order takes effect; zero for at once.
 	Believed int64 `msgpack:",omitempty"`
 }
 
-// believedDelayMillis is in how many milliseconds something is believed; zero for now.
+// believedDelayMillis returns the milliseconds until from, at least 1; 0 if from is zero, which
+// stands for at once.
 func believedDelayMillis(now, from time.Time) int64 {
 	if from.IsZero() {
 		return 0
@@ -70,6 +71,7 @@
 	return max(from.Sub(now).Milliseconds(), 1)
 }
 
+// believedFromDelay is the inverse of believedDelayMillis.
 func believedFromDelay(now time.Time, delayMillis int64) time.Time {
 	if delayMillis <= 0 {
 		return time.Time{}
@@ -77,12 +79,12 @@
 	return now.Add(time.Duration(delayMillis) * time.Millisecond)
 }
 
-// newPoint is a newPoint as two numbers of a message.
+// newPoint decodes a point from the two numbers in a message.
 func newPoint(era, revision uint64) history.Point {
 	return history.NewPoint(history.Era(era), history.Revision(revision))
 }
 
-// pointNumbers are a point's, for a message.
+// pointNumbers returns the two numbers that encode a point in a message.
 func pointNumbers(p history.Point) (era, revision uint64) {
 	return uint64(p.Era()), uint64(p.Revision())
 }
@@ -107,30 +109,31 @@
 	return orders
 }
 
-// wireFailing is forward.FailingMark; For is in milliseconds.
+// wireFailing encodes forward.FailingMark; For is the remaining time in milliseconds.
 type wireFailing struct {
 	Upstream  string
 	Life, For int64
 }
 
-// wireLeaving is forward.LeavingMark; In is in milliseconds.
+// wireLeaving encodes forward.LeavingMark; In is in milliseconds.
 type wireLeaving struct {
 	Engine   string
 	Life, In int64
 	Said     bool
 }
 
-// wireEndedRun is forward.EndedRun.
+// wireEndedRun encodes forward.EndedRun.
 type wireEndedRun struct {
 	Run  string
 	Made int
 }
 
+// wireRunState encodes forward.RunState.
 type wireRunState struct {
 	Run, Service, Engine, Route, Account string
 	Prompt, Made, Limit                  int
 	Life                                 int64
-	// Begun is in microseconds.
+	// Begun is the age of the first token, in microseconds; zero before it.
 	Begun int64
 }
 
@@ -209,7 +212,7 @@
 	return s
 }
 
-// Share tells a peer about this host.
+// Share sends this host's state to a peer and returns the peer's state.
 func (m *Mesh) Share(ctx context.Context, to forward.Peer, s forward.Share) (forward.Share, error) {
 	var answer wireShare
 	if err := m.call(ctx, to.PeerAddress, kindShare, toWireShare(m.clock.Now(), s), &answer); err != nil {
--- a/internal/peer/silent_link_test.go
+++ b/internal/peer/silent_link_test.go
@@ -15,16 +15,16 @@
 	"github.com/matryer/is"
 )
 
-// TestSilentLink has a link given up when an answer is due and nothing comes, and
-// kept where the peer is only slow with one answer.
+// TestSilentLink checks that a connection is closed if a reply is due and nothing is received, and
+// that it stays up if the peer is only slow with one reply.
 func TestSilentLink(t *testing.T) {
 	for name, c := range map[string]struct {
 		// answers reports whether the peer answers the n-th call.
 		answers func(n int) bool
 		timeout time.Duration
-		// cancelled has the caller leave in place of waiting.
+		// cancelled says that the caller cancels the call just before its deadline.
 		cancelled bool
-		up        bool
+		wantUp    bool
 	}{
 		"silent":                       {func(int) bool { return false }, 300 * time.Millisecond, false, false},
 		"silent, for a moment only":    {func(int) bool { return false }, 30 * time.Millisecond, false, true},
@@ -49,13 +49,13 @@
 					go func() {
 						defer cancel()
 						var reply bool
-						_ = link.call(ctx, kindTurn, true, &reply) // the link's state is judged
+						_ = link.call(ctx, kindTurn, true, &reply) // only the connection's state is checked
 					}()
 					time.Sleep(10 * time.Millisecond)
 				}
 				time.Sleep(time.Second)
 				synctest.Wait()
-				is.Equal(link.isUp(), c.up)
+				is.Equal(link.isUp(), c.wantUp)
 				link.close()
 				is.NoErr(theirs.Close())
 			})
@@ -63,7 +63,7 @@
 	}
 }
 
-// answerCalls reads calls and answers some of them, as a peer does.
+// answerCalls reads calls and replies to those that answers selects by their number.
 func answerCalls(link net.Conn, answers func(n int) bool) {
 	reader := bufio.NewReader(link)
 	for n := 1; ; n++ {
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -13,7 +13,7 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// The kinds of call.
+// The kinds of calls.
 const (
 	kindHeartbeat callKind = iota + 1
 	kindPlace
@@ -33,9 +33,11 @@
 	kindRollouts
 )
 
-// The wire types are arrays, to keep heartbeats small. Times travel as what is
-// left of them, because the hosts' clocks differ.
+// The wire types are encoded as arrays, to keep heartbeats small: the order and number of their
+// fields are the format. Deadlines are sent as the remaining time, because the hosts' clocks
+// differ.
 
+// wireHeartbeat encodes entry.Heartbeat.
 type wireHeartbeat struct {
 	ID       string
 	Zone     string
@@ -50,6 +52,7 @@
 	Era      uint64
 }
 
+// wireZone encodes entry.ZoneStatus.
 type wireZone struct {
 	Zone     string
 	Revision uint64
@@ -57,6 +60,7 @@
 	Age      time.Duration
 }
 
+// wirePool encodes entry.PoolStatus.
 type wirePool struct {
 	Pool    string
 	Zone    string
@@ -65,13 +69,14 @@
 	Reports []wireReport
 }
 
+// wireReport encodes policy.Report.
 type wireReport struct {
 	Engine  string
 	Memory  int
 	Used    int
 	Running int
 	Waiting int
-	// StepMicros is in microseconds: a step needs no finer unit.
+	// StepMicros is the time of a step in microseconds; a finer unit isn't needed.
 	StepMicros int64
 }
 
@@ -135,6 +140,7 @@
 	return p
 }
 
+// wireRequest encodes policy.Request. Left is the time until the deadline.
 type wireRequest struct {
 	Run          string
 	Route        string
@@ -180,6 +186,7 @@
 	Asked []wireRequest
 }
 
+// wireDecision encodes policy.Decision.
 type wireDecision struct {
 	Run        string
 	Verdict    int
@@ -217,6 +224,7 @@
 	return decisions
 }
 
+// wireFinish encodes policy.Finish.
 type wireFinish struct {
 	Run   string
 	Made  int
@@ -228,6 +236,7 @@
 	Finished []wireFinish
 }
 
+// wireRun encodes entry.PlacedRun.
 type wireRun struct {
 	Request wireRequest
 	Engine  string
@@ -239,12 +248,13 @@
 	Runs []wireRun
 }
 
-// wireLogRequest carries resources and entries in JSON, the form that they are stored
-// and checked in.
+// wireLogRequest asks for the log after a revision.
 type wireLogRequest struct {
 	After uint64
 }
 
+// wireLogTail encodes entry.LogTail. The snapshot and the entries are JSON, the form in which they
+// are stored and checked.
 type wireLogTail struct {
 	Snapshot []byte
 	Entries  []byte
