--- a/forward/ending.go
+++ b/forward/ending.go
@@ -40,7 +40,7 @@
 		return timeOver
 	case errors.Is(cause, errStopped):
 		return hostStopped
-	case errors.Is(cause, errHeld):
+	case errors.Is(cause, errQuarantined):
 		return heldBack
 	default:
 		return callerLeft
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -39,7 +39,7 @@
 	// zones are those in which the request may be served; nil for all.
 	zones []member.Zone
 	// versions are those that may get the request.
-	versions versionBound
+	versions versionConstraint
 	// print is what the request asks, once that has been worked out.
 	print atomic.Pointer[quarantine.Fingerprint]
 	// trying guards isTry, for sends beside each other are judged at the same time.
@@ -127,8 +127,8 @@
 		return Refusal{Code: CodeNoUpstream, RetryAfter: retryUnknown}, false
 	}
 	x.versions.set(x.drawVersions(now))
-	if x.held(now) {
-		return heldRefusal, false
+	if x.mustHoldBack(now) {
+		return quarantineRefusal, false
 	}
 	if x.noUpstreamInRegions(now) {
 		return Refusal{Code: CodeRegion, RetryAfter: maxRetryAfter}, false
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -120,7 +120,7 @@
 	// newest is the configuration in force as it came, for peers.
 	newest atomic.Pointer[Config]
 	peers  *peerSet
-	turns  turns
+	turns  turnQueues
 	// peerPort is set by RunPeers, under the lock of peers.
 	peerPort Peers
 	// crashes are requests under which upstreams ended.
@@ -131,7 +131,7 @@
 	// these, and desk what it decides for all.
 	rollouts rollout.Book
 	seen     rollout.Observations
-	desk     rolloutDesk
+	desk     rolloutDecider
 	// answers bounds what is held of answers.
 	answers spool.Budget
 	// offers are peers' newer configurations.
@@ -245,7 +245,7 @@
 		case <-f.relist:
 		case <-tick.C:
 			f.crashes.Forget(f.now(), f.peers.isKnown)
-			f.forgetLimits(f.now())
+			f.pruneLimits(f.now())
 			f.backoffs.Forget(f.now())
 			for _, c := range f.fleet.Settle(f.now()) {
 				if !c.Gone {
--- a/forward/move.go
+++ b/forward/move.go
@@ -150,11 +150,11 @@
 
 // turnsAtOnce takes the turns of both links if nobody uses them.
 func (m *mover) turnsAtOnce(ctx context.Context, x *exchange, run *ownRun, to Upstream) (end func(), err error) {
-	endSource, err := x.takeTurn(ctx, m.from, TurnRequest{Engine: m.from.ID, Run: run.request.Run, AtOnce: true})
+	endSource, err := x.acquireTurn(ctx, m.from, TurnRequest{Engine: m.from.ID, Run: run.request.Run, NoWait: true})
 	if err != nil {
 		return endSource, err
 	}
-	endTarget, err := x.takeTurn(ctx, to, TurnRequest{Engine: to.ID, Run: run.request.Run, AtOnce: true})
+	endTarget, err := x.acquireTurn(ctx, to, TurnRequest{Engine: to.ID, Run: run.request.Run, NoWait: true})
 	return func() {
 		endTarget()
 		endSource()
@@ -238,9 +238,9 @@
 // tryMove waits for the turn and moves the run to the engine that suits best
 // then.
 func (m *mover) tryMove(ctx context.Context, x *exchange, run *ownRun, gone time.Time) (*handover, error) {
-	r := TurnRequest{Engine: m.from.ID, Run: run.request.Run, Worth: x.engines.movePriority(x.service.Name, run)}
+	r := TurnRequest{Engine: m.from.ID, Run: run.request.Run, Priority: x.engines.movePriority(x.service.Name, run)}
 	turn, cancel := context.WithTimeout(ctx, gone.Add(-moveMargin).Sub(x.now()))
-	end, err := x.takeTurn(turn, m.from, r)
+	end, err := x.acquireTurn(turn, m.from, r)
 	cancel()
 	if err != nil {
 		x.journal.Request(x.call.ID, "no turn", "engine", m.from.ID, "err", err)
@@ -280,7 +280,7 @@
 		}
 		to, found = next, true
 		turn, cancel := context.WithTimeout(ctx, targetTurnTimeout)
-		free, err := x.takeTurn(turn, to, TurnRequest{Engine: to.ID, Run: run.request.Run, AtOnce: true})
+		free, err := x.acquireTurn(turn, to, TurnRequest{Engine: to.ID, Run: run.request.Run, NoWait: true})
 		cancel()
 		if err == nil {
 			return to, free, true
@@ -292,7 +292,7 @@
 	}
 	turn, cancel := context.WithTimeout(ctx, busyTargetWait)
 	defer cancel()
-	free, err := x.takeTurn(turn, to, TurnRequest{Engine: to.ID, Run: run.request.Run})
+	free, err := x.acquireTurn(turn, to, TurnRequest{Engine: to.ID, Run: run.request.Run})
 	if err != nil {
 		x.journal.Request(x.call.ID, "no turn", "engine", to.ID, "err", err)
 	}
--- a/forward/needyfleet_test.go
+++ b/forward/needyfleet_test.go
@@ -79,7 +79,7 @@
 		if !named || f.hides != nil && f.hides() {
 			return a, nil
 		}
-		a.Signals.Limit = NamedLimit{Named: true, Rate: rate}
+		a.Signals.Limit = AnnouncedLimit{Announced: true, Rate: rate}
 		if f.told[u.ID] == nil {
 			f.told[u.ID] = map[member.HostID]time.Duration{}
 		}
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -45,7 +45,7 @@
 // answerFrom passes an engine's answer on.
 func (s *streamExchange) answerFrom(ctx context.Context, u Upstream, a *Response) {
 	if a.Status != http.StatusOK || !a.Signed || a.UnexpectedEncoding {
-		s.noteAnswer(s.now(), u, rollout.First, true, 0)
+		s.recordRolloutAnswer(s.now(), u, rollout.First, true, 0)
 	}
 	if a.Status != http.StatusOK {
 		s.passFailure(ctx, u, a)
@@ -58,7 +58,7 @@
 		return
 	}
 	if a.Signals.Closing {
-		s.hintedLeaving(ctx, u)
+		s.checkLeavingHint(ctx, u)
 	}
 	last, err := s.followRun(ctx, u, a)
 	for err != nil && s.callerGone == nil {
@@ -77,13 +77,13 @@
 	switch {
 	case err == nil:
 		if s.moves == 0 && s.events > 2 && last.ID == s.firstAt.ID {
-			s.noteAnswer(s.now(), last, rollout.Pace, false, s.lastAt.Sub(s.begunThere)/time.Duration(s.events-1))
+			s.recordRolloutAnswer(s.now(), last, rollout.Pace, false, s.lastAt.Sub(s.begunThere)/time.Duration(s.events-1))
 		}
 		s.fleet.RecordSuccess(last.ID)
-		s.survived(s.now())
+		s.recordSurvival(s.now())
 	case s.callerGone == nil && ctx.Err() == nil:
 		now := s.now()
-		s.noteAnswer(now, last, rollout.First, true, 0)
+		s.recordRolloutAnswer(now, last, rollout.First, true, 0)
 		s.recordBrokenStream(now, last.ID)
 		s.recordBrokenConnection(ctx, now, last, s.begunThere, err)
 	}
@@ -128,7 +128,7 @@
 	case why != notEnded:
 		s.refuse(Refusal{Code: why.code(), MayHaveRun: true}, about...)
 	default:
-		s.refuse(s.truly(s.now(), Refusal{Code: CodeLost, MayHaveRun: true}), about...)
+		s.refuse(s.withQuarantineCode(s.now(), Refusal{Code: CodeLost, MayHaveRun: true}), about...)
 	}
 }
 
@@ -224,7 +224,7 @@
 	s.noteBegun(now)
 	if s.events == 0 {
 		s.firstAfter = now.Sub(s.call.Arrived)
-		s.noteAnswer(now, s.firstAt, rollout.First, false, now.Sub(s.sentAt))
+		s.recordRolloutAnswer(now, s.firstAt, rollout.First, false, now.Sub(s.sentAt))
 		if s.run != nil {
 			s.engines.recordFirstToken(now, s.service.Name, s.run)
 		}
@@ -245,9 +245,9 @@
 	switch {
 	case s.begunThere.IsZero():
 		s.begunThere = now
-	case !s.proven && now.Sub(s.begunThere) >= beginsFor:
+	case !s.proven && now.Sub(s.begunThere) >= crashAttributionWindow:
 		s.proven = true
-		s.survived(now)
+		s.recordSurvival(now)
 	}
 }
 
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -19,7 +19,7 @@
 	if !s.mayHaveRun || r.MayHaveRun || r.Code == CodeCallerLeft {
 		return r
 	}
-	return s.truly(s.now(), Refusal{Code: CodeLost, MayHaveRun: true})
+	return s.withQuarantineCode(s.now(), Refusal{Code: CodeLost, MayHaveRun: true})
 }
 
 // mayRunAgain reports whether a request that an engine may have worked on may be
@@ -88,7 +88,7 @@
 		// Without an id there is no telling where to go on.
 		return Upstream{}, nil, false
 	}
-	if !s.mayRunAgain(ctx, CodeLost) || s.held(s.now()) || !s.takeRepeat("broken_off") {
+	if !s.mayRunAgain(ctx, CodeLost) || s.mustHoldBack(s.now()) || !s.takeRepeat("broken_off") {
 		return Upstream{}, nil, false
 	}
 	s.avoid = append(s.avoid, broken.ID)
--- a/forward/signalday_test.go
+++ b/forward/signalday_test.go
@@ -116,7 +116,7 @@
 }
 
 // refusedWithin is how long it may take to refuse a request.
-func (d signalDay) refusedWithin() time.Duration { return limitDay{path: d.path}.refusedWithin() }
+func (d signalDay) refusedWithin() time.Duration { return limitScenario{path: d.path}.maxRefusalTime() }
 
 // play plays the day.
 func (d signalDay) play(t *testing.T, seed uint64, judge func(*testing.T, *signalFleet, *signalTally)) {
@@ -145,14 +145,14 @@
 		if d.happens != nil {
 			under.Go(func() { d.happens(ctx, s, fleet) })
 		}
-		time.Sleep(settled / 2)
+		time.Sleep(siteSettleTime / 2)
 		random := rand.New(rand.NewPCG(seed, 0))
 		pause := float64(time.Second) / d.perSecond
 		for n := 0; fleet.now() < d.lasts; n++ {
-			host := s.nth(random.IntN(d.zones * d.hostsPerZone))
+			host := s.nthHost(random.IntN(d.zones * d.hostsPerZone))
 			for !host.Ready() {
 				// Callers aren't led to a host that isn't.
-				host = s.nth(random.IntN(d.zones * d.hostsPerZone))
+				host = s.nthHost(random.IntN(d.zones * d.hostsPerZone))
 			}
 			under.Go(func() {
 				var sink *fakeSink
@@ -185,7 +185,7 @@
 	return func(_ context.Context, s *site, fleet *signalFleet) {
 		for n := 0; fleet.now() < 12*time.Second; n++ {
 			time.Sleep(700 * time.Millisecond)
-			u, known := s.first().fleet.Upstream(id)
+			u, known := s.firstHost().fleet.Upstream(id)
 			if !known {
 				continue
 			}
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -36,7 +36,7 @@
 	lapse := func(back time.Duration) func(context.Context, *site, *signalFleet) {
 		return func(_ context.Context, s *site, _ *signalFleet) {
 			time.Sleep(6 * time.Second)
-			u, _ := s.first().fleet.Upstream(id)
+			u, _ := s.firstHost().fleet.Upstream(id)
 			u.Leaving, u.Revision = false, rev(50)
 			s.origin.publish(Change{Upstream: u, Gone: true})
 			time.Sleep(back)
@@ -47,7 +47,7 @@
 	again := func(before, after Incarnation, address string) func(context.Context, *site, *signalFleet) {
 		return func(_ context.Context, s *site, fleet *signalFleet) {
 			time.Sleep(3 * time.Second)
-			u, _ := s.first().fleet.Upstream(id)
+			u, _ := s.firstHost().fleet.Upstream(id)
 			u.Incarnation, u.Revision = before, rev(40)
 			s.origin.publish(Change{Upstream: u})
 			time.Sleep(5 * time.Second)
@@ -77,7 +77,7 @@
 			happens: func(ctx context.Context, s *site, fleet *signalFleet) {
 				time.Sleep(8 * time.Second)
 				for n := range 3 {
-					s.startAgain(ctx, fleet, s.nth(n))
+					s.startAgain(ctx, fleet, s.nthHost(n))
 					time.Sleep(time.Second)
 				}
 			},
@@ -87,7 +87,7 @@
 			happens: func(_ context.Context, s *site, _ *signalFleet) {
 				time.Sleep(4 * time.Second)
 				for zone := range 3 {
-					s.cutOff(s.zone(zone + 1)...)
+					s.cutOff(s.zoneAddresses(zone + 1)...)
 				}
 			},
 		},
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -91,7 +91,7 @@
 			return
 		}
 		if ctx.Err() == nil && err != nil && !errors.Is(err, ErrNotSent) {
-			s.noteAnswer(s.now(), u, rollout.First, true, 0)
+			s.recordRolloutAnswer(s.now(), u, rollout.First, true, 0)
 		}
 		s.free(false)
 		last = s.judge(ctx, u, answer, err)
@@ -99,7 +99,7 @@
 			break
 		}
 	}
-	s.refuse(s.truly(x.now(), s.honest(last)), "service", x.service.Name, "sent", s.sent)
+	s.refuse(s.withQuarantineCode(x.now(), s.honest(last)), "service", x.service.Name, "sent", s.sent)
 }
 
 // mayTryAnother reports whether the request may be sent to another engine after one
@@ -107,7 +107,7 @@
 func (s *streamExchange) mayTryAnother(ctx context.Context, u Upstream, last Refusal, notRun bool) bool {
 	s.mayHaveRun = s.mayHaveRun || last.MayHaveRun
 	switch {
-	case last.Code == CodeCallerLeft, last.MayHaveRun && !s.mayRunAgain(ctx, last.Code), s.held(s.now()):
+	case last.Code == CodeCallerLeft, last.MayHaveRun && !s.mayRunAgain(ctx, last.Code), s.mustHoldBack(s.now()):
 		return false
 	case !last.MayHaveRun && !notRun:
 		// The engine never had it.
@@ -169,12 +169,12 @@
 	}
 	if !s.untried(now) {
 		takers := s.acceptingUpstreams(now)
-		return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
+		return Upstream{}, s.refuseNoUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 	}
 	if s.backoffs.Any() {
 		candidates := s.Forwarder.candidates(now, s.service.Name)
 		if takers := s.acceptingUpstreams(now); len(takers) > 0 && len(candidates) == 0 {
-			return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
+			return Upstream{}, s.refuseNoUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 		}
 		// One whose backoff has just ended isn't listed until the next tick.
 		layout, own := s.peers.cellLayout()
@@ -221,7 +221,7 @@
 	case hostStopped:
 		return Refusal{Code: why.code(), RetryAfter: s.retryStopping(s.now())}
 	case heldBack:
-		return heldRefusal
+		return quarantineRefusal
 	}
 	wait := min(max(d.RetryAfter, minRetryAfter), maxRetryAfter)
 	if d.Reason == policy.ReasonNoEngine {
@@ -266,9 +266,9 @@
 	kept, isKept := notSentVerdict(err)
 	switch {
 	case isKept && kept.Reason == eligibility.Quarantined:
-		return heldRefusal
+		return quarantineRefusal
 	case isKept && ctx.Err() == nil:
-		return s.noUpstream(now, s.acceptingUpstreams(now), kept.Wait)
+		return s.refuseNoUpstream(now, s.acceptingUpstreams(now), kept.Wait)
 	case errors.Is(err, ErrNotSent) && ctx.Err() == nil:
 		s.fleet.Suspect(now, u.ID)
 		s.unreachable(now, u)
@@ -290,6 +290,6 @@
 		s.avoid = append(s.avoid, u.ID)
 		return Refusal{Code: CodeNoUpstream, RetryAfter: retryUnknown}
 	default:
-		return s.rejectedEverywhere(now)
+		return s.refuseRejected(now)
 	}
 }
