--- a/forward/limitfaults_test.go
+++ b/forward/limitfaults_test.go
@@ -18,9 +18,9 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// Limits while hosts start, stop, are suspended and cut off, and while upstreams change.
+// Rate limits while hosts start, stop, are suspended or cut off, and while upstreams change.
 
-// restartHost has another process be in a host's place, which knows nothing.
+// restartHost replaces a host by a new process that knows nothing of the state of the old one.
 func (s *site) restartHost(ctx context.Context, fleet *needyFleet, old *Forwarder) *Forwarder {
 	f := New(old.settings, &fakeTransport{send: fleet.sendFrom(old.settings.Self.ID), reach: fleet.Reach}, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
@@ -30,7 +30,7 @@
 	return f
 }
 
-// zoneAddresses lists the addresses of a zoneAddresses's hosts.
+// zoneAddresses lists the addresses of the hosts in zone n.
 func (s *site) zoneAddresses(n int) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,22 +39,23 @@
 	})
 }
 
-// granter is the host that gives out what an upstream takes.
+// granter returns the host that grants an upstream's permits.
 func (s *site) granter(id member.UpstreamID) *Forwarder {
 	return s.hostAtAddress(permitSite{s.firstHost()}.Granter(time.Now(), id).PeerAddress)
 }
 
-// TestLimitsUnderFaults has the rule kept whatever befalls the hosts meanwhile, and the
-// limits be used.
+// TestLimitsUnderFaults checks that limits are kept and used whatever faults the hosts have
+// meanwhile.
 func TestLimitsUnderFaults(t *testing.T) {
 	const until = 40 * time.Second
 	const id, rate = member.UpstreamID("app00"), ratelimit.Rate(6.5)
 	for name, c := range map[string]struct {
 		happens func(ctx context.Context, s *site, fleet *needyFleet)
-		// least is how much of the limit is used, from the contact bound on. While the
-		// host that gives it out is away, half of it is in the others' own turns.
+		// least is the share of the limit that must be used, from the contact bound on. While
+		// the granting host is away, half of the limit is available through the turns of the
+		// other hosts.
 		least float64
-		// excused are hosts that don't count.
+		// excused are hosts whose requests don't count against the limit.
 		excused []member.HostID
 	}{
 		"hosts start again, one after the other": {func(ctx context.Context, s *site, fleet *needyFleet) {
@@ -102,9 +103,9 @@
 			time.Sleep(10 * time.Second)
 			s.regain(s.zoneAddresses(1)...)
 		}, 0.6, nil},
-		// Each of the two takes itself for the only one of its zone and gives out the
-		// limit: of 53 requests in 4 s 26 and 23 were theirs. They count as cut off, which
-		// excuses them; the others' have to keep to the rule.
+		// Each of these two hosts considers itself the only one of its zone and grants the
+		// whole limit, so together they exceed it. They count as cut off, so their requests
+		// are excused; those of the other hosts must keep to the limit.
 		"its zone's hosts can't be reached, and reach the others": {func(_ context.Context, s *site, _ *needyFleet) {
 			time.Sleep(10 * time.Second)
 			s.lose(s.zoneAddresses(1)...)
@@ -164,7 +165,7 @@
 				needs: []need{needAfterSettling(id, rate, until)}, disturb: c.happens, coldRate: 10,
 			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
 				rule, aim, used := fleet.rule(id, c.excused...), fleet.aim(id), fleet.used(id, siteSettleTime+contactBound, until, rate)
-				t.Logf("%v; used %.2f; asked %d, served %d", aim, used, tally.requests, tally.served)
+				t.Logf("%v; used share %.2f; requests %d, served %d", aim, used, tally.requests, tally.served)
 				if rule.broken() {
 					perHost := map[member.HostID]int{}
 					for _, r := range fleet.got[id] {
@@ -172,19 +173,19 @@
 							perHost[r.host]++
 						}
 					}
-					t.Log(perHost)
-					t.Errorf("%v", rule)
+					t.Logf("requests per host in that window: %v", perHost)
+					t.Errorf("upstream %s got too many requests: %v", id, rule)
 				}
 				if used < c.least {
-					t.Errorf("used to %.2f", used)
+					t.Errorf("upstream %s: used share of the limit is %.2f, want at least %.2f", id, used, c.least)
 				}
 			})
 		})
 	}
 }
 
-// TestChangingLimits has limits that move be kept to, those that come and go, too, and an
-// upstream whose need is over return to its part: within a fifth of what its like get.
+// TestChangingLimits checks that limits are kept that change, are zero, or are missing from
+// some responses.
 func TestChangingLimits(t *testing.T) {
 	const until = 40 * time.Second
 	const id = member.UpstreamID("app00")
@@ -208,17 +209,17 @@
 				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, duration: until, needs: c.needs, hides: c.hides,
 			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
 				rule := fleet.rule(id)
-				t.Logf("%v; in all %d", fleet.aim(id), fleet.count(id, siteSettleTime, until))
+				t.Logf("%v; %d requests in total", fleet.aim(id), fleet.count(id, siteSettleTime, until))
 				if rule.broken() {
-					t.Errorf("%v", rule)
+					t.Errorf("upstream %s got too many requests: %v", id, rule)
 				}
 			})
 		})
 	}
 }
 
-// TestLimitEnds has an upstream whose need is over get within a fifth of what its like
-// get within five seconds, from then on, and no more than twice that on the way.
+// TestLimitEnds checks that an upstream, within eight seconds of the end of its limit, gets
+// within a fifth of the requests of a comparable upstream, and never more than twice as many.
 func TestLimitEnds(t *testing.T) {
 	const over, until = 14 * time.Second, 40 * time.Second
 	for name, rate := range map[string]ratelimit.Rate{"0.2": 0.2, "4": 4} {
@@ -228,7 +229,8 @@
 					zones: 3, hostsPerZone: 3, upstreams: 3, path: "/order/", perSecond: 90, duration: until, atOneHost: atOneHost,
 					needs: []need{needAfterSettling("app01", rate, over)},
 				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
-					// The third zone's is like it from both loads' hosts.
+					// The third zone's upstream, app02, gets comparable traffic with both
+					// loads.
 					part := func(from, to time.Duration) float64 {
 						return float64(fleet.count("app01", from, to)) / float64(fleet.count("app02", from, to))
 					}
@@ -237,15 +239,15 @@
 					for from := over; from+3*step <= until; from += step {
 						here := part(from, from+3*step)
 						if here > 2 {
-							t.Errorf("%.1f times its part from %v on", here, from)
+							t.Errorf("app01 got %.1f times the requests of app02 in the 3 s from %v on, want at most 2", here, from)
 						}
 						if fit == 0 && here > 0.8 && here < 1.2 {
 							fit = from - over
 						}
 					}
-					t.Logf("within a fifth of its part %v after its need", fit)
+					t.Logf("app01 is within a fifth of app02 %v after the end of its limit", fit)
 					if fit == 0 || fit > 8*time.Second {
-						t.Errorf("within a fifth of its part %v after its need", fit)
+						t.Errorf("app01 is within a fifth of app02 %v after the end of its limit (0 s: never), want within 8 s", fit)
 					}
 				})
 			})
@@ -253,8 +255,8 @@
 	}
 }
 
-// TestSuspendedHostKeepsLimit has a host that was suspended, with requests waiting in its
-// sockets, send no more for the time that it missed.
+// TestSuspendedHostKeepsLimit checks that a host that was suspended, with requests waiting in
+// its sockets, does not send more to make up for the time that it missed.
 func TestSuspendedHostKeepsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -288,7 +290,7 @@
 		}
 		for _, id := range []member.UpstreamID{"app00", "app01", "app02"} {
 			if rule := fleet.rule(id); rule.broken() {
-				t.Errorf("%s got %v", id, rule)
+				t.Errorf("upstream %s got too many requests: %v", id, rule)
 			}
 			t.Logf("%s: %v", id, fleet.aim(id))
 		}
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -10,17 +10,19 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// AnnouncedLimit is what an answer says of how many requests a second its upstream takes from
-// all hosts together. The zero value names none.
+// AnnouncedLimit is the rate limit that a response announces for its upstream: how many
+// requests per second the upstream accepts from all hosts together. The zero value announces
+// no limit.
 type AnnouncedLimit struct {
 	Announced bool
 	Rate      ratelimit.Rate
-	// Err says why what it named can't be read. Such an answer says nothing.
+	// Err is set if the announced limit cannot be parsed. Such a response neither sets nor
+	// ends a limit.
 	Err error
 }
 
-// recordAnswerLimit takes in what an answer says of its upstream's limit. sent is when its request
-// was.
+// recordAnswerLimit records the rate limit that a response announces for its upstream, or that
+// it announces none. sent is when the request was sent.
 func (f *Forwarder) recordAnswerLimit(sent time.Time, u Upstream, l AnnouncedLimit) {
 	now := f.now()
 	if l.Err != nil {
@@ -36,7 +38,8 @@
 	f.applyLimitChange(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
 }
 
-// receivePeerLimit takes in a peer's word of an upstream's limit.
+// receivePeerLimit records a peer's mark of an upstream's limit, unless it belongs to another
+// incarnation.
 func (f *Forwarder) receivePeerLimit(now time.Time, from member.HostID, m ratelimit.Mark) {
 	if !f.fleet.ReceiveIncarnation(m.Upstream, Incarnation(m.Life)) {
 		return
@@ -44,7 +47,8 @@
 	f.applyLimitChange(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceiveMark(now, from, m))
 }
 
-// applyLimitChange tells of a change of an upstream's limit.
+// applyLimitChange logs a change of an upstream's limit. When the limit has ended, this host
+// may ask for permits again at once.
 func (f *Forwarder) applyLimitChange(now time.Time, id member.UpstreamID, from member.HostID, rate ratelimit.Rate, age time.Duration, c ratelimit.Change) {
 	if c == ratelimit.Unchanged {
 		return
@@ -57,7 +61,8 @@
 	}
 }
 
-// pruneLimits drops what is known of upstreams that aren't bounded any more.
+// pruneLimits drops the limits of unknown upstreams, limits that no response has confirmed,
+// and the permit state of upstreams that no longer have a rate limit.
 func (f *Forwarder) pruneLimits(now time.Time) {
 	isKnown := func(id member.UpstreamID) bool {
 		_, found := f.fleet.Upstream(id)
@@ -75,5 +80,6 @@
 	})
 }
 
-// LimitedUpstreams lists the upstreams that name a limit, or return after they did.
+// LimitedUpstreams lists the upstreams that announce a limit, and those that are returning to
+// their normal rate after one.
 func (f *Forwarder) LimitedUpstreams() []ratelimit.Entry { return f.limiter.Words.Entries(f.now()) }
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -19,50 +19,47 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// What happened: two of three plain upstreams named in their answers how many requests a
-// second they take from all hosts together, and went on serving. Three seconds later one
-// that named 4 a second still got 74 in 4 s from hosts that had passed such answers on,
-// where half as much again and 5 are borne; on another day 70 at 6.5, and 26 at 3.2.
-//
-// The cause: hosts chose an upstream by how fast it answers and how often it fails, and
-// nothing of what it says of itself in its answers was read. Had each host kept to the
-// limit by itself, six of them would have sent six times as much.
-//
-// Evidence: from the moment at which the limits were named the flow to those upstreams
-// changed at no host; one host alone sent 34 to 49 in 4 s; second tries were 22 of 261; no
-// upstream turned a request away.
+// These tests guard against hosts that ignore the rate limits that upstreams announce in their
+// responses. Hosts then chose an upstream by latency and failure rate only, so that an
+// upstream that announced 4 requests per second still got 74 in 4 s, three seconds later and
+// from hosts that had received the limit; 1.5 times the limit plus 5 are allowed. Second
+// attempts were only a small part of these requests, and the upstreams rejected none. A limit
+// that each host applies by itself is not enough either: six hosts would send six times as
+// much.
 
 var (
-	limitSizesFlag = flag.Bool("limit.sizes", false, "play limits on sites of up to 300 hosts")
-	limitSeedFlag  = flag.Uint64("limit.seed", 1, "seed of the callers of limited upstreams")
+	limitSizesFlag = flag.Bool("limit.sizes", false, "test limits on sites of up to 300 hosts")
+	limitSeedFlag  = flag.Uint64("limit.seed", 1, "random seed of the callers of upstreams with limits")
 )
 
-// limitScenario is a load on upstreams of which some name limits.
+// limitScenario is a load on upstreams, some of which announce rate limits.
 type limitScenario struct {
 	zones, hostsPerZone, upstreams int
-	// path chooses the kind of request.
+	// path selects the kind of request.
 	path string
-	// perSecond is how many requests come, in all, at all hosts alike or at the first.
+	// perSecond is the number of requests per second in total. They arrive at randomly chosen
+	// hosts, or all at the first host if atOneHost is set.
 	perSecond float64
 	atOneHost bool
 	needs     []need
 	duration  time.Duration
-	// hides makes needyFleet's.
+	// hides returns the function that decides which responses omit the limit; nil omits it in
+	// none.
 	hides func() func() bool
-	// coldRate is what a cold plain upstream bears; zero sets no bound.
+	// coldRate is the rate limit of a cold plain upstream; zero sets none.
 	coldRate float64
-	// disturb is what befalls the site meanwhile.
+	// disturb runs during the scenario and causes faults on the site.
 	disturb func(ctx context.Context, s *site, fleet *needyFleet)
-	// onPermitCount is told how many questions for onPermitCount there were, if it is set.
+	// onPermitCount, if set, receives the number of permit requests between hosts.
 	onPermitCount func(n int64)
 }
 
-// limitTally is what callers got on such a day.
+// limitTally counts the outcomes of the requests of a scenario.
 type limitTally struct {
 	mu                        sync.Mutex
 	requests, served, refused int
-	// wronglyRefused counts refusals that don't say that the request has not run, and lateRefused those
-	// that took longer than they may.
+	// wronglyRefused counts refusals whose code isn't CodeOverloaded, and lateRefused those
+	// that took longer than allowed.
 	wronglyRefused, lateRefused int
 }
 
@@ -83,12 +80,12 @@
 	}
 }
 
-// maxUnaryRefusalTime is how long it may take to refuse a request: a question to another host and
-// back, and one that isn't answered.
+// maxUnaryRefusalTime is how long the refusal of a unary request may take: one request to a
+// peer that replies and one to a peer that does not.
 const maxUnaryRefusalTime = 2 * peerRequestTimeout
 
-// maxRefusalTime is how long it may take to refuse a request: a stream may wait for an engine
-// that isn't bounded before that.
+// maxRefusalTime returns how long the refusal of a request may take. A stream may wait for an
+// engine without a limit before that.
 func (d limitScenario) maxRefusalTime() time.Duration {
 	if d.path != "/llm/" && d.path != "/resumable/" {
 		return maxUnaryRefusalTime
@@ -96,13 +93,14 @@
 	return maxUnaryRefusalTime + time.Duration(policy.DefaultWaitPart*float64(1800*time.Millisecond)) + poolRefreshInterval
 }
 
-// minLimitUsage is how much of a limit is to be used while more is wanted.
+// minLimitUsage is the share of a limit that must be used while the demand exceeds the limit.
 const minLimitUsage = 0.9
 
-// siteSettleTime is when a day's hosts know each other; needs begin after it.
+// siteSettleTime is the time after which a site's hosts know each other. Upstreams announce
+// limits only after it.
 const siteSettleTime = 4 * time.Second
 
-// run plays the day with some seed.
+// run runs the scenario with a random seed, and passes the outcome to judge.
 func (d limitScenario) run(t *testing.T, seed uint64, judge func(*testing.T, *needyFleet, *limitTally)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -133,7 +131,8 @@
 				host.Serve(ctx, c, sink)
 				tally.record(sink, time.Since(c.Arrived), d.maxRefusalTime())
 			})
-			// The times between arrivals of callers that don't know of each other.
+			// Callers arrive independently of each other, so the times between arrivals are
+			// exponentially distributed.
 			time.Sleep(time.Duration(-math.Log(1-random.Float64()) * pause))
 		}
 		under.Wait()
@@ -146,7 +145,7 @@
 	})
 }
 
-// newLimitSite returns zones of hosts before upstreams that name limits.
+// newLimitSite returns a site with hosts in several zones and upstreams that announce limits.
 func newLimitSite(fleet *needyFleet, zones, hostsPerZone, upstreams int) *site {
 	s := newCrashSiteOf(fleet.fakeFleet, zones, hostsPerZone, upstreams)
 	for _, f := range s.hosts {
@@ -155,16 +154,17 @@
 	return s
 }
 
-// hostAtAddress is the host hostAtAddress an address; nil where there is none.
+// hostAtAddress returns the host at an address; nil if there is none.
 func (s *site) hostAtAddress(address string) *Forwarder {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hosts[address]
 }
 
-// firstHost is the firstHost host of the firstHost zone, and nth the nth of all.
+// firstHost returns the first host of the first zone.
 func (s *site) firstHost() *Forwarder { return s.hostAtAddress("10.1.0.1:1") }
 
+// nthHost returns the host with index n, counted across the zones in turn.
 func (s *site) nthHost(n int) *Forwarder {
 	zones := 0
 	for s.hostAtAddress(fmt.Sprintf("10.%d.0.1:1", zones+1)) != nil {
@@ -173,13 +173,13 @@
 	return s.hostAtAddress(fmt.Sprintf("10.%d.0.%d:1", n%zones+1, n/zones+1))
 }
 
-// needAfterSettling is a need from when the hosts know each other until a time.
+// needAfterSettling returns a need that lasts from siteSettleTime until the given time.
 func needAfterSettling(id member.UpstreamID, rate ratelimit.Rate, until time.Duration) need {
 	return need{upstream: id, from: siteSettleTime, until: until, rate: rate}
 }
 
-// TestAnnouncedLimits has upstreams that name a limit get no more from all hosts together than
-// they are to bear at most.
+// TestAnnouncedLimits checks that all hosts together do not send more than the tolerated
+// maximum to upstreams that announce a limit.
 func TestAnnouncedLimits(t *testing.T) {
 	limitScenario{
 		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 36, duration: 18 * time.Second,
@@ -187,15 +187,15 @@
 	}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
 		for _, id := range []member.UpstreamID{"app00", "app01"} {
 			if w := fleet.rule(id); w.broken() {
-				t.Errorf("%s got %v", id, w)
+				t.Errorf("upstream %s got too many requests: %v", id, w)
 			}
 		}
 	})
 }
 
-// TestLimitsKeptAndUsed has upstreams that name limits get no more than these, counted in whole
-// requests, and nine tenths of them used while more is wanted; and no caller wait for a
-// refusal, or hear that its request may have run.
+// TestLimitsKeptAndUsed checks that upstreams that announce limits get no more than these,
+// counted in whole requests, and that nine tenths of the limits are used while the demand is
+// higher. No caller may wait for a refusal, or be told that its request may have run.
 func TestLimitsKeptAndUsed(t *testing.T) {
 	const from = siteSettleTime + contactBound
 	for name, d := range map[string]limitScenario{
@@ -206,7 +206,7 @@
 		"streams, at one host":        {path: "/llm/", perSecond: 20, atOneHost: true},
 		"streams that may be resumed": {path: "/resumable/", perSecond: 20},
 	} {
-		// Of few requests each counts for much.
+		// With few requests, a single one changes the used share considerably.
 		service, until := "app", 40*time.Second
 		if d.path == "/llm/" || d.path == "/resumable/" {
 			service, until = "llm", 18*time.Second
@@ -228,25 +228,25 @@
 						got += fleet.count(n.upstream, from, until)
 						takes += float64(n.rate) * (until - from).Seconds()
 						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, from, until, n.rate)
-						t.Logf("%s at %v a second: %v; used %.2f", n.upstream, float64(n.rate), aim, used)
+						t.Logf("upstream %s with a limit of %v per second: %v; used share %.2f", n.upstream, float64(n.rate), aim, used)
 						if rule.broken() {
-							t.Errorf("%s got %v", n.upstream, rule)
+							t.Errorf("upstream %s got too many requests: %v", n.upstream, rule)
 						}
 						if aim.broken() {
-							t.Errorf("%s was to get less: %v", n.upstream, aim)
+							t.Errorf("upstream %s got more than its limit: %v", n.upstream, aim)
 						}
-						// Which engine a stream goes to is decided by more than that, so
-						// that more is wanted of one while others have room isn't sure.
+						// The choice of an engine for a stream depends on more than the
+						// limits, so an engine may be in low demand while others have room.
 						if used < minLimitUsage && n.rate >= 1 && service == "app" {
-							t.Errorf("%s was used to %.2f", n.upstream, used)
+							t.Errorf("upstream %s: used share of the limit is %.2f, want at least %.2f", n.upstream, used, minLimitUsage)
 						}
 					}
 					if used := float64(got) / takes; used < minLimitUsage && kind == "all" {
-						t.Errorf("all of the service were used to %.2f", used)
+						t.Errorf("all upstreams of service %s: used share of the limits is %.2f, want at least %.2f", service, used, minLimitUsage)
 					}
-					t.Logf("asked %d, served %d, refused %d, of which late %d, wrongly %d", tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused)
+					t.Logf("requests %d, served %d, refused %d, of which late %d; refused with a wrong code %d", tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused)
 					if tally.wronglyRefused > 0 || tally.lateRefused > 0 {
-						t.Errorf("refused wrongly %d, late %d", tally.wronglyRefused, tally.lateRefused)
+						t.Errorf("refused with a wrong code %d, refused late %d; want 0 of both", tally.wronglyRefused, tally.lateRefused)
 					}
 				})
 			})
@@ -254,7 +254,7 @@
 	}
 }
 
-// TestEngineLimitSizes is TestLimitSizes for streams, of engines that all name limits.
+// TestEngineLimitSizes is TestLimitSizes for streams and engines that all announce limits.
 func TestEngineLimitSizes(t *testing.T) {
 	const until = 16 * time.Second
 	for _, size := range []struct{ zones, hostsPerZone int }{{3, 3}, {3, 20}, {5, 60}} {
@@ -274,20 +274,21 @@
 					got += fleet.count(n.upstream, siteSettleTime+contactBound, until)
 					takes += float64(n.rate) * (until - siteSettleTime - contactBound).Seconds()
 					if rule, aim := fleet.rule(n.upstream), fleet.aim(n.upstream); rule.broken() || aim.broken() {
-						t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
+						t.Errorf("upstream %s got more than its limit: %v; tolerated maximum: %v", n.upstream, aim, rule)
 					}
 				}
-				t.Logf("used %.2f; asked %d, served %d, refused %d, late %d, wrongly %d", float64(got)/takes, tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused)
+				t.Logf("used share %.2f; requests %d, served %d, refused %d, late %d, with a wrong code %d", float64(got)/takes, tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused)
 				if float64(got) < minLimitUsage*takes || tally.lateRefused > 0 || tally.wronglyRefused > 0 {
-					t.Errorf("used to %.2f; refused late %d, wrongly %d", float64(got)/takes, tally.lateRefused, tally.wronglyRefused)
+					t.Errorf("used share of the limits is %.2f, want at least %.2f; refused late %d, with a wrong code %d, want 0 of both", float64(got)/takes, minLimitUsage, tally.lateRefused, tally.wronglyRefused)
 				}
 			})
 		})
 	}
 }
 
-// TestLimitSizes plays limits on sites of up to 300 hosts, where it is asked to; on one of 9
-// hosts always: the race detector's own runtime fails on as many events as more have.
+// TestLimitSizes tests limits on a site of 9 hosts and, with -limit.sizes, on sites of up to
+// 300 hosts. The larger ones are off by default because the race detector's runtime fails on
+// that many events.
 func TestLimitSizes(t *testing.T) {
 	const until = 16 * time.Second
 	for _, size := range []struct{ zones, hostsPerZone int }{{3, 3}, {3, 20}, {5, 60}} {
@@ -304,15 +305,15 @@
 				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
 					for _, n := range needs {
 						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, siteSettleTime+contactBound, until, n.rate)
-						t.Logf("%s at %v a second: %v; used %.2f", n.upstream, float64(n.rate), aim, used)
+						t.Logf("upstream %s with a limit of %v per second: %v; used share %.2f", n.upstream, float64(n.rate), aim, used)
 						if rule.broken() || aim.broken() {
-							t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
+							t.Errorf("upstream %s got more than its limit: %v; tolerated maximum: %v", n.upstream, aim, rule)
 						}
 						if used < minLimitUsage && n.rate >= 1 {
-							t.Errorf("%s was used to %.2f", n.upstream, used)
+							t.Errorf("upstream %s: used share of the limit is %.2f, want at least %.2f", n.upstream, used, minLimitUsage)
 						}
 					}
-					t.Logf("asked %d, served %d, refused %d, late %d, wrongly %d; %.0f questions a second", tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused, float64(asks)/(until-siteSettleTime).Seconds())
+					t.Logf("requests %d, served %d, refused %d, late %d, with a wrong code %d; %.0f permit requests per second", tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused, float64(asks)/(until-siteSettleTime).Seconds())
 				})
 			})
 		}
--- a/forward/noupstream.go
+++ b/forward/noupstream.go
@@ -9,39 +9,41 @@
 	"time"
 )
 
-// What callers are told that no upstream serves now, and when they return.
+// Refusals for requests that no upstream accepts now, and the retry times that callers get.
 
-// maxThrottledRetryAfter bounds what a caller is told to wait for upstreams that get nothing now:
-// others may come in place of them meanwhile.
+// maxThrottledRetryAfter bounds the retry time, before jitter, that a caller gets while
+// upstreams are throttled: other upstreams may become available meanwhile.
 const maxThrottledRetryAfter = 10 * time.Second
 
-// throttledRetrySpread is the most over which callers return that wait for the same upstream.
+// throttledRetrySpread bounds the time over which callers that wait for the same upstream are
+// spread.
 const throttledRetrySpread = time.Second
 
-// refuseNoUpstream refuses where no upstream takes the request. wait is how long it is until one
-// of those may get it that don't now; zero when there are none.
-func (x *exchange) refuseNoUpstream(now time.Time, takers []Upstream, wait time.Duration) Refusal {
+// refuseNoUpstream returns the refusal for a request that no upstream accepts now. wait is how
+// long it is until a throttled upstream may get the request; zero if there is none.
+func (x *exchange) refuseNoUpstream(now time.Time, accepting []Upstream, wait time.Duration) Refusal {
 	if wait <= 0 {
 		return Refusal{Code: CodeNoUpstream, RetryAfter: retryUnknown}
 	}
-	wait = max(wait, x.pickReturnTime(now, takers))
+	wait = max(wait, x.pickReturnTime(now, accepting))
 	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), maxThrottledRetryAfter) + rand.N(min(wait, throttledRetrySpread)+1)}
-	// Near its end every host may be alone with some upstream's.
+	// Shortly before a backoff ends, any host may be the only one that still observes it.
 	alone := func(u Upstream) bool {
 		return x.backoffs.Alone(now, u.ID) && x.backoffs.Remaining(now, u.ID) > throttledRetrySpread
 	}
-	if slices.ContainsFunc(takers, alone) && x.peers.hasPeerInZone(now) {
+	if slices.ContainsFunc(accepting, alone) && x.peers.hasPeerInZone(now) {
 		r.RetryAfter = retryElsewhere
 	}
 	return r
 }
 
-// pickReturnTime draws one of the upstreams that take requests from every host again at about the
-// same time as the first, and returns when it does; zero where none asked for backoff. The
-// caller may come to another host, and with others who wait.
-func (x *exchange) pickReturnTime(now time.Time, takers []Upstream) time.Duration {
+// pickReturnTime picks one of the upstreams whose backoff ends at all hosts at about the same
+// time as the first, and returns when it ends; zero if none asked for backoff. The end for all
+// hosts counts, because the caller may retry at another host, together with other waiting
+// callers.
+func (x *exchange) pickReturnTime(now time.Time, accepting []Upstream) time.Duration {
 	var ends []time.Duration
-	for _, u := range takers {
+	for _, u := range accepting {
 		if end := x.backoffs.Everywhere(now, u.ID); end > 0 {
 			ends = append(ends, end)
 		}
@@ -54,16 +56,18 @@
 	return ends[rand.IntN(last)]
 }
 
-// refuseRejected refuses a request that upstreams rejected and that isn't sent on.
+// refuseRejected returns the refusal for a request that upstreams rejected and that isn't
+// retried.
 func (x *exchange) refuseRejected(now time.Time) Refusal {
-	takers := x.acceptingUpstreams(now)
-	kept := len(x.throttledAmong(now, takers))
+	accepting := x.acceptingUpstreams(now)
+	throttled := len(x.throttledAmong(now, accepting))
 	r := Refusal{Code: CodeOverloaded, RetryAfter: retryUnknown}
 	switch {
-	case kept > 0 && kept == len(takers):
-		r = x.refuseNoUpstream(now, takers, x.shortestWait(now, takers, nil))
-	case kept > 0:
-		// Others take requests, and a caller that comes back draws on no budget of ours.
+	case throttled > 0 && throttled == len(accepting):
+		r = x.refuseNoUpstream(now, accepting, x.shortestWait(now, accepting, nil))
+	case throttled > 0:
+		// Other upstreams accept requests, and a caller that retries uses none of this host's
+		// retry budget.
 		r.RetryAfter = retryElsewhere
 	}
 	return r
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -13,10 +13,11 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// What is bounded at which upstream, and what a permit.Limiter has to know of this host.
+// Rate limits of upstreams, and this host as its permit.Limiter sees it.
 
-// rateLimitFor is what an upstream is given at most by all hosts together; false says that nothing
-// bounds it.
+// rateLimitFor returns the rate limit of an upstream for all hosts together: the lower of the
+// limit that it announced and the one for cold upstreams. It returns false if the upstream has
+// no limit.
 func (f *Forwarder) rateLimitFor(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
 	named, isNamed := f.limiter.Words.Bound(now, u.ID)
 	cold, isCold := f.coldRateLimit(now, s, u)
@@ -29,24 +30,25 @@
 	return named, true
 }
 
-// mayHaveRateLimit reports whether some upstream of a service may be bounded.
-func (f *Forwarder) mayHaveRateLimit(now time.Time, s *Service) bool {
+// mayBeThrottled reports whether a backoff or a rate limit may apply to some upstream of a
+// service.
+func (f *Forwarder) mayBeThrottled(now time.Time, s *Service) bool {
 	return f.backoffs.Any() || f.limiter.Words.Any() || s.ColdRate > 0 && f.fleet.AnyCold(now)
 }
 
-// permitRequest is something to be sent to an upstream.
+// permitRequest asks for permission to send something to an upstream.
 type permitRequest struct {
-	// request is whose it is; empty for none.
+	// request is the ID of the caller's request that causes the send; empty if there is none.
 	request  RequestID
 	service  *Service
 	upstream Upstream
-	// rank, repeat and must are those of a ratelimit.Ask.
+	// rank, repeat and must have the meaning of the ratelimit.Ask fields of the same names.
 	rank         int
 	repeat, must bool
 }
 
-// acquirePermit reports whether something may be sent to an upstream now, and if not, how long it is
-// until it may be asked for again. It is asked just before sending.
+// acquirePermit reports whether something may be sent to an upstream now and, if not, how long
+// to wait before asking again. It is called immediately before sending.
 func (f *Forwarder) acquirePermit(ctx context.Context, r permitRequest) (wait time.Duration, ok bool) {
 	now := f.now()
 	rate, bounded := f.rateLimitFor(now, r.service, r.upstream)
@@ -64,11 +66,11 @@
 	return v.Wait, v.OK()
 }
 
-// OnPermit serves a host that asks for leave to send to an upstream.
+// OnPermit serves a peer that asks for a permit to send to an upstream.
 func (f *Forwarder) OnPermit(a permit.Ask) permit.Reply { return f.limiter.OnAsk(a) }
 
-// sendDelay is how long it is until this host may send to an upstream, or may ask for leave
-// to; zero when it may now.
+// sendDelay returns how long it is until this host may send to an upstream, or may ask for a
+// permit to do so; zero if it may now.
 func (f *Forwarder) sendDelay(now time.Time, s *Service, u Upstream) time.Duration {
 	wait := f.backoffs.Wait(now, u.ID)
 	if _, bounded := f.rateLimitFor(now, s, u); bounded {
@@ -77,12 +79,13 @@
 	return wait
 }
 
-// permitSite is this host and the others as a permit.Limiter sees them.
+// permitSite presents this host and its peers to a permit.Limiter.
 type permitSite struct{ *Forwarder }
 
-// Granter is the first host by rank of the upstream's zone.
+// Granter returns the host that grants an upstream's permits: the one responsible for it in
+// the upstream's cell.
 func (p permitSite) Granter(now time.Time, id member.UpstreamID) Peer {
-	// One that isn't known is of no zone, and any host may give it out.
+	// An unknown upstream belongs to no zone, so any host may grant its permits.
 	u, _ := p.fleet.Upstream(id)
 	return p.peers.responsibleHost(now, string(id), p.peers.upstreamCell(u))
 }
@@ -91,8 +94,9 @@
 	return p.peers.liveHosts(now), p.peers.recentMaxHosts(now)
 }
 
-// Heard counts the hosts of all zones where these aren't divided: an upstream's limit is given out by
-// a host of its cell, and the others of that are there or not.
+// Heard returns how many hosts are live and how many are known. It counts the hosts of all
+// zones unless zones are divided into cells. Then it counts this host's cell only, because an
+// upstream's permits are granted within its cell.
 func (p permitSite) Heard(now time.Time) (heard, known int) {
 	if p.peers.zonesDivided() {
 		return p.peers.cellHostCounts(now)
@@ -109,8 +113,8 @@
 	p.receivePeerLimit(now, from, m)
 }
 
-// errPeersUnavailable says that this host has no way to the others yet.
-var errPeersUnavailable = errors.New("no way to other hosts yet")
+// errPeersUnavailable is returned while this host cannot send requests to its peers yet.
+var errPeersUnavailable = errors.New("connections to peers are not set up yet")
 
 func (p permitSite) AskPeer(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
 	peers := p.loadPeerPort()
--- a/forward/placementgrant.go
+++ b/forward/placementgrant.go
@@ -11,30 +11,30 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// Places on engines that one host gives to another's runs.
+// Placements on engines that a host grants to runs of its peers.
 
-// zonesWithEngines tells whether the own zone has engines of a service that take work, and which
-// others do, in an order that differs from call to call.
-func (e *enginePlacer) zonesWithEngines(service ServiceName) (near bool, far []member.Zone) {
+// zonesWithEngines reports whether this host's zone has available engines of a service, and
+// lists the other zones that have some, in an order that varies from call to call.
+func (e *enginePlacer) zonesWithEngines(service ServiceName) (inOwnZone bool, otherZones []member.Zone) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
 	if p == nil {
 		return false, nil
 	}
-	// The order of a map will do for that.
+	// The iteration order of the map varies enough.
 	for _, u := range p.poolEngines {
 		switch {
 		case u.Zone == e.zone:
-			near = true
-		case !slices.Contains(far, u.Zone):
-			far = append(far, u.Zone)
+			inOwnZone = true
+		case !slices.Contains(otherZones, u.Zone):
+			otherZones = append(otherZones, u.Zone)
 		}
 	}
-	return near, far
+	return inOwnZone, otherZones
 }
 
-// tryPlaceInOwnZone places a request on an engine of the own zone if that can be done at once.
+// tryPlaceInOwnZone places a request on an engine of this host's zone if one has room now.
 func (e *enginePlacer) tryPlaceInOwnZone(now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,7 +50,7 @@
 	return p.poolEngines[d.Engine], p.addOwnRun(r, d.Engine), d, true
 }
 
-// placeGranted counts a run on an engine that another host gave a place on.
+// placeGranted records a run on an engine on which a peer granted it a place.
 func (e *enginePlacer) placeGranted(now time.Time, service ServiceName, r policy.Request, g PlacementGrant) (Upstream, *ownRun, policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,14 +66,15 @@
 	return p.poolEngines[g.Engine], p.addOwnRun(r, g.Engine), d, true
 }
 
-// addOwnRun notes that this host has a run on an engine.
+// addOwnRun records that this host has a run on an engine.
 func (p *enginePool) addOwnRun(r policy.Request, engine member.UpstreamID) *ownRun {
 	run := &ownRun{request: r, engine: engine, incarnation: p.poolEngines[engine].Incarnation}
 	p.ownRuns[r.Run] = run
 	return run
 }
 
-// grantPlacement gives a peer's run a place on an engine of the own zone, if one has room.
+// grantPlacement grants a peer's run a place on an engine of this host's zone, if one has
+// room.
 func (e *enginePlacer) grantPlacement(now time.Time, a PlacementRequest) (policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,8 +89,8 @@
 	return d, ok
 }
 
-// placePeerRun places a peer's run on an engine of a zone. One that is known here already
-// is to move, and stays counted where it is if there is no room.
+// placePeerRun places a peer's run on an engine of a zone. A run that is known here already is
+// being moved; if there is no room, it stays counted on its present engine.
 func (p *enginePool) placePeerRun(now time.Time, a PlacementRequest, zone member.Zone) (policy.Decision, bool) {
 	if _, known := p.peerRuns[a.Run]; known {
 		id, ok := p.pool.Relocate(now, a.Run, policy.Target{Avoid: a.ExcludedEngines, OnlyZone: true, Zone: zone, OnlyGroup: a.OnlyGroup, ButGroup: a.ExcludedGroup})
@@ -100,7 +101,8 @@
 	return p.pool.TryPlace(now, r)
 }
 
-// revokeUnusedGrants frees the places that were given to peers' runs that nothing was heard of.
+// revokeUnusedGrants frees places that were granted to peers' runs of which no report arrived
+// within placementGrantTTL.
 func (p *enginePool) revokeUnusedGrants(now time.Time) {
 	for id, at := range p.unconfirmedGrants {
 		if now.Sub(at) > placementGrantTTL {
@@ -111,7 +113,8 @@
 	}
 }
 
-// requestForMove is a run as it would be placed anew with what it has made so far.
+// requestForMove returns the request with which a run would be placed again, including the
+// output that it has generated so far. It excludes the engines in avoid and the present one.
 func (e *enginePlacer) requestForMove(service ServiceName, run *ownRun, avoid []member.UpstreamID) (policy.Request, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,7 +127,7 @@
 	return r, ok
 }
 
-// moveToGranted counts a run on an engine that another host gave a place on.
+// moveToGranted records that a run moves to an engine on which a peer granted it a place.
 func (e *enginePlacer) moveToGranted(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) (Upstream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -13,22 +13,24 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// While the list of upstreams can't be had, engines are asked themselves whether
-// they leave: a notice is short, and a run that isn't moved is lost.
+// While the list of upstreams is unavailable, engines are asked directly whether they are
+// leaving: a notice is short, and a run that is not moved in time is lost.
 const (
-	// probeInterval is the period of asking one engine. Each answer has a price,
-	// so only one host asks each engine, and only while the list is lost.
+	// probeInterval is how often one engine is probed. Each answer has a cost, so only one
+	// host probes each engine, and only while the list is not reliable.
 	probeInterval = 300 * time.Millisecond
-	// probeTimeout bounds one answer.
+	// probeTimeout bounds one probe.
 	probeTimeout = 400 * time.Millisecond
-	// maxListAge is how old the proof of the list may be before engines are asked.
+	// maxListAge is how old the last proof that the list is current may be before engines are
+	// probed.
 	maxListAge = watchTimeout + 600*time.Millisecond
-	// listSuspectDuration is how long engines are asked after one went without notice: its own
-	// entry on the list came late, and others' may, too.
+	// listSuspectDuration is how long engines are probed after one ended without notice: its
+	// own entry in the list was late, and those of others may be, too.
 	listSuspectDuration = 10 * time.Second
 )
 
-// RunProbes asks the engines while the list is lost, until the context ends.
+// RunProbes probes engines while the list is unavailable, suspect or lacks engines that have
+// runs, until the context ends.
 func (f *Forwarder) RunProbes(ctx context.Context) {
 	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
@@ -49,14 +51,14 @@
 	}
 }
 
-// isListCurrent reports whether the list is up to date, by this host or by a peer
-// that it follows.
+// isListCurrent reports whether the list is up to date, either at this host or at a peer that
+// it follows.
 func (f *Forwarder) isListCurrent(now time.Time) bool {
 	return f.isFollowing(now) || f.OriginAge(now) <= maxListAge
 }
 
-// markListSuspect takes in that an engine which the list has as well went without
-// notice.
+// markListSuspect records that an engine ended without notice although it is still on the
+// list.
 func (f *Forwarder) markListSuspect(now time.Time) {
 	if !f.isListSuspect(now) {
 		f.journal.Belief("list suspect", "for", listSuspectDuration, "list_revision", f.fleet.Revision())
@@ -73,7 +75,7 @@
 	return slices.DeleteFunc(a, func(id member.UpstreamID) bool { return !slices.Contains(b, id) })
 }
 
-// probeEngines asks those of some engines that this host is the arbiter of.
+// probeEngines probes those of the given engines that this host arbitrates.
 func (f *Forwarder) probeEngines(ctx context.Context, now time.Time, ids []member.UpstreamID) {
 	t := f.table.Load()
 	if t == nil {
@@ -91,9 +93,9 @@
 	asking.Wait()
 }
 
-// checkLeavingHint asks an engine that hinted that it leaves, unless the list says so.
-// The hint comes with some other answers, too, three times a day of 17 streams a
-// second.
+// checkLeavingHint probes an engine that hinted that it is leaving, unless the list says so
+// already. The hint isn't proof: a few times a day it also comes with answers of engines that
+// stay.
 func (s *streamExchange) checkLeavingHint(ctx context.Context, u Upstream) {
 	known, found := s.fleet.Upstream(u.ID)
 	if !found || known.Leaving {
@@ -102,9 +104,9 @@
 	go s.probeEngine(context.WithoutCancel(ctx), &s.service, u)
 }
 
-// probeEngine takes an engine's word that it isn't well as a sign that it leaves, and believes
-// that it is cold or in a new life. No answer says nothing. One that is bounded is asked
-// only where no request wants its place.
+// probeEngine checks an engine's health. An unhealthy engine counts as leaving, and a reported
+// cold start or new incarnation is recorded. A failed check proves nothing. An engine with a
+// rate limit is checked only if no request wants its place.
 func (f *Forwarder) probeEngine(ctx context.Context, s *Service, u Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/forward/probe_test.go
+++ b/forward/probe_test.go
@@ -16,8 +16,8 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// TestProbe has the engines that carry runs asked as soon as the list is lost,
-// and one that isn't well count as leaving.
+// TestProbe checks that engines with runs are probed as soon as the list is unavailable, and
+// that an unhealthy engine counts as leaving.
 func TestProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -36,14 +36,14 @@
 		_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", Prompt: 100})
 		is.Equal(run.engine, member.UpstreamID("llm1"))
 		time.Sleep(4 * time.Second)
-		is.Equal(asked.Load(), int32(0)) // answers have a price
+		is.Equal(asked.Load(), int32(0)) // each answer has a cost
 		origin.failing.Store(true)
-		time.Sleep(time.Second) // well before the proof has aged
+		time.Sleep(time.Second) // well before the proof of the list is too old
 		is.True(asked.Load() > 0)
 		select {
 		case <-f.fleet.LeavingStarted("llm1"):
 		default:
-			t.Error("llm1 should be leaving")
+			t.Error("engine llm1 is unhealthy but does not count as leaving")
 		}
 		is.Equal(f.OnFollow(ctx, FollowRequest{}).OriginAge > maxOriginProofAge, true)
 		cancel()
@@ -51,11 +51,11 @@
 	})
 }
 
-// TestProbeListSuspected has engines asked for a while, though the list is known, after
-// one went without notice.
+// TestProbeListSuspected checks that engines are probed for a while after one ended without
+// notice, although the list is available.
 func TestProbeListSuspected(t *testing.T) {
 	for name, c := range map[string]struct {
-		// listed says that the list told of the leaving before.
+		// listed says that the list reported the engine as leaving before it ended.
 		listed bool
 		marked bool
 	}{
@@ -85,7 +85,7 @@
 				time.Sleep(2 * probeInterval)
 				u, _ := f.fleet.Upstream("llm2")
 				is.Equal(u.Leaving, c.marked)
-				is.True(!f.isListSuspect(time.Now().Add(listSuspectDuration))) // not for ever
+				is.True(!f.isListSuspect(time.Now().Add(listSuspectDuration))) // the suspicion expires
 				cancel()
 				synctest.Wait()
 			})
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestHintedLeaving has an engine that hints that it leaves asked at once, and its
-// run moved off only when it says so.
+// TestHintedLeaving checks that an engine that hints that it is leaving is probed at once, and
+// counts as leaving only if the probe confirms it.
 func TestHintedLeaving(t *testing.T) {
 	for name, c := range map[string]struct {
 		hint, well bool
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -11,22 +11,24 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// Requests under which upstreams ended: what this host has seen and heard of them, and
-// what becomes of a request that is one of them.
+// Quarantine of requests under which upstreams ended: what this host has observed or learned
+// from peers, and what happens to such a request.
 
-// crashAttributionWindow is how long after its first event at an upstream a run counts as beginning
-// there; what has run for longer only ran beside, and says that it is harmless.
+// crashAttributionWindow is how long after its first event at an upstream a run still counts
+// as starting there. Crashes are attributed to starting runs only. A run that has gone on for
+// longer merely ran beside the cause, and is evidence that its request is harmless.
 const crashAttributionWindow = 500 * time.Millisecond
 
-// minLeavingNotice is how long before its end an upstream has to be known to leave for that to be
-// as it said: the shortest notice is some two seconds, and a list from which one that
-// crashed is gone at once says that it leaves, too.
+// minLeavingNotice is how long before its end an upstream must be known to be leaving for the
+// end to count as announced. The shortest notice is about two seconds. An upstream that
+// crashes and disappears from the list at once counts as leaving, too, but has shorter notice.
 const minLeavingNotice = 500 * time.Millisecond
 
-// errQuarantined ends a request that is held back since it came.
+// errQuarantined ends a request that was quarantined after it arrived.
 var errQuarantined = errors.New("upstreams ended under the same request")
 
-// fingerprint tells the request apart; it is worked out once, and only where that matters.
+// fingerprint returns the request's fingerprint, which identifies equal requests. It is
+// computed on first use and cached.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	if f := x.print.Load(); f != nil {
 		return *f
@@ -37,16 +39,16 @@
 	return f
 }
 
-// quarantineEvidence is what is known against the request.
+// quarantineEvidence returns the evidence that upstreams end under the request.
 func (x *exchange) quarantineEvidence(now time.Time) quarantine.Evidence {
 	e, f := x.crashes.Judge(now, x.requestIdentity(), x.print.Load())
 	x.print.Store(f)
 	return e
 }
 
-// mustHoldBack reports whether the request may not be sent, for upstreams ended under it, and notes
-// why. It is asked before each send, whatever leads to it: a first try, one more, a second
-// beside a slow one, a move, a stream that is taken up again, and the end of a wait.
+// mustHoldBack reports whether the request must not be sent because upstreams ended under it,
+// and logs why. It is called before each send: a first attempt, a retry, a hedged attempt, a
+// move, a resumed stream, and the end of a wait.
 func (x *exchange) mustHoldBack(now time.Time) bool {
 	e := x.quarantineEvidence(now)
 	if e.Standing < quarantine.Tried || e.Standing == quarantine.Tried && x.claimQuarantineTrial(now) {
@@ -56,8 +58,9 @@
 	return true
 }
 
-// claimQuarantineTrial reports whether this request is the one by which a host finds out whether upstreams
-// bear it by now. One host does so for all that reach each other.
+// claimQuarantineTrial reports whether this request is the trial that shows whether upstreams
+// can run the quarantined request by now. One host runs the trial for all hosts that reach
+// each other.
 func (x *exchange) claimQuarantineTrial(now time.Time) bool {
 	x.trying.Lock()
 	defer x.trying.Unlock()
@@ -68,12 +71,12 @@
 	return x.isTry
 }
 
-// quarantineRefusal is the answer to a request that isn't sent because upstreams ended under it.
-// To come back helps nobody, so it names no time.
+// quarantineRefusal answers a request that is not sent because upstreams ended under it. It
+// names no retry time, because a retry would not help.
 var quarantineRefusal = Refusal{Code: CodeQuarantined}
 
-// recordCrash takes in that an upstream ended while the request began to run there. Every
-// peer is told at once: the request may come to any of them next.
+// recordCrash records that an upstream ended while the request was starting there. All peers
+// are notified at once, because the request may reach any of them next.
 func (x *exchange) recordCrash(now time.Time, u Upstream) {
 	f := x.fingerprint()
 	e := x.crashes.Crashed(now, f, quarantine.Origin{Caller: string(x.account.Name), Route: x.route.Name}, quarantine.Upstream{ID: u.ID, Life: int64(u.Incarnation)})
@@ -85,7 +88,7 @@
 	x.peers.notifyAll()
 }
 
-// recordSurvival takes in that an upstream has run the request and gone on.
+// recordSurvival records that an upstream ran the request and is still running.
 func (x *exchange) recordSurvival(now time.Time) {
 	e := x.quarantineEvidence(now)
 	if e.Standing == quarantine.Clear || !x.crashes.RanWell(now, x.fingerprint()) {
@@ -97,13 +100,14 @@
 	}
 }
 
-// receivePeerCrashes takes in what a peer tells.
+// receivePeerCrashes records the crashes that a peer reports.
 func (f *Forwarder) receivePeerCrashes(now time.Time, marks []quarantine.Mark) {
 	if held := f.crashes.Receive(now, marks); len(held) > 0 {
 		f.journal.Belief("requests held back", "number", len(held), "one_asks", held[0])
 		f.cancelQuarantined(held)
 		for _, print := range held {
-			// Two hosts may each have seen a part of what it is held for.
+			// Two hosts may each have observed only a part of the crashes that led to the
+			// quarantine.
 			if f.peers.siteDutyHost(now, print.String()) == f.peers.self.ID {
 				f.queueSave(print)
 			}
@@ -111,8 +115,8 @@
 	}
 }
 
-// cancelQuarantined ends the requests under way that are held back by now, if nothing has come of
-// them yet: an upstream that hasn't begun with one is spared.
+// cancelQuarantined ends requests in flight that are now quarantined, unless a part of their
+// answer has been delivered. This spares upstreams that have not started on the request.
 func (f *Forwarder) cancelQuarantined(held []quarantine.Fingerprint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,8 +133,8 @@
 	}
 }
 
-// withQuarantineCode says of a request that may have run whether it is held back by now: then its
-// caller learns that, and not just that it was lost.
+// withQuarantineCode replaces the code of a refusal for a lost request that is quarantined by
+// now, so that the caller learns the cause.
 func (x *exchange) withQuarantineCode(now time.Time, r Refusal) Refusal {
 	if r.Code == CodeLost && x.quarantineEvidence(now).Standing == quarantine.Held {
 		r.Code = CodeQuarantined
@@ -138,9 +142,9 @@
 	return r
 }
 
-// checkUpstreamEnded looks whether an upstream ended when the connection to it broke. One that
-// still listens may have started again at once, which shows as a new life.
-func (x *exchange) checkUpstreamEnded(ctx context.Context, u Upstream) (ended bool, looked error) {
+// checkUpstreamEnded checks whether an upstream ended when the connection to it broke. An
+// upstream that still listens may have restarted at once, which shows as a new incarnation.
+func (x *exchange) checkUpstreamEnded(ctx context.Context, u Upstream) (ended bool, probeErr error) {
 	reach, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
 	err := x.transport.CheckReachable(reach, u)
@@ -154,8 +158,9 @@
 // Quarantined lists the requests under which upstreams ended.
 func (f *Forwarder) Quarantined() []quarantine.Entry { return f.crashes.Entries(f.now()) }
 
-// OnQuarantine serves an operator: it lists the requests under which upstreams ended, after
-// letting one through again if one is named. It reports whether anything was against that.
+// OnQuarantine serves an operator. It lists the requests under which upstreams ended, after
+// releasing the given request if it is not nil. released reports whether there was evidence
+// against that request.
 func (f *Forwarder) OnQuarantine(release *quarantine.Fingerprint) (entries []quarantine.Entry, released bool) {
 	now := f.now()
 	if release != nil {
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -17,7 +17,7 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// crashScenario is a site with one or more requests that crash upstreams, in virtual time.
+// crashScenario is a site, in virtual time, that gets requests under which upstreams crash.
 type crashScenario struct {
 	*testing.T
 	*site
@@ -28,7 +28,7 @@
 	requestCount atomic.Int32
 }
 
-// runCrashScenario plays a day on a site whose hosts know each other.
+// runCrashScenario runs play on a site whose hosts know each other.
 func runCrashScenario(t *testing.T, play func(d *crashScenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -46,45 +46,46 @@
 	})
 }
 
-// send has a host serve a request and returns what its caller got.
+// send has a host serve a request and returns what its caller received.
 func (d *crashScenario) send(f *Forwarder, path, body string) *fakeSink {
 	sink := &fakeSink{}
 	f.Serve(d.ctx, crashCall(path, body, int(d.requestCount.Add(1))), sink)
 	return sink
 }
 
-// crashThreeUpstreams has three upstreams end under a request, each at another host.
+// crashThreeUpstreams sends a request to three hosts, one after another, and checks that it
+// ends an upstream at each.
 func (d *crashScenario) crashThreeUpstreams(path, body string) {
 	for n := range 3 {
 		d.send(d.hostAt(n), path, body)
 		time.Sleep(100 * time.Millisecond)
 	}
 	if _, all := d.fleet.after(body, 3, 0); all != 3 {
-		d.Fatalf("%d upstreams ended", all)
+		d.Fatalf("%d upstreams ended under request %q, want 3", all, body)
 	}
 }
 
-// lostWithEngine reports whether a stream was lostWithEngine with its engine.
+// lostWithEngine reports whether a stream was lost together with its engine.
 func lostWithEngine(sink *fakeSink) bool {
 	return sink.cut || sink.refused != nil && sink.refused.MayHaveRun
 }
 
-// heldBackAt reports whether a host refuses a request at once, and says why.
+// heldBackAt reports whether a host refuses a request at once because it is quarantined.
 func (d *crashScenario) heldBackAt(f *Forwarder, path, body string) bool {
 	began := time.Now()
 	sink := d.send(f, path, body)
 	return sink.refused != nil && *sink.refused == quarantineRefusal && time.Since(began) < time.Millisecond
 }
 
-// TestQuarantineReachesEveryHost has a request be held back soon at each host that is there, cut off
-// or not yet started when upstreams ended under it.
+// TestQuarantineReachesEveryHost checks that a request under which upstreams ended is soon
+// held back at every host, including hosts that were cut off or not started at that time.
 func TestQuarantineReachesEveryHost(t *testing.T) {
 	t.Run("at all that reach each other, at once", func(t *testing.T) {
 		runCrashScenario(t, func(d *crashScenario) {
 			d.crashThreeUpstreams("/llm/", crashing)
 			for n := range 6 {
 				if !d.heldBackAt(d.hostAt(n), "/llm/", crashing) {
-					d.Errorf("host %d sends it", n)
+					d.Errorf("host %d sends the quarantined request", n)
 				}
 			}
 		})
@@ -100,7 +101,7 @@
 			d.regain(cut.settings.Self.PeerAddress)
 			time.Sleep(contactBound)
 			if !d.heldBackAt(cut, "/llm/", crashing) {
-				d.Errorf("the host that is back sends it")
+				d.Errorf("the host that was cut off sends the quarantined request after its return")
 			}
 		})
 	})
@@ -115,7 +116,7 @@
 			go again.Run(d.ctx)
 			time.Sleep(contactBound)
 			if !d.heldBackAt(again, "/llm/", crashing) {
-				d.Errorf("the host that has started sends it")
+				d.Errorf("the restarted host sends the quarantined request")
 			}
 		})
 	})
@@ -130,7 +131,7 @@
 			time.Sleep(contactBound)
 			for n := range 6 {
 				if !d.heldBackAt(d.hostAt(n), "/llm/", crashing) {
-					d.Errorf("host %d sends it", n)
+					d.Errorf("host %d sends the quarantined request", n)
 				}
 			}
 		})
@@ -141,13 +142,13 @@
 			time.Sleep(time.Second)
 			print := d.hostAt(0).Quarantined()[0].Request
 			if _, released := d.hostAt(3).OnQuarantine(&print); !released {
-				d.Errorf("nothing was against it")
+				d.Errorf("OnQuarantine(%v) released nothing, want the request released", print)
 			}
 			time.Sleep(time.Second)
 			d.restartAll()
 			time.Sleep(contactBound)
 			if d.heldBackAt(d.hostAt(0), "/llm/", crashing) {
-				d.Errorf("it is held again")
+				d.Errorf("the released request is held back again after all hosts restarted")
 			}
 		})
 	})
@@ -159,15 +160,15 @@
 			}
 			for n := 3; n < 6; n++ {
 				if !d.heldBackAt(d.hostAt(n), "/llm/", crashing) {
-					d.Errorf("host %d sends it", n)
+					d.Errorf("host %d sends the quarantined request", n)
 				}
 			}
 		})
 	})
 }
 
-// TestOnlyExecutionClearsQuarantine has a request that crashes upstreams not be cleared by an answer of one
-// that didn't run it.
+// TestOnlyExecutionClearsQuarantine checks that the evidence against a request is not cleared
+// by the answer of an upstream that did not run it.
 func TestOnlyExecutionClearsQuarantine(t *testing.T) {
 	notRun := func() *Response { a := answer(503, ""); a.NotRun = true; return a }
 	other := func() *Response { a := answer(421, ""); a.WrongInstance = true; return a }
@@ -189,7 +190,7 @@
 	}
 }
 
-// restartAll has every host end and start again, with nothing that it knew.
+// restartAll stops all hosts and starts them again without their state.
 func (d *crashScenario) restartAll() {
 	d.stopHosts()
 	ctx, stop := context.WithCancel(d.ctx)
@@ -207,16 +208,16 @@
 	}
 }
 
-// TestQuarantineOfRequestsInFlight has requests that were taken before the third end, and have got no
-// answer yet, not begin at a further upstream: those that wait for a place, and those that
-// an upstream hasn't begun with.
+// TestQuarantineOfRequestsInFlight checks that requests that arrived before the third crash,
+// and have no answer yet, do not start at another upstream. This holds for requests that wait
+// for a place, and for those that an upstream has not started on.
 func TestQuarantineOfRequestsInFlight(t *testing.T) {
 	runCrashScenario(t, func(d *crashScenario) {
 		is := is.New(d.T)
 		d.send(d.hostAt(0), "/llm/", crashing)
 		d.send(d.hostAt(1), "/llm/", crashing)
-		// Four more come at once, to different hosts, 200 ms after one that ends the
-		// third upstream: that is 190 ms before they would end theirs.
+		// Four more requests arrive at once at different hosts, 200 ms after the one that
+		// ends the third upstream. That upstream ends 190 ms later, before they end theirs.
 		third := make(chan *fakeSink, 1)
 		go func() { third <- d.send(d.hostAt(2), "/llm/", crashing) }()
 		time.Sleep(200 * time.Millisecond)
@@ -237,13 +238,13 @@
 	})
 }
 
-// TestHarmlessRequestsAreServed has requests that only ran beside one that crashes upstreams, and
-// ones that were lost for other reasons, be served as ever when they come again.
+// TestHarmlessRequestsAreServed checks that requests that merely ran beside one that crashes
+// upstreams, or were lost for other reasons, are served as usual when they are sent again.
 func TestHarmlessRequestsAreServed(t *testing.T) {
 	t.Run("lost beside it three times", func(t *testing.T) {
 		runCrashScenario(t, func(d *crashScenario) {
 			is := is.New(d.T)
-			// All run on the only engine that there is each time.
+			// Both requests run on the only engine that is available each time.
 			for n := range 3 {
 				only := fmt.Sprintf("llm%02d", n)
 				d.keepOnlyEngines(only)
@@ -251,8 +252,8 @@
 				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
 			d.keepOnlyEngines("llm05")
-			// Nothing tells the two apart, so both are held. Once the other has ended
-			// an upstream without it, this one is served.
+			// The two requests can't be told apart, so both are held back. Once the crashing
+			// one has ended an upstream without the other, the other is served.
 			is.True(d.heldBackAt(d.hostAt(0), "/llm/", "good"))
 		})
 	})
@@ -269,7 +270,7 @@
 			time.Sleep(100 * time.Millisecond)
 			for n := range 6 {
 				entries := d.hostAt(n).crashes.Entries(time.Now())
-				is.Equal(len(entries), 1) // nothing is left against the other
+				is.Equal(len(entries), 1) // there is no evidence against the other request any longer
 				is.Equal(entries[0].Ended, 3)
 			}
 		})
@@ -343,8 +344,8 @@
 	})
 }
 
-// keepOnlyEngines takes all engines but some out of the list, everywhere and at once, and puts
-// these on it.
+// keepOnlyEngines makes all engines except the given ones unavailable, and the given ones
+// available, at all hosts at once.
 func (d *crashScenario) keepOnlyEngines(ids ...string) {
 	keep := map[member.UpstreamID]bool{}
 	for _, id := range ids {
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -16,42 +16,44 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// Moves of services to upstreams of another version. Every host keeps to the phase that it knows
-// and reports what it sees; one, the first that lives, decides for all and has the origin keep
-// what it decided.
+// Rollouts move services to upstreams of another version. Every host follows the phase that it
+// knows and reports what it observes. One host, the first live one, decides for all hosts and
+// has the origin record its decisions.
 
-// RolloutStore keeps how far rollouts are.
+// RolloutStore stores the phases of rollouts.
 type RolloutStore interface {
-	// Record puts the phase of a rollout in place of what was recorded at a point, zero for
-	// nothing. ErrRecordChanged says that something else is recorded by now.
+	// Record replaces the record written at the point over, zero if there is none, with the
+	// phase in s. It returns ErrRecordChanged if the stored record is a different one by now.
 	Record(ctx context.Context, s rollout.Status, over history.Point) error
 }
 
-// ErrRecordChanged says that a record isn't as the writer knew it.
+// ErrRecordChanged means that the stored record is not the one that the writer expected.
 var ErrRecordChanged = errors.New("the record has changed")
 
 const (
-	// rolloutCheckInterval is how often a rollout is looked at.
+	// rolloutCheckInterval is how often rollouts are evaluated.
 	rolloutCheckInterval = 100 * time.Millisecond
-	// maxRolloutReportsPerSecond is how many reports the host that decides gets from all others, while
-	// they see few answers; one that sees something new reports within a second.
-	maxRolloutReportsPerSecond = 200
-	maxRolloutReportInterval   = time.Second
-	// rolloutReportRepeatFactor is after how many such pauses a host reports what it has reported already: the
-	// host that decides may have started again.
+	// rolloutReportsPerSecond is how many reports per second the deciding host should get from
+	// all others together while they observe few answers. A host with a new observation
+	// reports it within maxRolloutReportInterval.
+	rolloutReportsPerSecond  = 200
+	maxRolloutReportInterval = time.Second
+	// rolloutReportRepeatFactor is the number of report intervals after which a host repeats
+	// an unchanged report, because the deciding host may have restarted.
 	rolloutReportRepeatFactor = 5
 	// rolloutRecordTimeout bounds one write, and reportTimeout one report.
 	rolloutRecordTimeout = time.Second
 	rolloutReportTimeout = 300 * time.Millisecond
 )
 
-// rolloutDecider is what a host needs to decide about rollouts. The zero value works.
+// rolloutDecider holds the reports from which a host decides about rollouts. The zero value is
+// ready to use.
 type rolloutDecider struct {
 	mu     sync.Mutex
 	judges map[ServiceName]*rollout.Judge
 }
 
-// addReport takes in a report.
+// addReport adds a host's report to the evidence.
 func (d *rolloutDecider) addReport(now time.Time, r rollout.Report) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,9 +78,9 @@
 	return j.Decide(now, s, f), j.Against()
 }
 
-// receiveRollouts takes in what the origin or a peer says of rollouts.
-func (f *Forwarder) receiveRollouts(now time.Time, told []rollout.Status) {
-	for _, s := range told {
+// receiveRollouts records the state of rollouts as received from the origin or a peer.
+func (f *Forwarder) receiveRollouts(now time.Time, statuses []rollout.Status) {
+	for _, s := range statuses {
 		if !f.rollouts.Receive(now, s, f.settings.Rollouts, f.peers.recentMaxHosts(now)) {
 			continue
 		}
@@ -88,7 +90,7 @@
 	}
 }
 
-// receiveRolloutRecords takes in how far the origin says that rollouts are.
+// receiveRolloutRecords records the phases that the origin has stored.
 func (f *Forwarder) receiveRolloutRecords(records []rollout.Status) {
 	for _, r := range records {
 		if f.rollouts.Record(r) {
@@ -98,7 +100,8 @@
 	}
 }
 
-// versionConstraint holds which versions a request may go to. Tries of one request run beside each other.
+// versionConstraint holds the versions that a request may go to. It is safe for concurrent
+// use, because attempts for one request run concurrently.
 type versionConstraint struct{ current atomic.Pointer[rollout.Bound] }
 
 func (v *versionConstraint) get() rollout.Bound {
@@ -121,7 +124,8 @@
 	})
 }
 
-// versionsAvailable reports whether upstreams of a version, and of others, take new work.
+// versionsAvailable reports whether upstreams of a version accept new work, and whether
+// upstreams of other versions do.
 func (f *Forwarder) versionsAvailable(now time.Time, service ServiceName, v rollout.Version) (has, others bool) {
 	for _, u := range f.fleet.Available(now, service) {
 		has, others = has || u.Version == v, others || u.Version != v
@@ -129,22 +133,23 @@
 	return has, others
 }
 
-// retireVersions has the upstreams be left whose versions aren't in service any more, and takes
-// back what isn't so any more.
+// retireVersions marks upstreams as leaving whose versions are no longer in service, and
+// clears the mark where that no longer holds.
 func (f *Forwarder) retireVersions(now time.Time) {
 	if f.rollouts.Any() {
 		f.fleet.Retire(now, func(u Upstream) bool { return f.rollouts.Retired(u.Service, u.Version) })
 	}
 }
 
-// Retire has upstreams get nothing new, and what runs there move, as long as that is wanted of
-// them.
-func (f *Fleet) Retire(now time.Time, wanted func(Upstream) bool) {
+// Retire marks the upstreams as leaving for which shouldRetire returns true: they get no new
+// work, and their runs move. It clears the marks that it set earlier where shouldRetire
+// returns false.
+func (f *Fleet) Retire(now time.Time, shouldRetire func(Upstream) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	changed := false
 	for _, k := range f.upstreams {
-		switch retire := wanted(k.Upstream); {
+		switch retire := shouldRetire(k.Upstream); {
 		case retire && !k.Leaving && !k.gone:
 			k.startLeaving(now, SourceRollout)
 			k.leavingUnconfirmed, k.retiredByRollout, changed = true, true, true
@@ -156,8 +161,8 @@
 	f.notify(changed)
 }
 
-// recordRolloutAnswer takes in an answer of an upstream whose service has a rollout. Cold upstreams are
-// slow whatever their version.
+// recordRolloutAnswer records the answer of an upstream whose service has a rollout. It
+// ignores cold upstreams, because these are slow whatever their version.
 func (x *exchange) recordRolloutAnswer(now time.Time, u Upstream, m rollout.Measure, failed bool, took time.Duration) {
 	if !x.rollouts.Any() || x.fleet.IsCold(now, u.ID) {
 		return
@@ -169,7 +174,8 @@
 	}
 }
 
-// recordRolloutAttempt is noteAnswer for a plain try. What didn't run there says nothing of its version.
+// recordRolloutAttempt calls recordRolloutAnswer for an attempt of a unary request. An attempt
+// that the upstream did not run says nothing about its version.
 func (p *unaryExchange) recordRolloutAttempt(ctx context.Context, now time.Time, u Upstream, t *upstreamAttempt) {
 	switch _, kept := notSentVerdict(t.err); {
 	case kept, errors.Is(t.err, ErrNotSent), ctx.Err() != nil:
@@ -179,12 +185,12 @@
 	}
 }
 
-// RunRollouts reports what this host sees of rollouts, and decides about them while it is the
-// first of all hosts, until the context ends.
+// RunRollouts reports what this host observes of rollouts, and decides about them while this
+// host is the first of all live hosts, until the context ends.
 func (f *Forwarder) RunRollouts(ctx context.Context, records RolloutStore) {
 	tick := time.NewTicker(rolloutCheckInterval)
 	defer tick.Stop()
-	told := map[ServiceName]sentRolloutReport{}
+	lastReports := map[ServiceName]sentRolloutReport{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -194,7 +200,7 @@
 		now := f.now()
 		for _, s := range f.rollouts.Statuses(now) {
 			if first := f.peers.firstHost(now); first.ID != f.peers.self.ID {
-				f.reportRollout(ctx, now, first, s, told)
+				f.reportRollout(ctx, now, first, s, lastReports)
 				continue
 			}
 			f.decideRollout(ctx, now, s, records)
@@ -202,14 +208,14 @@
 	}
 }
 
-// sentRolloutReport is what the host that decides was told last.
+// sentRolloutReport is what this host last reported to the deciding host.
 type sentRolloutReport struct {
-	sentAt      time.Time
-	recipient   member.HostID
-	answerCount uint64
-	phase       rollout.Phase
-	given       history.Point
-	running     int
+	sentAt           time.Time
+	recipient        member.HostID
+	observationCount uint64
+	phase            rollout.Phase
+	given            history.Point
+	running          int
 }
 
 func (f *Forwarder) rolloutReport(s rollout.Status) (rollout.Report, uint64) {
@@ -221,7 +227,8 @@
 	return r, count
 }
 
-// runningRetired counts this host's requests on a service's upstreams that are to be left.
+// runningRetired counts this host's requests in progress on upstreams of a service whose
+// versions are being retired.
 func (f *Forwarder) runningRetired(service ServiceName) int {
 	n := 0
 	count := func(id member.UpstreamID, requests int) {
@@ -234,36 +241,38 @@
 	return n
 }
 
-// reportRollout tells the host that decides what this one has seen, where that is new.
-func (f *Forwarder) reportRollout(ctx context.Context, now time.Time, to Peer, s rollout.Status, told map[ServiceName]sentRolloutReport) {
+// reportRollout sends what this host has observed to the deciding host if it is new, or if a
+// repeat is due.
+func (f *Forwarder) reportRollout(ctx context.Context, now time.Time, to Peer, s rollout.Status, lastReports map[ServiceName]sentRolloutReport) {
 	peers := f.loadPeerPort()
-	before := told[s.Service]
-	pause := min(time.Duration(f.peers.recentMaxHosts(now))*time.Second/maxRolloutReportsPerSecond, maxRolloutReportInterval)
+	before := lastReports[s.Service]
+	pause := min(time.Duration(f.peers.recentMaxHosts(now))*time.Second/rolloutReportsPerSecond, maxRolloutReportInterval)
 	if peers == nil || now.Sub(before.sentAt) < pause {
 		return
 	}
 	r, count := f.rolloutReport(s)
 	next := sentRolloutReport{now, to.ID, count, s.Phase, s.Given, r.Running}
-	again := now.Sub(before.sentAt) >= rolloutReportRepeatFactor*pause && !s.Phase.Ended()
+	repeatDue := now.Sub(before.sentAt) >= rolloutReportRepeatFactor*pause && !s.Phase.Ended()
 	before.sentAt = now
-	if next == before && !again {
+	if next == before && !repeatDue {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, rolloutReportTimeout)
 	defer cancel()
 	reply, err := peers.Rollout(call, to, r)
 	if err != nil {
-		next.answerCount, next.recipient = before.answerCount, ""
+		next.observationCount, next.recipient = before.observationCount, ""
 		f.peers.markUnreachable(now, to.ID)
 		f.journal.Belief("rollout not reported", "service", s.Service, "peer", to.ID, "err", err)
 	}
-	told[s.Service] = next
+	lastReports[s.Service] = next
 	if err == nil && reply.Service == s.Service {
 		f.receiveRollouts(now, []rollout.Status{reply})
 	}
 }
 
-// OnRollout serves a host that reports what it has seen.
+// OnRollout serves a peer that reports its observations, and returns the state of the rollout
+// as this host knows it.
 func (f *Forwarder) OnRollout(r rollout.Report) rollout.Status {
 	now := f.now()
 	f.desk.addReport(now, r)
@@ -276,7 +285,7 @@
 	return rollout.Status{}
 }
 
-// decideRollout decides for all hosts what comes next, and has it recorded.
+// decideRollout decides the next phase of a rollout for all hosts and has it recorded.
 func (f *Forwarder) decideRollout(ctx context.Context, now time.Time, s rollout.Status, records RolloutStore) {
 	r, _ := f.rolloutReport(s)
 	f.desk.addReport(now, r)
@@ -291,7 +300,7 @@
 	}
 	s.Phase = phase
 	if phase == rollout.RolledBack {
-		// What is bad is left before anything is recorded.
+		// A rollback takes effect on this host before it is recorded.
 		f.receiveRollouts(now, []rollout.Status{s})
 	}
 	if s.Withdrawn || s.RecordedPhase >= s.Phase {
@@ -299,18 +308,19 @@
 	}
 	call, cancel := context.WithTimeout(ctx, rolloutRecordTimeout)
 	defer cancel()
-	// What became of a write that fails is told by the next news.
+	// If the write fails, the next update from the origin shows whether it took effect.
 	if err := records.Record(call, s, s.Recorded); err != nil {
 		f.journal.Belief("rollout not recorded", "service", s.Service, "phase", s.Phase, "err", err)
 		return
 	}
 	f.receiveRollouts(f.now(), []rollout.Status{s})
-	// The origin's news tell where it was recorded; until then it isn't written again.
+	// The next update from the origin gives the point of the record. Until then the phase
+	// isn't written again.
 	f.rollouts.Written(s.Service, s.Given, s.Phase)
 }
 
-// Rollouts lists what this host knows of rollouts, with the evidence against each target that was
-// reported here.
+// Rollouts lists the rollouts that this host knows, each with the evidence against its target
+// version that was reported to this host.
 func (f *Forwarder) Rollouts() []RolloutEntry {
 	now := f.now()
 	var all []RolloutEntry
@@ -325,15 +335,15 @@
 // RolloutEntry is a rollout as a host knows it, for operators.
 type RolloutEntry struct {
 	rollout.Status
-	// DecidingHost is the host that decides, and Against the evidence against the target that was
-	// reported to the host that is asked.
+	// DecidingHost is the host that decides, and EvidenceAgainst the evidence against the
+	// target version that was reported to the queried host.
 	DecidingHost    member.HostID
 	EvidenceAgainst float64
-	// Evidence is what the host itself has seen.
+	// Evidence is what the queried host itself has observed.
 	Evidence []rollout.Evidence
 }
 
-// countOwnRuns tells how many of this host's runs each engine has.
+// countOwnRuns calls count with the engine of each of this host's runs.
 func (e *enginePlacer) countOwnRuns(count func(member.UpstreamID, int)) {
 	e.mu.Lock()
 	var on []member.UpstreamID
@@ -348,7 +358,8 @@
 	}
 }
 
-// countInFlight tells how many of this host's requests each plain upstream has.
+// countInFlight calls count with the number of this host's requests in flight at each plain
+// upstream.
 func (c *latencyBalancer) countInFlight(count func(member.UpstreamID, int)) {
 	c.mu.Lock()
 	on := map[member.UpstreamID]int{}
@@ -363,7 +374,7 @@
 	}
 }
 
-// firstHost is the first of the live hosts by zone and name, with this one.
+// firstHost returns the first of the live hosts by zone and name, this host included.
 func (p *peerSet) firstHost(now time.Time) Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -382,7 +393,7 @@
 	return first
 }
 
-// liveHostIDs are the hosts that are heard, with this one.
+// liveHostIDs returns the IDs of the live hosts, this host included, in sorted order.
 func (p *peerSet) liveHostIDs(now time.Time) []member.HostID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/forward/rollouts_test.go
+++ b/forward/rollouts_test.go
@@ -17,17 +17,17 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// rolloutOrigin is a siteOrigin that keeps rollouts.
+// rolloutOrigin is a siteOrigin that stores rollouts.
 type rolloutOrigin struct {
 	*siteOrigin
 	mu           sync.Mutex
 	records      map[ServiceName]rollout.Status
 	nextRevision history.Revision
-	// recordedAt are those that were recorded, and when.
+	// recordedAt is when each phase was first recorded.
 	recordedAt map[rollout.Phase]time.Time
 }
 
-// Record keeps a phase if what is recorded is what the writer knows.
+// Record stores a phase if the stored record is the one that the writer expects.
 func (o *rolloutOrigin) Record(_ context.Context, s rollout.Status, over history.Point) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// publishOrder gives an order.
+// publishOrder publishes a rollout order to the hosts.
 func (o *rolloutOrigin) publishOrder(s rollout.Status) rollout.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -65,33 +65,35 @@
 	o.tell()
 }
 
-// rolloutScenario is a move of a service to another version, and what befalls the site meanwhile.
+// rolloutScenario moves a service to another version while faults occur on the site.
 type rolloutScenario struct {
 	zones, hostsPerZone int
 	service             ServiceName
 	perSecond           float64
-	// failureRate is the part that failureRate of the new version from a time after the order on.
+	// failureRate is the share of requests that fail at the new version, from failsFrom after
+	// the order on.
 	failureRate float64
 	failsFrom   time.Duration
 	disturb     func(ctx context.Context, s *site, o *rolloutOrigin)
-	// wantPhase is the phase at the deadline.
+	// wantPhase is the expected phase at the deadline.
 	wantPhase rollout.Phase
 }
 
 const rolloutDuration = 12 * time.Second
 
-// rolloutTally counts what reached the new version.
+// rolloutTally counts requests to the service and records those that reached the new version.
 type rolloutTally struct {
 	mu sync.Mutex
-	// total are the requests that reached the service until the deadline, exposed those that
-	// reached the new version, by when.
+	// total is the number of requests that reached the service until the deadline; exposedAt
+	// and failedAt are when requests reached the new version and when they failed there.
 	total     int
 	exposedAt []time.Time
 	failedAt  []time.Time
 }
 
-// TestRollouts has good versions take over a service and bad ones be left, whatever befalls the
-// hosts meanwhile, within the exposure that all hosts together are allowed.
+// TestRollouts checks that good versions take over a service and bad versions are rolled back,
+// whatever faults occur on the hosts meanwhile. A bad version must stay within the exposure
+// allowed to all hosts together.
 func TestRollouts(t *testing.T) {
 	bad := func(d rolloutScenario) rolloutScenario {
 		d.failureRate, d.wantPhase = 0.5, rollout.RolledBack
@@ -148,7 +150,7 @@
 	}
 }
 
-// restartRolloutHost has another process be in a host's place.
+// restartRolloutHost replaces a host by a new process.
 func (s *site) restartRolloutHost(ctx context.Context, o *rolloutOrigin, old *Forwarder) {
 	f := New(old.settings, old.transport, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
@@ -164,7 +166,7 @@
 	random, failures := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4))
 	var failuresMu sync.Mutex
 	fleet, tally := newFakeFleet(), &rolloutTally{}
-	fleet.events = 40 // runs that nothing moves end by themselves
+	fleet.events = 40 // runs that are not moved end by themselves
 	s := newCrashSiteOf(fleet, d.zones, d.hostsPerZone, 6)
 	o := &rolloutOrigin{siteOrigin: s.origin, records: map[ServiceName]rollout.Status{}, recordedAt: map[rollout.Phase]time.Time{}, nextRevision: 100}
 	var given time.Time
@@ -256,19 +258,19 @@
 func (d rolloutScenario) check(t *testing.T, o *rolloutOrigin, tally *rolloutTally, given time.Time) {
 	ended, done := o.recordedAt[d.wantPhase]
 	if !done || ended.Sub(given) > rolloutDuration {
-		t.Errorf("%v after %v: %v", d.wantPhase, ended.Sub(given), o.recordedAt)
+		t.Errorf("phase %v recorded %v after the order, want it recorded within the duration of the rollout; all recorded phases: %v", d.wantPhase, ended.Sub(given), o.recordedAt)
 	}
-	t.Logf("%v after %v; %d of %d exposed, %d answered badly", d.wantPhase, ended.Sub(given), len(tally.exposedAt), tally.total, len(tally.failedAt))
+	t.Logf("phase %v %v after the order; %d of %d requests exposed, %d failed", d.wantPhase, ended.Sub(given), len(tally.exposedAt), tally.total, len(tally.failedAt))
 	if d.wantPhase != rollout.RolledBack {
 		return
 	}
 	if allowed := 0.1*float64(tally.total) + 50; float64(len(tally.exposedAt)) > allowed {
-		t.Errorf("%d exposed, %.0f allowed", len(tally.exposedAt), allowed)
+		t.Errorf("%d requests reached the bad version, at most %.0f allowed", len(tally.exposedAt), allowed)
 	}
 	if len(tally.failedAt) > 50 {
 		last := tally.exposedAt[len(tally.exposedAt)-1]
 		if late := last.Sub(tally.failedAt[49]); late > 5*time.Second {
-			t.Errorf("sent to %v after the 50th bad answer", late)
+			t.Errorf("requests reached the bad version until %v after its 50th failure, want at most 5 s", late)
 		}
 	}
 }
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -5,20 +5,22 @@
 
 import "time"
 
-// Signals are what an answer tells about its upstream, besides answering the request.
+// Signals are what a response reports about its upstream, in addition to answering the
+// request.
 type Signals struct {
-	// Leaving says that the upstream leaves, for the rest of its life.
+	// Leaving says that the upstream is leaving, which holds for the rest of its incarnation.
 	Leaving bool
-	// Closing says that the connection is closed. Upstreams that leave do so, and others
-	// now and then.
+	// Closing says that the upstream closes the connection. Leaving upstreams do so, and
+	// others occasionally.
 	Closing bool
-	// RetryAfter is for how long the upstream wants nothing from this host; zero doesn't ask.
+	// RetryAfter is how long the upstream asks this host to send it nothing; zero asks for no
+	// backoff.
 	RetryAfter time.Duration
-	// Limit is how many requests it takes from all hosts.
+	// Limit is the rate limit that the upstream announces for all hosts together.
 	Limit AnnouncedLimit
-	// FromUpstream says that the answer shows to be the upstream's own.
+	// FromUpstream says that the response is recognizably from the upstream itself.
 	FromUpstream bool
-	// Unusable says why parts of what it told can't be used.
+	// Unusable holds an error for each part of the signals that cannot be used.
 	Unusable []error
 }
 
@@ -33,7 +35,7 @@
 	SignalUnusable SignalKind = "unusable"
 )
 
-// answerKind says what kind of answer a signal came with.
+// answerKind is the kind of response that carried a signal.
 type answerKind string
 
 const (
@@ -43,12 +45,12 @@
 	answerToDiscard answerKind = "discard"
 )
 
-// applySignals takes in what an answer tells about its upstream, whoever waits for the
-// answer. sent is when its request was.
+// applySignals applies what a response reports about its upstream, whatever kind of request it
+// answers. sent is when that request was sent.
 func (f *Forwarder) applySignals(sent time.Time, u Upstream, to answerKind, s Signals) {
 	now := f.now()
 	if known, found := f.fleet.Upstream(u.ID); found && u.Incarnation != 0 && known.Incarnation != u.Incarnation {
-		// Of the life before.
+		// The response is from another incarnation.
 		return
 	}
 	for _, err := range s.Unusable {
@@ -71,13 +73,13 @@
 	if s.Limit.Announced {
 		f.observer.Signal(SignalLimit)
 	}
-	// Only its own answer to a request that names no limit ends one.
+	// Only the upstream's own response to a request ends a limit, by announcing none.
 	if s.Limit.Announced || s.Limit.Err != nil || s.FromUpstream && to == answerToRequest {
 		f.recordAnswerLimit(sent, u, s.Limit)
 	}
 }
 
-// logSignal writes a line about an upstream's signal, unless there was one just now.
+// logSignal logs an upstream's signal, unless one was logged shortly before.
 func (f *Forwarder) logSignal(now time.Time, u Upstream, event string, keyvals ...any) {
 	if f.signalLines.allow(now, u.ID) {
 		f.journal.Belief(event, append([]any{"upstream", u.ID, "life", u.Incarnation}, keyvals...)...)
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -17,7 +17,8 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// TestSignalOfOldIncarnation has an answer from before a restart say nothing of the new life.
+// TestSignalOfOldIncarnation checks that the signals in a response from before a restart are
+// ignored for the new incarnation.
 func TestSignalOfOldIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
@@ -37,7 +38,8 @@
 	is.True(f.backoffs.Wait(time.Now(), "app1") > 0)
 }
 
-// TestConcurrentSendsOfQuarantineTrial has a trial of a quarantined request go out, whichever send is judged first.
+// TestConcurrentSendsOfQuarantineTrial checks that the trial of a quarantined request is sent
+// whichever of its concurrent sends is checked first.
 func TestConcurrentSendsOfQuarantineTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -56,7 +58,8 @@
 	})
 }
 
-// TestBackoffsDoNotFloodPeers has hosts tell each other of many backoffs in few shares.
+// TestBackoffsDoNotFloodPeers checks that hosts report many backoffs to each other in few
+// shares.
 func TestBackoffsDoNotFloodPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -79,15 +82,16 @@
 				time.Sleep(50 * time.Millisecond)
 			}
 		})
-		t.Logf("in 3 s %d shares and %d follows, with 60 backoffs at each host %d and %d", quiet, quietFollows, busy, busyFollows)
-		// Once a second at most each host tells all others at once.
+		t.Logf("in 3 s %d shares and %d follow requests; with 60 backoffs at each host %d and %d", quiet, quietFollows, busy, busyFollows)
+		// Each host notifies all others immediately at most once a second.
 		hosts := int64(len(s.hosts))
 		if most := quiet + 4*hosts*(hosts-1); busy > most {
-			t.Errorf("%d shares, %d in quiet, %d at most", busy, quiet, most)
+			t.Errorf("%d shares during the backoffs, %d without; want at most %d", busy, quiet, most)
 		}
-		// Nothing in it is for those who follow; how many fall into a window varies.
+		// Followers get nothing from backoffs. The number of follow requests in a window
+		// varies.
 		if busyFollows > 2*quietFollows {
-			t.Errorf("%d follows, %d in quiet", busyFollows, quietFollows)
+			t.Errorf("%d follow requests during the backoffs, %d without; want at most twice as many", busyFollows, quietFollows)
 		}
 		cancel()
 		synctest.Wait()
--- a/forward/throttledselection.go
+++ b/forward/throttledselection.go
@@ -121,7 +121,7 @@
 // throttledEngines returns the service's engines to which this host may not send now.
 func (x *exchange) throttledEngines(now time.Time) throttledSet {
 	var throttled throttledSet
-	if !x.mayHaveRateLimit(now, &x.service) {
+	if !x.mayBeThrottled(now, &x.service) {
 		return throttled
 	}
 	throttled.accepting = x.acceptingUpstreams(now)
@@ -159,7 +159,7 @@
 
 // throttledAmong returns the given upstreams to which this host may not send now.
 func (x *exchange) throttledAmong(now time.Time, upstreams []Upstream) []member.UpstreamID {
-	if !x.mayHaveRateLimit(now, &x.service) {
+	if !x.mayBeThrottled(now, &x.service) {
 		return nil
 	}
 	var ids []member.UpstreamID
@@ -174,7 +174,7 @@
 // throttledCount returns the number of upstreams that accept new work but to which this host
 // may not send now.
 func (x *exchange) throttledCount(now time.Time) int {
-	if !x.mayHaveRateLimit(now, &x.service) {
+	if !x.mayBeThrottled(now, &x.service) {
 		return 0
 	}
 	return len(x.throttledAmong(now, x.acceptingUpstreams(now)))
--- a/forward/turns.go
+++ b/forward/turns.go
@@ -15,61 +15,62 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// TurnRequest asks for the turn to move a run off an engine. An engine's link
-// copies one run after another; when several hosts copy at once, a stopped run
-// stands still while others' copies are sent.
+// TurnRequest asks for the turn to move a run off an engine. An engine's link copies one run
+// after another: if several hosts copied at once, a stopped run would stand still while the
+// copies of others are sent.
 type TurnRequest struct {
 	Engine member.UpstreamID
 	Run    policy.RunID
-	// Priority orders those that wait: the highest goes first.
+	// Priority orders waiting requests; the highest goes first.
 	Priority int
-	// NoWait asks only whether the turn is free.
+	// NoWait takes the turn only if it is free.
 	NoWait bool
 }
 
-// turnQueues gives out the turnQueues of the engines that this host arbitrates. The zero
-// value works. It is soft: a turn that isn't ended runs out.
+// turnQueues grants the turns of the engines that this host arbitrates. The zero value is
+// ready to use. The state is soft: a turn that isn't released expires.
 type turnQueues struct {
-	// clock tells the present time; nil is the usual one.
+	// clock gives the current time; nil stands for the system clock.
 	clock *clock.Clock
 
 	mu       sync.Mutex
 	byEngine map[member.UpstreamID]*turnQueue
 }
 
-// turnQueue is one engine's line.
+// turnQueue holds the turn of one engine and the requests that wait for it.
 type turnQueue struct {
-	// holder has the turn until then; empty when nobody has.
+	// holder is the run that has the turn until expiresAt; empty if the turn is free.
 	holder    policy.RunID
 	expiresAt time.Time
-	// openedAt is when the first request came.
+	// openedAt is when the first request arrived.
 	openedAt time.Time
 	waiting  []*turnWaiter
 }
 
 type turnWaiter struct {
 	TurnRequest
-	// granted closes when the turn is this waiter's, removed when it isn't in the
-	// line any more.
+	// granted closes when the waiter gets the turn, removed when the waiter leaves the queue
+	// without it.
 	granted, removed chan struct{}
 }
 
 const (
-	// turnGatherDelay is how long the first request for an engine waits for others,
-	// so that the order matters: hosts learn of a leaving within milliseconds.
+	// turnGatherDelay is how long the first request for an engine waits for others, so that
+	// the priorities take effect: hosts learn within milliseconds of each other that an engine
+	// is leaving.
 	turnGatherDelay = 8 * time.Millisecond
-	// turnTTL is the longest turn; a move takes less.
+	// turnTTL is the longest duration of a turn; a move takes less.
 	turnTTL = 900 * time.Millisecond
-	// turnQueueRetention is when a line that nobody uses is forgotten.
+	// turnQueueRetention is how long an unused queue is kept.
 	turnQueueRetention = 10 * time.Second
-	// turnCheckInterval is how often a waiter looks whether the holder's turn ran out.
+	// turnCheckInterval is how often a waiter checks whether the holder's turn has expired.
 	turnCheckInterval = 20 * time.Millisecond
 )
 
 func (t *turnQueues) now() time.Time { return t.clock.Now() }
 
-// acquire waits for the turn. The error is the context's, or errNoTurn when the run's
-// host doesn't want the turn any more.
+// acquire waits for the turn. It returns the context's error, or errTurnNotGranted if the
+// run's host no longer wants the turn.
 func (t *turnQueues) acquire(ctx context.Context, r TurnRequest) error {
 	w := &turnWaiter{TurnRequest: r, granted: make(chan struct{}), removed: make(chan struct{})}
 	line := t.enqueue(t.now(), w)
@@ -91,7 +92,7 @@
 	}
 }
 
-// tryAcquire takes the turn if nobody has it or waits for it.
+// tryAcquire takes the turn if it is free and no request waits for it.
 func (t *turnQueues) tryAcquire(now time.Time, r TurnRequest) bool {
 	line := t.queueFor(now, r.Engine)
 	t.mu.Lock()
@@ -111,7 +112,7 @@
 	return line
 }
 
-// queueFor returns an engine's queueFor, and forgets those that nobody uses.
+// queueFor returns an engine's queue, and deletes other queues that are no longer used.
 func (t *turnQueues) queueFor(now time.Time, engine member.UpstreamID) *turnQueue {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +132,7 @@
 	return line
 }
 
-// grantNext gives the turn to the one that is worth most, if nobody has it.
+// grantNext grants the turn, if it is free, to the waiting request with the highest priority.
 func (t *turnQueues) grantNext(now time.Time, line *turnQueue) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,7 +157,7 @@
 	line.remove(w.Run)
 }
 
-// release gives a turn back, or the place in the line of a run that still waits.
+// release ends the turn of a run, or withdraws the run if it still waits.
 func (t *turnQueues) release(now time.Time, engine member.UpstreamID, run policy.RunID) {
 	t.mu.Lock()
 	line := t.byEngine[engine]
@@ -169,7 +170,7 @@
 	t.grantNext(now, line)
 }
 
-// remove takes a run out of the line, whether it has the turn or waits for it.
+// remove removes a run from the queue, whether it has the turn or waits for it.
 func (l *turnQueue) remove(run policy.RunID) {
 	if l.holder == run {
 		l.holder = ""
@@ -182,18 +183,18 @@
 	})
 }
 
-// arbiter returns the live host of the engine's cell that gives out its turns;
-// it is this host when the zone has no other.
+// arbiter returns the live host of the engine's cell that grants its turns; this host if the
+// cell has no live one.
 func (p *peerSet) arbiter(now time.Time, u Upstream) Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near []Peer
-	of := p.layout.OfUpstream(u.ID, u.Zone)
-	if p.ownCell == of {
+	cell := p.layout.OfUpstream(u.ID, u.Zone)
+	if p.ownCell == cell {
 		near = append(near, p.self)
 	}
 	for _, s := range p.known {
-		if s.cell == of && s.live(now) {
+		if s.cell == cell && s.live(now) {
 			near = append(near, s.Peer)
 		}
 	}
@@ -203,12 +204,12 @@
 	return member.First("moves off "+string(u.ID), near)
 }
 
-// errTurnNotGranted is an arbiter's word that another has the turn.
-var errTurnNotGranted = errors.New("another has the turn")
+// errTurnNotGranted means that the turn of an engine was not granted.
+var errTurnNotGranted = errors.New("the turn was not granted")
 
-// acquireTurn asks for the turn of an engine's link and returns how to end it. When
-// the arbiter can't be reached, or the turn doesn't come in time, the error says
-// so, and the run may go without.
+// acquireTurn requests the turn of an engine's link and returns a function that ends it. If
+// the arbiter can't be reached, or doesn't grant the turn in time, acquireTurn returns an
+// error, and the run may move without a turn.
 func (f *Forwarder) acquireTurn(ctx context.Context, at Upstream, r TurnRequest) (end func(), err error) {
 	nothing := func() {}
 	arbiter := f.peers.arbiter(f.now(), at)
@@ -224,9 +225,9 @@
 	}
 	if err := peers.Turn(ctx, arbiter, r); err != nil {
 		if ctx.Err() != nil {
-			// The arbiter doesn't know that nobody waits any more. A run that ends
-			// by itself while it waits would get the turn and hold the others up
-			// until it runs out: 0.9 s of a notice of 1.7 s.
+			// The arbiter doesn't know that the request no longer waits. A run that ends while
+			// it waits would get the turn and block the others until the turn expires, which
+			// takes 0.9 s of a notice of 1.7 s.
 			go f.releaseTurn(peers, arbiter, r)
 		}
 		return nothing, err
@@ -234,17 +235,17 @@
 	return func() { go f.releaseTurn(peers, arbiter, r) }, nil
 }
 
-// releaseTurn tells an arbiter that a run neither has nor wants a turn any more.
+// releaseTurn tells an arbiter that a run neither has a turn nor waits for one.
 func (f *Forwarder) releaseTurn(peers Peers, arbiter Peer, r TurnRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), shareTimeout)
 	defer cancel()
 	if err := peers.EndTurn(ctx, arbiter, r); err != nil {
-		// The turn runs out by itself.
+		// The turn expires by itself.
 		f.journal.Request(RequestID(r.Run), "turn not ended", "arbiter", arbiter.ID, "err", err)
 	}
 }
 
-// OnTurn serves a peer that asks for a turn.
+// OnTurn serves a peer that requests a turn.
 func (f *Forwarder) OnTurn(ctx context.Context, r TurnRequest) error {
 	if r.NoWait {
 		if !f.turns.tryAcquire(f.now(), r) {
--- a/forward/turns_test.go
+++ b/forward/turns_test.go
@@ -13,8 +13,8 @@
 	"github.com/matryer/is"
 )
 
-// TestTurns has runs leave an engine one at a time, the worthiest first, and a
-// turn that isn't ended run out.
+// TestTurns checks that runs leave an engine one at a time, the highest priority first, and
+// that a turn that is not released expires.
 func TestTurns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,12 +41,12 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		is.True(line.acquire(ctx, TurnRequest{Engine: "e", Run: "late"}) != nil)
 		cancel()
-		time.Sleep(time.Second) // nobody ends the turn of "now"
+		time.Sleep(time.Second) // the turn of "now" is not released and expires
 		is.True(line.tryAcquire(time.Now(), TurnRequest{Engine: "e", Run: "other", NoWait: true}))
 	})
 }
 
-// remoteArbiter asks another host's line, which doesn't learn that a caller has left,
+// remoteArbiter requests turns from another host, which does not learn that a caller has left,
 // as over the network.
 type remoteArbiter struct {
 	fakeFollowedPeer
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// TestCanceledTurnRequest has a run that ends while it waits for its turn at another host
-// not hold up the runs behind it.
+// TestCanceledTurnRequest checks that a run that ends while it waits for its turn at another
+// host does not hold up the runs behind it.
 func TestCanceledTurnRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
