--- a/entry/ask.go
+++ b/entry/ask.go
@@ -119,7 +119,7 @@
 	if d.Verdict != policy.Refused || d.Reason == policy.ReasonTooLong {
 		return d
 	}
-	for _, to := range p.entry.members.OtherCoordinators(p.entry.now(), pool, r.Prompt) {
+	for _, to := range p.entry.members.OtherCoordinators(p.entry.now(), pool, r.PromptTokens) {
 		quick, cancel := context.WithTimeout(ctx, otherZoneWait)
 		decisions, err := p.entry.peers.Place(quick, to, pool, []policy.Request{r})
 		cancel()
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -178,8 +178,8 @@
 func (p *placement) settings(name resource.Name) policy.Settings {
 	declared, _ := p.entry.config.Catalog().Pool(name)
 	return policy.Settings{
-		Objective: declared.Objective, BetweenTokens: time.Duration(declared.BetweenTokens),
-		QueueLimit: declared.QueueLimit, QueueBytes: declared.QueueBytes,
+		Objective: declared.Objective, MaxStepTime: time.Duration(declared.BetweenTokens),
+		MaxQueueLength: declared.QueueLimit, MaxQueueBytes: declared.QueueBytes,
 	}
 }
 
@@ -365,8 +365,8 @@
 			s.pool.Finish(now, f)
 			return
 		}
-		if own != nil && f.Whole {
-			s.pool.Learn(&own.request, f.Made)
+		if own != nil && f.Complete {
+			s.pool.Learn(&own.request, f.GeneratedTokens)
 		}
 		s.finished[coordinator.ID] = append(s.finished[coordinator.ID], f)
 	})
--- a/forward/brokenconnection_test.go
+++ b/forward/brokenconnection_test.go
@@ -22,10 +22,10 @@
 }
 
 func (j *recordingJournal) Request(id RequestID, event string, keyvals ...any) {
-	j.Belief(event, append([]any{"request", id}, keyvals...)...)
+	j.HostEvent(event, append([]any{"request", id}, keyvals...)...)
 }
 
-func (j *recordingJournal) Belief(event string, keyvals ...any) {
+func (j *recordingJournal) HostEvent(event string, keyvals ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	line := event
--- a/forward/callerleft_test.go
+++ b/forward/callerleft_test.go
@@ -104,7 +104,7 @@
 		"while it waits for a place": {path: "/llm/", send: stream, before: func(s *fixture) {
 			now := time.Now()
 			for _, id := range []policy.RunID{"a", "b", "c"} {
-				s.f.engines.place(t.Context(), now, "llm", policy.Request{Run: id, Prompt: 33_000, Limit: 1000, Deadline: now.Add(time.Minute)})
+				s.f.engines.place(t.Context(), now, "llm", policy.Request{Run: id, PromptTokens: 33_000, MaxOutputTokens: 1000, Deadline: now.Add(time.Minute)})
 			}
 		}, wantCalls: 0},
 		"while its run is moved": {path: "/llm/", send: stream, during: func(s *fixture) {
@@ -124,7 +124,7 @@
 					return MoveResult{}, ctx.Err()
 				}
 				s.f = newForwarder(t, transport)
-				s.f.listEngines(time.Now(), s.f.Table())
+				s.f.updatePlacementEngines(time.Now(), s.f.Table())
 				if c.before != nil {
 					c.before(s)
 				}
@@ -166,9 +166,9 @@
 	ctx, leave := context.WithCancel(t.Context())
 	transport := &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		leave()
-		return broken("id: 1\n\n"), nil
+		return brokenAnswer("id: 1\n\n"), nil
 	}}
-	f := resumableForwarder(t, transport, 2, 100)
+	f := newResumableForwarder(t, transport, 2, 100)
 	f.Serve(ctx, call("/llm/"), &fakeSink{})
 	is.Equal(len(transport.sentTo()), 1)
 }
@@ -190,8 +190,8 @@
 				f.Serve(ctx, call(path), sink)
 				synctest.Wait()
 				is.Equal(len(transport.sentTo()), 0)
-				is.Equal(sink.refused, nil)                 // no refusal is sent to a caller that left
-				is.Equal(len(f.engines.states(f.now())), 0) // the run holds no place
+				is.Equal(sink.refused, nil)                    // no refusal is sent to a caller that left
+				is.Equal(len(f.engines.runStates(f.now())), 0) // the run holds no place
 			})
 		})
 	}
--- a/forward/clockjump_test.go
+++ b/forward/clockjump_test.go
@@ -45,16 +45,16 @@
 			func(f *Forwarder, now time.Time) time.Duration { return f.ContactAge(now) },
 		},
 		"list": {
-			func(f *Forwarder, now time.Time) { f.originContact.advance(now) },
+			func(f *Forwarder, now time.Time) { f.originProvedAt.advance(now) },
 			func(f *Forwarder, now time.Time) time.Duration { return f.OriginAge(now) },
 		},
 		"followed": {
-			func(f *Forwarder, now time.Time) { f.followed.advance(now) },
-			func(f *Forwarder, now time.Time) time.Duration { return f.followed.age(now) },
+			func(f *Forwarder, now time.Time) { f.followedPeerAnsweredAt.advance(now) },
+			func(f *Forwarder, now time.Time) time.Duration { return f.followedPeerAnsweredAt.age(now) },
 		},
 		"doubt": {
 			func(f *Forwarder, now time.Time) { f.markListSuspect(now) },
-			func(f *Forwarder, now time.Time) time.Duration { return f.listSuspect.age(now) },
+			func(f *Forwarder, now time.Time) time.Duration { return f.listSuspectedAt.age(now) },
 		},
 	}
 	for name, p := range proofs {
@@ -82,7 +82,7 @@
 	f.ContactProved(withClockJump(start, time.Hour))
 	f.ContactProved(start)
 	cutOffRequest := &exchange{Forwarder: f, call: call("/nowhere/")}
-	refusal := cutOffRequest.unknown(start.Add(10*time.Second), CodeNoRoute)
+	refusal := cutOffRequest.refuseUnknown(start.Add(10*time.Second), CodeNoRoute)
 	is.Equal(refusal.Code, CodeNotReady) // not CodeNoRoute: the host can't prove that the route doesn't exist
 	is.True(!f.isListCurrent(start.Add(10 * time.Second)))
 }
@@ -118,13 +118,13 @@
 func TestNegativeProofAge(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
-	f.contact.clear()
+	f.contactProvedAt.clear()
 	f.receiveShare(Share{From: Peer{ID: "h9", Zone: "z1"}, Version: 1, ConfigAge: -time.Hour, OriginAge: -time.Hour})
 	is.Equal(f.ContactAge(time.Now()), noProofAge)
 	_, found := f.peers.leader(time.Now(), true)
 	is.True(!found)
 	peers := &fakeFollowedPeer{}
 	peers.originAge.Store(int64(-time.Hour))
-	f.peerPort = peers
+	f.peerTransport = peers
 	is.True(!f.followPeer(t.Context(), Peer{ID: "h9"}, zoneBounds))
 }
--- a/forward/configfetch.go
+++ b/forward/configfetch.go
@@ -95,13 +95,13 @@
 	if v <= f.versionInForce() {
 		return
 	}
-	f.offers.record(f.now(), v)
+	f.configOffers.record(f.now(), v)
 	offer := configOffer{from: from, version: v}
 	for {
 		select {
-		case f.offers.pending <- offer:
+		case f.configOffers.pending <- offer:
 			return
-		case old := <-f.offers.pending:
+		case old := <-f.configOffers.pending:
 			if f.prefersOffer(old, offer) {
 				offer = old
 			}
@@ -120,7 +120,7 @@
 
 // newestKnownVersion returns the newest version that this host has or was offered.
 func (f *Forwarder) newestKnownVersion() Version {
-	return max(f.offers.newest(), f.versionInForce())
+	return max(f.configOffers.newest(), f.versionInForce())
 }
 
 // fetchConfigs fetches what peers offer, one after another, until the context ends. A failed fetch
@@ -130,7 +130,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case offer := <-f.offers.pending:
+		case offer := <-f.configOffers.pending:
 			f.fetchConfig(ctx, peers, offer.from)
 		}
 	}
@@ -147,14 +147,14 @@
 	askedAt := f.now()
 	reply, err := peers.Config(callCtx, from, current)
 	if err != nil {
-		f.journal.Belief("configuration not fetched", "peer", from.ID, "offered", f.newestKnownVersion(), "took", f.now().Sub(askedAt), "err", err)
+		f.journal.HostEvent("configuration not fetched", "peer", from.ID, "offered", f.newestKnownVersion(), "took", f.now().Sub(askedAt), "err", err)
 		return
 	}
 	now := f.now()
 	if reply.Config == nil || !f.Configure(now, *reply.Config) {
 		return
 	}
-	f.journal.Belief("configuration fetched", "peer", from.ID, "version", reply.Config.Version, "took", now.Sub(askedAt))
+	f.journal.HostEvent("configuration fetched", "peer", from.ID, "version", reply.Config.Version, "took", now.Sub(askedAt))
 	// The age was taken after the call began, so counting it from askedAt never makes the proof too
 	// recent.
 	f.ContactProved(askedAt.Add(-reply.Age))
@@ -164,7 +164,7 @@
 func (f *Forwarder) OnConfig(have Version) ConfigReply {
 	// The age is taken first, so that the configuration is no older than its proof.
 	reply := ConfigReply{Age: f.ContactAge(f.now())}
-	if c := f.newest.Load(); c != nil && c.Version > have {
+	if c := f.newestConfig.Load(); c != nil && c.Version > have {
 		reply.Config = c
 	}
 	return reply
--- a/forward/crashing_test.go
+++ b/forward/crashing_test.go
@@ -49,7 +49,7 @@
 	}
 	for _, f := range s.hosts {
 		f.transport = &fakeTransport{send: fleet.Send, reach: fleet.Reach}
-		f.settings.DrainFor = 2 * time.Second
+		f.settings.DrainTime = 2 * time.Second
 		f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
 	}
 	return s
--- a/forward/dependency.go
+++ b/forward/dependency.go
@@ -44,7 +44,7 @@
 	}
 	if d.lostAt.IsZero() {
 		d.lostAt = d.now()
-		d.journal.Belief("dependency lost", "what", d.name, "err", err)
+		d.journal.HostEvent("dependency lost", "what", d.name, "err", err)
 	}
 	d.failures++
 	return retryDelay(d.failures)
@@ -58,7 +58,7 @@
 		return 0
 	}
 	lostFor := now.Sub(d.lostAt)
-	d.journal.Belief("dependency regained", "what", d.name, "lost_for", lostFor)
+	d.journal.HostEvent("dependency regained", "what", d.name, "lost_for", lostFor)
 	d.lostAt = time.Time{}
 	return lostFor
 }
--- a/forward/directory.go
+++ b/forward/directory.go
@@ -72,7 +72,7 @@
 	withdrawCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
 	if err := d.Withdraw(withdrawCtx); err != nil {
-		f.journal.Belief("directory entry not withdrawn", "err", err)
+		f.journal.HostEvent("directory entry not withdrawn", "err", err)
 	}
 }
 
--- a/forward/drill_test.go
+++ b/forward/drill_test.go
@@ -272,13 +272,13 @@
 func TestOlderConfigurationTakenForTheNewest(t *testing.T) {
 	playDrill(t, 3, 3, nil, func(d *drill) {
 		fresh := d.restart("10.1.0.1:1")
-		fresh.offers.record(fresh.now(), 2) // by a host that has ended since
-		d.hold("version 1 isn't taken for the newest", fresh.settings.ContactBound, 3*time.Second, func(f *Forwarder) bool {
-			return f != fresh || f.ContactAge(f.now()) > f.settings.ContactBound
+		fresh.configOffers.record(fresh.now(), 2) // by a host that has ended since
+		d.hold("version 1 isn't taken for the newest", fresh.settings.MaxContactAge, 3*time.Second, func(f *Forwarder) bool {
+			return f != fresh || f.ContactAge(f.now()) > f.settings.MaxContactAge
 		})
 		d.store.configure(2)
 		d.hold("version 2 is", configInForceWithin, time.Second, func(f *Forwarder) bool {
-			return f.versionInForce() == 2 && f.ContactAge(f.now()) <= f.settings.ContactBound
+			return f.versionInForce() == 2 && f.ContactAge(f.now()) <= f.settings.MaxContactAge
 		})
 	})
 }
--- a/forward/ending.go
+++ b/forward/ending.go
@@ -8,20 +8,20 @@
 	"errors"
 )
 
-// ending is why a request's context ended.
-type ending int
+// endCause is why a request's context ended.
+type endCause int
 
 const (
-	// notEnded: it goes on.
-	notEnded ending = iota
-	// callerLeft: the caller's connection is gone.
-	callerLeft
-	// timeOver: the caller's or the route's time is over.
-	timeOver
-	// hostStopped: this host's time to stop is over.
-	hostStopped
-	// heldBack: upstreams have ended under the same request meanwhile.
-	heldBack
+	// endNone: it goes on.
+	endNone endCause = iota
+	// endCallerLeft: the caller's connection is gone.
+	endCallerLeft
+	// endDeadline: the caller's or the route's time is over.
+	endDeadline
+	// endHostStopped: this host's time to stop is over.
+	endHostStopped
+	// endQuarantined: upstreams have ended under the same request meanwhile.
+	endQuarantined
 )
 
 // Causes of contexts that this package ends.
@@ -30,31 +30,31 @@
 	errStopped  = errors.New("the host's time to stop is over")
 )
 
-// endingOf tells why a request's context ended.
-func endingOf(ctx context.Context) ending {
+// endCauseOf tells why a request's context ended.
+func endCauseOf(ctx context.Context) endCause {
 	cause := context.Cause(ctx)
 	switch {
 	case cause == nil:
-		return notEnded
+		return endNone
 	case errors.Is(cause, errDeadline):
-		return timeOver
+		return endDeadline
 	case errors.Is(cause, errStopped):
-		return hostStopped
+		return endHostStopped
 	case errors.Is(cause, errQuarantined):
-		return heldBack
+		return endQuarantined
 	default:
-		return callerLeft
+		return endCallerLeft
 	}
 }
 
 // code is what a request that ended so is refused with.
-func (e ending) code() Code {
+func (e endCause) code() Code {
 	switch e {
-	case timeOver:
+	case endDeadline:
 		return CodeTimeout
-	case hostStopped:
+	case endHostStopped:
 		return CodeInterrupted
-	case heldBack:
+	case endQuarantined:
 		return CodeQuarantined
 	default:
 		return CodeCallerLeft
@@ -62,11 +62,11 @@
 }
 
 // outcome is the word for the end of an answer that had begun.
-func (e ending) outcome() string {
+func (e endCause) outcome() string {
 	switch e {
-	case callerLeft:
+	case endCallerLeft:
 		return "caller_left"
-	case hostStopped:
+	case endHostStopped:
 		return string(CodeInterrupted)
 	default:
 		return "cut"
--- a/forward/events.go
+++ b/forward/events.go
@@ -16,19 +16,19 @@
 const (
 	// maxEventBytes bounds one event.
 	maxEventBytes = 1 << 20
-	// eventBufferBytes is read at once; events have some hundred bytes.
-	eventBufferBytes = 4096
+	// eventReadBufferBytes is read at once; events have some hundred bytes.
+	eventReadBufferBytes = 4096
 )
 
 // eventReader splits a stream into its events, each with the bytes that the
 // upstream wrote. A part of an event at the stream's end is never returned.
 type eventReader struct {
-	from *bufio.Reader
-	buf  []byte
+	source *bufio.Reader
+	buf    []byte
 }
 
 func newEventReader(r io.Reader) *eventReader {
-	return &eventReader{from: bufio.NewReaderSize(r, eventBufferBytes)}
+	return &eventReader{source: bufio.NewReaderSize(r, eventReadBufferBytes)}
 }
 
 // next returns the next whole event and its id, which is empty when the event
@@ -38,7 +38,7 @@
 	r.buf = r.buf[:0]
 	for {
 		start := len(r.buf)
-		if err := r.line(); err != nil {
+		if err := r.readLine(); err != nil {
 			if errors.Is(err, io.EOF) && len(r.buf) > 0 {
 				return nil, "", io.ErrUnexpectedEOF
 			}
@@ -54,10 +54,10 @@
 	}
 }
 
-// line appends the next line with its end to the buffer.
-func (r *eventReader) line() error {
+// readLine appends the next readLine with its end to the buffer.
+func (r *eventReader) readLine() error {
 	for {
-		part, err := r.from.ReadSlice('\n')
+		part, err := r.source.ReadSlice('\n')
 		r.buf = append(r.buf, part...)
 		switch {
 		case len(r.buf) > maxEventBytes:
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -17,18 +17,18 @@
 
 // When refused callers are told to come back.
 const (
-	// retryNotReady: a host that starts has its configuration in well under a
+	// notReadyRetryAfter: a host that starts has its configuration in well under a
 	// second.
-	retryNotReady = 300 * time.Millisecond
-	// retryUnknown is told where nothing is known.
-	retryUnknown = 200 * time.Millisecond
+	notReadyRetryAfter = 300 * time.Millisecond
+	// defaultRetryAfter is told where nothing is known.
+	defaultRetryAfter = 200 * time.Millisecond
 )
 
 // exchange is one request on its way through this host.
 type exchange struct {
 	*Forwarder
 	call    *Call
-	to      Sink
+	sink    Sink
 	route   Route
 	service Service
 	account Account
@@ -40,23 +40,23 @@
 	zones []member.Zone
 	// versions are those that may get the request.
 	versions versionConstraint
-	// print is what the request asks, once that has been worked out.
-	print atomic.Pointer[quarantine.Fingerprint]
-	// trying guards isTry, for sends beside each other are judged at the same time.
-	trying sync.Mutex
-	// isTry says that upstreams ended under the same request, and this one finds out
+	// cachedFingerprint is what the request asks, once that has been worked out.
+	cachedFingerprint atomic.Pointer[quarantine.Fingerprint]
+	// quarantineTrialMu guards isTry, for sends beside each other are judged at the same time.
+	quarantineTrialMu sync.Mutex
+	// isQuarantineTrial says that upstreams ended under the same request, and this one finds out
 	// whether they bear it by now.
-	isTry bool
-	// skipped is how many upstreams got no request when one was chosen last, for a
+	isQuarantineTrial bool
+	// skippedUpstreams is how many upstreams got no request when one was chosen last, for a
 	// backoff or a limit.
-	skipped int
+	skippedUpstreams int
 	// delivered says that something of an upstream's answer has come.
 	delivered atomic.Bool
 }
 
 // Serve answers one request. The context ends when the caller leaves.
 func (f *Forwarder) Serve(ctx context.Context, c *Call, to Sink) {
-	x := &exchange{Forwarder: f, call: c, to: to}
+	x := &exchange{Forwarder: f, call: c, sink: to}
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
 	if !f.enter(x, end) {
@@ -64,13 +64,13 @@
 		return
 	}
 	defer f.leave(x)
-	defer x.contain(x.panicked)
+	defer x.recoverPanic(x.answerPanic)
 	refusal, ok := x.admit(c.Arrived)
 	if !ok {
-		x.refuse(refusal, "version", x.version())
+		x.refuse(refusal, "version", x.configVersion())
 		return
 	}
-	if why := endingOf(ctx); why != notEnded {
+	if why := endCauseOf(ctx); why != endNone {
 		// Its caller left before it was read: upstreams would be at work for nobody.
 		x.refuse(Refusal{Code: why.code()})
 		return
@@ -88,7 +88,7 @@
 	x.serveUnary(cut)
 }
 
-func (x *exchange) version() Version {
+func (x *exchange) configVersion() Version {
 	if t := x.table.Load(); t != nil {
 		return t.Version
 	}
@@ -99,15 +99,15 @@
 func (x *exchange) admit(now time.Time) (Refusal, bool) {
 	t := x.table.Load()
 	if t == nil {
-		return Refusal{Code: CodeNotReady, RetryAfter: retryNotReady}, false
+		return Refusal{Code: CodeNotReady, RetryAfter: notReadyRetryAfter}, false
 	}
 	var found bool
 	if x.route, found = t.Match(x.call.Host, x.call.Path); !found {
-		return x.unknown(now, CodeNoRoute), false
+		return x.refuseUnknown(now, CodeNoRoute), false
 	}
 	if t.RequiresKey && !x.route.Public {
 		if x.account, found = t.Account(x.call.APIKey); !found {
-			return x.unknown(now, CodeBadKey), false
+			return x.refuseUnknown(now, CodeBadKey), false
 		}
 	}
 	x.urgency = x.route.Urgency
@@ -120,11 +120,11 @@
 	if x.call.CallerTimeout > 0 && x.call.CallerTimeout <= late {
 		return Refusal{Code: CodeLate, RetryAfter: retryElsewhere}, false
 	}
-	x.deadline = earliest(now.Add(-late), x.call.CallerTimeout, x.route.Timeout)
+	x.deadline = earliestDeadline(now.Add(-late), x.call.CallerTimeout, x.route.Timeout)
 	x.zones = x.allowedZones()
 	x.service, found = t.Service(x.pickService(now))
 	if !found {
-		return Refusal{Code: CodeNoUpstream, RetryAfter: retryUnknown}, false
+		return Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter}, false
 	}
 	x.versions.set(x.drawVersions(now))
 	if x.mustHoldBack(now) {
@@ -140,16 +140,16 @@
 	return Refusal{}, true
 }
 
-// unknown refuses for what the configuration doesn't hold, but only while the
+// refuseUnknown refuses for what the configuration doesn't hold, but only while the
 // configuration is known to be the newest; else another host may know more.
-func (x *exchange) unknown(now time.Time, code Code) Refusal {
-	if x.ContactAge(now) > x.settings.ContactBound {
-		return Refusal{Code: CodeNotReady, RetryAfter: retryNotReady}
+func (x *exchange) refuseUnknown(now time.Time, code Code) Refusal {
+	if x.ContactAge(now) > x.settings.MaxContactAge {
+		return Refusal{Code: CodeNotReady, RetryAfter: notReadyRetryAfter}
 	}
 	return Refusal{Code: code}
 }
 
-func earliest(from time.Time, bounds ...time.Duration) time.Time {
+func earliestDeadline(from time.Time, bounds ...time.Duration) time.Time {
 	var first time.Time
 	for _, b := range bounds {
 		if b <= 0 {
@@ -192,8 +192,8 @@
 	return picked
 }
 
-// left is how long an upstream may still work on the request.
-func (x *exchange) left(now time.Time) time.Duration {
+// timeLeft is how long an upstream may still work on the request.
+func (x *exchange) timeLeft(now time.Time) time.Duration {
 	if x.deadline.IsZero() {
 		return 0
 	}
@@ -209,13 +209,13 @@
 	if r.Code == CodeCallerLeft {
 		return
 	}
-	if err := x.to.Refuse(r); err != nil {
+	if err := x.sink.Refuse(r); err != nil {
 		x.journal.Request(x.call.ID, "refusal not delivered", "err", err)
 	}
 }
 
-// answered notes the end of a request that an upstream answered.
-func (x *exchange) answered(outcome string, keyvals ...any) {
+// recordOutcome notes the end of a request that an upstream recordOutcome.
+func (x *exchange) recordOutcome(outcome string, keyvals ...any) {
 	took := x.now().Sub(x.call.Arrived)
 	x.observer.Answered(x.route.Kind, outcome, took)
 	keyvals = append([]any{"route", x.route.Name, "outcome", outcome, "took", took}, keyvals...)
--- a/forward/failingupstream.go
+++ b/forward/failingupstream.go
@@ -140,7 +140,7 @@
 	if hold == 0 {
 		return
 	}
-	s.journal.Belief("upstream fails", "upstream", id, "request", s.call.ID, "why", reason, "no_new_work_for", hold)
+	s.journal.HostEvent("upstream fails", "upstream", id, "request", s.call.ID, "why", reason, "no_new_work_for", hold)
 	s.peers.notifyOwnCell()
 }
 
--- a/forward/failingupstream_test.go
+++ b/forward/failingupstream_test.go
@@ -24,7 +24,7 @@
 		"resets": func(context.Context) (*Response, error) { return nil, io.ErrUnexpectedEOF },
 		"breaks streams off": func(context.Context) (*Response, error) {
 			a := answer(200, "")
-			a.Body = io.NopCloser(io.MultiReader(&chunked{from: &oneEventReader{}, n: 64}, errReader{}))
+			a.Body = io.NopCloser(io.MultiReader(&chunkedReader{source: &oneEventReader{}, size: 64}, errReader{}))
 			return a, nil
 		},
 		"is silent": func(ctx context.Context) (*Response, error) {
@@ -186,7 +186,7 @@
 				var failed time.Duration
 				for made := policy.Tokens(100); time.Since(began) < 10*time.Second; made += 50 {
 					if time.Since(began) < c.progressFor {
-						f.engines.adopt(time.Now(), "h2", []RunState{{Run: "other", Service: "llm", Engine: engine, Prompt: 100, Made: made, Limit: 5000}}, nil)
+						f.engines.replacePeerRuns(time.Now(), "h2", []RunState{{Run: "other", Service: "llm", Engine: engine, Prompt: 100, Made: made, Limit: 5000}}, nil)
 					}
 					if len(f.fleet.FailingMarks(time.Now())) > 0 && failed == 0 {
 						failed = time.Since(began)
--- a/forward/fake_test.go
+++ b/forward/fake_test.go
@@ -135,12 +135,12 @@
 )
 
 func (silentJournal) Request(RequestID, string, ...any)     {}
-func (silentJournal) Belief(string, ...any)                 {}
+func (silentJournal) HostEvent(string, ...any)              {}
 func (silentObserver) Answered(Kind, string, time.Duration) {}
 func (silentObserver) FirstEvent(time.Duration)             {}
-func (silentObserver) Gap(time.Duration)                    {}
+func (silentObserver) EventGap(time.Duration)               {}
 func (silentObserver) Repeated(string)                      {}
-func (silentObserver) Unread(int)                           {}
+func (silentObserver) UnreadableEntries(int)                {}
 func (silentObserver) Broken(bool)                          {}
 func (silentObserver) Suspended(time.Duration)              {}
 func (silentObserver) Permit(permit.Outcome)                {}
@@ -179,8 +179,8 @@
 func newForwarder(t *testing.T, transport Transport) *Forwarder {
 	t.Helper()
 	f := New(Settings{
-		Self: Peer{ID: "h1", Zone: "z1", PeerAddress: "10.0.0.1:1"}, DrainFor: 2 * time.Second, ContactBound: 3 * time.Second,
-		Retries: RetryLimit{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
+		Self: Peer{ID: "h1", Zone: "z1", PeerAddress: "10.0.0.1:1"}, DrainTime: 2 * time.Second, MaxContactAge: 3 * time.Second,
+		RetryLimit: RetryLimit{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 	}, transport, silentJournal{}, silentObserver{})
 	f.retries.setHosts(1) // it has looked for others
 	now := time.Now()
@@ -196,7 +196,7 @@
 	f.fleet.Replace(now, list, rev(1))
 	f.Configure(now, testConfig(1))
 	f.ContactProved(now)
-	f.originContact.advance(now)
+	f.originProvedAt.advance(now)
 	return f
 }
 
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -119,7 +119,7 @@
 		peer, found := w.peers.bootstrapPeer(w.now())
 		if found && w.followPeer(ctx, peer, originDownBounds) && w.catchUpConfig(ctx, peer) {
 			w.markCaughtUp()
-			w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.watchFrom, "after", w.now().Sub(w.startedAt))
+			w.journal.HostEvent("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.watchFrom, "after", w.now().Sub(w.startedAt))
 			return
 		}
 		PauseFor(ctx, joinCheckInterval)
@@ -146,7 +146,7 @@
 	defer cancel()
 	hosts, err := reader.Hosts(callCtx)
 	if err != nil {
-		w.journal.Belief("directory not read", "err", err)
+		w.journal.HostEvent("directory not read", "err", err)
 		return false
 	}
 	w.peers.addFromDirectory(w.now(), hosts)
@@ -307,7 +307,7 @@
 // handleHistoryGone schedules a full read: the origin no longer has the point after which a watch
 // continues, or was restored during a read. It pauses if that happens repeatedly.
 func (w *follower) handleHistoryGone(ctx context.Context) {
-	w.journal.Belief("history gone", "after", w.watchFrom)
+	w.journal.HostEvent("history gone", "after", w.watchFrom)
 	w.needsFullRead = true
 	w.historyGoneCount++
 	if w.historyGoneCount > 1 {
@@ -324,7 +324,7 @@
 	w.peers.addFromDirectory(now, update.Hosts)
 	w.receivePeerCrashes(now, update.HeldRequests)
 	if w.needsFullRead {
-		w.journal.Belief("list read", "revision", update.Revision, "upstreams", len(update.Changes), "took", now.Sub(provedAt))
+		w.journal.HostEvent("list read", "revision", update.Revision, "upstreams", len(update.Changes), "took", now.Sub(provedAt))
 	}
 	// Rollouts are applied before the revision of the list rises, because followers aren't sent
 	// again what came before that revision.
@@ -344,7 +344,7 @@
 	}
 	w.ContactProved(provedAt)
 	w.recordOriginProof(provedAt)
-	w.proofInherited.Store(false)
+	w.originProofInherited.Store(false)
 }
 
 // unreadLogInterval is the minimum interval between two log lines about entries that can't be read:
@@ -354,12 +354,12 @@
 // logUnread counts the entries that couldn't be read or used, and logs the count at most once per
 // unreadLogInterval.
 func (w *follower) logUnread(now time.Time, update OriginUpdate) {
-	w.observer.Unread(update.UnreadCount)
+	w.observer.UnreadableEntries(update.UnreadCount)
 	w.unreadEntries += update.UnreadCount
 	if now.Sub(w.unreadLoggedAt) < unreadLogInterval {
 		return
 	}
-	w.journal.Belief("not all could be read", "revision", update.Revision, "entries", w.unreadEntries, "err", update.UnreadErr)
+	w.journal.HostEvent("not all could be read", "revision", update.Revision, "entries", w.unreadEntries, "err", update.UnreadErr)
 	w.unreadEntries, w.unreadLoggedAt = 0, now
 }
 
@@ -370,7 +370,7 @@
 	w.fleet.ListLost(now)
 	// The proof is withdrawn, so that followers turn to another host at once and this host probes
 	// the engines itself.
-	w.originContact.clear()
+	w.originProvedAt.clear()
 	w.fleet.WakeWaiters()
 	w.takeStaleList(ctx)
 	pause := w.originStatus.recordFailure(ctx, err)
@@ -393,7 +393,7 @@
 			continue
 		}
 		w.catchUpConfig(ctx, peer)
-		w.journal.Belief("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.fleet.Revision(), "stale", true, "origin_age", w.OriginAge(now), "after", now.Sub(w.startedAt))
+		w.journal.HostEvent("joined", "peer", peer.ID, "version", w.versionInForce(), "list_revision", w.fleet.Revision(), "stale", true, "origin_age", w.OriginAge(now), "after", now.Sub(w.startedAt))
 		return
 	}
 }
@@ -412,7 +412,7 @@
 
 // isFollowing reports whether a peer that this host follows has answered within followTimeout.
 func (f *Forwarder) isFollowing(now time.Time) bool {
-	return f.followed.age(now) < followTimeout
+	return f.followedPeerAnsweredAt.age(now) < followTimeout
 }
 
 // handleListChanges drops what is known of earlier lives of upstreams, and logs a restore of the
@@ -421,7 +421,7 @@
 	f.resetRestartedUpstreams()
 	f.logRestore()
 	for _, c := range changes {
-		f.journal.Belief("upstream listed", "upstream", c.ID, "service", c.Service, "zone", c.Zone,
+		f.journal.HostEvent("upstream listed", "upstream", c.ID, "service", c.Service, "zone", c.Zone,
 			"leaving", c.Leaving, "gone", c.Gone, "unusable", c.Unusable, "cold", !c.ColdUntil.IsZero(), "revision", c.Revision)
 	}
 }
@@ -435,12 +435,12 @@
 func (f *Forwarder) recordOriginProof(provedAt time.Time) {
 	now := f.now()
 	oldAge := f.OriginAge(now)
-	f.originContact.advance(provedAt)
+	f.originProvedAt.advance(provedAt)
 	if oldAge-f.OriginAge(now) >= minProofAdvance {
-		f.originProved.wake()
+		f.originProofRenewed.wake()
 	}
 }
 
 // OriginAge returns how long ago the origin proved that this host is up to date, to this host or to
 // the peer that it follows.
-func (f *Forwarder) OriginAge(now time.Time) time.Duration { return f.originContact.age(now) }
+func (f *Forwarder) OriginAge(now time.Time) time.Duration { return f.originProvedAt.age(now) }
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -180,7 +180,7 @@
 				is := is.New(t)
 				f := newForwarder(t, &fakeTransport{})
 				peers, origin := &fakeFollowedPeer{}, &countingOrigin{}
-				f.peerPort = peers
+				f.peerTransport = peers
 				f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z0"}, Epoch: 9, AnnouncementCount: 1})
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.Follow(ctx, origin)
@@ -213,7 +213,7 @@
 func TestFollowAfterCut(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
-	f.peerPort = &fakeFollowedPeer{changes: []Change{{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}}}
+	f.peerTransport = &fakeFollowedPeer{changes: []Change{{Upstream: Upstream{ID: "llm1", Revision: rev(5)}, Gone: true}}}
 	f.fleet.ListRegained(time.Now(), 10*time.Second)
 	is.True(f.followPeer(t.Context(), Peer{ID: "h0"}, zoneBounds))
 	select {
@@ -231,7 +231,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &fakeTransport{})
-		f.peerPort = &fakeFollowedPeer{}
+		f.peerTransport = &fakeFollowedPeer{}
 		ctx, cancel := context.WithCancel(t.Context())
 		origin := &failingOrigin{}
 		go f.Follow(ctx, origin)
@@ -254,7 +254,7 @@
 		f := newForwarder(t, &fakeTransport{})
 		peers := &fakeFollowedPeer{}
 		peers.originAge.Store(int64(time.Minute))
-		f.peerPort = peers
+		f.peerTransport = peers
 		ctx, cancel := context.WithCancel(t.Context())
 		origin := &failingOrigin{}
 		origin.failing.Store(true)
--- a/forward/followpeer.go
+++ b/forward/followpeer.go
@@ -127,7 +127,7 @@
 		// A renewed proof ends the wait, too. Otherwise a proof could be 1.85 s old at the third
 		// host in a row, after a watch and the waits of a zone's leader and of its followers, while
 		// maxOriginProofAge is 1.6 s.
-		changed, proved := f.fleet.Changed(), f.originProved.wakeChannel()
+		changed, proved := f.fleet.Changed(), f.originProofRenewed.wakeChannel()
 		if !f.fleet.Revision().After(r.ListRevision) && f.versionInForce() <= r.Version {
 			timer := time.NewTimer(r.Wait)
 			defer timer.Stop()
@@ -184,14 +184,14 @@
 		return false
 	}
 	if err != nil || !bounds.accept(reply) || reply.ListRevision.Era() < f.fleet.Revision().Era() {
-		f.journal.Belief("leader not followed", "peer", peer.ID, "origin_age", reply.OriginAge, "config_age", reply.ConfigAge,
+		f.journal.HostEvent("leader not followed", "peer", peer.ID, "origin_age", reply.OriginAge, "config_age", reply.ConfigAge,
 			"list", reply.ListRevision, "own_list", f.fleet.Revision(), "err", err)
 		f.peers.distrust(peer.ID)
-		if err == nil && f.proofInherited.Load() {
+		if err == nil && f.originProofInherited.Load() {
 			// The proof was inherited, and this host knows nothing newer than the rejected peer. A
 			// proof that the origin gave to this host directly stays.
-			f.originContact.clear()
-			f.followed.clear()
+			f.originProvedAt.clear()
+			f.followedPeerAnsweredAt.clear()
 		}
 		return false
 	}
@@ -202,7 +202,7 @@
 	f.handleConfigOffer(peer, reply.Version)
 	if bounds.inheritProof {
 		f.recordOriginProof(now.Add(-reply.OriginAge))
-		f.proofInherited.Store(true)
+		f.originProofInherited.Store(true)
 	}
 	f.peers.recordAnnouncedUpTo(peer.ID, announcedUpTo)
 	for i := range reply.Announcements {
@@ -211,7 +211,7 @@
 	f.peers.receiveAnnouncements(now, peer.ID, reply.Announcements)
 	f.peers.recordFollowReply(now, peer.ID, reply)
 	if !bounds.allowStale {
-		f.followed.advance(now)
+		f.followedPeerAnsweredAt.advance(now)
 		f.fleet.ListTrusted()
 	}
 	for i := range reply.Rollouts {
@@ -244,12 +244,12 @@
 		return false
 	}
 	transferTime := time.Duration(float64(f.fleet.upstreamCount()*bytesPerUpstream*8) / (float64(capacity) * 1e6) * float64(time.Second))
-	f.givenLists.Lock()
-	defer f.givenLists.Unlock()
-	if f.givenUntil.Sub(now) > maxListBacklog {
+	f.listSendMu.Lock()
+	defer f.listSendMu.Unlock()
+	if f.listSendDoneAt.Sub(now) > maxListBacklog {
 		return true
 	}
-	f.givenUntil = laterOf(f.givenUntil, now).Add(transferTime)
+	f.listSendDoneAt = laterOf(f.listSendDoneAt, now).Add(transferTime)
 	return false
 }
 
@@ -298,5 +298,5 @@
 func (f *Forwarder) loadPeerPort() Peers {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
-	return f.peerPort
+	return f.peerTransport
 }
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -30,21 +30,21 @@
 	Seeds []string
 	// FirstStart says that the whole site starts for the first time.
 	FirstStart bool
-	// Retries bounds the requests that are sent once more, over all hosts.
-	Retries RetryLimit
-	// DrainFor is how long an upstream surely goes on serving after the first
+	// RetryLimit bounds the requests that are sent once more, over all hosts.
+	RetryLimit RetryLimit
+	// DrainTime is how long an upstream surely goes on serving after the first
 	// sign that it leaves.
-	DrainFor time.Duration
-	// ContactBound is how old the proof of contact with the platform may be
+	DrainTime time.Duration
+	// MaxContactAge is how old the proof of contact with the platform may be
 	// for this host to say that a route or key doesn't exist.
-	ContactBound time.Duration
-	// HeldAnswers is how many bytes of answers this host holds for callers that are slower than
+	MaxContactAge time.Duration
+	// MaxHeldAnswerBytes is how many bytes of answers this host holds for callers that are slower than
 	// their upstreams; zero sets no bound.
-	HeldAnswers int64
+	MaxHeldAnswerBytes int64
 	// Regions tells each zone's region. A zone that it lacks is of none.
 	Regions map[member.Zone]member.Region
-	// Rollouts bound what a version on trial gets.
-	Rollouts rollout.Limits
+	// RolloutLimits bound what a version on trial gets.
+	RolloutLimits rollout.Limits
 	// Clock counts the time for which the machine is suspended; nil counts none.
 	Clock *clock.Clock
 }
@@ -53,19 +53,19 @@
 type Journal interface {
 	// Request notes a decision about one request.
 	Request(id RequestID, event string, keyvals ...any)
-	// Belief notes a change of what this host believes.
-	Belief(event string, keyvals ...any)
+	// HostEvent notes a change of what this host believes.
+	HostEvent(event string, keyvals ...any)
 }
 
 // Observer counts what happens. It is called on the data path.
 type Observer interface {
 	Answered(kind Kind, outcome string, took time.Duration)
 	FirstEvent(took time.Duration)
-	Gap(d time.Duration)
+	EventGap(d time.Duration)
 	Repeated(why string)
 	Moved(outcome string, pause time.Duration)
-	// Unread counts entries of the origin that couldn't be read or used.
-	Unread(entries int)
+	// UnreadableEntries counts entries of the origin that couldn't be read or used.
+	UnreadableEntries(entries int)
 	// Broken counts a connection that an upstream ended before its answer, and whether
 	// the upstream itself had ended.
 	Broken(ended bool)
@@ -86,72 +86,72 @@
 	journal   Journal
 	observer  Observer
 
-	fleet   *Fleet
-	table   atomic.Pointer[Table]
-	engines *enginePlacer
-	plain   *latencyBalancer
+	fleet        *Fleet
+	table        atomic.Pointer[Table]
+	engines      *enginePlacer
+	plainChooser *latencyBalancer
 	// backoffs are the upstreams that asked this host for backoff, and backoffNotices bounds
 	// how often peers are told of that at once.
-	backoffs       backoff.Table
-	backoffNotices eventLimiter
-	// relist asks Run to tell the placement which engines take work.
-	relist chan struct{}
+	backoffs             backoff.Table
+	backoffNoticeLimiter eventLimiter
+	// relistRequested asks Run to tell the placement which engines take work.
+	relistRequested chan struct{}
 	// limiter gets leave to send to bounded upstreams, and limitLines bounds the log's
 	// lines about the limits that they name.
-	limiter    *permit.Limiter
-	limitLines eventLimiter
-	// signalLines bounds the lines about what upstreams tell about themselves.
-	signalLines eventLimiter
-	retries     retryBudget
-	// contact is when this host last had proof that its configuration is the
+	limiter         *permit.Limiter
+	limitLogLimiter eventLimiter
+	// signalLogLimiter bounds the lines about what upstreams tell about themselves.
+	signalLogLimiter eventLimiter
+	retries          retryBudget
+	// contactProvedAt is when this host last had proof that its configuration is the
 	// newest.
-	contact latestTime
-	// originContact is when the origin proved that the list is up to date, to
+	contactProvedAt latestTime
+	// originProvedAt is when the origin proved that the list is up to date, to
 	// this host or to the one that it follows; never while neither has it.
-	originContact latestTime
-	// originProved wakes when it is renewed.
-	originProved broadcast
-	// proofInherited says that this proof is a peer's.
-	proofInherited atomic.Bool
-	// followed is when a peer that is followed last answered.
-	followed latestTime
-	// listSuspect is when an engine last went without notice that the list had.
-	listSuspect latestTime
-	// newest is the configuration in force as it came, for peers.
-	newest atomic.Pointer[Config]
-	peers  *peerSet
-	turns  turnQueues
-	// peerPort is set by RunPeers, under the lock of peers.
-	peerPort Peers
+	originProvedAt latestTime
+	// originProofRenewed wakes when it is renewed.
+	originProofRenewed broadcast
+	// originProofInherited says that this proof is a peer's.
+	originProofInherited atomic.Bool
+	// followedPeerAnsweredAt is when a peer that is followedPeerAnsweredAt last answered.
+	followedPeerAnsweredAt latestTime
+	// listSuspectedAt is when an engine last went without notice that the list had.
+	listSuspectedAt latestTime
+	// newestConfig is the configuration in force as it came, for peers.
+	newestConfig atomic.Pointer[Config]
+	peers        *peerSet
+	turns        turnQueues
+	// peerTransport is set by RunPeers, under the lock of peers.
+	peerTransport Peers
 	// crashes are requests under which upstreams ended.
 	crashes quarantine.Register
-	// toKeep are requests that the origin is to keep.
-	toKeep chan quarantine.Fingerprint
+	// fingerprintsToStore are requests that the origin is to keep.
+	fingerprintsToStore chan quarantine.Fingerprint
 	// rollouts are the moves of services to other versions, seen what this host has seen of
 	// these, and desk what it decides for all.
-	rollouts rollout.Book
-	seen     rollout.Observations
-	desk     rolloutDecider
-	// answers bounds what is held of answers.
-	answers spool.Budget
-	// offers are peers' newer configurations.
-	offers *configOffers
+	rollouts            rollout.Book
+	rolloutObservations rollout.Observations
+	rolloutDecider      rolloutDecider
+	// answerBudget bounds what is held of answerBudget.
+	answerBudget spool.Budget
+	// configOffers are peers' newer configurations.
+	configOffers *configOffers
 
 	// givenUntil is when this host's link will have carried the lists that it gives to others.
-	givenLists sync.Mutex
-	givenUntil time.Time
+	listSendMu     sync.Mutex
+	listSendDoneAt time.Time
 
-	// leavingFailing lets one run of this host at a time leave a failing engine.
-	leavingFailing sync.Mutex
+	// leaveFailingMu lets one run of this host at a time leave a failing engine.
+	leaveFailingMu sync.Mutex
 
 	mu sync.Mutex
 	// inFlight are the requests under way, with what ends each of them.
 	inFlight map[*exchange]context.CancelCauseFunc
 	stopping bool
-	// stopSince is when the host was first told to stop.
-	stopSince time.Time
-	// stopBy is when the host will have stopped; zero when it isn't known.
-	stopBy time.Time
+	// stoppingSince is when the host was first told to stop.
+	stoppingSince time.Time
+	// stopDeadline is when the host will have stopped; zero when it isn't known.
+	stopDeadline time.Time
 	// idle closes when the forwarder is stopping and nothing is in flight.
 	idle chan struct{}
 	// closed says that nothing is taken any more, whatever it is.
@@ -162,20 +162,20 @@
 func New(s Settings, t Transport, j Journal, o Observer) *Forwarder {
 	f := &Forwarder{
 		settings: s, transport: t, journal: j, observer: o,
-		fleet: &Fleet{}, engines: newEnginePlacer(s.Self.ID, s.Self.Zone), plain: newLatencyBalancer(s.Self.Zone),
-		peers: newPeerSet(s.Self, s.Seeds), offers: newConfigOffers(),
-		inFlight: map[*exchange]context.CancelCauseFunc{}, idle: make(chan struct{}), relist: make(chan struct{}, 1),
-		toKeep: make(chan quarantine.Fingerprint, saveQueueSize),
+		fleet: &Fleet{}, engines: newEnginePlacer(s.Self.ID, s.Self.Zone), plainChooser: newLatencyBalancer(s.Self.Zone),
+		peers: newPeerSet(s.Self, s.Seeds), configOffers: newConfigOffers(),
+		inFlight: map[*exchange]context.CancelCauseFunc{}, idle: make(chan struct{}), relistRequested: make(chan struct{}, 1),
+		fingerprintsToStore: make(chan quarantine.Fingerprint, saveQueueSize),
 	}
 	f.limiter = permit.New(s.Self, permitSite{f}, f.now)
-	f.retries.setLimit(s.Retries)
-	f.answers.Most = s.HeldAnswers
-	f.useClock(s.Clock)
+	f.retries.setLimit(s.RetryLimit)
+	f.answerBudget.Most = s.MaxHeldAnswerBytes
+	f.setClock(s.Clock)
 	return f
 }
 
-// useClock has everything here be decided by a clock.
-func (f *Forwarder) useClock(c *clock.Clock) {
+// setClock has everything here be decided by a clock.
+func (f *Forwarder) setClock(c *clock.Clock) {
 	f.settings.Clock, f.engines.clock, f.turns.clock = c, c, c
 }
 
@@ -199,10 +199,10 @@
 	}
 	t := NewTable(c)
 	f.engines.configure(t)
-	f.newest.Store(&c)
+	f.newestConfig.Store(&c)
 	f.table.Store(t)
-	f.journal.Belief("configuration in force", "version", c.Version, "routes", len(c.Routes), "accounts", len(c.Accounts))
-	f.listEngines(now, t)
+	f.journal.HostEvent("configuration in force", "version", c.Version, "routes", len(c.Routes), "accounts", len(c.Accounts))
+	f.updatePlacementEngines(now, t)
 	f.fleet.WakeWaiters()
 	return true
 }
@@ -211,14 +211,14 @@
 // an older one than the newest that it acknowledged, so that isn't believed where a newer one was
 // known by then.
 func (f *Forwarder) ContactProved(at time.Time) {
-	if since, newer := f.offers.newerOfferedAt(f.versionInForce()); !newer || at.Before(since) {
-		f.contact.advance(at)
+	if since, newer := f.configOffers.newerOfferedAt(f.versionInForce()); !newer || at.Before(since) {
+		f.contactProvedAt.advance(at)
 	}
 }
 
 // ContactAge is how long ago the configuration was last proved to be the newest;
 // neverProved when it wasn't.
-func (f *Forwarder) ContactAge(now time.Time) time.Duration { return f.contact.age(now) }
+func (f *Forwarder) ContactAge(now time.Time) time.Duration { return f.contactProvedAt.age(now) }
 
 // SetRetryLimit changes the bound on repeats.
 func (f *Forwarder) SetRetryLimit(l RetryLimit) { f.retries.setLimit(l) }
@@ -229,70 +229,70 @@
 	defer tick.Stop()
 	slept := f.settings.Clock.Slept()
 	for {
-		slept = f.noteSuspended(slept)
+		slept = f.reportSuspension(slept)
 		changed := f.fleet.Changed()
 		f.retireVersions(f.now())
 		if f.peers.zonesDivided() {
-			PauseFor(ctx, relistPause)
+			PauseFor(ctx, relistDelay)
 		}
 		if t := f.table.Load(); t != nil {
-			f.listEngines(f.now(), t)
+			f.updatePlacementEngines(f.now(), t)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-f.relist:
+		case <-f.relistRequested:
 		case <-tick.C:
 			f.crashes.Forget(f.now(), f.peers.isKnown)
 			f.pruneLimits(f.now())
 			f.backoffs.Forget(f.now())
 			for _, c := range f.fleet.Settle(f.now()) {
 				if !c.Gone {
-					f.journal.Belief("upstream back", "upstream", c.ID, "why", "still on the restored list")
+					f.journal.HostEvent("upstream back", "upstream", c.ID, "why", "still on the restored list")
 					continue
 				}
-				f.journal.Belief("upstream dropped", "upstream", c.ID, "why", "still missing after the list settled")
+				f.journal.HostEvent("upstream dropped", "upstream", c.ID, "why", "still missing after the list settled")
 			}
 			f.logZoneChanges(f.fleet.SettleZoneOrders(f.now()))
 		}
 	}
 }
 
-// relistPause gathers changes of the list: a fleet that is divided has many, and a request to an
+// relistDelay gathers changes of the list: a fleet that is divided has many, and a request to an
 // upstream that has left is turned back as it is sent.
-const relistPause = 25 * time.Millisecond
+const relistDelay = 25 * time.Millisecond
 
-// noteSuspended tells of a suspension of this machine since it was suspended for so long in
+// reportSuspension tells of a suspension of this machine since it was suspended for so long in
 // all, and returns for how long it has been by now. Peers then learn at once that the host
 // is there again, and it learns what they know.
-func (f *Forwarder) noteSuspended(before time.Duration) time.Duration {
+func (f *Forwarder) reportSuspension(before time.Duration) time.Duration {
 	slept := f.settings.Clock.Slept()
 	if slept > before {
-		f.journal.Belief("was suspended", "for", slept-before)
+		f.journal.HostEvent("was suspended", "for", slept-before)
 		f.observer.Suspended(slept - before)
 		f.peers.notifyAll()
 	}
 	return slept
 }
 
-// listEngines tells the placement which engines take work.
-func (f *Forwarder) listEngines(now time.Time, t *Table) {
+// updatePlacementEngines tells the placement which engines take work.
+func (f *Forwarder) updatePlacementEngines(now time.Time, t *Table) {
 	layout, own := f.peers.cellLayout()
 	f.fleet.SetLayout(layout, own)
 	for name, s := range t.Services() {
 		if s.Engine != nil {
-			f.engines.setAvailable(now, name, f.placedOn(now, name, layout, own))
+			f.engines.setAvailable(now, name, f.placementEngines(now, name, layout, own))
 		}
 	}
 }
 
-// fallbackEngines is how many engines of other cells a host places on by itself whose cell has none.
-const fallbackEngines = 64
+// maxFallbackEngines is how many engines of other cells a host places on by itself whose cell has none.
+const maxFallbackEngines = 64
 
-// placedOn are the engines on which this host places: all where the zones aren't divided, else those
+// placementEngines are the engines on which this host places: all where the zones aren't divided, else those
 // of its cell.
-func (f *Forwarder) placedOn(now time.Time, service ServiceName, layout cell.Layout, own cell.ID) []Upstream {
+func (f *Forwarder) placementEngines(now time.Time, service ServiceName, layout cell.Layout, own cell.ID) []Upstream {
 	if !layout.Divided() {
 		return f.candidates(now, service)
 	}
@@ -307,7 +307,7 @@
 			near = slices.Clone(all)
 		}
 		rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-		takers = near[:min(len(near), fallbackEngines)]
+		takers = near[:min(len(near), maxFallbackEngines)]
 	}
 	slices.SortFunc(takers, compareUpstreamIDs)
 	return takers
--- a/forward/heldbytes.go
+++ b/forward/heldbytes.go
@@ -12,42 +12,42 @@
 	"github.com/shedpath/shedpath/spool"
 )
 
-// heldChunk is how much of an answer is read at once.
-const heldChunk = 16 << 10
+// readChunkBytes is how much of an answer is read at once.
+const readChunkBytes = 16 << 10
 
-// heldBytes counts what the answers to one request take in memory, until it has been answered.
-type heldBytes struct {
+// answerMemory counts what the answers to one request take in memory, until it has been answered.
+type answerMemory struct {
 	budget *spool.Budget
 
-	mu   sync.Mutex
-	n    int
-	over bool
+	mu       sync.Mutex
+	held     int
+	released bool
 }
 
-// take counts some bytes; false says that there is no room, or that the request was answered.
-func (h *heldBytes) take(n int) bool {
+// reserve counts some bytes; false says that there is no room, or that the request was answered.
+func (h *answerMemory) reserve(n int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over || !h.budget.Take(n) {
+	if h.released || !h.budget.Take(n) {
 		return false
 	}
-	h.n += n
+	h.held += n
 	return true
 }
 
-// end gives back what was taken.
-func (h *heldBytes) end() {
+// release gives back what was taken.
+func (h *answerMemory) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.over = true
-	h.budget.Free(h.n)
+	h.released = true
+	h.budget.Free(h.held)
 }
 
-// read reads an answer's body, whole if it isn't too long and there is room for it.
-func (h *heldBytes) read(a *Response) (body []byte, long bool, err error) {
+// readBody reads an answer's body, whole if it isn't too long and there is room for it.
+func (h *answerMemory) readBody(a *Response) (body []byte, long bool, err error) {
 	var held bytes.Buffer
-	for held.Len() < maxBufferedResponse && h.take(heldChunk) {
-		_, err = io.CopyN(&held, a.Body, heldChunk)
+	for held.Len() < maxBufferedResponse && h.reserve(readChunkBytes) {
+		_, err = io.CopyN(&held, a.Body, readChunkBytes)
 		if err == nil {
 			continue
 		}
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -89,9 +89,9 @@
 func (f *Forwarder) resetRestartedUpstreams() {
 	for _, id := range f.fleet.TakeRestarted() {
 		u, _ := f.fleet.Upstream(id)
-		f.journal.Belief("upstream started again", "upstream", id, "life", u.Incarnation)
+		f.journal.HostEvent("upstream started again", "upstream", id, "life", u.Incarnation)
 		f.engines.resetEngine(id)
-		f.plain.reset(id)
+		f.plainChooser.reset(id)
 		f.limiter.Renew(id)
 		f.backoffs.Renew(id)
 	}
--- a/forward/incarnation_test.go
+++ b/forward/incarnation_test.go
@@ -95,9 +95,9 @@
 		f.fleet.MarkLeaving(now, id, 0, true)
 	}
 	f.handleListChanges(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 100, 2, false)}, rev(2)))
-	f.listEngines(now, f.Table())
+	f.updatePlacementEngines(now, f.Table())
 	place := func(run policy.RunID) (Upstream, *ownRun, policy.Decision) {
-		r := policy.Request{Run: run, Prompt: 15000, Arrived: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
+		r := policy.Request{Run: run, PromptTokens: 15000, ArrivedAt: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		return f.engines.place(ctx, now, "llm", r)
@@ -105,12 +105,12 @@
 	_, run, d := place("own")
 	is.Equal(d.Verdict, policy.Granted)
 	peerRuns := []RunState{{Run: "theirs", Service: "llm", Engine: "llm1", Life: 100, Prompt: 15000, Limit: 16000}}
-	f.engines.adopt(now, "h2", peerRuns, nil)
+	f.engines.replacePeerRuns(now, "h2", peerRuns, nil)
 	_, _, d = place("full")
 	is.Equal(d.Verdict, policy.Refused) // no room beside the other two
 	f.handleListChanges(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 200, 3, false)}, rev(3)))
-	f.listEngines(now, f.Table())
-	f.engines.adopt(now, "h2", peerRuns, nil) // the peer does not know of the restart yet
+	f.updatePlacementEngines(now, f.Table())
+	f.engines.replacePeerRuns(now, "h2", peerRuns, nil) // the peer does not know of the restart yet
 	for _, id := range []policy.RunID{"new1", "new2"} {
 		u, _, d := place(id)
 		is.Equal(d.Verdict, policy.Granted)
@@ -148,7 +148,7 @@
 			restarted = append(restarted, incarnationEntry(id, 200, 3, false))
 		}
 		f.handleListChanges(f.fleet.Apply(now, old, rev(2)))
-		f.listEngines(now, f.Table())
+		f.updatePlacementEngines(now, f.Table())
 		sink := &fakeSink{}
 		served := make(chan struct{})
 		go func() {
--- a/forward/interrupted_test.go
+++ b/forward/interrupted_test.go
@@ -31,9 +31,9 @@
 // the connections of seven requests, taken 2.9 to 5.1 s after the stop began, without
 // an answer (two runs).
 
-// TestStopAnswersWhatItEnds has every request under way when a stop's time is over get
+// TestStopAnswersInterruptedRequests has every request under way when a stop's time is over get
 // its final answer then, and truly: what may have run isn't said not to have.
-func TestStopAnswersWhatItEnds(t *testing.T) {
+func TestStopAnswersInterruptedRequests(t *testing.T) {
 	const grace = 3 * time.Second
 	silent := func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 		<-ctx.Done()
@@ -101,10 +101,10 @@
 	}
 }
 
-// TestCloseTakesNothingMore has a request that comes when the host has closed refused,
+// TestCloseRefusesNewRequests has a request that comes when the host has closed refused,
 // not passed on: its connection is closed a moment later. One that comes before that is
 // waited for.
-func TestCloseTakesNothingMore(t *testing.T) {
+func TestCloseRefusesNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		transport := &fakeTransport{send: sendLate}
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -132,7 +132,7 @@
 		is.Equal(s.origin.reads.Load(), reads)
 		for _, f := range s.hosts {
 			if !f.isListCurrent(time.Now()) {
-				t.Log("list not known at host", f.peers.self, "origin age", f.OriginAge(time.Now()), "last followed", f.followed.age(time.Now()), "contact age", f.ContactAge(time.Now()))
+				t.Log("list not known at host", f.peers.self, "origin age", f.OriginAge(time.Now()), "last followed", f.followedPeerAnsweredAt.age(time.Now()), "contact age", f.ContactAge(time.Now()))
 			}
 			is.True(f.isListCurrent(time.Now()))
 			is.True(f.ContactAge(time.Now()) <= maxOriginProofAge+time.Second)
@@ -232,10 +232,10 @@
 		s.startAll(ctx)
 		time.Sleep(3100 * time.Millisecond)
 		sender, receiver := s.hosts["10.1.0.1:1"], s.hosts["10.1.0.2:1"]
-		sender.listEngines(time.Now(), sender.Table())
-		receiver.listEngines(time.Now(), receiver.Table())
+		sender.updatePlacementEngines(time.Now(), sender.Table())
+		receiver.updatePlacementEngines(time.Now(), receiver.Table())
 		now := time.Now()
-		u, run, _ := sender.engines.place(ctx, now, "llm", policy.Request{Run: "r", Prompt: 100})
+		u, run, _ := sender.engines.place(ctx, now, "llm", policy.Request{Run: "r", PromptTokens: 100})
 		sender.shareRunChange(u)
 		synctest.Wait()
 		is.Equal(time.Now(), now)
@@ -257,10 +257,10 @@
 		time.Sleep(3100 * time.Millisecond)
 		sender := s.hosts["10.1.0.1:1"]
 		for _, f := range s.hosts {
-			f.listEngines(time.Now(), f.Table())
+			f.updatePlacementEngines(time.Now(), f.Table())
 		}
 		far, _ := sender.fleet.Upstream("llm2")
-		_, run, _, ok := sender.engines.placeGranted(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlacementGrant{Engine: far.ID})
+		_, run, _, ok := sender.engines.placeGranted(time.Now(), "llm", policy.Request{Run: "r", PromptTokens: 100}, PlacementGrant{Engine: far.ID})
 		is.True(ok)
 		busy := func() bool {
 			return len(s.hosts["10.2.0.1:1"].engines.enginesWithRuns())+len(s.hosts["10.2.0.2:1"].engines.enginesWithRuns()) == 2
--- a/forward/leaving.go
+++ b/forward/leaving.go
@@ -106,7 +106,7 @@
 		f.peers.notifyOwnCell()
 	}
 	if isNew {
-		f.journal.Belief("peer says that an upstream leaves", "upstream", mark.Engine, "peer", from, "in", mark.In, "upstream_said_so", mark.Said)
+		f.journal.HostEvent("peer says that an upstream leaves", "upstream", mark.Engine, "peer", from, "in", mark.In, "upstream_said_so", mark.Said)
 	}
 }
 
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -26,8 +26,8 @@
 func (f *Forwarder) recordAnswerLimit(sent time.Time, u Upstream, l AnnouncedLimit) {
 	now := f.now()
 	if l.Err != nil {
-		if f.limitLines.allow(now, u.ID) {
-			f.journal.Belief("limit not read", "upstream", u.ID, "err", l.Err)
+		if f.limitLogLimiter.allow(now, u.ID) {
+			f.journal.HostEvent("limit not read", "upstream", u.ID, "err", l.Err)
 		}
 		return
 	}
@@ -56,8 +56,8 @@
 	if c == ratelimit.Ended {
 		f.limiter.Raised(id)
 	}
-	if f.limitLines.allow(now, id) {
-		f.journal.Belief(c.String(), "upstream", id, "per_second", rate, "from", from, "age", age)
+	if f.limitLogLimiter.allow(now, id) {
+		f.journal.HostEvent(c.String(), "upstream", id, "per_second", rate, "from", from, "age", age)
 	}
 }
 
@@ -69,11 +69,11 @@
 		return found
 	}
 	for _, id := range f.limiter.Words.Forget(now, isKnown) {
-		f.journal.Belief(ratelimit.Ended.String(), "upstream", id, "why", "no answer confirmed it")
+		f.journal.HostEvent(ratelimit.Ended.String(), "upstream", id, "why", "no answer confirmed it")
 	}
-	f.limitLines.prune(now)
-	f.signalLines.prune(now)
-	f.backoffNotices.prune(now)
+	f.limitLogLimiter.prune(now)
+	f.signalLogLimiter.prune(now)
+	f.backoffNoticeLimiter.prune(now)
 	f.limiter.Forget(now, func(id member.UpstreamID) bool {
 		_, named := f.limiter.Words.Bound(now, id)
 		return named || f.fleet.IsCold(now, id)
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -90,7 +90,7 @@
 	if d.path != "/llm/" && d.path != "/resumable/" {
 		return maxUnaryRefusalTime
 	}
-	return maxUnaryRefusalTime + time.Duration(policy.DefaultWaitPart*float64(1800*time.Millisecond)) + poolRefreshInterval
+	return maxUnaryRefusalTime + time.Duration(policy.DefaultMaxWaitFraction*float64(1800*time.Millisecond)) + poolRefreshInterval
 }
 
 // minLimitUsage is the share of a limit that must be used while the demand exceeds the limit.
--- a/forward/noupstream.go
+++ b/forward/noupstream.go
@@ -23,7 +23,7 @@
 // long it is until a throttled upstream may get the request; zero if there is none.
 func (x *exchange) refuseNoUpstream(now time.Time, accepting []Upstream, wait time.Duration) Refusal {
 	if wait <= 0 {
-		return Refusal{Code: CodeNoUpstream, RetryAfter: retryUnknown}
+		return Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter}
 	}
 	wait = max(wait, x.pickReturnTime(now, accepting))
 	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), maxThrottledRetryAfter) + rand.N(min(wait, throttledRetrySpread)+1)}
@@ -61,7 +61,7 @@
 func (x *exchange) refuseRejected(now time.Time) Refusal {
 	accepting := x.acceptingUpstreams(now)
 	throttled := len(x.throttledAmong(now, accepting))
-	r := Refusal{Code: CodeOverloaded, RetryAfter: retryUnknown}
+	r := Refusal{Code: CodeOverloaded, RetryAfter: defaultRetryAfter}
 	switch {
 	case throttled > 0 && throttled == len(accepting):
 		r = x.refuseNoUpstream(now, accepting, x.shortestWait(now, accepting, nil))
--- a/forward/panic.go
+++ b/forward/panic.go
@@ -11,10 +11,10 @@
 // errPanicked is what a try comes to that brought out a mistake in this program.
 var errPanicked = errors.New("the request brought out a mistake in this program")
 
-// contain ends a panic of one request's goroutine with that request. Without it the host
+// recoverPanic ends a panic of one request's goroutine with that request. Without it the host
 // would end, with all that it serves, and then each host that the request comes to next. It
 // is to be deferred; then is told of the panic once that is noted.
-func (x *exchange) contain(then func()) {
+func (x *exchange) recoverPanic(then func()) {
 	reason := recover()
 	if reason == nil {
 		return
@@ -23,11 +23,11 @@
 	then()
 }
 
-// panicked gives the caller its final answer when serving it panicked.
-func (x *exchange) panicked() {
+// answerPanic gives the caller its final answer when serving it answerPanic.
+func (x *exchange) answerPanic() {
 	if x.delivered.Load() {
-		x.to.Truncate()
-		x.answered(string(CodeInternal))
+		x.sink.Truncate()
+		x.recordOutcome(string(CodeInternal))
 		return
 	}
 	x.refuse(Refusal{Code: CodeInternal, MayHaveRun: true})
--- a/forward/panic_test.go
+++ b/forward/panic_test.go
@@ -21,14 +21,14 @@
 	panic("a mistake")
 }
 
-// TestRequestThatBringsOutAMistake has a request on which this program panics get its final
+// TestRequestPanics has a request on which this program panics get its final
 // answer, be said to may have run, and not end the host with all others.
-func TestRequestThatBringsOutAMistake(t *testing.T) {
+func TestRequestPanics(t *testing.T) {
 	sends := func(context.Context, Upstream, *UpstreamRequest) (*Response, error) { panic("a mistake") }
 	midway := func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 		a := answer(200, "")
 		a.ContentLength = -1
-		a.Body = io.NopCloser(panicReader{&twoEvents{}})
+		a.Body = io.NopCloser(panicReader{&twoEventReader{}})
 		return a, nil
 	}
 	for name, c := range map[string]struct {
@@ -59,10 +59,10 @@
 	}
 }
 
-// twoEvents are the beginning of a stream.
-type twoEvents struct{ done bool }
+// twoEventReader are the beginning of a stream.
+type twoEventReader struct{ done bool }
 
-func (e *twoEvents) Read(p []byte) (int, error) {
+func (e *twoEventReader) Read(p []byte) (int, error) {
 	if e.done {
 		return 0, io.EOF
 	}
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -121,7 +121,7 @@
 // RunPeers exchanges shares with the peers until the context ends.
 func (f *Forwarder) RunPeers(ctx context.Context, peers Peers) {
 	f.peers.mu.Lock()
-	f.peerPort = peers
+	f.peerTransport = peers
 	f.peers.mu.Unlock()
 	var pending sync.WaitGroup
 	defer pending.Wait()
@@ -150,8 +150,8 @@
 			f.peers.refreshRoster(now)
 		}
 		f.updateRetryBudgetHosts(now, now.Sub(began))
-		f.engines.forget(now, f.peers.isKnown)
-		f.engines.noteKnown(now, f.peers.zoneByHost())
+		f.engines.forgetUnknownPeers(now, f.peers.isKnown)
+		f.engines.updateKnownParts(now, f.peers.zoneByHost())
 		share := f.newShare(now)
 		for _, to := range f.peers.shareTargets(now, period, all, f.crashes.Behind) {
 			pending.Go(func() { f.shareWith(ctx, peers, to, share) })
@@ -201,7 +201,7 @@
 // newShare returns this host's state for a share to a peer.
 func (f *Forwarder) newShare(now time.Time) Share {
 	s := f.newShareWithoutRuns(now)
-	s.Runs, s.EndedRuns = f.engines.states(now), f.engines.endedRuns(now)
+	s.Runs, s.EndedRuns = f.engines.runStates(now), f.engines.endedRuns(now)
 	return s
 }
 
@@ -229,7 +229,7 @@
 		suspended := f.settings.Clock.Slept() - suspendedBefore
 		reply.ConfigAge, reply.OriginAge = ageWithDelay(reply.ConfigAge, suspended), ageWithDelay(reply.OriginAge, suspended)
 		if f.peers.inSameCell(reply.From.ID) {
-			f.engines.adopt(f.now(), reply.From.ID, reply.Runs, reply.EndedRuns)
+			f.engines.replacePeerRuns(f.now(), reply.From.ID, reply.Runs, reply.EndedRuns)
 			f.peers.recordExchange(f.now(), reply.From.ID)
 		}
 		f.receiveShare(reply)
@@ -241,7 +241,7 @@
 func (f *Forwarder) receiveShare(s Share) {
 	now := f.now()
 	if s.ConfigAge < 0 || s.OriginAge < 0 {
-		f.journal.Belief("peer told an age below zero", "peer", s.From.ID, "config_age", s.ConfigAge, "origin_age", s.OriginAge)
+		f.journal.HostEvent("peer told an age below zero", "peer", s.From.ID, "config_age", s.ConfigAge, "origin_age", s.OriginAge)
 		s.ConfigAge, s.OriginAge = noProofAge, noProofAge
 	}
 	f.logZoneChanges(f.fleet.ReceiveZoneOrders(now, s.Zones))
@@ -269,7 +269,7 @@
 		f.peers.receiveAnnouncements(now, s.From.ID, s.Announcements)
 	}
 	if f.peers.recordShare(now, s) {
-		f.journal.Belief("peer found", "peer", s.From.ID, "zone", s.From.Zone)
+		f.journal.HostEvent("peer found", "peer", s.From.ID, "zone", s.From.Zone)
 	}
 	if version := f.versionInForce(); s.Version == version && version > 0 {
 		f.ContactProved(now.Add(-s.ConfigAge))
@@ -291,12 +291,12 @@
 	// The share may have waited in a socket of this machine while the machine was suspended.
 	delay := f.settings.Clock.Late(f.now())
 	s.ConfigAge, s.OriginAge = ageWithDelay(s.ConfigAge, delay), ageWithDelay(s.OriginAge, delay)
-	f.engines.adopt(f.now(), s.From.ID, s.Runs, s.EndedRuns)
+	f.engines.replacePeerRuns(f.now(), s.From.ID, s.Runs, s.EndedRuns)
 	f.receiveShare(s)
 	now := f.now()
 	reply := f.newShareWithoutRuns(now)
 	if f.peers.inSameCell(s.From.ID) {
-		reply.Runs, reply.EndedRuns = f.engines.states(now), f.engines.endedRuns(now)
+		reply.Runs, reply.EndedRuns = f.engines.runStates(now), f.engines.endedRuns(now)
 		f.peers.recordExchange(now, s.From.ID)
 	}
 	reply.Crashes, _ = f.crashes.Tell(now, s.From.ID)
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -125,7 +125,7 @@
 	defer cancel()
 	reply, err := peers.Permit(bounded, to, a)
 	if err != nil && ctx.Err() == nil {
-		p.journal.Belief("not answered for a permit", "peer", to.ID, "upstream", a.Upstream, "err", err)
+		p.journal.HostEvent("not answered for a permit", "peer", to.ID, "upstream", a.Upstream, "err", err)
 	}
 	return reply, err
 }
--- a/forward/placementgrant.go
+++ b/forward/placementgrant.go
@@ -42,7 +42,7 @@
 	if p == nil {
 		return Upstream{}, nil, policy.Decision{}, false
 	}
-	r.Zone, r.OnlyZone = e.zone, true
+	r.Zone, r.SameZoneOnly = e.zone, true
 	d, ok := p.pool.TryPlace(now, r)
 	if !ok {
 		return Upstream{}, nil, d, false
@@ -93,11 +93,11 @@
 // being moved; if there is no room, it stays counted on its present engine.
 func (p *enginePool) placePeerRun(now time.Time, a PlacementRequest, zone member.Zone) (policy.Decision, bool) {
 	if _, known := p.peerRuns[a.Run]; known {
-		id, ok := p.pool.Relocate(now, a.Run, policy.Target{Avoid: a.ExcludedEngines, OnlyZone: true, Zone: zone, OnlyGroup: a.OnlyGroup, ButGroup: a.ExcludedGroup})
+		id, ok := p.pool.Relocate(now, a.Run, policy.Target{ExcludedEngines: a.ExcludedEngines, SameZoneOnly: true, Zone: zone, OnlyGroup: a.OnlyGroup, ExcludedGroup: a.ExcludedGroup})
 		return policy.Decision{Run: a.Run, Verdict: policy.Granted, Engine: id}, ok
 	}
 	r := a.policyRequest(now)
-	r.Zone, r.OnlyZone = zone, true
+	r.Zone, r.SameZoneOnly = zone, true
 	return p.pool.TryPlace(now, r)
 }
 
@@ -123,7 +123,7 @@
 		return policy.Request{}, false
 	}
 	r, ok := p.pool.Grown(run.request.Run)
-	r.AvoidAlso = append(slices.Clone(avoid), run.engine)
+	r.ExcludedEngines = append(slices.Clone(avoid), run.engine)
 	return r, ok
 }
 
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -61,13 +61,13 @@
 // list.
 func (f *Forwarder) markListSuspect(now time.Time) {
 	if !f.isListSuspect(now) {
-		f.journal.Belief("list suspect", "for", listSuspectDuration, "list_revision", f.fleet.Revision())
+		f.journal.HostEvent("list suspect", "for", listSuspectDuration, "list_revision", f.fleet.Revision())
 	}
-	f.listSuspect.advance(now)
+	f.listSuspectedAt.advance(now)
 }
 
 func (f *Forwarder) isListSuspect(now time.Time) bool {
-	return f.listSuspect.age(now) < listSuspectDuration
+	return f.listSuspectedAt.age(now) < listSuspectDuration
 }
 
 // intersect returns the ids that are in both lists.
@@ -122,7 +122,7 @@
 	if health.Healthy || health.Rejected {
 		return
 	}
-	f.journal.Belief("engine says that it leaves", "upstream", u.ID, "origin_age", f.OriginAge(now))
+	f.journal.HostEvent("engine says that it leaves", "upstream", u.ID, "origin_age", f.OriginAge(now))
 	f.fleet.MarkLeaving(now, u.ID, 0, true)
 	f.peers.notifyAll()
 }
--- a/forward/probe_test.go
+++ b/forward/probe_test.go
@@ -32,8 +32,8 @@
 		go f.Follow(ctx, origin)
 		go f.RunProbes(ctx)
 		synctest.Wait() // the list is read
-		f.listEngines(time.Now(), f.Table())
-		_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", Prompt: 100})
+		f.updatePlacementEngines(time.Now(), f.Table())
+		_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", PromptTokens: 100})
 		is.Equal(run.engine, member.UpstreamID("llm1"))
 		time.Sleep(4 * time.Second)
 		is.Equal(asked.Load(), int32(0)) // each answer has a cost
@@ -71,16 +71,16 @@
 					if c.listed {
 						f.fleet.MarkLeaving(time.Now(), u.ID, 0, false)
 					}
-					return broken("id: 1\n\n"), nil
+					return brokenAnswer("id: 1\n\n"), nil
 				}
 				f = newForwarder(t, transport)
 				ctx, cancel := context.WithCancel(t.Context())
 				go f.RunProbes(ctx)
 				synctest.Wait()
-				f.listEngines(time.Now(), f.Table())
+				f.updatePlacementEngines(time.Now(), f.Table())
 				f.Serve(ctx, call("/llm/"), &fakeSink{}) // placed on llm1
 				f.engines.setAvailable(time.Now(), "llm", []Upstream{{ID: "llm2", Service: "llm", Zone: "z1"}})
-				_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", Prompt: 100})
+				_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", PromptTokens: 100})
 				is.Equal(run.engine, member.UpstreamID("llm2"))
 				time.Sleep(2 * probeInterval)
 				u, _ := f.fleet.Upstream("llm2")
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -30,19 +30,19 @@
 // fingerprint returns the request's fingerprint, which identifies equal requests. It is
 // computed on first use and cached.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
-	if f := x.print.Load(); f != nil {
+	if f := x.cachedFingerprint.Load(); f != nil {
 		return *f
 	}
 	asked := x.requestIdentity()
 	f := asked.Fingerprint()
-	x.print.Store(&f)
+	x.cachedFingerprint.Store(&f)
 	return f
 }
 
 // quarantineEvidence returns the evidence that upstreams end under the request.
 func (x *exchange) quarantineEvidence(now time.Time) quarantine.Evidence {
-	e, f := x.crashes.Judge(now, x.requestIdentity(), x.print.Load())
-	x.print.Store(f)
+	e, f := x.crashes.Judge(now, x.requestIdentity(), x.cachedFingerprint.Load())
+	x.cachedFingerprint.Store(f)
 	return e
 }
 
@@ -62,13 +62,13 @@
 // can run the quarantined request by now. One host runs the trial for all hosts that reach
 // each other.
 func (x *exchange) claimQuarantineTrial(now time.Time) bool {
-	x.trying.Lock()
-	defer x.trying.Unlock()
-	if !x.isTry && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
-		x.isTry = true
+	x.quarantineTrialMu.Lock()
+	defer x.quarantineTrialMu.Unlock()
+	if !x.isQuarantineTrial && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
+		x.isQuarantineTrial = true
 		x.journal.Request(x.call.ID, "tried again", "asks", x.fingerprint())
 	}
-	return x.isTry
+	return x.isQuarantineTrial
 }
 
 // quarantineRefusal answers a request that is not sent because upstreams ended under it. It
@@ -103,7 +103,7 @@
 // receivePeerCrashes records the crashes that a peer reports.
 func (f *Forwarder) receivePeerCrashes(now time.Time, marks []quarantine.Mark) {
 	if held := f.crashes.Receive(now, marks); len(held) > 0 {
-		f.journal.Belief("requests held back", "number", len(held), "one_asks", held[0])
+		f.journal.HostEvent("requests held back", "number", len(held), "one_asks", held[0])
 		f.cancelQuarantined(held)
 		for _, print := range held {
 			// Two hosts may each have observed only a part of the crashes that led to the
@@ -121,7 +121,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for x, end := range f.inFlight {
-		print := x.print.Load()
+		print := x.cachedFingerprint.Load()
 		if print == nil || x.delivered.Load() {
 			continue
 		}
@@ -165,7 +165,7 @@
 	now := f.now()
 	if release != nil {
 		if released = f.crashes.RanWell(now, *release); released {
-			f.journal.Belief("let through again", "asks", *release, "by", "operator")
+			f.journal.HostEvent("let through again", "asks", *release, "by", "operator")
 			f.peers.notifyAll()
 			f.queueSave(*release)
 		}
--- a/forward/quarantinestore.go
+++ b/forward/quarantinestore.go
@@ -33,9 +33,9 @@
 // queueSave queues a request to be saved. It doesn't wait.
 func (f *Forwarder) queueSave(fingerprint quarantine.Fingerprint) {
 	select {
-	case f.toKeep <- fingerprint:
+	case f.fingerprintsToStore <- fingerprint:
 	default:
-		f.journal.Belief("not kept", "asks", fingerprint, "err", "the queue of requests to be saved is full")
+		f.journal.HostEvent("not kept", "asks", fingerprint, "err", "the queue of requests to be saved is full")
 	}
 }
 
@@ -55,7 +55,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case fingerprint := <-f.toKeep:
+		case fingerprint := <-f.fingerprintsToStore:
 			f.saveMark(ctx, k, fingerprint)
 		}
 	}
@@ -76,5 +76,5 @@
 		}
 		PauseFor(ctx, retryDelay(attempt))
 	}
-	f.journal.Belief("not kept", "asks", fingerprint, "err", err)
+	f.journal.HostEvent("not kept", "asks", fingerprint, "err", err)
 }
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// heldPerStream is how much of one stream is held for a caller that is slower than its
+	// maxStreamSpoolBytes is how much of one stream is held for a caller that is slower than its
 	// engine: most answers are shorter as a whole.
-	heldPerStream = 128 << 10
-	// readerPatience is how long a caller may take nothing while its engine waits for it.
+	maxStreamSpoolBytes = 128 << 10
+	// readerStallTimeout is how long a caller may take nothing while its engine waits for it.
 	// Upstreams cut off answers that stay unread for a few seconds.
-	readerPatience = 2 * time.Second
+	readerStallTimeout = 2 * time.Second
 )
 
 // closeSpool waits until the caller has what was passed on, unless the context has ended.
 func (s *streamExchange) closeSpool(ctx context.Context) error {
-	if s.out == nil {
+	if s.spool == nil {
 		return nil
 	}
-	out := s.out
-	s.out = nil
+	out := s.spool
+	s.spool = nil
 	return out.Close(ctx)
 }
 
@@ -42,63 +42,63 @@
 	}
 }
 
-// answerFrom passes an engine's answer on.
-func (s *streamExchange) answerFrom(ctx context.Context, u Upstream, a *Response) {
+// relayAnswer passes an engine's answer on.
+func (s *streamExchange) relayAnswer(ctx context.Context, u Upstream, a *Response) {
 	if a.Status != http.StatusOK || !a.Signed || a.UnexpectedEncoding {
 		s.recordRolloutAnswer(s.now(), u, rollout.First, true, 0)
 	}
 	if a.Status != http.StatusOK {
-		s.passFailure(ctx, u, a)
+		s.relayFailure(ctx, u, a)
 		return
 	}
 	if !a.Signed || a.UnexpectedEncoding {
 		closeBody(a)
-		s.free(false)
+		s.releasePlace(false)
 		s.refuse(Refusal{Code: CodeBadAnswer, MayHaveRun: true}, "upstream", u.ID)
 		return
 	}
 	if a.Signals.Closing {
 		s.checkLeavingHint(ctx, u)
 	}
-	last, err := s.followRun(ctx, u, a)
-	for err != nil && s.callerGone == nil {
+	last, err := s.relayRun(ctx, u, a)
+	for err != nil && s.callerErr == nil {
 		var resumed bool
 		if u, a, resumed = s.resume(ctx, last); !resumed {
 			break
 		}
-		last, err = s.followRun(ctx, u, a)
+		last, err = s.relayRun(ctx, u, a)
 	}
-	s.end(ctx, last, err)
+	s.endAnswer(ctx, last, err)
 }
 
-// followRun passes one run's events on to its end and frees its place.
-func (s *streamExchange) followRun(ctx context.Context, u Upstream, a *Response) (Upstream, error) {
-	last, err := s.follow(ctx, u, a)
+// relayRun passes one run's events on to its end and frees its place.
+func (s *streamExchange) relayRun(ctx context.Context, u Upstream, a *Response) (Upstream, error) {
+	last, err := s.relayAcrossMoves(ctx, u, a)
 	switch {
 	case err == nil:
-		if s.moves == 0 && s.events > 2 && last.ID == s.firstAt.ID {
-			s.recordRolloutAnswer(s.now(), last, rollout.Pace, false, s.lastAt.Sub(s.begunThere)/time.Duration(s.events-1))
+		if s.moveCount == 0 && s.eventCount > 2 && last.ID == s.initialEngine.ID {
+			s.recordRolloutAnswer(s.now(), last, rollout.Pace, false, s.lastEventAt.Sub(s.engineFirstEventAt)/time.Duration(s.eventCount-1))
 		}
 		s.fleet.RecordSuccess(last.ID)
 		s.recordSurvival(s.now())
-	case s.callerGone == nil && ctx.Err() == nil:
+	case s.callerErr == nil && ctx.Err() == nil:
 		now := s.now()
 		s.recordRolloutAnswer(now, last, rollout.First, true, 0)
 		s.recordBrokenStream(now, last.ID)
-		s.recordBrokenConnection(ctx, now, last, s.begunThere, err)
+		s.recordBrokenConnection(ctx, now, last, s.engineFirstEventAt, err)
 	}
-	s.free(err == nil)
+	s.releasePlace(err == nil)
 	return last, err
 }
 
-// passFailure gives the caller an engine's own failure.
-func (s *streamExchange) passFailure(ctx context.Context, u Upstream, a *Response) {
+// relayFailure gives the caller an engine's own failure.
+func (s *streamExchange) relayFailure(ctx context.Context, u Upstream, a *Response) {
 	t := upstreamAttempt{upstream: u, response: a}
 	p := &unaryExchange{exchange: s.exchange}
-	p.responseMemory.budget = &s.answers
-	defer p.responseMemory.end()
-	t.body, t.hasMore, t.err = p.responseMemory.read(a)
-	s.free(false)
+	p.responseMemory.budget = &s.answerBudget
+	defer p.responseMemory.release()
+	t.body, t.hasMore, t.err = p.responseMemory.readBody(a)
+	s.releasePlace(false)
 	if t.err != nil || !a.Signed || claimsNotRun(a.Status) {
 		s.refuse(Refusal{Code: CodeBadAnswer, MayHaveRun: true}, "upstream", u.ID, "status", a.Status, "err", t.err)
 		return
@@ -106,83 +106,83 @@
 	p.deliver(&t)
 }
 
-// end closes the answer: whole, cut, or refused when nothing had come.
-func (s *streamExchange) end(ctx context.Context, u Upstream, err error) {
-	about := []any{"upstream", u.ID, "first_event", s.firstAfter, "events", s.events, "moves", s.moves, "longest_pause", s.longest, "err", err}
-	if undelivered := s.closeSpool(ctx); s.callerGone == nil && undelivered != nil && !errors.Is(undelivered, context.Cause(ctx)) {
-		s.callerGone, err = undelivered, undelivered
+// endAnswer closes the answer: whole, cut, or refused when nothing had come.
+func (s *streamExchange) endAnswer(ctx context.Context, u Upstream, err error) {
+	about := []any{"upstream", u.ID, "first_event", s.timeToFirstEvent, "events", s.eventCount, "moves", s.moveCount, "longest_pause", s.longestGap, "err", err}
+	if undelivered := s.closeSpool(ctx); s.callerErr == nil && undelivered != nil && !errors.Is(undelivered, context.Cause(ctx)) {
+		s.callerErr, err = undelivered, undelivered
 	}
-	why := endingOf(ctx)
-	if s.callerGone != nil {
-		why = callerLeft
+	why := endCauseOf(ctx)
+	if s.callerErr != nil {
+		why = endCallerLeft
 	}
 	switch {
-	case errors.Is(s.callerGone, spool.ErrStalled):
-		s.to.Truncate()
-		s.answered("reader_stalled", about...)
+	case errors.Is(s.callerErr, spool.ErrStalled):
+		s.sink.Truncate()
+		s.recordOutcome("reader_stalled", about...)
 	case err == nil:
-		s.answered("ok", about...)
-	case s.begun:
-		s.to.Truncate()
-		s.answered(why.outcome(), about...)
-	case why != notEnded:
+		s.recordOutcome("ok", about...)
+	case s.answerStarted:
+		s.sink.Truncate()
+		s.recordOutcome(why.outcome(), about...)
+	case why != endNone:
 		s.refuse(Refusal{Code: why.code(), MayHaveRun: true}, about...)
 	default:
 		s.refuse(s.withQuarantineCode(s.now(), Refusal{Code: CodeLost, MayHaveRun: true}), about...)
 	}
 }
 
-// follow passes a run's events on, from one engine after another, until the
+// relayAcrossMoves passes a run's events on, from one engine after another, until the
 // stream has ended. It returns the last engine.
-func (s *streamExchange) follow(ctx context.Context, u Upstream, a *Response) (Upstream, error) {
+func (s *streamExchange) relayAcrossMoves(ctx context.Context, u Upstream, a *Response) (Upstream, error) {
 	first := a
 	for {
-		m := s.watch(ctx, u, a)
-		s.begunThere = time.Time{}
-		err := s.relay(ctx, first, a)
+		m := s.startMover(ctx, u, a)
+		s.engineFirstEventAt = time.Time{}
+		err := s.relayEvents(ctx, first, a)
 		closeBody(a)
-		if err == nil && (a.Framed || !m.stopped()) {
+		if err == nil && (a.Framed || !m.isRunStopping()) {
 			// A framed answer that has its end is whole, whatever became of a
 			// move: the run ended before it could be stopped.
 			m.cancel(s)
-			return u, s.finish(first)
+			return u, s.ensureAnswerStarted(first)
 		}
-		next := m.handover(ctx)
-		if next == nil && err == nil && !m.stopped() {
+		next := m.awaitHandover(ctx)
+		if next == nil && err == nil && !m.isRunStopping() {
 			// The run had ended by itself before it could be stopped.
 			m.cancel(s)
-			return u, s.finish(first)
+			return u, s.ensureAnswerStarted(first)
 		}
 		if next == nil {
 			m.cancel(s)
-			return u, notEOF(err)
+			return u, orUnexpectedEOF(err)
 		}
 		m.stop()
-		if u, a, err = s.takeUp(ctx, next); err != nil {
-			return next.to, err
+		if u, a, err = s.continueRun(ctx, next); err != nil {
+			return next.target, err
 		}
 	}
 }
 
-// notEOF is the error of a stream that ended before its end.
-func notEOF(err error) error {
+// orUnexpectedEOF is the error of a stream that ended before its end.
+func orUnexpectedEOF(err error) error {
 	if err == nil {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// finish begins the answer of a stream that had no event at all.
-func (s *streamExchange) finish(first *Response) error {
-	if s.begun {
+// ensureAnswerStarted begins the answer of a stream that had no event at all.
+func (s *streamExchange) ensureAnswerStarted(first *Response) error {
+	if s.answerStarted {
 		return nil
 	}
-	s.begun = true
-	return s.to.BeginResponse(first)
+	s.answerStarted = true
+	return s.sink.BeginResponse(first)
 }
 
-// relay passes on what one engine sends. It returns nil at a clean end.
-func (s *streamExchange) relay(ctx context.Context, first, a *Response) error {
+// relayEvents passes on what one engine sends. It returns nil at a clean end.
+func (s *streamExchange) relayEvents(ctx context.Context, first, a *Response) error {
 	// A caller whose connection fails is noticed while nothing comes from the engine, too.
 	stop := context.AfterFunc(ctx, func() { closeBody(a) })
 	defer stop()
@@ -195,72 +195,72 @@
 		if err != nil {
 			return err
 		}
-		if err := s.pass(ctx, s.now(), first, event, id); err != nil {
+		if err := s.relayEvent(ctx, s.now(), first, event, id); err != nil {
 			return err
 		}
 	}
 }
 
-// pass gives one event to the caller.
-func (s *streamExchange) pass(ctx context.Context, now time.Time, first *Response, event []byte, id string) error {
-	if !s.begun {
-		s.begun = true
+// relayEvent gives one event to the caller.
+func (s *streamExchange) relayEvent(ctx context.Context, now time.Time, first *Response, event []byte, id string) error {
+	if !s.answerStarted {
+		s.answerStarted = true
 		s.observer.FirstEvent(now.Sub(s.call.Arrived))
-		if s.callerGone = s.to.BeginResponse(first); s.callerGone != nil {
-			return s.callerGone
+		if s.callerErr = s.sink.BeginResponse(first); s.callerErr != nil {
+			return s.callerErr
 		}
-		s.out = spool.New(spool.Settings{Budget: &s.answers, Most: heldPerStream, Patience: readerPatience, Failed: s.leave}, s.to.Write, s.to.Abort)
-	} else if !s.lastAt.IsZero() {
-		gap := now.Sub(s.lastAt)
-		s.longest = max(s.longest, gap)
-		s.observer.Gap(gap)
-		s.learn(now, gap)
+		s.spool = spool.New(spool.Settings{Budget: &s.answerBudget, Most: maxStreamSpoolBytes, Patience: readerStallTimeout, Failed: s.cancel}, s.sink.Write, s.sink.Abort)
+	} else if !s.lastEventAt.IsZero() {
+		gap := now.Sub(s.lastEventAt)
+		s.longestGap = max(s.longestGap, gap)
+		s.observer.EventGap(gap)
+		s.recordStep(now, gap)
 	}
-	if s.callerGone = s.out.Put(ctx, event); s.callerGone != nil {
-		return s.callerGone
+	if s.callerErr = s.spool.Put(ctx, event); s.callerErr != nil {
+		return s.callerErr
 	}
-	s.lastAt = now
+	s.lastEventAt = now
 	s.delivered.Store(true)
-	s.noteBegun(now)
-	if s.events == 0 {
-		s.firstAfter = now.Sub(s.call.Arrived)
-		s.recordRolloutAnswer(now, s.firstAt, rollout.First, false, now.Sub(s.sentAt))
+	s.noteEngineEvent(now)
+	if s.eventCount == 0 {
+		s.timeToFirstEvent = now.Sub(s.call.Arrived)
+		s.recordRolloutAnswer(now, s.initialEngine, rollout.First, false, now.Sub(s.initialSentAt))
 		if s.run != nil {
 			s.engines.recordFirstToken(now, s.service.Name, s.run)
 		}
 	}
-	s.events++
+	s.eventCount++
 	if id != "" {
-		s.lastEvent = id
+		s.lastEventID = id
 	}
 	if s.run != nil {
-		s.run.generatedTokens.Add(int64(s.eventTokens()))
+		s.run.generatedTokens.Add(int64(s.tokensPerEvent()))
 	}
 	return nil
 }
 
-// noteBegun takes in an event of the present engine. A run that has gone on for long enough
+// noteEngineEvent takes in an event of the present engine. A run that has gone on for long enough
 // doesn't bring its engine down.
-func (s *streamExchange) noteBegun(now time.Time) {
+func (s *streamExchange) noteEngineEvent(now time.Time) {
 	switch {
-	case s.begunThere.IsZero():
-		s.begunThere = now
-	case !s.proven && now.Sub(s.begunThere) >= crashAttributionWindow:
-		s.proven = true
+	case s.engineFirstEventAt.IsZero():
+		s.engineFirstEventAt = now
+	case !s.survivalRecorded && now.Sub(s.engineFirstEventAt) >= crashAttributionWindow:
+		s.survivalRecorded = true
 		s.recordSurvival(now)
 	}
 }
 
-func (s *streamExchange) eventTokens() policy.Tokens {
+func (s *streamExchange) tokensPerEvent() policy.Tokens {
 	if s.service.Engine == nil {
 		return 1
 	}
 	return max(s.service.Engine.EventTokens, 1)
 }
 
-// learn takes the time between two events as the engine's step.
-func (s *streamExchange) learn(now time.Time, gap time.Duration) {
+// recordStep takes the time between two events as the engine's step.
+func (s *streamExchange) recordStep(now time.Time, gap time.Duration) {
 	if s.run != nil {
-		s.engines.observeStep(now, s.service.Name, gap/time.Duration(s.eventTokens()))
+		s.engines.observeStep(now, s.service.Name, gap/time.Duration(s.tokensPerEvent()))
 	}
 }
--- a/forward/remoteplacement_test.go
+++ b/forward/remoteplacement_test.go
@@ -58,14 +58,14 @@
 	near.peers.recordShare(now, Share{From: far.peers.self})
 	far.peers.recordShare(now, Share{From: near.peers.self})
 	peer = &remoteZonePeer{remote: far}
-	near.peerPort = peer
+	near.peerTransport = peer
 	return near, far, peer
 }
 
 // fillEngine places a run on an engine that leaves no room for another.
 func fillEngine(t *testing.T, f *Forwarder, engine member.UpstreamID) {
 	t.Helper()
-	request := policy.Request{Run: policy.RunID("fill-" + engine), Prompt: 32500, Limit: 100, Zone: f.engines.zone}
+	request := policy.Request{Run: policy.RunID("fill-" + engine), PromptTokens: 32500, MaxOutputTokens: 100, Zone: f.engines.zone}
 	if _, _, _, ok := f.engines.placeGranted(time.Now(), "llm", request, PlacementGrant{Engine: engine}); !ok {
 		t.Fatalf("filling run not placed on engine %s: want a place", engine)
 	}
@@ -83,7 +83,7 @@
 	s := &streamExchange{exchange: &exchange{Forwarder: f, call: call("/llm/")}}
 	s.service, _ = f.Table().Service("llm")
 	return s.findPlacement(ctx, now, policy.Request{
-		Run: run, Route: "/llm/", Prompt: 3000, Limit: 500, Objective: 1800 * time.Millisecond, Arrived: now, Deadline: now.Add(1800 * time.Millisecond),
+		Run: run, Route: "/llm/", PromptTokens: 3000, MaxOutputTokens: 500, Objective: 1800 * time.Millisecond, ArrivedAt: now, Deadline: now.Add(1800 * time.Millisecond),
 	}, s.throttledEngines(now))
 }
 
@@ -151,13 +151,13 @@
 				defer cancel()
 				_, _, _ = placeRun(ctx, near, "r")
 				counted := func() bool { return far.engines.pools["llm"].pool.EngineOf("r") == "far2" }
-				far.engines.adopt(time.Now(), "h1", nil, nil) // a share that was sent before the run was placed
+				far.engines.replacePeerRuns(time.Now(), "h1", nil, nil) // a share that was sent before the run was placed
 				is.True(counted())
 				if c.reported {
-					far.engines.adopt(time.Now(), "h1", near.engines.states(time.Now()), nil)
+					far.engines.replacePeerRuns(time.Now(), "h1", near.engines.runStates(time.Now()), nil)
 				}
 				time.Sleep(placementGrantTTL + time.Millisecond)
-				far.listEngines(time.Now(), far.Table())
+				far.updatePlacementEngines(time.Now(), far.Table())
 				is.Equal(counted(), c.want)
 			})
 		})
--- a/forward/restore.go
+++ b/forward/restore.go
@@ -214,7 +214,7 @@
 	if r == nil {
 		return
 	}
-	f.journal.Belief("origin restored from a copy", "from", r.from, "to", r.to, "still_leaving", r.stillLeaving,
+	f.journal.HostEvent("origin restored from a copy", "from", r.from, "to", r.to, "still_leaving", r.stillLeaving,
 		"not_listed", r.notListed, "listed_but_ended", r.listedButEnded, "zone_orders_kept", r.zoneOrdersKept)
 	f.queueHeldAgain(f.now())
 }
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -13,9 +13,9 @@
 // errFirstEventLate ends a send to an engine that is silent for too long.
 var errFirstEventLate = errors.New("the engine's first event is late")
 
-// honest says of a refusal that the request may have run if an earlier engine
+// markMayHaveRun says of a refusal that the request may have run if an earlier engine
 // may have worked on it, whatever the last one said.
-func (s *streamExchange) honest(r Refusal) Refusal {
+func (s *streamExchange) markMayHaveRun(r Refusal) Refusal {
 	if !s.mayHaveRun || r.MayHaveRun || r.Code == CodeCallerLeft {
 		return r
 	}
@@ -28,15 +28,15 @@
 	return s.route.Resumable && why == CodeLost && ctx.Err() == nil
 }
 
-// takeRepeat counts a request that an engine got, and reports whether the route
+// takeRetry counts a request that an engine got, and reports whether the route
 // and the shared budget allow another.
-func (s *streamExchange) takeRepeat(why string) bool {
-	s.sent++
-	return s.sent < s.route.Attempts && s.takeBudget(why)
+func (s *streamExchange) takeRetry(why string) bool {
+	s.attempts++
+	return s.attempts < s.route.Attempts && s.takeRetryBudget(why)
 }
 
-// takeBudget reports whether the shared budget allows another send.
-func (s *streamExchange) takeBudget(why string) bool {
+// takeRetryBudget reports whether the shared budget allows another send.
+func (s *streamExchange) takeRetryBudget(why string) bool {
 	if !s.retries.takeRetry(s.now(), s.service.Name) {
 		s.journal.Request(s.call.ID, "not repeated", "why", "retry budget used up", "after", why)
 		return false
@@ -49,8 +49,8 @@
 // attempts isn't left with an engine that stays silent: it would be late there,
 // and another engine may still answer it.
 func (s *streamExchange) sendFirst(ctx context.Context, u Upstream) (*Response, error) {
-	begin := s.beginning()
-	if !s.route.Resumable || s.sent+1 >= s.route.Attempts || s.route.Objective <= 0 {
+	begin := s.initialContinuation()
+	if !s.route.Resumable || s.attempts+1 >= s.route.Attempts || s.route.Objective <= 0 {
 		return s.send(ctx, u, begin)
 	}
 	bounded, cancel := context.WithCancelCause(ctx)
@@ -71,12 +71,12 @@
 	return answer, nil
 }
 
-// beginning is where a run starts: from the caller's last event, if it has one.
-func (s *streamExchange) beginning() *Continuation {
-	if !s.route.Resumable || s.lastEvent == "" {
+// initialContinuation is where a run starts: from the caller's last event, if it has one.
+func (s *streamExchange) initialContinuation() *Continuation {
+	if !s.route.Resumable || s.lastEventID == "" {
 		return nil
 	}
-	return &Continuation{LastEventID: s.lastEvent}
+	return &Continuation{LastEventID: s.lastEventID}
 }
 
 // resume has another engine run a stream that broke off and go on after the last
@@ -84,26 +84,26 @@
 // engines don't allow it.
 func (s *streamExchange) resume(ctx context.Context, broken Upstream) (Upstream, *Response, bool) {
 	s.mayHaveRun = true
-	if s.events > 0 && s.lastEvent == "" {
+	if s.eventCount > 0 && s.lastEventID == "" {
 		// Without an id there is no telling where to go on.
 		return Upstream{}, nil, false
 	}
-	if !s.mayRunAgain(ctx, CodeLost) || s.mustHoldBack(s.now()) || !s.takeRepeat("broken_off") {
+	if !s.mayRunAgain(ctx, CodeLost) || s.mustHoldBack(s.now()) || !s.takeRetry("broken_off") {
 		return Upstream{}, nil, false
 	}
-	s.avoid = append(s.avoid, broken.ID)
+	s.excluded = append(s.excluded, broken.ID)
 	u, refusal, ok := s.place(ctx)
 	if !ok {
 		s.journal.Request(s.call.ID, "not resumed", "why", refusal.Code)
 		return Upstream{}, nil, false
 	}
-	answer, err := s.send(ctx, u, s.beginning())
+	answer, err := s.send(ctx, u, s.initialContinuation())
 	if err == nil && answer.Status == http.StatusOK && answer.Signed && !answer.UnexpectedEncoding {
-		s.journal.Request(s.call.ID, "resumed", "from", broken.ID, "upstream", u.ID, "after", s.lastEvent)
+		s.journal.Request(s.call.ID, "resumed", "from", broken.ID, "upstream", u.ID, "after", s.lastEventID)
 		return u, answer, true
 	}
-	s.free(false)
+	s.releasePlace(false)
 	// The caller's answer is cut either way; judge marks the engine.
-	s.judge(ctx, u, answer, err)
+	s.classifyFailure(ctx, u, answer, err)
 	return Upstream{}, nil, false
 }
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -15,8 +15,8 @@
 	"github.com/matryer/is"
 )
 
-// resumableForwarder has a route "/llm/" of resumable streams.
-func resumableForwarder(t *testing.T, transport Transport, attempts int, slack float64) *Forwarder {
+// newResumableForwarder has a route "/llm/" of resumable streams.
+func newResumableForwarder(t *testing.T, transport Transport, attempts int, slack float64) *Forwarder {
 	f := newForwarder(t, transport)
 	c := testConfig(2)
 	c.Routes[2].Resumable, c.Routes[2].Attempts = true, attempts
@@ -25,8 +25,8 @@
 	return f
 }
 
-// broken is an answer that breaks off after some events.
-func broken(events string) *Response {
+// brokenAnswer is an answer that breaks off after some events.
+func brokenAnswer(events string) *Response {
 	a := answer(200, "")
 	a.ContentLength, a.Body = -1, io.NopCloser(io.MultiReader(strings.NewReader(events), errReader{}))
 	return a
@@ -55,11 +55,11 @@
 		"lost, not resumable":       {false, 2, 100, nil, "", 1, []string{""}, "", false, CodeLost},
 		"lost, one attempt":         {true, 1, 100, nil, "", 1, []string{""}, "", false, CodeLost},
 		"lost, no budget":           {true, 2, 0, nil, "", 1, []string{""}, "", false, CodeLost},
-		"broken":                    {true, 2, 100, broken(first), "", 2, []string{"", "1"}, first + rest, false, ""},
-		"broken within an event":    {true, 2, 100, broken(first + "id: 2\nda"), "", 2, []string{"", "1"}, first + rest, false, ""},
-		"broken, not resumable":     {false, 2, 100, broken(first), "", 1, []string{""}, first, true, ""},
-		"broken, no ids":            {true, 2, 100, broken("data: a\n\n"), "", 1, []string{""}, "data: a\n\n", true, ""},
-		"broken, one attempt":       {true, 1, 100, broken(first), "", 1, []string{""}, first, true, ""},
+		"broken":                    {true, 2, 100, brokenAnswer(first), "", 2, []string{"", "1"}, first + rest, false, ""},
+		"broken within an event":    {true, 2, 100, brokenAnswer(first + "id: 2\nda"), "", 2, []string{"", "1"}, first + rest, false, ""},
+		"broken, not resumable":     {false, 2, 100, brokenAnswer(first), "", 1, []string{""}, first, true, ""},
+		"broken, no ids":            {true, 2, 100, brokenAnswer("data: a\n\n"), "", 1, []string{""}, "data: a\n\n", true, ""},
+		"broken, one attempt":       {true, 1, 100, brokenAnswer(first), "", 1, []string{""}, first, true, ""},
 		"lost, caller has an event": {true, 2, 100, nil, "1", 2, []string{"1", "1"}, rest, false, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 					return c.firstAnswer, nil
 				}
 			}}
-			f, sink := resumableForwarder(t, transport, c.attempts, c.slack), &fakeSink{}
+			f, sink := newResumableForwarder(t, transport, c.attempts, c.slack), &fakeSink{}
 			if !c.resumable {
 				config := testConfig(3)
 				config.Routes[2].Attempts = c.attempts
@@ -99,7 +99,7 @@
 			if c.refused != "" {
 				is.Equal(*sink.refused, Refusal{Code: c.refused, MayHaveRun: true})
 			}
-			is.Equal(len(f.engines.states(time.Now())), 0) // every place is free again
+			is.Equal(len(f.engines.runStates(time.Now())), 0) // every place is free again
 		})
 	}
 }
@@ -117,7 +117,7 @@
 		a.NotRun = true
 		return a, nil
 	}}
-	f, sink := resumableForwarder(t, transport, 2, 100), &fakeSink{}
+	f, sink := newResumableForwarder(t, transport, 2, 100), &fakeSink{}
 	f.Serve(t.Context(), call("/llm/"), sink)
 	is.Equal(tries, 1+maxRejections)
 	is.Equal(*sink.refused, Refusal{Code: CodeLost, MayHaveRun: true})
@@ -137,7 +137,7 @@
 			}
 			return answer(200, "id: 1\n\n"), nil
 		}}
-		f, sink := resumableForwarder(t, transport, 2, 100), &fakeSink{}
+		f, sink := newResumableForwarder(t, transport, 2, 100), &fakeSink{}
 		began := time.Now()
 		f.Serve(t.Context(), call("/llm/"), sink)
 		is.Equal(tries, 2)
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -81,11 +81,11 @@
 // receiveRollouts records the state of rollouts as received from the origin or a peer.
 func (f *Forwarder) receiveRollouts(now time.Time, statuses []rollout.Status) {
 	for _, s := range statuses {
-		if !f.rollouts.Receive(now, s, f.settings.Rollouts, f.peers.recentMaxHosts(now)) {
+		if !f.rollouts.Receive(now, s, f.settings.RolloutLimits, f.peers.recentMaxHosts(now)) {
 			continue
 		}
-		f.seen.Begin(s)
-		f.journal.Belief("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.Given, "age", s.Age)
+		f.rolloutObservations.Begin(s)
+		f.journal.HostEvent("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.Given, "age", s.Age)
 		f.fleet.WakeWaiters()
 	}
 }
@@ -94,7 +94,7 @@
 func (f *Forwarder) receiveRolloutRecords(records []rollout.Status) {
 	for _, r := range records {
 		if f.rollouts.Record(r) {
-			f.journal.Belief("rollout", "service", r.Service, "target", r.Target, "phase", r.Phase, "recorded", r.Recorded)
+			f.journal.HostEvent("rollout", "service", r.Service, "target", r.Target, "phase", r.Phase, "recorded", r.Recorded)
 			f.fleet.WakeWaiters()
 		}
 	}
@@ -119,7 +119,7 @@
 
 // drawVersions draws which versions a new request may go to.
 func (x *exchange) drawVersions(now time.Time) rollout.Bound {
-	return x.rollouts.Bound(x.service.Name, x.settings.Rollouts, func(target rollout.Version) (hasTarget, hasOthers bool) {
+	return x.rollouts.Bound(x.service.Name, x.settings.RolloutLimits, func(target rollout.Version) (hasTarget, hasOthers bool) {
 		return x.versionsAvailable(now, x.service.Name, target)
 	})
 }
@@ -169,7 +169,7 @@
 	}
 	for _, s := range x.rollouts.Statuses(now) {
 		if s.Service == u.Service {
-			x.seen.Answer(u.Service, rollout.Subject{Route: x.route.Name, Measure: m}, u.Version == s.Target, failed, took)
+			x.rolloutObservations.Answer(u.Service, rollout.Subject{Route: x.route.Name, Measure: m}, u.Version == s.Target, failed, took)
 		}
 	}
 }
@@ -219,7 +219,7 @@
 }
 
 func (f *Forwarder) rolloutReport(s rollout.Status) (rollout.Report, uint64) {
-	evidence, count := f.seen.Report(s.Service)
+	evidence, count := f.rolloutObservations.Report(s.Service)
 	r := rollout.Report{From: f.peers.self.ID, Service: s.Service, Given: s.Given, Phase: s.Phase, Age: s.Age, Epoch: f.peers.epoch, Evidence: evidence}
 	if s.Phase >= rollout.Full {
 		r.Running = f.runningRetired(s.Service)
@@ -237,7 +237,7 @@
 		}
 	}
 	f.engines.countOwnRuns(count)
-	f.plain.countInFlight(count)
+	f.plainChooser.countInFlight(count)
 	return n
 }
 
@@ -263,7 +263,7 @@
 	if err != nil {
 		next.observationCount, next.recipient = before.observationCount, ""
 		f.peers.markUnreachable(now, to.ID)
-		f.journal.Belief("rollout not reported", "service", s.Service, "peer", to.ID, "err", err)
+		f.journal.HostEvent("rollout not reported", "service", s.Service, "peer", to.ID, "err", err)
 	}
 	lastReports[s.Service] = next
 	if err == nil && reply.Service == s.Service {
@@ -275,7 +275,7 @@
 // as this host knows it.
 func (f *Forwarder) OnRollout(r rollout.Report) rollout.Status {
 	now := f.now()
-	f.desk.addReport(now, r)
+	f.rolloutDecider.addReport(now, r)
 	f.rollouts.Aged(now, r.Service, r.Given, r.Age)
 	for _, s := range f.rollouts.Statuses(now) {
 		if s.Service == r.Service {
@@ -288,15 +288,15 @@
 // decideRollout decides the next phase of a rollout for all hosts and has it recorded.
 func (f *Forwarder) decideRollout(ctx context.Context, now time.Time, s rollout.Status, records RolloutStore) {
 	r, _ := f.rolloutReport(s)
-	f.desk.addReport(now, r)
+	f.rolloutDecider.addReport(now, r)
 	fleet := rollout.Fleet{}
 	if !f.peers.zonesDivided() {
 		fleet.Hosts = f.peers.liveHostIDs(now)
 	}
 	fleet.HasTarget, _ = f.versionsAvailable(now, s.Service, s.Target)
-	phase, against := f.desk.decide(now, s, fleet)
+	phase, against := f.rolloutDecider.decide(now, s, fleet)
 	if phase > s.Phase {
-		f.journal.Belief("rollout decided", "service", s.Service, "target", s.Target, "phase", phase, "after", s.Age, "of", s.Lasts, "evidence_against", against)
+		f.journal.HostEvent("rollout decided", "service", s.Service, "target", s.Target, "phase", phase, "after", s.Age, "of", s.Lasts, "evidence_against", against)
 	}
 	s.Phase = phase
 	if phase == rollout.RolledBack {
@@ -310,7 +310,7 @@
 	defer cancel()
 	// If the write fails, the next update from the origin shows whether it took effect.
 	if err := records.Record(call, s, s.Recorded); err != nil {
-		f.journal.Belief("rollout not recorded", "service", s.Service, "phase", s.Phase, "err", err)
+		f.journal.HostEvent("rollout not recorded", "service", s.Service, "phase", s.Phase, "err", err)
 		return
 	}
 	f.receiveRollouts(f.now(), []rollout.Status{s})
@@ -325,8 +325,8 @@
 	now := f.now()
 	var all []RolloutEntry
 	for _, s := range f.rollouts.Statuses(now) {
-		_, against := f.desk.decide(now, s, rollout.Fleet{})
-		evidence, _ := f.seen.Report(s.Service)
+		_, against := f.rolloutDecider.decide(now, s, rollout.Fleet{})
+		evidence, _ := f.rolloutObservations.Report(s.Service)
 		all = append(all, RolloutEntry{Status: s, DecidingHost: f.peers.firstHost(now).ID, EvidenceAgainst: against, Evidence: evidence})
 	}
 	return all
--- a/forward/rollouts_test.go
+++ b/forward/rollouts_test.go
@@ -200,7 +200,7 @@
 	}
 	for _, f := range s.hosts {
 		f.transport = &fakeTransport{send: send, reach: fleet.Reach}
-		f.settings.Rollouts = rollout.Limits{Share: 0.1, Slack: 50}
+		f.settings.RolloutLimits = rollout.Limits{Share: 0.1, Slack: 50}
 		go f.RunRollouts(ctx, o)
 	}
 	s.serveAll(ctx)
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -25,8 +25,8 @@
 	Prompt  policy.Tokens
 	Made    policy.Tokens
 	Limit   policy.Tokens
-	// Begun is how long ago its first token came; zero while it has none.
-	Begun time.Duration
+	// FirstTokenAge is how long ago its first token came; zero while it has none.
+	FirstTokenAge time.Duration
 }
 
 // EndedRun is what a host tells its peers of a run whose answer ended by itself: each of
@@ -35,32 +35,32 @@
 	Run policy.RunID
 	// Made is the answer's length.
 	Made policy.Tokens
-	// at is when it ended; it isn't told.
-	at time.Time
+	// endedAt is when it ended; it isn't told.
+	endedAt time.Time
 }
 
-// endedTold is how long an ended run is told: each peer of the zone hears from this host
+// endedRunTTL is how long an ended run is told: each peer of the zone hears from this host
 // once meanwhile, and learns from a run when it is no longer listed.
-const endedTold = 2 * shareInterval
+const endedRunTTL = 2 * shareInterval
 
 // endedRuns lists the runs that ended by themselves lately.
 func (e *enginePlacer) endedRuns(now time.Time) []EndedRun {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(r EndedRun) bool { return now.Sub(r.at) > endedTold })
+	e.recentlyEnded = slices.DeleteFunc(e.recentlyEnded, func(r EndedRun) bool { return now.Sub(r.endedAt) > endedRunTTL })
 	return slices.Clone(e.recentlyEnded)
 }
 
-// first is when the run's first token came; zero while it has none.
-func (s RunState) first(now time.Time) time.Time {
-	if s.Begun <= 0 {
+// firstTokenAt is when the run's firstTokenAt token came; zero while it has none.
+func (s RunState) firstTokenAt(now time.Time) time.Time {
+	if s.FirstTokenAge <= 0 {
 		return time.Time{}
 	}
-	return now.Add(-s.Begun)
+	return now.Add(-s.FirstTokenAge)
 }
 
-// states lists this host's runs.
-func (e *enginePlacer) states(now time.Time) []RunState {
+// runStates lists this host's runs.
+func (e *enginePlacer) runStates(now time.Time) []RunState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var states []RunState
@@ -68,10 +68,10 @@
 		for id, run := range p.ownRuns {
 			state := RunState{
 				Run: id, Service: service, Engine: run.engine, Life: run.incarnation, Route: run.request.Route, Account: run.request.Account,
-				Prompt: run.request.Prompt, Made: policy.Tokens(run.generatedTokens.Load()), Limit: run.request.Limit,
+				Prompt: run.request.PromptTokens, Made: policy.Tokens(run.generatedTokens.Load()), Limit: run.request.MaxOutputTokens,
 			}
 			if !run.firstTokenAt.IsZero() {
-				state.Begun = max(now.Sub(run.firstTokenAt), 1)
+				state.FirstTokenAge = max(now.Sub(run.firstTokenAt), 1)
 			}
 			states = append(states, state)
 		}
@@ -79,8 +79,8 @@
 	return states
 }
 
-// forget drops the runs of peers that aren't known any more.
-func (e *enginePlacer) forget(now time.Time, isKnown func(member.HostID) bool) {
+// forgetUnknownPeers drops the runs of peers that aren't known any more.
+func (e *enginePlacer) forgetUnknownPeers(now time.Time, isKnown func(member.HostID) bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.pools {
@@ -98,18 +98,18 @@
 	}
 }
 
-// reportedLately is how recent a peer's word of its runs must be for them to be known: new
+// maxReportAge is how recent a peer's word of its runs must be for them to be known: new
 // runs come and prompts are read within about a second.
-const reportedLately = time.Second
+const maxReportAge = time.Second
 
-// noteKnown takes in how much of each zone's runs this host knows.
-func (e *enginePlacer) noteKnown(now time.Time, zoneOf map[member.HostID]member.Zone) {
+// updateKnownParts takes in how much of each zone's runs this host knows.
+func (e *enginePlacer) updateKnownParts(now time.Time, zoneOf map[member.HostID]member.Zone) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	hosts, told := map[member.Zone]int{}, map[member.Zone]int{}
 	for host, zone := range zoneOf {
 		hosts[zone]++
-		if at, ever := e.lastReported[host]; ever && now.Sub(at) <= reportedLately {
+		if at, ever := e.lastReported[host]; ever && now.Sub(at) <= maxReportAge {
 			told[zone]++
 		}
 	}
@@ -120,8 +120,8 @@
 	}
 }
 
-// adopt replaces what is known of a peer's runs, and learns from those that ended.
-func (e *enginePlacer) adopt(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
+// replacePeerRuns replaces what is known of a peer's runs, and learns from those that ended.
+func (e *enginePlacer) replacePeerRuns(now time.Time, host member.HostID, states []RunState, ended []EndedRun) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lastReported[host] = now
@@ -149,7 +149,7 @@
 			}
 			delete(p.peerRuns, id)
 			made, whole := lengths[id]
-			p.pool.Finish(now, policy.Finish{Run: id, Made: made, Whole: whole})
+			p.pool.Finish(now, policy.Finish{Run: id, GeneratedTokens: made, Complete: whole})
 		}
 	}
 	for id, s := range listed {
@@ -160,10 +160,10 @@
 		}
 		if _, known := p.peerRuns[id]; known {
 			p.pool.Progress(now, id, s.Made)
-			p.pool.Reading(now, id, s.first(now))
+			p.pool.Reading(now, id, s.firstTokenAt(now))
 			continue
 		}
 		p.peerRuns[id] = host
-		p.pool.Adopt(now, policy.Request{Run: id, Route: s.Route, Account: s.Account, Prompt: s.Prompt, Limit: s.Limit}, s.Engine, s.Made)
+		p.pool.Adopt(now, policy.Request{Run: id, Route: s.Route, Account: s.Account, PromptTokens: s.Prompt, MaxOutputTokens: s.Limit}, s.Engine, s.Made)
 	}
 }
--- a/forward/send.go
+++ b/forward/send.go
@@ -197,7 +197,7 @@
 	f.requestRelist()
 	// Under overload, every upstream asks for backoff again and again. Notices to the peers are
 	// rate-limited; what isn't announced at once goes out with the next periodic share.
-	if f.backoffNotices.allow(now, "") {
+	if f.backoffNoticeLimiter.allow(now, "") {
 		f.peers.notifyAll()
 	}
 	return true
@@ -205,12 +205,12 @@
 
 // receivePeerBackoff records that an upstream asked a peer for backoff.
 func (f *Forwarder) receivePeerBackoff(now time.Time, from member.HostID, mark backoff.Mark) {
-	if !f.fleet.ReceiveIncarnation(mark.Upstream, Incarnation(mark.Life)) || !f.backoffs.Receive(now, from, mark, backoffJitter(mark.For)) {
+	if !f.fleet.ReceiveIncarnation(mark.Upstream, Incarnation(mark.Incarnation)) || !f.backoffs.Receive(now, from, mark, backoffJitter(mark.Remaining)) {
 		return
 	}
 	f.requestRelist()
-	if f.signalLines.allow(now, mark.Upstream) {
-		f.journal.Belief("upstream asks several hosts for backoff", "upstream", mark.Upstream, "peer", from, "for", mark.For)
+	if f.signalLogLimiter.allow(now, mark.Upstream) {
+		f.journal.HostEvent("upstream asks several hosts for backoff", "upstream", mark.Upstream, "peer", from, "for", mark.Remaining)
 	}
 }
 
@@ -218,7 +218,7 @@
 // engine that no longer does are placed elsewhere.
 func (f *Forwarder) requestRelist() {
 	select {
-	case f.relist <- struct{}{}:
+	case f.relistRequested <- struct{}{}:
 	default:
 	}
 }
@@ -242,4 +242,4 @@
 }
 
 // BackoffEntries lists the upstreams that are in a backoff or returning from one.
-func (f *Forwarder) BackoffEntries() []backoff.Entry { return f.backoffs.Entries(f.now()) }
+func (f *Forwarder) BackoffEntries() []backoff.Status { return f.backoffs.Entries(f.now()) }
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -172,7 +172,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				e := &engineScript{made: 60, handle: "h", copyTook: 200 * time.Millisecond, stopped: make(chan struct{})}
+				e := &engineScript{eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond, stopped: make(chan struct{})}
 				transport := &fakeTransport{send: e.send}
 				f, sink := newForwarder(t, transport), &fakeSink{}
 				resting := member.UpstreamID("")
@@ -185,10 +185,10 @@
 				}
 				f.fleet.Suspect(time.Now(), "llm2")
 				f.fleet.Suspect(time.Now(), "llm3")
-				f.listEngines(time.Now(), f.Table()) // the first engine gets the run
+				f.updatePlacementEngines(time.Now(), f.Table()) // the first engine gets the run
 				time.AfterFunc(100*time.Millisecond, func() {
-					f.fleet.Replace(time.Now(), leaving(f, "llm1"), rev(2))
-					f.listEngines(time.Now(), f.Table())
+					f.fleet.Replace(time.Now(), upstreamsWithLeaving(f, "llm1"), rev(2))
+					f.updatePlacementEngines(time.Now(), f.Table())
 				})
 				f.Serve(t.Context(), call("/llm/"), sink)
 				is.True(!sink.cut)
@@ -207,14 +207,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				e := &engineScript{made: 60, handle: "h", copyTook: 100 * time.Millisecond, stopped: make(chan struct{})}
+				e := &engineScript{eventCount: 60, handle: "h", copyTime: 100 * time.Millisecond, stopped: make(chan struct{})}
 				moves := 0
 				transport := &fakeTransport{send: e.send, move: func(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
 					moves++
 					return e.move(ctx, from, r)
 				}}
 				f, sink := newForwarder(t, transport), &fakeSink{}
-				f.listEngines(time.Now(), f.Table())
+				f.updatePlacementEngines(time.Now(), f.Table())
 				time.AfterFunc(100*time.Millisecond, func() {
 					at := transport.sentTo()[0]
 					f.fleet.RecordFailure(f.now(), at)
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -60,7 +60,7 @@
 	if s.Leaving {
 		f.observer.Signal(SignalLeaving)
 		if f.fleet.SaidLeaving(now, u.ID, u.Incarnation, true) {
-			f.journal.Belief("upstream says that it leaves", "upstream", u.ID, "life", u.Incarnation, "answer_to", to, "asked_ago", now.Sub(sent))
+			f.journal.HostEvent("upstream says that it leaves", "upstream", u.ID, "life", u.Incarnation, "answer_to", to, "asked_ago", now.Sub(sent))
 			f.peers.notifyAll()
 		}
 	}
@@ -81,7 +81,7 @@
 
 // logSignal logs an upstream's signal, unless one was logged shortly before.
 func (f *Forwarder) logSignal(now time.Time, u Upstream, event string, keyvals ...any) {
-	if f.signalLines.allow(now, u.ID) {
-		f.journal.Belief(event, append([]any{"upstream", u.ID, "life", u.Incarnation}, keyvals...)...)
+	if f.signalLogLimiter.allow(now, u.ID) {
+		f.journal.HostEvent(event, append([]any{"upstream", u.ID, "life", u.Incarnation}, keyvals...)...)
 	}
 }
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -399,7 +399,7 @@
 			}
 			s.entries[self.ID] = &atomic.Int32{}
 			s.hosts[self.PeerAddress] = New(
-				Settings{Self: self, Seeds: seeds, FirstStart: first, ContactBound: 3 * time.Second}, &fakeTransport{}, silentJournal{}, silentObserver{},
+				Settings{Self: self, Seeds: seeds, FirstStart: first, MaxContactAge: 3 * time.Second}, &fakeTransport{}, silentJournal{}, silentObserver{},
 			)
 		}
 	}
--- a/forward/slowreaders_test.go
+++ b/forward/slowreaders_test.go
@@ -43,25 +43,25 @@
 
 func (s *slowSink) Abort() { s.once.Do(func() { close(s.aborted) }) }
 
-// impatientEngines play engines whose answers must be read: one that stays unread for three
+// unreadTimeoutEngines play engines whose answers must be read: one that stays unread for three
 // seconds is cut off.
-type impatientEngines struct {
-	events, bytes int
-	cutOff        atomic.Int64
+type unreadTimeoutEngines struct {
+	eventCount, eventBytes int
+	cutOff                 atomic.Int64
 }
 
-const unreadFor = 3 * time.Second
+const unreadTimeout = 3 * time.Second
 
-func (e *impatientEngines) send(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
+func (e *unreadTimeoutEngines) send(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 	read, write := io.Pipe()
 	go func() {
-		for n := range e.events {
+		for n := range e.eventCount {
 			time.Sleep(50 * time.Millisecond)
-			unread := time.AfterFunc(unreadFor, func() {
+			unread := time.AfterFunc(unreadTimeout, func() {
 				e.cutOff.Add(1)
 				_ = write.CloseWithError(io.ErrUnexpectedEOF)
 			})
-			_, err := fmt.Fprintf(write, "id: %d\ndata: %s\n\n", n+1, strings.Repeat("x", e.bytes))
+			_, err := fmt.Fprintf(write, "id: %d\ndata: %s\n\n", n+1, strings.Repeat("x", e.eventBytes))
 			unread.Stop()
 			if err != nil {
 				return
@@ -92,9 +92,9 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				engines := &impatientEngines{events: 100, bytes: 800}
+				engines := &unreadTimeoutEngines{eventCount: 100, eventBytes: 800}
 				f := newForwarder(t, &fakeTransport{send: engines.send})
-				f.answers.Most = 14 << 20 // an eighth of 112 MB
+				f.answerBudget.Most = 14 << 20 // an eighth of 112 MB
 				config := testConfig(2)
 				config.Services[1].Engine = nil // the engines' places aren't what is tested
 				f.Configure(time.Now(), config)
@@ -125,7 +125,7 @@
 				done := make(chan struct{})
 				go func() {
 					for {
-						most = max(most, f.answers.Held())
+						most = max(most, f.answerBudget.Held())
 						select {
 						case <-done:
 							return
@@ -136,7 +136,7 @@
 				under.Wait()
 				close(done)
 				synctest.Wait()
-				whole := engines.events * (engines.bytes + len("id: 1\ndata: \n\n"))
+				whole := engines.eventCount * (engines.eventBytes + len("id: 1\ndata: \n\n"))
 				t.Logf("held %d at most; engines cut off %d", most, engines.cutOff.Load())
 				for _, s := range fast {
 					is.True(s.body.Len() >= whole && !s.cut) // whoever reads gets all
@@ -144,20 +144,20 @@
 				for _, s := range slow {
 					is.True(!c.whole || s.body.Len() >= whole && !s.cut)
 				}
-				one := int64(engines.bytes + 32)
-				is.True(most <= f.answers.Most+one*int64(c.slow+c.stalled+len(fast))) // and one event each
-				is.Equal(engines.cutOff.Load(), int64(0))                             // no engine waited too long
-				is.Equal(f.answers.Held(), int64(0))
+				one := int64(engines.eventBytes + 32)
+				is.True(most <= f.answerBudget.Most+one*int64(c.slow+c.stalled+len(fast))) // and one event each
+				is.Equal(engines.cutOff.Load(), int64(0))                                  // no engine waited too long
+				is.Equal(f.answerBudget.Held(), int64(0))
 			})
 		})
 	}
 }
 
-// TestStalledReaderIsTold has the answer of a caller that takes nothing be cut, not ended as whole.
-func TestStalledReaderIsTold(t *testing.T) {
+// TestStalledReaderIsCut has the answer of a caller that takes nothing be cut, not ended as whole.
+func TestStalledReaderIsCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		engines := &impatientEngines{events: 400, bytes: 2000}
+		engines := &unreadTimeoutEngines{eventCount: 400, eventBytes: 2000}
 		f := newForwarder(t, &fakeTransport{send: engines.send})
 		sink := newSlowSink(time.Hour)
 		start := time.Now()
@@ -178,7 +178,7 @@
 		f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 			return answer(http.StatusOK, body), nil
 		}})
-		f.answers.Most = 2 << 20
+		f.answerBudget.Most = 2 << 20
 		var most int64
 		var under sync.WaitGroup
 		var sinks []*slowSink
@@ -187,25 +187,25 @@
 			sinks = append(sinks, s)
 			under.Go(func() {
 				c := call("/order/")
-				f.Serve(t.Context(), c, wholeSlowly{s})
+				f.Serve(t.Context(), c, slowWholeSink{s})
 			})
-			most = max(most, f.answers.Held())
+			most = max(most, f.answerBudget.Held())
 		}
 		synctest.Wait()
-		most = max(most, f.answers.Held())
+		most = max(most, f.answerBudget.Held())
 		under.Wait()
-		is.True(most <= f.answers.Most)
-		is.Equal(f.answers.Held(), int64(0))
+		is.True(most <= f.answerBudget.Most)
+		is.Equal(f.answerBudget.Held(), int64(0))
 		for _, s := range sinks {
 			is.Equal(s.body.Len(), len(body))
 		}
 	})
 }
 
-// wholeSlowly takes whole answers as slowly as parts.
-type wholeSlowly struct{ *slowSink }
+// slowWholeSink takes whole answers as slowly as parts.
+type slowWholeSink struct{ *slowSink }
 
-func (s wholeSlowly) SendResponse(a *Response, body []byte) error {
+func (s slowWholeSink) SendResponse(a *Response, body []byte) error {
 	time.Sleep(s.pause)
 	return s.fakeSink.SendResponse(a, body)
 }
--- a/forward/stopping.go
+++ b/forward/stopping.go
@@ -33,15 +33,15 @@
 	f.mu.Lock()
 	running := len(f.inFlight)
 	if !f.stopping {
-		f.stopSince = f.now()
-		f.journal.Belief("stopping", "running", running)
+		f.stoppingSince = f.now()
+		f.journal.HostEvent("stopping", "running", running)
 	}
 	f.stopping = true
 	f.peers.markStopping()
 	// Without a deadline stopBy is zero, and no stream surely ends before it.
-	f.stopBy = time.Time{}
+	f.stopDeadline = time.Time{}
 	if by, set := ctx.Deadline(); set {
-		f.stopBy = f.now().Add(time.Until(by))
+		f.stopDeadline = f.now().Add(time.Until(by))
 	}
 	f.idle = make(chan struct{})
 	if running == 0 {
@@ -80,7 +80,7 @@
 func (f *Forwarder) interrupt(idle <-chan struct{}) {
 	f.mu.Lock()
 	if len(f.inFlight) > 0 {
-		f.journal.Belief("interrupted", "running", len(f.inFlight))
+		f.journal.HostEvent("interrupted", "running", len(f.inFlight))
 	}
 	for _, end := range f.inFlight {
 		end(errStopped)
@@ -134,7 +134,7 @@
 // endsBeforeStop reports whether a request will have ended when this host stops.
 func (x *exchange) endsBeforeStop(now time.Time) bool {
 	x.mu.Lock()
-	stopping, since, by := x.stopping, x.stopSince, x.stopBy
+	stopping, since, by := x.stopping, x.stoppingSince, x.stopDeadline
 	x.mu.Unlock()
 	switch {
 	case !stopping:
@@ -148,7 +148,7 @@
 
 // callLasts is how long a plain call may last.
 func (x *exchange) callLasts(now time.Time) time.Duration {
-	if left := x.left(now); left > 0 {
+	if left := x.timeLeft(now); left > 0 {
 		return min(left, callLasts)
 	}
 	return callLasts
@@ -174,7 +174,7 @@
 func (f *Forwarder) stopBegan() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.stopSince
+	return f.stoppingSince
 }
 
 const (
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -52,7 +52,7 @@
 			if c.code != "" {
 				is.Equal(*sink.refused, Refusal{Code: c.code, MayHaveRun: true})
 			}
-			is.Equal(len(f.engines.states(time.Now())), 0) // its place is free again
+			is.Equal(len(f.engines.runStates(time.Now())), 0) // its place is free again
 		})
 	}
 }
@@ -102,7 +102,7 @@
 	f, sink := newForwarder(t, transport), &fakeSink{}
 	f.Serve(t.Context(), call("/llm/"), sink)
 	is.Equal(len(transport.sentTo()), maxRejections)
-	is.Equal(*sink.refused, Refusal{Code: CodeOverloaded, RetryAfter: retryUnknown})
+	is.Equal(*sink.refused, Refusal{Code: CodeOverloaded, RetryAfter: defaultRetryAfter})
 }
 
 // TestStreamUnreachableEngines has a stream that many engines refuse the
@@ -135,7 +135,7 @@
 				list = append(list, Upstream{ID: id, Service: "llm", Address: "10.1.0.1:1", Zone: zone, Slots: 24, Revision: rev(2)})
 			}
 			f.fleet.Replace(time.Now(), list, rev(2))
-			f.listEngines(time.Now(), f.Table())
+			f.updatePlacementEngines(time.Now(), f.Table())
 			f.Serve(t.Context(), call("/llm/"), sink)
 			sent := transport.sentTo()
 			is.True(len(sent) <= c.sent)
@@ -175,51 +175,51 @@
 // engineScript plays the engines of a stream that is moved: the first makes
 // events until it is stopped or ends by itself, the one that takes up goes on.
 type engineScript struct {
-	// made is how many events the first engine makes, one each 20 ms; then it
+	// eventCount is how many events the first engine makes, one each 20 ms; then it
 	// ends whole.
-	made int
+	eventCount int
 	// stopped closes when the first engine is told to stop.
 	stopped chan struct{}
 	// moveErr answers the stopping copy; copyTook is how long a copy takes.
 	moveErr error
-	// failStops is how many stops are refused without stopping the run.
-	failStops int
-	handle    string
-	copyTook  time.Duration
-	// refuses are the engines that refuse to take up.
-	refuses map[member.UpstreamID]bool
-	// last is what the taking engine was told that the caller has.
-	last string
-	from string
+	// refusedStops is how many stops are refused without stopping the run.
+	refusedStops int
+	handle       string
+	copyTime     time.Duration
+	// refusesContinuation are the engines that refuse to take up.
+	refusesContinuation map[member.UpstreamID]bool
+	// lastEventID is what the taking engine was told that the caller has.
+	lastEventID   string
+	continuedFrom string
 }
 
-func event(n int) string { return fmt.Sprintf("id: %d\ndata: t\n\n", n) }
+func sseEvent(n int) string { return fmt.Sprintf("id: %d\ndata: t\n\n", n) }
 
 func (e *engineScript) send(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error) {
 	if c := r.Continue; c != nil {
-		if e.refuses[u.ID] {
+		if e.refusesContinuation[u.ID] {
 			a := answer(503, "")
 			a.NotRun = true
 			return a, nil
 		}
-		e.last, e.from = c.LastEventID, c.Source+"/"+c.Handle
+		e.lastEventID, e.continuedFrom = c.LastEventID, c.Source+"/"+c.Handle
 		var n int
 		_, _ = fmt.Sscan(c.LastEventID, &n)
 		var rest strings.Builder
-		for i := n + 1; i <= e.made; i++ {
-			rest.WriteString(event(i))
+		for i := n + 1; i <= e.eventCount; i++ {
+			rest.WriteString(sseEvent(i))
 		}
 		return answer(200, rest.String()), nil
 	}
 	read, write := io.Pipe()
 	go func() {
-		for i := 1; i <= e.made; i++ {
+		for i := 1; i <= e.eventCount; i++ {
 			select {
 			case <-e.stopped:
 				write.CloseWithError(io.ErrUnexpectedEOF)
 				return
 			case <-time.After(20 * time.Millisecond):
-				_, _ = io.WriteString(write, event(i))
+				_, _ = io.WriteString(write, sseEvent(i))
 			}
 		}
 		_ = write.Close()
@@ -231,14 +231,14 @@
 
 func (e *engineScript) move(_ context.Context, _ Upstream, r MoveRequest) (MoveResult, error) {
 	if !r.StopSource {
-		time.Sleep(e.copyTook)
+		time.Sleep(e.copyTime)
 		return MoveResult{Handle: "h"}, nil
 	}
 	if errors.Is(e.moveErr, ErrRunNotFound) {
 		return MoveResult{}, e.moveErr
 	}
-	if e.failStops > 0 {
-		e.failStops--
+	if e.refusedStops > 0 {
+		e.refusedStops--
 		return MoveResult{}, ErrTargetUnavailable
 	}
 	close(e.stopped)
@@ -252,7 +252,7 @@
 	whole := func(n int) string {
 		var all strings.Builder
 		for i := 1; i <= n; i++ {
-			all.WriteString(event(i))
+			all.WriteString(sseEvent(i))
 		}
 		return all.String()
 	}
@@ -263,25 +263,25 @@
 		// upstreams is how many got the request.
 		upstreams int
 	}{
-		"moved":                      {engineScript{made: 60, handle: "h", copyTook: 200 * time.Millisecond}, false, true, 2},
-		"ends during the first copy": {engineScript{made: 8, handle: "h", copyTook: 200 * time.Millisecond, moveErr: ErrRunNotFound}, false, false, 1},
+		"moved":                      {engineScript{eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond}, false, true, 2},
+		"ends during the first copy": {engineScript{eventCount: 8, handle: "h", copyTime: 200 * time.Millisecond, moveErr: ErrRunNotFound}, false, false, 1},
 		"target refuses, source goes on": {engineScript{
-			made: 60, handle: "h", copyTook: 200 * time.Millisecond,
-			refuses: map[member.UpstreamID]bool{"llm2": true, "llm3": true},
+			eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond,
+			refusesContinuation: map[member.UpstreamID]bool{"llm2": true, "llm3": true},
 		}, false, true, 3},
 		"no room for the last part, source goes on": {engineScript{
-			made: 60, handle: "h", copyTook: 200 * time.Millisecond, moveErr: ErrTargetUnavailable,
-			refuses: map[member.UpstreamID]bool{"llm2": true, "llm3": true},
+			eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond, moveErr: ErrTargetUnavailable,
+			refusesContinuation: map[member.UpstreamID]bool{"llm2": true, "llm3": true},
 		}, false, true, 2},
 		"target gone before the last part": {engineScript{
-			made: 60, handle: "h", copyTook: 200 * time.Millisecond, failStops: 1,
+			eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond, refusedStops: 1,
 		}, false, true, 2},
 		"stop unanswered, run stopped": {engineScript{
-			made: 60, copyTook: 200 * time.Millisecond, moveErr: ErrNoMoveReply,
+			eventCount: 60, copyTime: 200 * time.Millisecond, moveErr: ErrNoMoveReply,
 		}, false, true, 2},
 		"everybody refuses": {engineScript{
-			made: 60, handle: "h", copyTook: 200 * time.Millisecond,
-			refuses: map[member.UpstreamID]bool{"llm1": true, "llm2": true, "llm3": true},
+			eventCount: 60, handle: "h", copyTime: 200 * time.Millisecond,
+			refusesContinuation: map[member.UpstreamID]bool{"llm1": true, "llm2": true, "llm3": true},
 		}, true, false, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -293,19 +293,19 @@
 				f, sink := newForwarder(t, transport), &fakeSink{}
 				f.fleet.Suspect(time.Now(), "llm2")
 				f.fleet.Suspect(time.Now(), "llm3")
-				f.listEngines(time.Now(), f.Table()) // the first engine gets the run
+				f.updatePlacementEngines(time.Now(), f.Table()) // the first engine gets the run
 				time.AfterFunc(100*time.Millisecond, func() {
-					f.fleet.Replace(time.Now(), leaving(f, "llm1"), rev(2))
-					f.listEngines(time.Now(), f.Table())
+					f.fleet.Replace(time.Now(), upstreamsWithLeaving(f, "llm1"), rev(2))
+					f.updatePlacementEngines(time.Now(), f.Table())
 				})
 				f.Serve(t.Context(), call("/llm/"), sink)
 				is.Equal(sink.cut, c.cut)
 				is.Equal(len(transport.sentTo()), c.upstreams)
 				if !c.cut {
-					is.Equal(sink.body.String(), whole(e.made))
+					is.Equal(sink.body.String(), whole(e.eventCount))
 				}
 				if c.moved {
-					is.Equal(e.from, "10.1.0.1:llm1/h")
+					is.Equal(e.continuedFrom, "10.1.0.1:llm1/h")
 				}
 				synctest.Wait()
 			})
@@ -318,7 +318,7 @@
 func TestEndedWhileStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		e := engineScript{made: 14, stopped: make(chan struct{})}
+		e := engineScript{eventCount: 14, stopped: make(chan struct{})}
 		transport := &fakeTransport{send: e.send}
 		transport.move = func(_ context.Context, _ Upstream, r MoveRequest) (MoveResult, error) {
 			time.Sleep(100 * time.Millisecond)
@@ -328,10 +328,10 @@
 		f, sink := newForwarder(t, transport), &fakeSink{}
 		f.fleet.Suspect(time.Now(), "llm2")
 		f.fleet.Suspect(time.Now(), "llm3")
-		f.listEngines(time.Now(), f.Table())
+		f.updatePlacementEngines(time.Now(), f.Table())
 		time.AfterFunc(100*time.Millisecond, func() {
-			f.fleet.Replace(time.Now(), leaving(f, "llm1"), rev(2))
-			f.listEngines(time.Now(), f.Table())
+			f.fleet.Replace(time.Now(), upstreamsWithLeaving(f, "llm1"), rev(2))
+			f.updatePlacementEngines(time.Now(), f.Table())
 		})
 		f.Serve(t.Context(), call("/llm/"), sink)
 		is.Equal(strings.Count(sink.body.String(), "data"), 14)
@@ -341,8 +341,8 @@
 	})
 }
 
-// leaving lists a forwarder's upstreams with some of them leaving.
-func leaving(f *Forwarder, ids ...member.UpstreamID) []Upstream {
+// upstreamsWithLeaving lists a forwarder's upstreams with some of them upstreamsWithLeaving.
+func upstreamsWithLeaving(f *Forwarder, ids ...member.UpstreamID) []Upstream {
 	changes, _, _ := f.fleet.ChangesSince(rev(0))
 	var list []Upstream
 	for _, c := range changes {
@@ -361,7 +361,7 @@
 	f.Add("id: 1\ndata: a\n\nid:2\n\n", 3)
 	f.Add("\n\n\r\n:c\n\n", 1)
 	f.Fuzz(func(t *testing.T, stream string, chunk int) {
-		r := newEventReader(&chunked{strings.NewReader(stream), max(chunk, 1) % 64})
+		r := newEventReader(&chunkedReader{strings.NewReader(stream), max(chunk, 1) % 64})
 		var got strings.Builder
 		for {
 			e, _, err := r.next()
@@ -379,17 +379,19 @@
 	})
 }
 
-// chunked reads a few bytes at a time.
-type chunked struct {
-	from io.Reader
-	n    int
+// chunkedReader reads a few bytes at a time.
+type chunkedReader struct {
+	source io.Reader
+	size   int
 }
 
-func (c *chunked) Read(p []byte) (int, error) { return c.from.Read(p[:min(len(p), max(c.n, 1))]) }
+func (c *chunkedReader) Read(p []byte) (int, error) {
+	return c.source.Read(p[:min(len(p), max(c.size, 1))])
+}
 
-// TestRunsAreAlikeToEngines has an engine be told the same urgency of every run, so that
+// TestRunsSentWithDefaultUrgency has an engine be told the same urgency of every run, so that
 // none displaces another in the midst of its stream.
-func TestRunsAreAlikeToEngines(t *testing.T) {
+func TestRunsSentWithDefaultUrgency(t *testing.T) {
 	is := is.New(t)
 	var told []Urgency
 	transport := &fakeTransport{send: func(_ context.Context, _ Upstream, r *UpstreamRequest) (*Response, error) {
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := clocktest.NewMachine(t)
 		f := newForwarder(t, transport)
-		f.useClock(s.Clock())
+		f.setClock(s.Clock())
 		test(is.New(t), f, s)
 	})
 }
@@ -44,16 +44,16 @@
 		for name, age := range map[string]func(f *Forwarder) time.Duration{
 			"configuration":      func(f *Forwarder) time.Duration { return f.ContactAge(f.now()) },
 			"list":               func(f *Forwarder) time.Duration { return f.OriginAge(f.now()) },
-			"followed":           func(f *Forwarder) time.Duration { return f.followed.age(f.now()) },
-			"list suspect":       func(f *Forwarder) time.Duration { return f.listSuspect.age(f.now()) },
+			"followed":           func(f *Forwarder) time.Duration { return f.followedPeerAnsweredAt.age(f.now()) },
+			"list suspect":       func(f *Forwarder) time.Duration { return f.listSuspectedAt.age(f.now()) },
 			"told to peers":      func(f *Forwarder) time.Duration { return f.newShare(f.now()).ConfigAge },
 			"told to followers":  func(f *Forwarder) time.Duration { return f.OnFollow(context.Background(), FollowRequest{}).OriginAge },
 			"told with a config": func(f *Forwarder) time.Duration { return f.OnConfig(0).Age },
 		} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
 				withSuspendableHost(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
-					f.followed.advance(f.now())
-					f.listSuspect.advance(f.now())
+					f.followedPeerAnsweredAt.advance(f.now())
+					f.listSuspectedAt.advance(f.now())
 					s.Suspend(slept)
 					is.Equal(age(f), slept)
 				})
@@ -77,7 +77,7 @@
 					request.APIKey, request.Arrived = c.key, f.now()
 					f.Serve(context.Background(), request, sink)
 					want := c.code
-					if slept > f.settings.ContactBound {
+					if slept > f.settings.MaxContactAge {
 						want = CodeNotReady
 					}
 					is.Equal(sink.refused.Code, want)
@@ -114,7 +114,7 @@
 				func(f *Forwarder) bool { return f.peers.liveHosts(f.now()) == 2 }, otherCellSilenceTimeout,
 			},
 			"the list is up to date": {
-				func(f *Forwarder) { f.originContact.advance(f.now()) },
+				func(f *Forwarder) { f.originProvedAt.advance(f.now()) },
 				func(f *Forwarder) bool { return f.isListCurrent(f.now()) }, maxListAge,
 			},
 			"the budget is spent": {
@@ -135,7 +135,7 @@
 			"an upstream wants nothing from two others": {
 				func(f *Forwarder) {
 					for _, peer := range []member.HostID{"h2", "h3"} {
-						f.backoffs.Receive(f.now(), peer, backoff.Mark{Upstream: engine, For: 10 * time.Second}, 0)
+						f.backoffs.Receive(f.now(), peer, backoff.Mark{Upstream: engine, Remaining: 10 * time.Second}, 0)
 					}
 				},
 				func(f *Forwarder) bool { return f.backoffs.Remaining(f.now(), engine) > 0 }, 10 * time.Second,
@@ -182,7 +182,7 @@
 				f.shareWith(context.Background(), suspendingPeers{machine: s, duration: slept}, Peer{ID: "h2", Zone: "z1"}, Share{})
 			},
 			"an answer of a leader": func(f *Forwarder, s *clocktest.Machine) {
-				f.peerPort = suspendingPeers{machine: s, duration: slept}
+				f.peerTransport = suspendingPeers{machine: s, duration: slept}
 				f.followPeer(context.Background(), Peer{ID: "h2", Zone: "z1"}, followBounds{timeout: time.Second, maxOriginAge: time.Hour, inheritProof: true})
 			},
 			"a watch of the origin": func(f *Forwarder, s *clocktest.Machine) {
@@ -192,8 +192,8 @@
 		} {
 			t.Run(fmt.Sprint(name, " ", slept), func(t *testing.T) {
 				withSuspendableHost(t, &fakeTransport{}, func(is *is.I, f *Forwarder, s *clocktest.Machine) {
-					f.contact.clear()
-					f.originContact.clear()
+					f.contactProvedAt.clear()
+					f.originProvedAt.clear()
 					receive(f, s)
 					is.True(f.ContactAge(f.now()) >= slept)
 					is.True(f.OriginAge(f.now()) >= slept)
--- a/forward/throttledselection.go
+++ b/forward/throttledselection.go
@@ -30,11 +30,11 @@
 		return Upstream{}, x.refuseNoUpstream(now, accepting, x.shortestWait(now, accepting, nil)), false
 	}
 	throttled := x.throttledAmong(now, accepting)
-	x.skipped = len(throttled)
+	x.skippedUpstreams = len(throttled)
 	excluded := slices.Concat(tried, throttled)
 	refusalWait := time.Duration(0)
 	for {
-		u, found := x.plain.pick(now, accepting, excluded)
+		u, found := x.plainChooser.pick(now, accepting, excluded)
 		if !found {
 			accepting = x.acceptingUpstreams(now)
 			return u, x.refuseNoUpstream(now, accepting, minNonZero(refusalWait, x.shortestWait(now, accepting, tried))), false
@@ -45,7 +45,7 @@
 		}
 		refusalWait = minNonZero(refusalWait, v.Wait)
 		now = x.now()
-		x.plain.done(now, u.ID, 0, false)
+		x.plainChooser.done(now, u.ID, 0, false)
 		excluded = append(excluded, u.ID)
 	}
 }
@@ -70,14 +70,14 @@
 	var refused throttledSet
 	for {
 		throttled := s.throttledEngines(now)
-		s.skipped = len(throttled.sameZone) + len(throttled.otherZones)
+		s.skippedUpstreams = len(throttled.sameZone) + len(throttled.otherZones)
 		throttled.merge(&refused)
-		r.AvoidAlso = slices.Concat(s.avoid, throttled.sameZone)
+		r.ExcludedEngines = slices.Concat(s.excluded, throttled.sameZone)
 		p := s.findPlacement(ctx, now, r, throttled)
 		if p.decision.Verdict != policy.Granted {
-			return p.upstream, placedRun{}, s.noPlace(ctx, p.decision), false
+			return p.upstream, placedRun{}, s.placementRefusal(ctx, p.decision), false
 		}
-		v := s.authorizeSend(ctx, p.upstream, s.sent > 0)
+		v := s.authorizeSend(ctx, p.upstream, s.attempts > 0)
 		if v.OK() {
 			return p.upstream, placedRun{p.run, p.decision}, Refusal{}, true
 		}
@@ -86,7 +86,7 @@
 		refused.add(p.upstream, s.peers.self.Zone, v.Wait)
 		if ctx.Err() != nil || p.decision.Waited > 0 {
 			// The request has already waited for a place; it isn't queued a second time.
-			return p.upstream, placedRun{}, s.noPlace(ctx, policy.Decision{Verdict: policy.Refused, Reason: policy.ReasonDeadline, RetryAfter: v.Wait}), false
+			return p.upstream, placedRun{}, s.placementRefusal(ctx, policy.Decision{Verdict: policy.Refused, Reason: policy.ReasonDeadline, RetryAfter: v.Wait}), false
 		}
 	}
 }
--- a/forward/turns_test.go
+++ b/forward/turns_test.go
@@ -79,7 +79,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f, arbiter := newForwarder(t, &fakeTransport{}), newForwarder(t, &fakeTransport{})
-		f.peerPort = &remoteArbiter{arbiter: arbiter}
+		f.peerTransport = &remoteArbiter{arbiter: arbiter}
 		f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h2", Zone: "z2", PeerAddress: "10.0.0.2:1"}})
 		at := Upstream{ID: "e", Zone: "z2"}
 		endFirst, err := f.acquireTurn(t.Context(), at, TurnRequest{Engine: "e", Run: "first", Priority: 3})
--- a/forward/unary.go
+++ b/forward/unary.go
@@ -73,7 +73,7 @@
 	// lastCode is the reason why the last attempt failed.
 	lastCode Code
 	// responseMemory counts the memory that the buffered responses take.
-	responseMemory heldBytes
+	responseMemory answerMemory
 }
 
 // serveUnary serves a request with the response of one upstream, which it passes on whole.
@@ -81,8 +81,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	p := &unaryExchange{exchange: x, results: make(chan upstreamAttempt, maxConnectAttempts+max(x.route.Attempts, 1)+1)}
-	p.responseMemory.budget = &x.answers
-	defer p.responseMemory.end()
+	p.responseMemory.budget = &x.answerBudget
+	defer p.responseMemory.release()
 	x.retries.countRequest(x.now(), x.service.Name)
 	if !p.startAttempt(ctx, false) {
 		x.refuse(p.selectionRefusal, "service", x.service.Name, "kept_back", x.throttledCount(x.now()))
@@ -131,9 +131,9 @@
 	p.tried = append(p.tried, u.ID)
 	p.pending++
 	p.sent++
-	out := &UpstreamRequest{Call: p.call, Account: p.account.Name, TimeLeft: p.left(now), Urgency: p.urgency}
+	out := &UpstreamRequest{Call: p.call, Account: p.account.Name, TimeLeft: p.timeLeft(now), Urgency: p.urgency}
 	go func() {
-		defer p.contain(func() { p.results <- upstreamAttempt{upstream: u, err: errPanicked} })
+		defer p.recoverPanic(func() { p.results <- upstreamAttempt{upstream: u, err: errPanicked} })
 		p.results <- p.runAttempt(ctx, now, u, out)
 	}()
 	return true
@@ -144,7 +144,7 @@
 	t := upstreamAttempt{upstream: u}
 	t.response, t.err = p.sendTo(ctx, u, out)
 	if t.err == nil {
-		t.body, t.hasMore, t.err = p.responseMemory.read(t.response)
+		t.body, t.hasMore, t.err = p.responseMemory.readBody(t.response)
 	}
 	now := p.now()
 	t.elapsed = now.Sub(startedAt)
@@ -153,9 +153,9 @@
 	case errors.Is(t.err, ErrNotSent), t.err == nil && (t.response.WrongInstance || t.response.Signals.RetryAfter > 0):
 		// A response that asks for backoff doesn't count against the upstream's latency or
 		// failure rate: the backoff is the consequence.
-		p.plain.done(now, u.ID, 0, true)
+		p.plainChooser.done(now, u.ID, 0, true)
 	default:
-		p.plain.done(now, u.ID, t.elapsed, !t.succeeded())
+		p.plainChooser.done(now, u.ID, t.elapsed, !t.succeeded())
 	}
 	return t
 }
@@ -272,27 +272,27 @@
 	if t.hasMore {
 		err = p.deliverUnbuffered(t)
 	} else {
-		err = p.to.SendResponse(t.response, t.body)
+		err = p.sink.SendResponse(t.response, t.body)
 	}
 	outcome := "ok"
 	if err != nil {
 		outcome = "not_delivered"
 	}
-	p.answered(outcome, "upstream", t.upstream.ID, "status", t.response.Status, "tries", len(p.tried), "skipped", p.skipped, "err", err)
+	p.recordOutcome(outcome, "upstream", t.upstream.ID, "status", t.response.Status, "tries", len(p.tried), "skipped", p.skippedUpstreams, "err", err)
 }
 
 // deliverUnbuffered passes on a response that is too long to be buffered.
 func (p *unaryExchange) deliverUnbuffered(t *upstreamAttempt) error {
 	defer t.response.Body.Close()
-	err := p.to.BeginResponse(t.response)
+	err := p.sink.BeginResponse(t.response)
 	if err == nil {
-		err = p.to.Write(t.body)
+		err = p.sink.Write(t.body)
 	}
 	chunk := make([]byte, 64<<10)
 	for err == nil {
 		n, readErr := t.response.Body.Read(chunk)
 		if n > 0 {
-			err = p.to.Write(chunk[:n])
+			err = p.sink.Write(chunk[:n])
 		}
 		if errors.Is(readErr, io.EOF) {
 			return err
@@ -301,7 +301,7 @@
 			err = readErr
 		}
 	}
-	p.to.Truncate()
+	p.sink.Truncate()
 	return err
 }
 
@@ -316,7 +316,7 @@
 	case p.mustHoldBack(now):
 		p.refuse(quarantineRefusal, "tries", len(p.tried))
 	default:
-		refusal := Refusal{Code: p.lastCode, RetryAfter: retryUnknown}
+		refusal := Refusal{Code: p.lastCode, RetryAfter: defaultRetryAfter}
 		if p.lastCode == CodeOverloaded {
 			refusal = p.refuseRejected(now)
 		}
@@ -328,8 +328,8 @@
 // host's shutdown is over, or the caller has left. Attempts that are pending end with the
 // context.
 func (p *unaryExchange) finishCanceled(ctx context.Context) {
-	why := endingOf(ctx)
-	if why != callerLeft && p.upstreamFailure != nil {
+	why := endCauseOf(ctx)
+	if why != endCallerLeft && p.upstreamFailure != nil {
 		p.deliver(p.upstreamFailure)
 		return
 	}
--- a/forward/unary_test.go
+++ b/forward/unary_test.go
@@ -28,11 +28,11 @@
 		"unknown key":          {func(_ *Forwarder, c *Call) { c.APIKey = "k2" }, CodeBadKey},
 		"no key":               {func(_ *Forwarder, c *Call) { c.APIKey = "" }, CodeBadKey},
 		"unknown path, contact lost": {func(f *Forwarder, c *Call) {
-			f.contact.clear()
+			f.contactProvedAt.clear()
 			c.Path = "/none/"
 		}, CodeNotReady},
 		"unknown key, contact lost": {func(f *Forwarder, c *Call) {
-			f.contact.clear()
+			f.contactProvedAt.clear()
 			c.APIKey = "k2"
 		}, CodeNotReady},
 		"key taken away": {func(f *Forwarder, _ *Call) {
--- a/forward/zones.go
+++ b/forward/zones.go
@@ -201,6 +201,6 @@
 		if o.OutOfService {
 			event = "zone out of service"
 		}
-		f.journal.Belief(event, "zone", o.Zone, "revision", o.Revision)
+		f.journal.HostEvent(event, "zone", o.Zone, "revision", o.Revision)
 	}
 }
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -140,7 +140,7 @@
 	now := time.Now()
 	f.fleet.ApplyZoneOrders(now, orders)
 	f.fleet.Apply(now, nil, orders[len(orders)-1].Revision)
-	f.listEngines(now, f.Table())
+	f.updatePlacementEngines(now, f.Table())
 }
 
 // TestZoneOutOfServiceGetsNothing checks that calls, streams, retries and second attempts go only to
@@ -192,12 +192,12 @@
 		now := time.Now()
 		f.applyZoneOrders(outOfService("z2", 3))
 		// A run that leaves no room for another occupies the engine of z1.
-		big := policy.Request{Run: "big", Prompt: 33000, Deadline: now.Add(time.Second), Arrived: now}
+		big := policy.Request{Run: "big", PromptTokens: 33000, Deadline: now.Add(time.Second), ArrivedAt: now}
 		u, run, _ := f.engines.place(t.Context(), now, "llm", big)
 		is.Equal(u.ID, member.UpstreamID("llm1"))
 		granted := make(chan Upstream, 1)
 		go func() {
-			next := policy.Request{Run: "next", Prompt: 3000, Arrived: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
+			next := policy.Request{Run: "next", PromptTokens: 3000, ArrivedAt: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
 			u, _, _ := f.engines.place(t.Context(), now, "llm", next)
 			granted <- u
 		}()
@@ -205,7 +205,7 @@
 		f.applyZoneOrders(outOfService("z1", 4), backInService("z2", 5))
 		f.engines.finish(time.Now(), "llm", run, true)
 		time.Sleep(queueStagger)
-		f.listEngines(time.Now(), f.Table())
+		f.updatePlacementEngines(time.Now(), f.Table())
 		got := <-granted
 		is.Equal(got.Zone, member.Zone("z2"))
 	})
@@ -233,7 +233,7 @@
 				to, _ := f.fleet.Upstream("llm2")
 				source, _ := f.fleet.Upstream("llm3")
 				s := &streamExchange{exchange: &exchange{Forwarder: f, call: call("/llm/")}}
-				_, _, err := s.takeUp(t.Context(), &handover{to: to, source: source, handle: "h"})
+				_, _, err := s.continueRun(t.Context(), &handover{target: to, source: source, handle: "h"})
 				kept, _ := notSentVerdict(err)
 				is.Equal(kept.Reason, c.want)
 				is.Equal(err != nil, c.want != "")
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -84,7 +84,7 @@
 		before = modified(path)
 		settings, err := platform.ReadSettings(path)
 		if err != nil {
-			t.Belief("settings not reloaded", "err", err)
+			t.HostEvent("settings not reloaded", "err", err)
 			continue
 		}
 		d.Reload(settings)
--- a/internal/peer/permits_test.go
+++ b/internal/peer/permits_test.go
@@ -73,13 +73,13 @@
 )
 
 func (nothingNoted) Request(forward.RequestID, string, ...any)      {}
-func (nothingNoted) Belief(string, ...any)                          {}
+func (nothingNoted) HostEvent(string, ...any)                       {}
 func (nothingCounted) Answered(forward.Kind, string, time.Duration) {}
 func (nothingCounted) FirstEvent(time.Duration)                     {}
-func (nothingCounted) Gap(time.Duration)                            {}
+func (nothingCounted) EventGap(time.Duration)                       {}
 func (nothingCounted) Repeated(string)                              {}
 func (nothingCounted) Moved(string, time.Duration)                  {}
-func (nothingCounted) Unread(int)                                   {}
+func (nothingCounted) UnreadableEntries(int)                        {}
 func (nothingCounted) Broken(bool)                                  {}
 func (nothingCounted) Permit(permit.Outcome)                        {}
 func (nothingCounted) Send(eligibility.Verdict)                     {}
--- a/internal/peer/share.go
+++ b/internal/peer/share.go
@@ -143,7 +143,7 @@
 	for _, r := range s.Runs {
 		w.Runs = append(w.Runs, wireRunState{
 			Run: string(r.Run), Service: string(r.Service), Engine: string(r.Engine), Life: int64(r.Life), Route: string(r.Route), Account: string(r.Account),
-			Prompt: int(r.Prompt), Made: int(r.Made), Limit: int(r.Limit), Begun: r.Begun.Microseconds(),
+			Prompt: int(r.Prompt), Made: int(r.Made), Limit: int(r.Limit), Begun: r.FirstTokenAge.Microseconds(),
 		})
 	}
 	for _, r := range s.EndedRuns {
@@ -153,7 +153,7 @@
 		w.Leaving = append(w.Leaving, wireLeaving{Engine: string(mark.Engine), Life: int64(mark.Life), In: mark.In.Milliseconds(), Said: mark.Said})
 	}
 	for _, mark := range s.Backoffs {
-		w.Backoffs = append(w.Backoffs, wireBackoff{Upstream: string(mark.Upstream), Life: mark.Life, For: mark.For.Milliseconds()})
+		w.Backoffs = append(w.Backoffs, wireBackoff{Upstream: string(mark.Upstream), Life: mark.Incarnation, For: mark.Remaining.Milliseconds()})
 	}
 	for _, mark := range s.Cold {
 		w.Cold = append(w.Cold, wireCold{Upstream: string(mark.Upstream), Life: int64(mark.Incarnation), For: mark.Remaining.Milliseconds()})
@@ -178,7 +178,7 @@
 			Run: policy.RunID(r.Run), Service: forward.ServiceName(r.Service), Engine: member.UpstreamID(r.Engine), Life: forward.Incarnation(r.Life),
 			Route: resource.Name(r.Route), Account: resource.Account(r.Account),
 			Prompt: policy.Tokens(r.Prompt), Made: policy.Tokens(r.Made), Limit: policy.Tokens(r.Limit),
-			Begun: time.Duration(r.Begun) * time.Microsecond,
+			FirstTokenAge: time.Duration(r.Begun) * time.Microsecond,
 		})
 	}
 	for _, r := range w.Ended {
@@ -191,7 +191,7 @@
 	}
 	for _, mark := range w.Backoffs {
 		s.Backoffs = append(s.Backoffs, backoff.Mark{
-			Upstream: member.UpstreamID(mark.Upstream), Life: mark.Life, For: time.Duration(mark.For) * time.Millisecond,
+			Upstream: member.UpstreamID(mark.Upstream), Incarnation: mark.Life, Remaining: time.Duration(mark.For) * time.Millisecond,
 		})
 	}
 	for _, mark := range w.Cold {
--- a/internal/telemetry/forward.go
+++ b/internal/telemetry/forward.go
@@ -92,8 +92,8 @@
 	f.log(append([]any{"msg", event, "request", id}, keyvals...))
 }
 
-// Belief notes a change of what this host believes.
-func (f *Forward) Belief(event string, keyvals ...any) {
+// HostEvent notes a change of what this host believes.
+func (f *Forward) HostEvent(event string, keyvals ...any) {
 	f.log(append([]any{"msg", event}, keyvals...))
 }
 
@@ -112,8 +112,8 @@
 // FirstEvent counts the time to a stream's first event.
 func (f *Forward) FirstEvent(took time.Duration) { f.firstEvent.Observe(took.Seconds()) }
 
-// Gap counts the time between two events.
-func (f *Forward) Gap(d time.Duration) { f.gap.Observe(d.Seconds()) }
+// EventGap counts the time between two events.
+func (f *Forward) EventGap(d time.Duration) { f.gap.Observe(d.Seconds()) }
 
 // Repeated counts a request that was sent once more.
 func (f *Forward) Repeated(why string) { f.repeated.WithLabelValues(why).Inc() }
@@ -156,13 +156,13 @@
 
 // WatchSignals has the metrics tell which upstreams leave, by who told first, and how many want
 // no requests from this host.
-func (f *Forward) WatchSignals(leaving func() map[forward.LeavingSource]int, backoffs func() []backoff.Entry) {
+func (f *Forward) WatchSignals(leaving func() map[forward.LeavingSource]int, backoffs func() []backoff.Status) {
 	desc := prometheus.NewDesc(prometheus.BuildFQName(namespace, "", "upstreams_leaving"), "Upstreams that leave, by who told first.", []string{"source"}, nil)
 	f.all.MustRegister(&leavingCollector{desc, leaving})
 	f.Gauge("upstreams_backing_off", "Upstreams that want no requests from this host at present.", func() float64 {
 		n := 0
 		for _, e := range backoffs() {
-			if e.Left > 0 {
+			if e.Remaining > 0 {
 				n++
 			}
 		}
@@ -171,7 +171,7 @@
 	f.Gauge("upstreams_returning", "Upstreams to which traffic returns in steps after a backoff.", func() float64 {
 		n := 0
 		for _, e := range backoffs() {
-			if e.Left == 0 {
+			if e.Remaining == 0 {
 				n++
 			}
 		}
--- a/internal/telemetry/forward_test.go
+++ b/internal/telemetry/forward_test.go
@@ -25,7 +25,7 @@
 	var out bytes.Buffer
 	f := NewForward(&out)
 	f.Request("r1", "placed", "upstream", "i-1", "waited", time.Millisecond)
-	f.Belief("stopping", "running", 3)
+	f.HostEvent("stopping", "running", 3)
 	f.Answered(forward.KindSafe, "ok", time.Millisecond)
 	f.Close()
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
