--- a/internal/telemetry/forward.go
+++ b/internal/telemetry/forward.go
@@ -124,11 +124,11 @@
 	f.movePause.Observe(pause.Seconds())
 }
 
-// Unread counts entries that couldn't be read or used.
-func (f *Forward) Unread(entries int) { f.unread.Add(float64(entries)) }
+// UnreadableEntries counts entries that couldn't be read or used.
+func (f *Forward) UnreadableEntries(entries int) { f.unread.Add(float64(entries)) }
 
-// Broken counts a connection that an upstream ended before its answer.
-func (f *Forward) Broken(ended bool) {
+// ConnectionBroken counts a connection that an upstream ended before its answer.
+func (f *Forward) ConnectionBroken(ended bool) {
 	upstream := "there"
 	if ended {
 		upstream = "ended"
