--- a/backoff/table.go
+++ b/backoff/table.go
@@ -69,10 +69,10 @@
 	Window int
 }
 
-// Ask takes in that an upstream asked this host for backoff. spread is added to it, so that
+// Record takes in that an upstream asked this host for backoff. spread is added to it, so that
 // hosts which were asked together return one after another. It reports whether the upstream
 // wanted nothing from this host before, either.
-func (t *Table) Ask(now time.Time, id member.UpstreamID, life int64, d, spread time.Duration) (again bool) {
+func (t *Table) Record(now time.Time, id member.UpstreamID, life int64, d, spread time.Duration) (again bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.getOrAdd(id, life)
@@ -85,9 +85,9 @@
 	return again
 }
 
-// Receive takes in that an upstream asked a peer for backoff. spread is Ask's. It reports
+// RecordPeer takes in that an upstream asked a peer for backoff. spread is Ask's. It reports
 // whether the upstream gets nothing from this host for a longer time because of it.
-func (t *Table) Receive(now time.Time, from member.HostID, m Mark, spread time.Duration) (longer bool) {
+func (t *Table) RecordPeer(now time.Time, from member.HostID, m Mark, spread time.Duration) (longer bool) {
 	if m.Remaining <= 0 {
 		return false
 	}
@@ -142,8 +142,8 @@
 	return e
 }
 
-// Any reports whether some upstream may be in the table.
-func (t *Table) Any() bool { return t.nonEmpty.Load() }
+// HasUpstreams reports whether some upstream may be in the table.
+func (t *Table) HasUpstreams() bool { return t.nonEmpty.Load() }
 
 // Remaining is how much longer an upstream wants nothing from this host.
 func (t *Table) Remaining(now time.Time, id member.UpstreamID) time.Duration {
@@ -158,8 +158,8 @@
 	return 0
 }
 
-// Wait is how long it is until something may be sent to an upstream; zero when it may now.
-func (t *Table) Wait(now time.Time, id member.UpstreamID) time.Duration {
+// Delay is how long it is until something may be sent to an upstream; zero when it may now.
+func (t *Table) Delay(now time.Time, id member.UpstreamID) time.Duration {
 	if !t.nonEmpty.Load() {
 		return 0
 	}
@@ -225,8 +225,8 @@
 	}
 }
 
-// Renew forgets an upstream that has started again.
-func (t *Table) Renew(id member.UpstreamID) {
+// Remove forgets an upstream that has started again.
+func (t *Table) Remove(id member.UpstreamID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.upstreams, id)
@@ -247,9 +247,9 @@
 	return n
 }
 
-// Everywhere is how long it is until the upstream takes requests from every host again, as
+// RemainingOnAnyHost is how long it is until the upstream takes requests from every host again, as
 // far as is known.
-func (t *Table) Everywhere(now time.Time, id member.UpstreamID) time.Duration {
+func (t *Table) RemainingOnAnyHost(now time.Time, id member.UpstreamID) time.Duration {
 	if !t.nonEmpty.Load() {
 		return 0
 	}
@@ -268,9 +268,9 @@
 	return max(last.Sub(now), 0)
 }
 
-// Alone reports whether an upstream wants nothing from this host, and no other is known of
+// OnlyThisHost reports whether an upstream wants nothing from this host, and no other is known of
 // which it doesn't want anything either.
-func (t *Table) Alone(now time.Time, id member.UpstreamID) bool {
+func (t *Table) OnlyThisHost(now time.Time, id member.UpstreamID) bool {
 	if !t.nonEmpty.Load() {
 		return false
 	}
@@ -280,8 +280,8 @@
 	return e != nil && now.Before(e.ownUntil) && e.countHosts(now) == 1
 }
 
-// Forget drops the upstreams that are no longer bounded.
-func (t *Table) Forget(now time.Time) {
+// RemoveExpired drops the upstreams that are no longer bounded.
+func (t *Table) RemoveExpired(now time.Time) {
 	if !t.nonEmpty.Load() {
 		return
 	}
@@ -316,8 +316,8 @@
 	return marks
 }
 
-// Entries lists the upstreams in the table.
-func (t *Table) Entries(now time.Time) []Status {
+// Statuses lists the upstreams in the table.
+func (t *Table) Statuses(now time.Time) []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	entries := make([]Status, 0, len(t.upstreams))
--- a/backoff/table_test.go
+++ b/backoff/table_test.go
@@ -30,11 +30,11 @@
 			is := is.New(t)
 			var table Table
 			for _, d := range c.asks {
-				table.Ask(now, testUpstream, 1, d, 0)
+				table.Record(now, testUpstream, 1, d, 0)
 			}
-			is.Equal(table.Wait(now, testUpstream), c.want)
-			is.Equal(table.Wait(now.Add(c.want-1), testUpstream), time.Duration(1))
-			is.Equal(table.Wait(now.Add(c.want), testUpstream), time.Duration(0))
+			is.Equal(table.Delay(now, testUpstream), c.want)
+			is.Equal(table.Delay(now.Add(c.want-1), testUpstream), time.Duration(1))
+			is.Equal(table.Delay(now.Add(c.want), testUpstream), time.Duration(0))
 		})
 	}
 }
@@ -43,7 +43,7 @@
 	is := is.New(t)
 	var table Table
 	now := time.Now()
-	table.Ask(now, testUpstream, 1, time.Second, 0)
+	table.Record(now, testUpstream, 1, time.Second, 0)
 	now = now.Add(time.Second)
 	for _, want := range []int{1, 2, 4, 8} {
 		var tickets []Ticket
@@ -64,8 +64,8 @@
 		is.Equal(wait, time.Duration(0))
 	}
 	now = now.Add(maxSlowStart)
-	table.Forget(now)
-	is.True(!table.Any())
+	table.RemoveExpired(now)
+	is.True(!table.HasUpstreams())
 }
 
 func TestBackoffOfTwoPeersAppliesToThisHost(t *testing.T) {
@@ -73,42 +73,42 @@
 	var table Table
 	now := time.Now()
 	mark := func(d time.Duration) Mark { return Mark{Upstream: testUpstream, Incarnation: 1, Remaining: d} }
-	is.True(!table.Receive(now, "h2", mark(3*time.Second), time.Millisecond))
-	is.Equal(table.Wait(now, testUpstream), time.Duration(0)) // only h2 may have sent too much
-	is.True(table.Receive(now, "h3", mark(2*time.Second), time.Second))
-	is.Equal(table.Wait(now, testUpstream), 2*time.Second+time.Millisecond) // until one is left
-	is.True(!table.Receive(now, "h3", mark(2*time.Second), 0))
+	is.True(!table.RecordPeer(now, "h2", mark(3*time.Second), time.Millisecond))
+	is.Equal(table.Delay(now, testUpstream), time.Duration(0)) // only h2 may have sent too much
+	is.True(table.RecordPeer(now, "h3", mark(2*time.Second), time.Second))
+	is.Equal(table.Delay(now, testUpstream), 2*time.Second+time.Millisecond) // until one is left
+	is.True(!table.RecordPeer(now, "h3", mark(2*time.Second), 0))
 	is.Equal(len(table.Marks(now)), 0) // nothing asked this host itself
-	is.True(!table.Alone(now, testUpstream))
-	table.Ask(now, testUpstream, 1, time.Second, 0)
+	is.True(!table.OnlyThisHost(now, testUpstream))
+	table.Record(now, testUpstream, 1, time.Second, 0)
 	is.Equal(table.Marks(now), []Mark{mark(time.Second)})
 	now = now.Add(2*time.Second + time.Millisecond)
-	is.Equal(table.Wait(now, testUpstream), time.Duration(0))
+	is.Equal(table.Delay(now, testUpstream), time.Duration(0))
 }
 
 func TestBackoffOfThisHostAndAPeer(t *testing.T) {
 	is := is.New(t)
 	var table Table
 	now := time.Now()
-	table.Ask(now, testUpstream, 1, time.Second, 0)
-	is.True(table.Alone(now, testUpstream))
-	table.Receive(now, "h2", Mark{Upstream: testUpstream, Incarnation: 1, Remaining: 3 * time.Second}, 0)
-	is.True(!table.Alone(now, testUpstream))
-	is.Equal(table.Wait(now, testUpstream), time.Second)
-	is.Equal(table.Entries(now), []Status{{Upstream: testUpstream, Remaining: time.Second, Hosts: 2, Window: 1}})
-	table.Forget(now.Add(time.Minute))
-	is.True(!table.Any())
+	table.Record(now, testUpstream, 1, time.Second, 0)
+	is.True(table.OnlyThisHost(now, testUpstream))
+	table.RecordPeer(now, "h2", Mark{Upstream: testUpstream, Incarnation: 1, Remaining: 3 * time.Second}, 0)
+	is.True(!table.OnlyThisHost(now, testUpstream))
+	is.Equal(table.Delay(now, testUpstream), time.Second)
+	is.Equal(table.Statuses(now), []Status{{Upstream: testUpstream, Remaining: time.Second, Hosts: 2, Window: 1}})
+	table.RemoveExpired(now.Add(time.Minute))
+	is.True(!table.HasUpstreams())
 }
 
 func TestBackoffOfEarlierIncarnationIsDropped(t *testing.T) {
 	is := is.New(t)
 	var table Table
 	now := time.Now()
-	table.Ask(now, testUpstream, 1, time.Minute, 0)
-	table.Renew(testUpstream)
-	is.Equal(table.Wait(now, testUpstream), time.Duration(0))
-	table.Ask(now, testUpstream, 2, time.Second, 0)
-	is.Equal(table.Wait(now, testUpstream), time.Second)
+	table.Record(now, testUpstream, 1, time.Minute, 0)
+	table.Remove(testUpstream)
+	is.Equal(table.Delay(now, testUpstream), time.Duration(0))
+	table.Record(now, testUpstream, 2, time.Second, 0)
+	is.Equal(table.Delay(now, testUpstream), time.Second)
 }
 
 // TestNoRequestBeginsDuringBackoff has no series of asks, words of peers and answers let a
@@ -123,15 +123,15 @@
 			d := time.Duration(rapid.IntRange(0, 5000).Draw(t, "for")) * time.Millisecond
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				table.Ask(now, testUpstream, 1, d, 0)
+				table.Record(now, testUpstream, 1, d, 0)
 				if end := now.Add(d); end.After(until) {
 					until = end
 				}
 			case 1:
 				host := member.HostID(rapid.SampledFrom([]string{"h2", "h3", "h4"}).Draw(t, "host"))
-				table.Receive(now, host, Mark{Upstream: testUpstream, Incarnation: 1, Remaining: d}, 0)
+				table.RecordPeer(now, host, Mark{Upstream: testUpstream, Incarnation: 1, Remaining: d}, 0)
 			case 2:
-				table.Forget(now)
+				table.RemoveExpired(now)
 			case 3:
 				if len(open) > 0 {
 					table.End(now, testUpstream, open[0], rapid.Bool().Draw(t, "good"))
--- a/entry/ask.go
+++ b/entry/ask.go
@@ -214,7 +214,7 @@
 		}
 		for engine, events := range cache {
 			for _, event := range events {
-				s.pool.Cache(now, engine, event)
+				s.pool.ApplyCacheEvent(now, engine, event)
 			}
 		}
 	})
@@ -236,5 +236,5 @@
 
 // withhold keeps new work from the engines that are to be emptied.
 func (p *placement) withhold(ctx context.Context, pool resource.Name, ids []member.UpstreamID) {
-	_ = p.do(ctx, func(time.Time) { p.state(pool).pool.Withhold(ids) })
+	_ = p.do(ctx, func(time.Time) { p.state(pool).pool.SetCordoned(ids) })
 }
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -186,7 +186,7 @@
 // followMembers brings every pool up to date with the members and the
 // configuration.
 func (p *placement) followMembers(now time.Time) {
-	p.entry.backoffs.Forget(now)
+	p.entry.backoffs.RemoveExpired(now)
 	for _, name := range p.entry.config.Catalog().PoolNames() {
 		p.followPool(now, p.state(name))
 	}
@@ -202,9 +202,9 @@
 		s.owner, s.distrusted = owner, time.Time{}
 		p.announceRuns(s)
 	}
-	s.pool.SetShare(len(live))
+	s.pool.SetDeciderCount(len(live))
 	if p.coordinates(s) && !p.entry.settings.Alone {
-		s.pool.SetShare(1)
+		s.pool.SetDeciderCount(1)
 	}
 	p.dropLostGuests(now, s)
 	for run, at := range s.ended {
@@ -366,7 +366,7 @@
 			return
 		}
 		if own != nil && f.Complete {
-			s.pool.Learn(&own.request, f.GeneratedTokens)
+			s.pool.LearnLength(&own.request, f.GeneratedTokens)
 		}
 		s.finished[coordinator.ID] = append(s.finished[coordinator.ID], f)
 	})
--- a/forward/brokenconnection.go
+++ b/forward/brokenconnection.go
@@ -50,7 +50,7 @@
 		return
 	}
 	ended, err := x.checkUpstreamEnded(ctx, u)
-	x.observer.Broken(ended)
+	x.observer.ConnectionBroken(ended)
 	// An upstream that had announced that it leaves ended as announced.
 	announced := x.fleet.LeavingFor(now, u.ID) >= minLeavingNotice
 	keyvals := []any{"upstream", u.ID, "life", u.Incarnation, "ended", ended, "leaving", announced, "asks", x.fingerprint(), "runs_beside", x.engines.otherRuns(x.service.Name, u.ID, x.runID())}
--- a/forward/engineplacer.go
+++ b/forward/engineplacer.go
@@ -214,7 +214,7 @@
 	p.pool.SetEngines(ids)
 	// Hosts of other cells place runs on these engines; this host does not know their load, so
 	// it must not place new runs there.
-	p.pool.Withhold(remote)
+	p.pool.SetCordoned(remote)
 	for _, u := range p.poolEngines {
 		p.pool.SetZone(u.ID, u.Zone)
 		p.pool.SetGroup(u.ID, string(u.Version))
@@ -258,7 +258,7 @@
 	p.revokeUnusedGrants(now)
 	for id, run := range p.ownRuns {
 		p.pool.Progress(now, id, policy.Tokens(run.generatedTokens.Load()))
-		p.pool.Reading(now, id, run.firstTokenAt)
+		p.pool.UpdatePrefill(now, id, run.firstTokenAt)
 	}
 	for id := range p.poolEngines {
 		p.pool.Report(now, policy.Report{Engine: id, TotalMemory: p.spec.Memory, StepTime: p.expectedStep()})
@@ -393,7 +393,7 @@
 	defer e.mu.Unlock()
 	if p := e.pools[service]; p != nil {
 		run.firstTokenAt = now
-		p.pool.Begun(now, run.request.Run)
+		p.pool.RecordFirstToken(now, run.request.Run)
 		p.lastObserved = now
 	}
 }
@@ -406,7 +406,7 @@
 	if p == nil {
 		return 0
 	}
-	n := p.pool.RunsOn(id)
+	n := p.pool.RunCount(id)
 	if p.pool.EngineOf(except) == id {
 		n--
 	}
@@ -419,7 +419,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
-	return p != nil && now.Sub(p.pool.Progressed(id)) <= engineProgressTimeout
+	return p != nil && now.Sub(p.pool.LastProgress(id)) <= engineProgressTimeout
 }
 
 // observeStep updates the average step with the time that an engine took per token.
@@ -447,14 +447,14 @@
 	if p == nil {
 		return time.Duration(output) * assumedStep
 	}
-	return p.pool.TakesToRead(prompt) + time.Duration(output)*p.expectedStep()
+	return p.pool.IdlePrefillTime(prompt) + time.Duration(output)*p.expectedStep()
 }
 
 // returnToEngine counts a run on its engine again after a move that did not take place.
 func (e *enginePlacer) returnToEngine(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if p := e.pools[service]; p != nil && p.pool.Return(now, run.request.Run, engine) {
+	if p := e.pools[service]; p != nil && p.pool.CancelRelocation(now, run.request.Run, engine) {
 		run.engine, run.incarnation = engine, p.poolEngines[engine].Incarnation
 	}
 }
@@ -465,7 +465,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.pools {
-		for _, run := range p.pool.Renew(id) {
+		for _, run := range p.pool.ResetEngine(id) {
 			delete(p.peerRuns, run)
 		}
 	}
--- a/forward/engineplacer_test.go
+++ b/forward/engineplacer_test.go
@@ -97,7 +97,7 @@
 			f.engines.replacePeerRuns(now, id, nil, nil)
 		}
 		f.engines.updateKnownParts(c.at, f.peers.zoneByHost())
-		if got := pool.KnownPart("z2"); got != c.want {
+		if got := pool.ZoneCoverage("z2"); got != c.want {
 			t.Errorf("%s: known share of zone z2 is %v, expected %v", name, got, c.want)
 		}
 	}
--- a/forward/fake_test.go
+++ b/forward/fake_test.go
@@ -141,7 +141,7 @@
 func (silentObserver) EventGap(time.Duration)               {}
 func (silentObserver) Repeated(string)                      {}
 func (silentObserver) UnreadableEntries(int)                {}
-func (silentObserver) Broken(bool)                          {}
+func (silentObserver) ConnectionBroken(bool)                {}
 func (silentObserver) Suspended(time.Duration)              {}
 func (silentObserver) Permit(permit.Outcome)                {}
 func (silentObserver) Send(eligibility.Verdict)             {}
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -66,9 +66,9 @@
 	Moved(outcome string, pause time.Duration)
 	// UnreadableEntries counts entries of the origin that couldn't be read or used.
 	UnreadableEntries(entries int)
-	// Broken counts a connection that an upstream ended before its answer, and whether
+	// ConnectionBroken counts a connection that an upstream ended before its answer, and whether
 	// the upstream itself had ended.
-	Broken(ended bool)
+	ConnectionBroken(ended bool)
 	// Permit counts the answers to whether something may be sent to a bounded upstream.
 	Permit(permit.Outcome)
 	// Signal counts what upstreams tell about themselves in their answers.
@@ -246,7 +246,7 @@
 		case <-tick.C:
 			f.crashes.Forget(f.now(), f.peers.isKnown)
 			f.pruneLimits(f.now())
-			f.backoffs.Forget(f.now())
+			f.backoffs.RemoveExpired(f.now())
 			for _, c := range f.fleet.Settle(f.now()) {
 				if !c.Gone {
 					f.journal.HostEvent("upstream back", "upstream", c.ID, "why", "still on the restored list")
@@ -297,7 +297,7 @@
 		return f.candidates(now, service)
 	}
 	takers := f.fleet.AvailableInCell(now, service, own)
-	if f.backoffs.Any() {
+	if f.backoffs.HasUpstreams() {
 		takers = slices.DeleteFunc(takers, func(u Upstream) bool { return f.backoffs.Remaining(now, u.ID) > 0 })
 	}
 	if len(takers) == 0 {
--- a/forward/noupstream.go
+++ b/forward/noupstream.go
@@ -29,7 +29,7 @@
 	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), maxThrottledRetryAfter) + rand.N(min(wait, throttledRetrySpread)+1)}
 	// Shortly before a backoff ends, any host may be the only one that still observes it.
 	alone := func(u Upstream) bool {
-		return x.backoffs.Alone(now, u.ID) && x.backoffs.Remaining(now, u.ID) > throttledRetrySpread
+		return x.backoffs.OnlyThisHost(now, u.ID) && x.backoffs.Remaining(now, u.ID) > throttledRetrySpread
 	}
 	if slices.ContainsFunc(accepting, alone) && x.peers.hasPeerInZone(now) {
 		r.RetryAfter = retryElsewhere
@@ -44,7 +44,7 @@
 func (x *exchange) pickReturnTime(now time.Time, accepting []Upstream) time.Duration {
 	var ends []time.Duration
 	for _, u := range accepting {
-		if end := x.backoffs.Everywhere(now, u.ID); end > 0 {
+		if end := x.backoffs.RemainingOnAnyHost(now, u.ID); end > 0 {
 			ends = append(ends, end)
 		}
 	}
--- a/forward/placementgrant.go
+++ b/forward/placementgrant.go
@@ -59,7 +59,7 @@
 		return Upstream{}, nil, policy.Decision{}, false
 	}
 	r.Zone = e.zone
-	d, ok := p.pool.PlaceAt(now, r, g.Engine, g.TimeToFirstToken)
+	d, ok := p.pool.PlaceOn(now, r, g.Engine, g.TimeToFirstToken)
 	if !ok {
 		return Upstream{}, nil, d, false
 	}
@@ -122,7 +122,7 @@
 	if p == nil {
 		return policy.Request{}, false
 	}
-	r, ok := p.pool.Grown(run.request.Run)
+	r, ok := p.pool.RelocationRequest(run.request.Run)
 	r.ExcludedEngines = append(slices.Clone(avoid), run.engine)
 	return r, ok
 }
@@ -132,7 +132,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
-	if p == nil || p.poolEngines[engine].ID == "" || !p.pool.Return(now, run.request.Run, engine) {
+	if p == nil || p.poolEngines[engine].ID == "" || !p.pool.CancelRelocation(now, run.request.Run, engine) {
 		return Upstream{}, false
 	}
 	run.engine, run.incarnation = engine, p.poolEngines[engine].Incarnation
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -115,7 +115,7 @@
 	}
 	for _, p := range e.pools {
 		for zone, n := range hosts {
-			p.pool.SetKnownPart(zone, float64(told[zone])/float64(n))
+			p.pool.SetZoneCoverage(zone, float64(told[zone])/float64(n))
 		}
 	}
 }
@@ -160,7 +160,7 @@
 		}
 		if _, known := p.peerRuns[id]; known {
 			p.pool.Progress(now, id, s.Made)
-			p.pool.Reading(now, id, s.firstTokenAt(now))
+			p.pool.UpdatePrefill(now, id, s.firstTokenAt(now))
 			continue
 		}
 		p.peerRuns[id] = host
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -31,11 +31,11 @@
 	f.applySignals(time.Now(), old, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, FromUpstream: true})
 	u, _ := f.fleet.Upstream("app1")
 	is.True(!u.Leaving)
-	is.Equal(f.backoffs.Wait(time.Now(), "app1"), time.Duration(0))
+	is.Equal(f.backoffs.Delay(time.Now(), "app1"), time.Duration(0))
 	f.applySignals(time.Now(), next, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, FromUpstream: true})
 	u, _ = f.fleet.Upstream("app1")
 	is.True(u.Leaving)
-	is.True(f.backoffs.Wait(time.Now(), "app1") > 0)
+	is.True(f.backoffs.Delay(time.Now(), "app1") > 0)
 }
 
 // TestConcurrentSendsOfQuarantineTrial checks that the trial of a quarantined request is sent
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -171,7 +171,7 @@
 		takers := s.acceptingUpstreams(now)
 		return Upstream{}, s.refuseNoUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 	}
-	if s.backoffs.Any() {
+	if s.backoffs.HasUpstreams() {
 		candidates := s.Forwarder.candidates(now, s.service.Name)
 		if takers := s.acceptingUpstreams(now); len(takers) > 0 && len(candidates) == 0 {
 			return Upstream{}, s.refuseNoUpstream(now, takers, s.shortestWait(now, takers, nil)), false
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -65,7 +65,7 @@
 	"ours-local": func(uint64, *simulation) decider {
 		return newAlone(entryCount, func() decider {
 			d := newPooled(engineIDs(), settingsWith(nil))
-			d.pool.SetShare(entryCount)
+			d.pool.SetDeciderCount(entryCount)
 			return d
 		})
 	},
--- a/internal/bench/deciders.go
+++ b/internal/bench/deciders.go
@@ -181,8 +181,8 @@
 // meanCurve ends every answer at its mean.
 type meanCurve policy.Tokens
 
-// Alive tells whether the mean answer would still be going.
-func (m meanCurve) Alive(made policy.Tokens) policy.Survival {
+// SurvivalAfter tells whether the mean answer would still be going.
+func (m meanCurve) SurvivalAfter(made policy.Tokens) policy.Survival {
 	var alive policy.Survival
 	for k, ahead := range policy.Horizons() {
 		if made+ahead < max(policy.Tokens(m), made+1) {
@@ -192,11 +192,13 @@
 	return alive
 }
 
-// Of returns the mean as a curve.
-func (m *meanLengths) Of(r *policy.Request) policy.SurvivalCurve { return meanCurve(m.learned.Mean(r)) }
+// SurvivalCurve returns the mean as a curve.
+func (m *meanLengths) SurvivalCurve(r *policy.Request) policy.SurvivalCurve {
+	return meanCurve(m.learned.MeanLength(r))
+}
 
-// Mean is the learned mean.
-func (m *meanLengths) Mean(r *policy.Request) policy.Tokens { return m.learned.Mean(r) }
+// MeanLength is the learned mean.
+func (m *meanLengths) MeanLength(r *policy.Request) policy.Tokens { return m.learned.MeanLength(r) }
 
 // Observe learns.
 func (m *meanLengths) Observe(account resource.Account, route resource.Name, n policy.Tokens) {
--- a/internal/peer/permits_test.go
+++ b/internal/peer/permits_test.go
@@ -80,7 +80,7 @@
 func (nothingCounted) Repeated(string)                              {}
 func (nothingCounted) Moved(string, time.Duration)                  {}
 func (nothingCounted) UnreadableEntries(int)                        {}
-func (nothingCounted) Broken(bool)                                  {}
+func (nothingCounted) ConnectionBroken(bool)                        {}
 func (nothingCounted) Permit(permit.Outcome)                        {}
 func (nothingCounted) Send(eligibility.Verdict)                     {}
 func (nothingCounted) Signal(forward.SignalKind)                    {}
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		if cost, fits := p.evaluate(&s, e); fits {
-			cost.load = s.sameZoneLoad.raiseTowardsMean(cost.load, 1-p.KnownPart(e.zone))
+			cost.load = s.sameZoneLoad.raiseTowardsMean(cost.load, 1-p.ZoneCoverage(e.zone))
 			s.consider(e, cost.total()+r.CrossZoneCost)
 		}
 	}
@@ -126,17 +126,17 @@
 	return (r.OnlyGroup == "" || e.group == r.OnlyGroup) && (r.ExcludedGroup == "" || e.group != r.ExcludedGroup)
 }
 
-// SetKnownPart says which part of another zone's hosts has told lately what it runs.
+// SetZoneCoverage says which part of another zone's hosts has told lately what it runs.
 // Zones that nothing was said of are known.
-func (p *Pool) SetKnownPart(zone member.Zone, part float64) {
+func (p *Pool) SetZoneCoverage(zone member.Zone, part float64) {
 	if p.zoneCoverage == nil {
 		p.zoneCoverage = map[member.Zone]float64{}
 	}
 	p.zoneCoverage[zone] = part
 }
 
-// KnownPart is what SetKnownPart said.
-func (p *Pool) KnownPart(zone member.Zone) float64 {
+// ZoneCoverage is what SetKnownPart said.
+func (p *Pool) ZoneCoverage(zone member.Zone) float64 {
 	if part, said := p.zoneCoverage[zone]; said {
 		return part
 	}
@@ -146,7 +146,7 @@
 // forecastRequest is the memory that a request will add to an engine's.
 func (p *Pool) forecastRequest(r *Request) memoryForecast {
 	var grown memoryForecast
-	grown.addRun(r, 0, p.lengths.Of(r))
+	grown.addRun(r, 0, p.lengths.SurvivalCurve(r))
 	return grown
 }
 
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -145,7 +145,7 @@
 
 // addRun counts one run's memory at each horizon.
 func (f *memoryForecast) addRun(r *Request, made Tokens, c SurvivalCurve) {
-	alive := c.Alive(made)
+	alive := c.SurvivalAfter(made)
 	for k, ahead := range horizons {
 		if alive[k] <= 0 || r.MaxOutputTokens > 0 && made+ahead >= r.MaxOutputTokens {
 			return
--- a/policy/fullmemory_test.go
+++ b/policy/fullmemory_test.go
@@ -209,7 +209,7 @@
 	p.generated++
 	if p.generated == 1 {
 		p.run.firstTokenAt = s.now
-		p.host.pool.Begun(s.now, p.run.request.Run)
+		p.host.pool.RecordFirstToken(s.now, p.run.request.Run)
 	} else {
 		p.longestGap = max(p.longestGap, s.now.Sub(p.lastTokenAt))
 	}
@@ -338,7 +338,7 @@
 	to := s.engine(id)
 	if !found || to.stopped || to.usedMemory()+p.memory()+50 > s.engineMemory {
 		if found {
-			p.host.pool.Return(s.now, p.run.request.Run, e.id)
+			p.host.pool.CancelRelocation(s.now, p.run.request.Run, e.id)
 		}
 		retry()
 		return
--- a/policy/lengths.go
+++ b/policy/lengths.go
@@ -103,9 +103,9 @@
 	return float64(h.tailWeights[b] - part*(h.tailWeights[b]-h.tailWeights[b+1]))
 }
 
-// Alive gives, for each horizon, the chance that an answer of more than made
+// SurvivalAfter gives, for each horizon, the chance that an answer of more than made
 // tokens is still going there.
-func (h *histogram) Alive(made Tokens) Survival {
+func (h *histogram) SurvivalAfter(made Tokens) Survival {
 	var alive Survival
 	now := h.weightAbove(made)
 	for k, ahead := range horizons {
@@ -197,11 +197,13 @@
 	return h
 }()
 
-// Of returns the curve to foresee a request's answer by.
-func (l *LearnedLengths) Of(r *Request) SurvivalCurve { return l.narrowest(r.Account, r.Route) }
+// SurvivalCurve returns the curve to foresee a request's answer by.
+func (l *LearnedLengths) SurvivalCurve(r *Request) SurvivalCurve {
+	return l.narrowest(r.Account, r.Route)
+}
 
-// Mean is the expected length of an answer not yet begun.
-func (l *LearnedLengths) Mean(r *Request) Tokens {
+// MeanLength is the expected length of an answer not yet begun.
+func (l *LearnedLengths) MeanLength(r *Request) Tokens {
 	mean := Tokens(l.narrowest(r.Account, r.Route).mean())
 	if r.MaxOutputTokens > 0 {
 		mean = min(mean, r.MaxOutputTokens)
--- a/policy/lengths_test.go
+++ b/policy/lengths_test.go
@@ -15,7 +15,7 @@
 
 // survivalAt is the chance at one of the horizons.
 func survivalAt(l *LearnedLengths, r *Request, made, ahead Tokens) float64 {
-	return l.Of(r).Alive(made)[slices.Index(horizons[:], ahead)]
+	return l.SurvivalCurve(r).SurvivalAfter(made)[slices.Index(horizons[:], ahead)]
 }
 
 func TestBuckets(t *testing.T) {
@@ -65,7 +65,7 @@
 	is.True(survivalAt(&l, &r, 100, 96) > 0.9)
 	r.MaxOutputTokens = 150
 	var f memoryForecast
-	f.addRun(&r, 100, l.Of(&r))
+	f.addRun(&r, 100, l.SurvivalCurve(&r))
 	is.True(f.upperBound[1] > 0)
 	is.Equal(f.upperBound[2], 0.0) // the caller's limit ends it before 96 more
 }
--- a/policy/lentplace_test.go
+++ b/policy/lentplace_test.go
@@ -25,14 +25,14 @@
 	const prompt, took = 50, 300 * time.Millisecond
 	for n := range 300 {
 		id := RunID(fmt.Sprint("r", n))
-		d, ok := p.PlaceAt(now, Request{Run: id, PromptTokens: prompt, MaxOutputTokens: 100}, "far", 20*time.Millisecond)
+		d, ok := p.PlaceOn(now, Request{Run: id, PromptTokens: prompt, MaxOutputTokens: 100}, "far", 20*time.Millisecond)
 		is.True(ok)
 		is.Equal(d.TimeToFirstToken, 20*time.Millisecond) // what the other foresaw is told
 		now = now.Add(took)
-		p.Begun(now, id)
+		p.RecordFirstToken(now, id)
 		p.Finish(now, Finish{Run: id, GeneratedTokens: 10, Complete: true})
 	}
-	perSecond, _ := p.ReadRate()
+	perSecond, _ := p.PrefillRate()
 	reads := prompt / took.Seconds()
 	is.True(perSecond > reads/2 && perSecond < 2*reads)
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -318,7 +318,7 @@
 	}
 	for _, run := range h.sortedRuns() {
 		h.pool.Progress(s.now, run.request.Run, run.generated(s.now))
-		h.pool.Reading(s.now, run.request.Run, run.firstTokenSeen(s.now))
+		h.pool.UpdatePrefill(s.now, run.request.Run, run.firstTokenSeen(s.now))
 	}
 	s.advance(h)
 	s.schedule(simUpdateInterval, func() { s.updatePool(h) })
@@ -383,7 +383,7 @@
 		result.late++
 	}
 	s.notifyPlacement(h, d.Engine)
-	s.schedule(took, func() { h.pool.Begun(s.now, r.Run) })
+	s.schedule(took, func() { h.pool.RecordFirstToken(s.now, r.Run) })
 	s.schedule(took+time.Duration(out)*simStepTime, func() {
 		h.pool.Finish(s.now, Finish{Run: r.Run, GeneratedTokens: Tokens(out), Complete: true})
 		delete(h.ownRuns, r.Run)
@@ -434,7 +434,7 @@
 		}
 		// It tells the host that asked, whose word counts from then on.
 		asked.pool.Finish(s.now, Finish{Run: r.Run})
-		if d, ok = h.pool.PlaceAt(s.now, r, d.Engine, d.TimeToFirstToken); ok {
+		if d, ok = h.pool.PlaceOn(s.now, r, d.Engine, d.TimeToFirstToken); ok {
 			return d
 		}
 	}
@@ -487,7 +487,7 @@
 		r := run.request
 		if known[r.Run] {
 			to.pool.Progress(s.now, r.Run, run.generated(s.now))
-			to.pool.Reading(s.now, r.Run, run.firstTokenSeen(s.now))
+			to.pool.UpdatePrefill(s.now, r.Run, run.firstTokenSeen(s.now))
 		} else {
 			known[r.Run] = true
 			to.pool.Adopt(s.now, Request{Run: r.Run, Account: r.Account, PromptTokens: r.PromptTokens, MaxOutputTokens: r.MaxOutputTokens}, run.engine, run.generated(s.now))
--- a/policy/pool.go
+++ b/policy/pool.go
@@ -16,13 +16,13 @@
 // SurvivalCurve tells how likely an answer of more than made tokens is to have more at
 // each of Horizons ahead.
 type SurvivalCurve interface {
-	Alive(made Tokens) Survival
+	SurvivalAfter(made Tokens) Survival
 }
 
 // lengthModel knows how long answers get.
 type lengthModel interface {
-	Of(r *Request) SurvivalCurve
-	Mean(r *Request) Tokens
+	SurvivalCurve(r *Request) SurvivalCurve
+	MeanLength(r *Request) Tokens
 }
 
 // lengthLearner is a length model that learns from answers that ended.
@@ -86,8 +86,8 @@
 	p.prefill.initialRate = s.InitialPrefillRate
 }
 
-// SetShare says how many entries decide about these engines at once.
-func (p *Pool) SetShare(n int) { p.deciderCount = max(n, 1) }
+// SetDeciderCount says how many entries decide about these engines at once.
+func (p *Pool) SetDeciderCount(n int) { p.deciderCount = max(n, 1) }
 
 // SetEngines says which engines take new work. An engine that is no longer
 // named takes none; what it runs stays known until it finishes.
@@ -117,9 +117,9 @@
 	return slices.EqualFunc(p.engines, ids, func(e *engine, id EngineID) bool { return e.id == id })
 }
 
-// Renew forgets everything about an engine that has started again: its runs, which are
+// ResetEngine forgets everything about an engine that has started again: its runs, which are
 // returned, what it keeps, how fast it reads and what it reported.
-func (p *Pool) Renew(id EngineID) []RunID {
+func (p *Pool) ResetEngine(id EngineID) []RunID {
 	old := p.knownEngine(id)
 	if old == nil {
 		return nil
@@ -216,9 +216,9 @@
 	}
 }
 
-// Withhold keeps new work from the named engines, and from no others that were
+// SetCordoned keeps new work from the named engines, and from no others that were
 // named before.
-func (p *Pool) Withhold(ids []EngineID) {
+func (p *Pool) SetCordoned(ids []EngineID) {
 	for _, e := range p.engines {
 		e.cordoned = slices.Contains(ids, e.id)
 	}
@@ -239,8 +239,8 @@
 	return reports
 }
 
-// Cache takes in a cache event of an engine.
-func (p *Pool) Cache(now time.Time, id EngineID, event CacheEvent) {
+// ApplyCacheEvent takes in a cache event of an engine.
+func (p *Pool) ApplyCacheEvent(now time.Time, id EngineID, event CacheEvent) {
 	if e := p.activeEngine(id); e != nil {
 		e.cache.applyEvent(now, event)
 	}
@@ -253,7 +253,7 @@
 	if e == nil || p.runs[r.Run] != nil {
 		return
 	}
-	run := &placedRun{Request: r, generatedTokens: made, curve: p.lengths.Of(&r)}
+	run := &placedRun{Request: r, generatedTokens: made, curve: p.lengths.SurvivalCurve(&r)}
 	p.runs[r.Run] = run
 	e.add(now, run)
 	if made == 0 {
@@ -274,7 +274,7 @@
 	if refusal, no := p.refuseImpossible(r); no {
 		return refusal
 	}
-	w := p.queue.newRequest(now, r, r.PromptTokens+p.lengths.Mean(&r))
+	w := p.queue.newRequest(now, r, r.PromptTokens+p.lengths.MeanLength(&r))
 	at := p.queue.position(w)
 	if at == 0 {
 		if e := p.choose(now, &r); e != nil {
@@ -293,7 +293,7 @@
 }
 
 func (p *Pool) place(now time.Time, r *Request, e *engine, waited time.Duration) Decision {
-	run := &placedRun{Request: *r, curve: p.lengths.Of(r), preemptionPriority: p.preemptionPriority(r)}
+	run := &placedRun{Request: *r, curve: p.lengths.SurvivalCurve(r), preemptionPriority: p.preemptionPriority(r)}
 	p.runs[r.Run] = run
 	run.placedAt, run.timeToFirstToken = now, p.timeToFirstToken(now, e, r)
 	e.add(now, run)
@@ -308,7 +308,7 @@
 	if p.runs[r.Run] != nil || p.queue.indexOf(r.Run) >= 0 {
 		return Decision{}, false
 	}
-	cost := r.PromptTokens + p.lengths.Mean(&r)
+	cost := r.PromptTokens + p.lengths.MeanLength(&r)
 	w := p.queue.newRequest(now, r, cost)
 	if p.queue.position(w) == 0 {
 		if e := p.choose(now, &r); e != nil {
@@ -320,9 +320,9 @@
 	return Decision{}, false
 }
 
-// PlaceAt places a request on an engine that another decider has chosen, which expects
+// PlaceOn places a request on an engine that another decider has chosen, which expects
 // its first token after some time. It reports false when that engine isn't known.
-func (p *Pool) PlaceAt(now time.Time, r Request, id EngineID, firstAfter time.Duration) (Decision, bool) {
+func (p *Pool) PlaceOn(now time.Time, r Request, id EngineID, firstAfter time.Duration) (Decision, bool) {
 	e := p.activeEngine(id)
 	if e == nil || p.runs[r.Run] != nil {
 		return Decision{}, false
@@ -347,19 +347,19 @@
 		return
 	}
 	delete(p.runs, f.Run)
-	estimate := p.lengths.Mean(&run.Request)
+	estimate := p.lengths.MeanLength(&run.Request)
 	p.queue.adjustCharge(run.Account, f.GeneratedTokens-estimate)
 	if f.Complete {
-		p.Learn(&run.Request, f.GeneratedTokens)
+		p.LearnLength(&run.Request, f.GeneratedTokens)
 	}
 	run.engine.remove(run)
 	run.engine.refreshForecast(now)
 	p.queueBlocked = false
 }
 
-// Learn takes in the length of an answer that ended by itself; Finish does so
+// LearnLength takes in the length of an answer that ended by itself; Finish does so
 // for the runs that were placed here.
-func (p *Pool) Learn(r *Request, made Tokens) {
+func (p *Pool) LearnLength(r *Request, made Tokens) {
 	if l, learns := p.lengths.(lengthLearner); learns {
 		l.Observe(r.Account, r.Route, made)
 	}
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -33,7 +33,7 @@
 func learnLengths(p *Pool, route resource.Name, lengths ...Tokens) {
 	for range 300 {
 		for _, n := range lengths {
-			p.Learn(&Request{Route: route, Account: "a"}, n)
+			p.LearnLength(&Request{Route: route, Account: "a"}, n)
 		}
 	}
 }
@@ -251,7 +251,7 @@
 	is := is.New(t)
 	count := func(share int) int {
 		p := newTestPool(Settings{}, "g1")
-		p.SetShare(share)
+		p.SetDeciderCount(share)
 		learnLengths(p, "r", 10)
 		admitted := 0
 		for i := range 100 {
@@ -310,12 +310,12 @@
 	p.Finish(testStart, Finish{Run: "1"})
 	is.Equal(p.Submit(testStart, prompt("2")).Engine, first)
 	p.Finish(testStart, Finish{Run: "2"})
-	p.Cache(testStart, first, CacheEvent{Seq: 1, Prefix: 7, Added: false})
+	p.ApplyCacheEvent(testStart, first, CacheEvent{Seq: 1, Prefix: 7, Added: false})
 	other := EngineID("g1")
 	if first == other {
 		other = "g2"
 	}
-	p.Cache(testStart, other, CacheEvent{Seq: 1, Prefix: 7, Tokens: 1900, Added: true})
+	p.ApplyCacheEvent(testStart, other, CacheEvent{Seq: 1, Prefix: 7, Tokens: 1900, Added: true})
 	is.Equal(p.Submit(testStart, prompt("3")).Engine, other)
 }
 
@@ -407,9 +407,9 @@
 	id, found := p.Relocate(testStart, "1", Target{CrossZoneCost: 0})
 	is.True(found)
 	is.Equal(id, other)
-	is.True(!p.Return(testStart, "1", "unknown"))
+	is.True(!p.CancelRelocation(testStart, "1", "unknown"))
 	p.SetEngines([]EngineID{other})
-	is.True(p.Return(testStart, "1", first)) // although it has been away
+	is.True(p.CancelRelocation(testStart, "1", first)) // although it has been away
 	is.Equal(p.EngineOf("1"), first)
 	for n := range 2 * maxRemovedEngines {
 		p.SetEngines([]EngineID{EngineID(fmt.Sprint("e", n))})
@@ -449,7 +449,7 @@
 			for id, zone := range zones {
 				p.SetZone(id, zone)
 			}
-			p.SetKnownPart("far", c.known)
+			p.SetZoneCoverage("far", c.known)
 			for i := range 2 * c.busy {
 				r := newRequest(fmt.Sprint("busy", i), 900)
 				r.Zone, r.CrossZoneCost = "near", 100
--- a/policy/reading.go
+++ b/policy/reading.go
@@ -132,9 +132,9 @@
 	return sum / float64(max(learnt, 1))
 }
 
-// Reading takes in what another host tells of its run's prompt: when its first token
+// UpdatePrefill takes in what another host tells of its run's prompt: when its first token
 // came, or the zero time while it has none.
-func (p *Pool) Reading(now time.Time, id RunID, first time.Time) {
+func (p *Pool) UpdatePrefill(now time.Time, id RunID, first time.Time) {
 	run := p.runs[id]
 	switch {
 	case run == nil || run.prefillTime == 0:
--- a/policy/readrate.go
+++ b/policy/readrate.go
@@ -60,23 +60,23 @@
 	r.samples++
 }
 
-// Begun takes in that a run made its first token on the engine that it was
+// RecordFirstToken takes in that a run made its first token on the engine that it was
 // placed on. Later tokens and runs that were moved before say nothing.
-func (p *Pool) Begun(now time.Time, id RunID) {
+func (p *Pool) RecordFirstToken(now time.Time, id RunID) {
 	run := p.runs[id]
 	if run == nil || run.placedAt.IsZero() {
 		return
 	}
 	p.prefill.observe(run.timeToFirstToken, now.Sub(run.placedAt))
 	run.placedAt = time.Time{}
-	p.Reading(now, id, now)
+	p.UpdatePrefill(now, id, now)
 }
 
-// TakesToRead is how long an idle engine is expected to read a prompt.
-func (p *Pool) TakesToRead(n Tokens) time.Duration { return p.prefill.duration(n) }
+// IdlePrefillTime is how long an idle engine is expected to read a prompt.
+func (p *Pool) IdlePrefillTime(n Tokens) time.Duration { return p.prefill.duration(n) }
 
-// ReadRate is how many prompt tokens an engine is expected to read in a second,
+// PrefillRate is how many prompt tokens an engine is expected to read in a second,
 // and from how many first tokens that was learnt.
-func (p *Pool) ReadRate() (tokensPerSecond float64, samples uint64) {
+func (p *Pool) PrefillRate() (tokensPerSecond float64, samples uint64) {
 	return p.prefill.tokensPerSecond(), p.prefill.samples
 }
--- a/policy/refusal.go
+++ b/policy/refusal.go
@@ -54,7 +54,7 @@
 
 // refuse gives the account its tag back: it was charged for nothing.
 func (p *Pool) refuse(w *queuedRequest, why Reason, wait time.Duration) Decision {
-	p.queue.adjustCharge(w.Account, -(w.PromptTokens + p.lengths.Mean(&w.Request)))
+	p.queue.adjustCharge(w.Account, -(w.PromptTokens + p.lengths.MeanLength(&w.Request)))
 	return Decision{
 		Run: w.Run, Verdict: Refused, Reason: why,
 		RetryAfter: min(max(p.retryAfter(&w.Request, wait), minRetryAfter), maxRetryAfter),
@@ -85,10 +85,10 @@
 		}
 		life := 0.0
 		for _, run := range e.orderedRuns {
-			life += float64(p.lengths.Mean(&run.Request))
+			life += float64(p.lengths.MeanLength(&run.Request))
 		}
 		if len(e.orderedRuns) == 0 {
-			life = float64(p.lengths.Mean(&Request{}))
+			life = float64(p.lengths.MeanLength(&Request{}))
 		} else {
 			life /= float64(len(e.orderedRuns))
 		}
--- a/policy/refusal_test.go
+++ b/policy/refusal_test.go
@@ -128,13 +128,13 @@
 				p.Submit(now, newRequestWithObjective(run, now, 600))
 				now = now.Add(time.Duration(0.6 / factor * float64(time.Second)))
 				p.Report(now, Report{Engine: "g1", TotalMemory: 10_000, StepTime: testStepTime})
-				p.Begun(now, RunID(run))
-				p.Begun(now.Add(time.Hour), RunID(run)) // later tokens say nothing
+				p.RecordFirstToken(now, RunID(run))
+				p.RecordFirstToken(now.Add(time.Hour), RunID(run)) // later tokens say nothing
 				p.Finish(now, Finish{Run: RunID(run)})
 				now = now.Add(5 * time.Second)
 				p.Report(now, Report{Engine: "g1", TotalMemory: 10_000, StepTime: testStepTime})
 			}
-			rate, samples := p.ReadRate()
+			rate, samples := p.PrefillRate()
 			is.Equal(samples, uint64(60))
 			is.True(rate > 1000*factor*0.97 && rate < 1000*factor*1.03)
 		})
--- a/policy/relocate.go
+++ b/policy/relocate.go
@@ -55,8 +55,8 @@
 	OnlyGroup, ExcludedGroup string
 }
 
-// Grown is a run as a request for another engine: with the memory that it has by now.
-func (p *Pool) Grown(id RunID) (Request, bool) {
+// RelocationRequest is a run as a request for another engine: with the memory that it has by now.
+func (p *Pool) RelocationRequest(id RunID) (Request, bool) {
 	run := p.runs[id]
 	if run == nil {
 		return Request{}, false
@@ -74,7 +74,7 @@
 // run there from now on. It has to fit as it has grown so far. It returns false when no
 // engine has room; the run then stays counted where it is.
 func (p *Pool) Relocate(now time.Time, id RunID, t Target) (EngineID, bool) {
-	grown, known := p.Grown(id)
+	grown, known := p.RelocationRequest(id)
 	if !known {
 		return "", false
 	}
@@ -92,9 +92,9 @@
 	return to.id, true
 }
 
-// Return counts a run on an engine again that it wasn't moved from. It reports
+// CancelRelocation counts a run on an engine again that it wasn't moved from. It reports
 // false when that engine isn't known.
-func (p *Pool) Return(now time.Time, id RunID, engine EngineID) bool {
+func (p *Pool) CancelRelocation(now time.Time, id RunID, engine EngineID) bool {
 	run, e := p.runs[id], p.knownEngine(engine)
 	if run == nil || e == nil {
 		return false
@@ -113,17 +113,17 @@
 	p.queueBlocked = false
 }
 
-// Progressed is when a run on an engine was last known to have made a token; the zero
+// LastProgress is when a run on an engine was last known to have made a token; the zero
 // time when none was.
-func (p *Pool) Progressed(id EngineID) time.Time {
+func (p *Pool) LastProgress(id EngineID) time.Time {
 	if e := p.knownEngine(id); e != nil {
 		return e.progressedAt
 	}
 	return time.Time{}
 }
 
-// RunsOn is how many runs an engine has, as far as is known.
-func (p *Pool) RunsOn(id EngineID) int {
+// RunCount is how many runs an engine has, as far as is known.
+func (p *Pool) RunCount(id EngineID) int {
 	if e := p.knownEngine(id); e != nil {
 		return e.batchSize()
 	}
@@ -139,4 +139,4 @@
 }
 
 // MeanLength is the expected length of an answer, from those that ended.
-func (p *Pool) MeanLength(r *Request) Tokens { return p.lengths.Mean(r) }
+func (p *Pool) MeanLength(r *Request) Tokens { return p.lengths.MeanLength(r) }
