--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -116,7 +116,7 @@
 	}
 	// It may have waited in this host's sockets while its machine was suspended; then its
 	// caller has waited, too, and may have left.
-	late := x.settings.Clock.Late(now)
+	late := x.settings.Clock.MaxMessageDelay(now)
 	if x.call.CallerTimeout > 0 && x.call.CallerTimeout <= late {
 		return Refusal{Code: CodeLate, RetryAfter: retryElsewhere}, false
 	}
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -227,7 +227,7 @@
 func (f *Forwarder) Run(ctx context.Context) {
 	tick := time.NewTicker(poolRefreshInterval)
 	defer tick.Stop()
-	slept := f.settings.Clock.Slept()
+	slept := f.settings.Clock.TotalSuspended()
 	for {
 		slept = f.reportSuspension(slept)
 		changed := f.fleet.Changed()
@@ -267,7 +267,7 @@
 // all, and returns for how long it has been by now. Peers then learn at once that the host
 // is there again, and it learns what they know.
 func (f *Forwarder) reportSuspension(before time.Duration) time.Duration {
-	slept := f.settings.Clock.Slept()
+	slept := f.settings.Clock.TotalSuspended()
 	if slept > before {
 		f.journal.HostEvent("was suspended", "for", slept-before)
 		f.observer.Suspended(slept - before)
