--- a/forward/limits.go
+++ b/forward/limits.go
@@ -10,18 +10,20 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// NamedLimit is what an answer says of how many requests a second its upstream takes from
-// all hosts together. The zero value names none.
-type NamedLimit struct {
-	Named bool
-	Rate  ratelimit.Rate
-	// Err says why what it named can't be read. Such an answer says nothing.
+// AnnouncedLimit is the rate limit that a response announces for its upstream: how many
+// requests per second the upstream accepts from all hosts together. The zero value announces
+// no limit.
+type AnnouncedLimit struct {
+	Announced bool
+	Rate      ratelimit.Rate
+	// Err is set if the announced limit cannot be parsed. Such a response neither sets nor
+	// ends a limit.
 	Err error
 }
 
-// receiveLimit takes in what an answer says of its upstream's limit. sent is when its request
-// was.
-func (f *Forwarder) receiveLimit(sent time.Time, u Upstream, l NamedLimit) {
+// recordAnswerLimit records the rate limit that a response announces for its upstream, or that
+// it announces none. sent is when the request was sent.
+func (f *Forwarder) recordAnswerLimit(sent time.Time, u Upstream, l AnnouncedLimit) {
 	now := f.now()
 	if l.Err != nil {
 		if f.limitLogLimiter.allow(now, u.ID) {
@@ -29,23 +31,25 @@
 		}
 		return
 	}
-	if !l.Named && !f.limiter.Words.Any() {
+	if !l.Announced && !f.limiter.Words.Any() {
 		return
 	}
-	word := ratelimit.Word{Named: l.Named, Rate: l.Rate, Since: sent, At: now}
-	f.noteLimit(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
+	word := ratelimit.Word{Named: l.Announced, Rate: l.Rate, Since: sent, At: now}
+	f.applyLimitChange(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
 }
 
-// receiveLimitMark takes in a peer's word of an upstream's limit.
-func (f *Forwarder) receiveLimitMark(now time.Time, from member.HostID, m ratelimit.Mark) {
+// receivePeerLimit records a peer's mark of an upstream's limit, unless it belongs to another
+// incarnation.
+func (f *Forwarder) receivePeerLimit(now time.Time, from member.HostID, m ratelimit.Mark) {
 	if !f.fleet.ReceiveIncarnation(m.Upstream, Incarnation(m.Life)) {
 		return
 	}
-	f.noteLimit(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceiveMark(now, from, m))
+	f.applyLimitChange(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceiveMark(now, from, m))
 }
 
-// noteLimit tells of a change of an upstream's limit.
-func (f *Forwarder) noteLimit(now time.Time, id member.UpstreamID, from member.HostID, rate ratelimit.Rate, age time.Duration, c ratelimit.Change) {
+// applyLimitChange logs a change of an upstream's limit. When the limit has ended, this host
+// may ask for permits again at once.
+func (f *Forwarder) applyLimitChange(now time.Time, id member.UpstreamID, from member.HostID, rate ratelimit.Rate, age time.Duration, c ratelimit.Change) {
 	if c == ratelimit.Unchanged {
 		return
 	}
@@ -57,8 +61,9 @@
 	}
 }
 
-// forgetLimits drops what is known of upstreams that aren't bounded any more.
-func (f *Forwarder) forgetLimits(now time.Time) {
+// pruneLimits drops the limits of unknown upstreams, limits that no response has confirmed,
+// and the permit state of upstreams that no longer have a rate limit.
+func (f *Forwarder) pruneLimits(now time.Time) {
 	isKnown := func(id member.UpstreamID) bool {
 		_, found := f.fleet.Upstream(id)
 		return found
@@ -75,5 +80,6 @@
 	})
 }
 
-// LimitedUpstreams lists the upstreams that name a limit, or return after they did.
+// LimitedUpstreams lists the upstreams that announce a limit, and those that are returning to
+// their normal rate after one.
 func (f *Forwarder) LimitedUpstreams() []ratelimit.Entry { return f.limiter.Words.Entries(f.now()) }
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -19,91 +19,89 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// What happened: two of three plain upstreams named in their answers how many requests a
-// second they take from all hosts together, and went on serving. Three seconds later one
-// that named 4 a second still got 74 in 4 s from hosts that had passed such answers on,
-// where half as much again and 5 are borne; on another day 70 at 6.5, and 26 at 3.2.
-//
-// The cause: hosts chose an upstream by how fast it answers and how often it fails, and
-// nothing of what it says of itself in its answers was read. Had each host kept to the
-// limit by itself, six of them would have sent six times as much.
-//
-// Evidence: from the moment at which the limits were named the flow to those upstreams
-// changed at no host; one host alone sent 34 to 49 in 4 s; second tries were 22 of 261; no
-// upstream turned a request away.
+// These tests guard against hosts that ignore the rate limits that upstreams announce in their
+// responses. Hosts then chose an upstream by latency and failure rate only, so that an
+// upstream that announced 4 requests per second still got 74 in 4 s, three seconds later and
+// from hosts that had received the limit; 1.5 times the limit plus 5 are allowed. Second
+// attempts were only a small part of these requests, and the upstreams rejected none. A limit
+// that each host applies by itself is not enough either: six hosts would send six times as
+// much.
 
 var (
-	limitSizesFlag = flag.Bool("limit.sizes", false, "play limits on sites of up to 300 hosts")
-	limitSeedFlag  = flag.Uint64("limit.seed", 1, "seed of the callers of limited upstreams")
+	limitSizesFlag = flag.Bool("limit.sizes", false, "test limits on sites of up to 300 hosts")
+	limitSeedFlag  = flag.Uint64("limit.seed", 1, "random seed of the callers of upstreams with limits")
 )
 
-// limitDay is a load on upstreams of which some name limits.
-type limitDay struct {
+// limitScenario is a load on upstreams, some of which announce rate limits.
+type limitScenario struct {
 	zones, hostsPerZone, upstreams int
-	// path chooses the kind of request.
+	// path selects the kind of request.
 	path string
-	// perSecond is how many requests come, in all, at all hosts alike or at the first.
+	// perSecond is the number of requests per second in total. They arrive at randomly chosen
+	// hosts, or all at the first host if atOneHost is set.
 	perSecond float64
 	atOneHost bool
 	needs     []need
-	lasts     time.Duration
-	// hides makes needyFleet's.
+	duration  time.Duration
+	// hides returns the function that decides which responses omit the limit; nil omits it in
+	// none.
 	hides func() func() bool
-	// coldRate is what a cold plain upstream bears; zero sets no bound.
+	// coldRate is the rate limit of a cold plain upstream; zero sets none.
 	coldRate float64
-	// happens is what befalls the site meanwhile.
-	happens func(ctx context.Context, s *site, fleet *needyFleet)
-	// permits is told how many questions for permits there were, if it is set.
-	permits func(n int64)
+	// disturb runs during the scenario and causes faults on the site.
+	disturb func(ctx context.Context, s *site, fleet *needyFleet)
+	// onPermitCount, if set, receives the number of permit requests between hosts.
+	onPermitCount func(n int64)
 }
 
-// limitTally is what callers got on such a day.
+// limitTally counts the outcomes of the requests of a scenario.
 type limitTally struct {
-	mu                   sync.Mutex
-	asked, good, refused int
-	// wrong counts refusals that don't say that the request has not run, and held those
-	// that took longer than they may.
-	wrong, held int
+	mu                        sync.Mutex
+	requests, served, refused int
+	// wronglyRefused counts refusals whose code isn't CodeOverloaded, and lateRefused those
+	// that took longer than allowed.
+	wronglyRefused, lateRefused int
 }
 
-func (t *limitTally) note(s *fakeSink, took, atOnce time.Duration) {
+func (t *limitTally) record(s *fakeSink, took, atOnce time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asked++
+	t.requests++
 	switch {
 	case s.refused == nil:
-		t.good++
+		t.served++
 	case s.refused.Code == CodeOverloaded:
 		t.refused++
 		if took > atOnce {
-			t.held++
+			t.lateRefused++
 		}
 	default:
-		t.wrong++
+		t.wronglyRefused++
 	}
 }
 
-// refusedAtOnce is how long it may take to refuse a request: a question to another host and
-// back, and one that isn't answered.
-const refusedAtOnce = 2 * peerRequestTimeout
+// maxUnaryRefusalTime is how long the refusal of a unary request may take: one request to a
+// peer that replies and one to a peer that does not.
+const maxUnaryRefusalTime = 2 * peerRequestTimeout
 
-// refusedWithin is how long it may take to refuse a request: a stream may wait for an engine
-// that isn't bounded before that.
-func (d limitDay) refusedWithin() time.Duration {
+// maxRefusalTime returns how long the refusal of a request may take. A stream may wait for an
+// engine without a limit before that.
+func (d limitScenario) maxRefusalTime() time.Duration {
 	if d.path != "/llm/" && d.path != "/resumable/" {
-		return refusedAtOnce
+		return maxUnaryRefusalTime
 	}
-	return refusedAtOnce + time.Duration(policy.DefaultMaxWaitFraction*float64(1800*time.Millisecond)) + poolRefreshInterval
+	return maxUnaryRefusalTime + time.Duration(policy.DefaultMaxWaitFraction*float64(1800*time.Millisecond)) + poolRefreshInterval
 }
 
-// leastUsed is how much of a limit is to be used while more is wanted.
-const leastUsed = 0.9
+// minLimitUsage is the share of a limit that must be used while the demand exceeds the limit.
+const minLimitUsage = 0.9
 
-// settled is when a day's hosts know each other; needs begin after it.
-const settled = 4 * time.Second
+// siteSettleTime is the time after which a site's hosts know each other. Upstreams announce
+// limits only after it.
+const siteSettleTime = 4 * time.Second
 
-// play plays the day with some seed.
-func (d limitDay) play(t *testing.T, seed uint64, judge func(*testing.T, *needyFleet, *limitTally)) {
+// run runs the scenario with a random seed, and passes the outcome to judge.
+func (d limitScenario) run(t *testing.T, seed uint64, judge func(*testing.T, *needyFleet, *limitTally)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -112,33 +110,34 @@
 		if d.hides != nil {
 			fleet.hides = d.hides()
 		}
-		s := newNeedySite(fleet, d.zones, d.hostsPerZone, d.upstreams)
+		s := newLimitSite(fleet, d.zones, d.hostsPerZone, d.upstreams)
 		s.origin.config.Services[0].ColdRate = d.coldRate
 		s.serveAll(ctx)
 		random := rand.New(rand.NewPCG(seed, 0))
 		var under sync.WaitGroup
-		if d.happens != nil {
-			under.Go(func() { d.happens(ctx, s, fleet) })
+		if d.disturb != nil {
+			under.Go(func() { d.disturb(ctx, s, fleet) })
 		}
-		time.Sleep(settled / 2)
+		time.Sleep(siteSettleTime / 2)
 		pause := float64(time.Second) / d.perSecond
-		for n := 0; time.Since(fleet.start) < d.lasts; n++ {
-			host := s.first()
+		for n := 0; time.Since(fleet.start) < d.duration; n++ {
+			host := s.firstHost()
 			if !d.atOneHost {
-				host = s.nth(random.IntN(d.zones * d.hostsPerZone))
+				host = s.nthHost(random.IntN(d.zones * d.hostsPerZone))
 			}
 			under.Go(func() {
 				c, sink := call(d.path), &fakeSink{}
 				c.ID, c.Prompt = RequestID(fmt.Sprint("r", n)), Prompt{Tokens: 500, MaxOutputTokens: 300}
 				host.Serve(ctx, c, sink)
-				tally.note(sink, time.Since(c.Arrived), d.refusedWithin())
+				tally.record(sink, time.Since(c.Arrived), d.maxRefusalTime())
 			})
-			// The times between arrivals of callers that don't know of each other.
+			// Callers arrive independently of each other, so the times between arrivals are
+			// exponentially distributed.
 			time.Sleep(time.Duration(-math.Log(1-random.Float64()) * pause))
 		}
 		under.Wait()
-		if d.permits != nil {
-			d.permits(s.permits.Load())
+		if d.onPermitCount != nil {
+			d.onPermitCount(s.permits.Load())
 		}
 		judge(t, fleet, tally)
 		cancel()
@@ -146,8 +145,8 @@
 	})
 }
 
-// newNeedySite returns zones of hosts before upstreams that name limits.
-func newNeedySite(fleet *needyFleet, zones, hostsPerZone, upstreams int) *site {
+// newLimitSite returns a site with hosts in several zones and upstreams that announce limits.
+func newLimitSite(fleet *needyFleet, zones, hostsPerZone, upstreams int) *site {
 	s := newCrashSiteOf(fleet.fakeFleet, zones, hostsPerZone, upstreams)
 	for _, f := range s.hosts {
 		f.transport = &fakeTransport{send: fleet.sendFrom(f.settings.Self.ID), reach: fleet.Reach}
@@ -155,50 +154,51 @@
 	return s
 }
 
-// at is the host at an address; nil where there is none.
-func (s *site) at(address string) *Forwarder {
+// hostAtAddress returns the host at an address; nil if there is none.
+func (s *site) hostAtAddress(address string) *Forwarder {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hosts[address]
 }
 
-// first is the first host of the first zone, and nth the nth of all.
-func (s *site) first() *Forwarder { return s.at("10.1.0.1:1") }
+// firstHost returns the first host of the first zone.
+func (s *site) firstHost() *Forwarder { return s.hostAtAddress("10.1.0.1:1") }
 
-func (s *site) nth(n int) *Forwarder {
+// nthHost returns the host with index n, counted across the zones in turn.
+func (s *site) nthHost(n int) *Forwarder {
 	zones := 0
-	for s.at(fmt.Sprintf("10.%d.0.1:1", zones+1)) != nil {
+	for s.hostAtAddress(fmt.Sprintf("10.%d.0.1:1", zones+1)) != nil {
 		zones++
 	}
-	return s.at(fmt.Sprintf("10.%d.0.%d:1", n%zones+1, n/zones+1))
+	return s.hostAtAddress(fmt.Sprintf("10.%d.0.%d:1", n%zones+1, n/zones+1))
 }
 
-// needOf is a need from when the hosts know each other until a time.
-func needOf(id member.UpstreamID, rate ratelimit.Rate, until time.Duration) need {
-	return need{upstream: id, from: settled, until: until, rate: rate}
+// needAfterSettling returns a need that lasts from siteSettleTime until the given time.
+func needAfterSettling(id member.UpstreamID, rate ratelimit.Rate, until time.Duration) need {
+	return need{upstream: id, from: siteSettleTime, until: until, rate: rate}
 }
 
-// TestNamedLimits has upstreams that name a limit get no more from all hosts together than
-// they are to bear at most.
-func TestNamedLimits(t *testing.T) {
-	limitDay{
-		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 36, lasts: 18 * time.Second,
-		needs: []need{needOf("app00", 4, 18*time.Second), needOf("app01", 2.8, 18*time.Second)},
-	}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
+// TestAnnouncedLimits checks that all hosts together do not send more than the tolerated
+// maximum to upstreams that announce a limit.
+func TestAnnouncedLimits(t *testing.T) {
+	limitScenario{
+		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 36, duration: 18 * time.Second,
+		needs: []need{needAfterSettling("app00", 4, 18*time.Second), needAfterSettling("app01", 2.8, 18*time.Second)},
+	}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
 		for _, id := range []member.UpstreamID{"app00", "app01"} {
 			if w := fleet.rule(id); w.broken() {
-				t.Errorf("%s got %v", id, w)
+				t.Errorf("upstream %s got too many requests: %v", id, w)
 			}
 		}
 	})
 }
 
-// TestLimitsAim has upstreams that name limits get no more than these, counted in whole
-// requests, and nine tenths of them used while more is wanted; and no caller wait for a
-// refusal, or hear that its request may have run.
-func TestLimitsAim(t *testing.T) {
-	const from = settled + contactBound
-	for name, d := range map[string]limitDay{
+// TestLimitsKeptAndUsed checks that upstreams that announce limits get no more than these,
+// counted in whole requests, and that nine tenths of the limits are used while the demand is
+// higher. No caller may wait for a refusal, or be told that its request may have run.
+func TestLimitsKeptAndUsed(t *testing.T) {
+	const from = siteSettleTime + contactBound
+	for name, d := range map[string]limitScenario{
 		"calls, at all hosts":         {path: "/order/", perSecond: 40},
 		"calls, at one host":          {path: "/order/", perSecond: 40, atOneHost: true},
 		"calls that may be repeated":  {path: "/status/", perSecond: 40},
@@ -206,15 +206,15 @@
 		"streams, at one host":        {path: "/llm/", perSecond: 20, atOneHost: true},
 		"streams that may be resumed": {path: "/resumable/", perSecond: 20},
 	} {
-		// Of few requests each counts for much.
+		// With few requests, a single one changes the used share considerably.
 		service, until := "app", 40*time.Second
 		if d.path == "/llm/" || d.path == "/resumable/" {
 			service, until = "llm", 18*time.Second
 		}
 		at := func(n int, rate ratelimit.Rate) need {
-			return needOf(member.UpstreamID(fmt.Sprintf("%s%02d", service, n)), rate, until)
+			return needAfterSettling(member.UpstreamID(fmt.Sprintf("%s%02d", service, n)), rate, until)
 		}
-		d.zones, d.hostsPerZone, d.upstreams, d.lasts = 3, 3, 5, until
+		d.zones, d.hostsPerZone, d.upstreams, d.duration = 3, 3, 5, until
 		for kind, needs := range map[string][]need{
 			"one": {at(0, 2)},
 			"two": {at(0, 2.8), at(1, 1.2)},
@@ -222,31 +222,31 @@
 		} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				d.needs = needs
-				d.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
+				d.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
 					got, takes := 0, 0.0
 					for _, n := range needs {
 						got += fleet.count(n.upstream, from, until)
 						takes += float64(n.rate) * (until - from).Seconds()
 						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, from, until, n.rate)
-						t.Logf("%s at %v a second: %v; used %.2f", n.upstream, float64(n.rate), aim, used)
+						t.Logf("upstream %s with a limit of %v per second: %v; used share %.2f", n.upstream, float64(n.rate), aim, used)
 						if rule.broken() {
-							t.Errorf("%s got %v", n.upstream, rule)
+							t.Errorf("upstream %s got too many requests: %v", n.upstream, rule)
 						}
 						if aim.broken() {
-							t.Errorf("%s was to get less: %v", n.upstream, aim)
+							t.Errorf("upstream %s got more than its limit: %v", n.upstream, aim)
 						}
-						// Which engine a stream goes to is decided by more than that, so
-						// that more is wanted of one while others have room isn't sure.
-						if used < leastUsed && n.rate >= 1 && service == "app" {
-							t.Errorf("%s was used to %.2f", n.upstream, used)
+						// The choice of an engine for a stream depends on more than the
+						// limits, so an engine may be in low demand while others have room.
+						if used < minLimitUsage && n.rate >= 1 && service == "app" {
+							t.Errorf("upstream %s: used share of the limit is %.2f, want at least %.2f", n.upstream, used, minLimitUsage)
 						}
 					}
-					if used := float64(got) / takes; used < leastUsed && kind == "all" {
-						t.Errorf("all of the service were used to %.2f", used)
+					if used := float64(got) / takes; used < minLimitUsage && kind == "all" {
+						t.Errorf("all upstreams of service %s: used share of the limits is %.2f, want at least %.2f", service, used, minLimitUsage)
 					}
-					t.Logf("asked %d, served %d, refused %d, of which late %d, wrongly %d", tally.asked, tally.good, tally.refused, tally.held, tally.wrong)
-					if tally.wrong > 0 || tally.held > 0 {
-						t.Errorf("refused wrongly %d, late %d", tally.wrong, tally.held)
+					t.Logf("requests %d, served %d, refused %d, of which late %d; refused with a wrong code %d", tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused)
+					if tally.wronglyRefused > 0 || tally.lateRefused > 0 {
+						t.Errorf("refused with a wrong code %d, refused late %d; want 0 of both", tally.wronglyRefused, tally.lateRefused)
 					}
 				})
 			})
@@ -254,8 +254,8 @@
 	}
 }
 
-// TestLimitSizesOfEngines is TestLimitSizes for streams, of engines that all name limits.
-func TestLimitSizesOfEngines(t *testing.T) {
+// TestEngineLimitSizes is TestLimitSizes for streams and engines that all announce limits.
+func TestEngineLimitSizes(t *testing.T) {
 	const until = 16 * time.Second
 	for _, size := range []struct{ zones, hostsPerZone int }{{3, 3}, {3, 20}, {5, 60}} {
 		if size.hostsPerZone > 3 && !*limitSizesFlag {
@@ -264,30 +264,31 @@
 		t.Run(fmt.Sprintf("%d hosts", size.zones*size.hostsPerZone), func(t *testing.T) {
 			var needs []need
 			for n := range 10 {
-				needs = append(needs, needOf(member.UpstreamID(fmt.Sprintf("llm%02d", n)), ratelimit.Rate(1+n%3), until))
+				needs = append(needs, needAfterSettling(member.UpstreamID(fmt.Sprintf("llm%02d", n)), ratelimit.Rate(1+n%3), until))
 			}
-			limitDay{
-				zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 10, path: "/llm/", perSecond: 60, needs: needs, lasts: until,
-			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
+			limitScenario{
+				zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 10, path: "/llm/", perSecond: 60, needs: needs, duration: until,
+			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
 				got, takes := 0, 0.0
 				for _, n := range needs {
-					got += fleet.count(n.upstream, settled+contactBound, until)
-					takes += float64(n.rate) * (until - settled - contactBound).Seconds()
+					got += fleet.count(n.upstream, siteSettleTime+contactBound, until)
+					takes += float64(n.rate) * (until - siteSettleTime - contactBound).Seconds()
 					if rule, aim := fleet.rule(n.upstream), fleet.aim(n.upstream); rule.broken() || aim.broken() {
-						t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
+						t.Errorf("upstream %s got more than its limit: %v; tolerated maximum: %v", n.upstream, aim, rule)
 					}
 				}
-				t.Logf("used %.2f; asked %d, served %d, refused %d, late %d, wrongly %d", float64(got)/takes, tally.asked, tally.good, tally.refused, tally.held, tally.wrong)
-				if float64(got) < leastUsed*takes || tally.held > 0 || tally.wrong > 0 {
-					t.Errorf("used to %.2f; refused late %d, wrongly %d", float64(got)/takes, tally.held, tally.wrong)
+				t.Logf("used share %.2f; requests %d, served %d, refused %d, late %d, with a wrong code %d", float64(got)/takes, tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused)
+				if float64(got) < minLimitUsage*takes || tally.lateRefused > 0 || tally.wronglyRefused > 0 {
+					t.Errorf("used share of the limits is %.2f, want at least %.2f; refused late %d, with a wrong code %d, want 0 of both", float64(got)/takes, minLimitUsage, tally.lateRefused, tally.wronglyRefused)
 				}
 			})
 		})
 	}
 }
 
-// TestLimitSizes plays limits on sites of up to 300 hosts, where it is asked to; on one of 9
-// hosts always: the race detector's own runtime fails on as many events as more have.
+// TestLimitSizes tests limits on a site of 9 hosts and, with -limit.sizes, on sites of up to
+// 300 hosts. The larger ones are off by default because the race detector's runtime fails on
+// that many events.
 func TestLimitSizes(t *testing.T) {
 	const until = 16 * time.Second
 	for _, size := range []struct{ zones, hostsPerZone int }{{3, 3}, {3, 20}, {5, 60}} {
@@ -296,23 +297,23 @@
 		}
 		for load, atOneHost := range map[string]bool{"all hosts": false, "one host": true} {
 			t.Run(fmt.Sprintf("%d hosts, %s", size.zones*size.hostsPerZone, load), func(t *testing.T) {
-				needs := []need{needOf("app00", 0.2, until), needOf("app01", 4, until), needOf("app02", 27, until)}
+				needs := []need{needAfterSettling("app00", 0.2, until), needAfterSettling("app01", 4, until), needAfterSettling("app02", 27, until)}
 				var asks int64
-				limitDay{
+				limitScenario{
 					zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 6, path: "/order/", perSecond: 300, atOneHost: atOneHost,
-					needs: needs, lasts: until, permits: func(n int64) { asks = n },
-				}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
+					needs: needs, duration: until, onPermitCount: func(n int64) { asks = n },
+				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
 					for _, n := range needs {
-						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, settled+contactBound, until, n.rate)
-						t.Logf("%s at %v a second: %v; used %.2f", n.upstream, float64(n.rate), aim, used)
+						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, siteSettleTime+contactBound, until, n.rate)
+						t.Logf("upstream %s with a limit of %v per second: %v; used share %.2f", n.upstream, float64(n.rate), aim, used)
 						if rule.broken() || aim.broken() {
-							t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
+							t.Errorf("upstream %s got more than its limit: %v; tolerated maximum: %v", n.upstream, aim, rule)
 						}
-						if used < leastUsed && n.rate >= 1 {
-							t.Errorf("%s was used to %.2f", n.upstream, used)
+						if used < minLimitUsage && n.rate >= 1 {
+							t.Errorf("upstream %s: used share of the limit is %.2f, want at least %.2f", n.upstream, used, minLimitUsage)
 						}
 					}
-					t.Logf("asked %d, served %d, refused %d, late %d, wrongly %d; %.0f questions a second", tally.asked, tally.good, tally.refused, tally.held, tally.wrong, float64(asks)/(until-settled).Seconds())
+					t.Logf("requests %d, served %d, refused %d, late %d, with a wrong code %d; %.0f permit requests per second", tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused, float64(asks)/(until-siteSettleTime).Seconds())
 				})
 			})
 		}
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -17,8 +17,9 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// TestSignalOfTheLifeBefore has an answer from before a restart say nothing of the new life.
-func TestSignalOfTheLifeBefore(t *testing.T) {
+// TestSignalOfOldIncarnation checks that the signals in a response from before a restart are
+// ignored for the new incarnation.
+func TestSignalOfOldIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	old, _ := f.fleet.Upstream("app1")
@@ -27,18 +28,19 @@
 	next := old
 	next.Incarnation, next.Revision = 2, rev(3)
 	f.fleet.Apply(time.Now(), []Change{{Upstream: next}}, rev(3))
-	f.takeSignals(time.Now(), old, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, Own: true})
+	f.applySignals(time.Now(), old, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, FromUpstream: true})
 	u, _ := f.fleet.Upstream("app1")
 	is.True(!u.Leaving)
 	is.Equal(f.backoffs.Delay(time.Now(), "app1"), time.Duration(0))
-	f.takeSignals(time.Now(), next, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, Own: true})
+	f.applySignals(time.Now(), next, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, FromUpstream: true})
 	u, _ = f.fleet.Upstream("app1")
 	is.True(u.Leaving)
 	is.True(f.backoffs.Delay(time.Now(), "app1") > 0)
 }
 
-// TestRequestJudgedBySeveralSends has a trial of a quarantined request go out, whichever send is judged first.
-func TestRequestJudgedBySeveralSends(t *testing.T) {
+// TestConcurrentSendsOfQuarantineTrial checks that the trial of a quarantined request is sent
+// whichever of its concurrent sends is checked first.
+func TestConcurrentSendsOfQuarantineTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &fakeTransport{})
@@ -46,24 +48,25 @@
 		for _, id := range []string{"e1", "e2", "e3"} {
 			x.crashes.Crashed(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: member.UpstreamID(id)})
 		}
-		is.True(x.held(f.now()))
+		is.True(x.mustHoldBack(f.now()))
 		time.Sleep(2 * time.Minute)
 		var sends sync.WaitGroup
 		for range 8 {
-			sends.Go(func() { is.True(!x.held(f.now())) })
+			sends.Go(func() { is.True(!x.mustHoldBack(f.now())) })
 		}
 		sends.Wait()
 	})
 }
 
-// TestBackoffsFloodPeers has hosts tell each other of many backoffs in few shares.
-func TestBackoffsFloodPeers(t *testing.T) {
+// TestBackoffsDoNotFloodPeers checks that hosts report many backoffs to each other in few
+// shares.
+func TestBackoffsDoNotFloodPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		s := newCrashSiteOf(newFakeFleet(), 3, 3, 60)
 		s.serveAll(ctx)
-		time.Sleep(settled)
+		time.Sleep(siteSettleTime)
 		callsIn := func(play func()) (shares, follows int64) {
 			beforeShares, beforeFollows := s.shares.Load(), s.follows.Load()
 			play()
@@ -74,20 +77,21 @@
 			for n := range 60 {
 				for _, f := range s.hosts {
 					u, _ := f.fleet.Upstream(member.UpstreamID(fmt.Sprintf("app%02d", n)))
-					f.takeSignals(time.Now(), u, answerToRequest, Signals{RetryAfter: 100 * time.Millisecond, Own: true})
+					f.applySignals(time.Now(), u, answerToRequest, Signals{RetryAfter: 100 * time.Millisecond, FromUpstream: true})
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
 		})
-		t.Logf("in 3 s %d shares and %d follows, with 60 backoffs at each host %d and %d", quiet, quietFollows, busy, busyFollows)
-		// Once a second at most each host tells all others at once.
+		t.Logf("in 3 s %d shares and %d follow requests; with 60 backoffs at each host %d and %d", quiet, quietFollows, busy, busyFollows)
+		// Each host notifies all others immediately at most once a second.
 		hosts := int64(len(s.hosts))
 		if most := quiet + 4*hosts*(hosts-1); busy > most {
-			t.Errorf("%d shares, %d in quiet, %d at most", busy, quiet, most)
+			t.Errorf("%d shares during the backoffs, %d without; want at most %d", busy, quiet, most)
 		}
-		// Nothing in it is for those who follow; how many fall into a window varies.
+		// Followers get nothing from backoffs. The number of follow requests in a window
+		// varies.
 		if busyFollows > 2*quietFollows {
-			t.Errorf("%d follows, %d in quiet", busyFollows, quietFollows)
+			t.Errorf("%d follow requests during the backoffs, %d without; want at most twice as many", busyFollows, quietFollows)
 		}
 		cancel()
 		synctest.Wait()
--- a/forward/turns.go
+++ b/forward/turns.go
@@ -15,74 +15,75 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// TurnRequest asks for the turn to move a run off an engine. An engine's link
-// copies one run after another; when several hosts copy at once, a stopped run
-// stands still while others' copies are sent.
+// TurnRequest asks for the turn to move a run off an engine. An engine's link copies one run
+// after another: if several hosts copied at once, a stopped run would stand still while the
+// copies of others are sent.
 type TurnRequest struct {
 	Engine member.UpstreamID
 	Run    policy.RunID
-	// Worth orders those that wait: the highest goes first.
-	Worth int
-	// AtOnce asks only whether the turn is free.
-	AtOnce bool
+	// Priority orders waiting requests; the highest goes first.
+	Priority int
+	// NoWait takes the turn only if it is free.
+	NoWait bool
 }
 
-// turns gives out the turns of the engines that this host arbitrates. The zero
-// value works. It is soft: a turn that isn't ended runs out.
-type turns struct {
-	// clock tells the present time; nil is the usual one.
+// turnQueues grants the turns of the engines that this host arbitrates. The zero value is
+// ready to use. The state is soft: a turn that isn't released expires.
+type turnQueues struct {
+	// clock gives the current time; nil stands for the system clock.
 	clock *clock.Clock
 
-	mu      sync.Mutex
-	engines map[member.UpstreamID]*turnLine
+	mu       sync.Mutex
+	byEngine map[member.UpstreamID]*turnQueue
 }
 
-// turnLine is one engine's line.
-type turnLine struct {
-	// holder has the turn until then; empty when nobody has.
-	holder policy.RunID
-	until  time.Time
-	// opened is when the first request came.
-	opened  time.Time
-	waiting []*turnWaiter
+// turnQueue holds the turn of one engine and the requests that wait for it.
+type turnQueue struct {
+	// holder is the run that has the turn until expiresAt; empty if the turn is free.
+	holder    policy.RunID
+	expiresAt time.Time
+	// openedAt is when the first request arrived.
+	openedAt time.Time
+	waiting  []*turnWaiter
 }
 
 type turnWaiter struct {
 	TurnRequest
-	// granted closes when the turn is this waiter's, dropped when it isn't in the
-	// line any more.
-	granted, dropped chan struct{}
+	// granted closes when the waiter gets the turn, removed when the waiter leaves the queue
+	// without it.
+	granted, removed chan struct{}
 }
 
 const (
-	// turnGather is how long the first request for an engine waits for others,
-	// so that the order matters: hosts learn of a leaving within milliseconds.
-	turnGather = 8 * time.Millisecond
-	// turnLasts is the longest turn; a move takes less.
-	turnLasts = 900 * time.Millisecond
-	// turnIdle is when a line that nobody uses is forgotten.
-	turnIdle = 10 * time.Second
-	// turnCheck is how often a waiter looks whether the holder's turn ran out.
-	turnCheck = 20 * time.Millisecond
+	// turnGatherDelay is how long the first request for an engine waits for others, so that
+	// the priorities take effect: hosts learn within milliseconds of each other that an engine
+	// is leaving.
+	turnGatherDelay = 8 * time.Millisecond
+	// turnTTL is the longest duration of a turn; a move takes less.
+	turnTTL = 900 * time.Millisecond
+	// turnQueueRetention is how long an unused queue is kept.
+	turnQueueRetention = 10 * time.Second
+	// turnCheckInterval is how often a waiter checks whether the holder's turn has expired.
+	turnCheckInterval = 20 * time.Millisecond
 )
 
-func (t *turns) now() time.Time { return t.clock.Now() }
+func (t *turnQueues) now() time.Time { return t.clock.Now() }
 
-// take waits for the turn. The error is the context's, or errNoTurn when the run's
-// host doesn't want the turn any more.
-func (t *turns) take(ctx context.Context, r TurnRequest) error {
-	w := &turnWaiter{TurnRequest: r, granted: make(chan struct{}), dropped: make(chan struct{})}
-	line := t.join(t.now(), w)
-	PauseFor(ctx, turnGather)
-	tick := time.NewTicker(turnCheck)
+// acquire waits for the turn. It returns the context's error, or errTurnNotGranted if the
+// run's host no longer wants the turn.
+func (t *turnQueues) acquire(ctx context.Context, r TurnRequest) error {
+	w := &turnWaiter{TurnRequest: r, granted: make(chan struct{}), removed: make(chan struct{})}
+	line := t.enqueue(t.now(), w)
+	PauseFor(ctx, turnGatherDelay)
+	tick := time.NewTicker(turnCheckInterval)
 	defer tick.Stop()
 	for {
-		t.grant(t.now(), line)
+		t.grantNext(t.now(), line)
 		select {
 		case <-w.granted:
 			return nil
-		case <-w.dropped:
-			return errNoTurn
+		case <-w.removed:
+			return errTurnNotGranted
 		case <-ctx.Done():
 			t.withdraw(line, w)
 			return ctx.Err()
@@ -91,109 +92,109 @@
 	}
 }
 
-// try takes the turn if nobody has it or waits for it.
-func (t *turns) try(now time.Time, r TurnRequest) bool {
-	line := t.line(now, r.Engine)
+// tryAcquire takes the turn if it is free and no request waits for it.
+func (t *turnQueues) tryAcquire(now time.Time, r TurnRequest) bool {
+	line := t.queueFor(now, r.Engine)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if line.holder != "" && now.Before(line.until) || len(line.waiting) > 0 {
+	if line.holder != "" && now.Before(line.expiresAt) || len(line.waiting) > 0 {
 		return false
 	}
-	line.holder, line.until = r.Run, now.Add(turnLasts)
+	line.holder, line.expiresAt = r.Run, now.Add(turnTTL)
 	return true
 }
 
-func (t *turns) join(now time.Time, w *turnWaiter) *turnLine {
-	line := t.line(now, w.Engine)
+func (t *turnQueues) enqueue(now time.Time, w *turnWaiter) *turnQueue {
+	line := t.queueFor(now, w.Engine)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	line.waiting = append(line.waiting, w)
 	return line
 }
 
-// line returns an engine's line, and forgets those that nobody uses.
-func (t *turns) line(now time.Time, engine member.UpstreamID) *turnLine {
+// queueFor returns an engine's queue, and deletes other queues that are no longer used.
+func (t *turnQueues) queueFor(now time.Time, engine member.UpstreamID) *turnQueue {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.engines == nil {
-		t.engines = map[member.UpstreamID]*turnLine{}
+	if t.byEngine == nil {
+		t.byEngine = map[member.UpstreamID]*turnQueue{}
 	}
-	for id, l := range t.engines {
-		if id != engine && len(l.waiting) == 0 && now.Sub(l.until) > turnIdle && now.Sub(l.opened) > turnIdle {
-			delete(t.engines, id)
+	for id, l := range t.byEngine {
+		if id != engine && len(l.waiting) == 0 && now.Sub(l.expiresAt) > turnQueueRetention && now.Sub(l.openedAt) > turnQueueRetention {
+			delete(t.byEngine, id)
 		}
 	}
-	line := t.engines[engine]
+	line := t.byEngine[engine]
 	if line == nil {
-		line = &turnLine{opened: now}
-		t.engines[engine] = line
+		line = &turnQueue{openedAt: now}
+		t.byEngine[engine] = line
 	}
 	return line
 }
 
-// grant gives the turn to the one that is worth most, if nobody has it.
-func (t *turns) grant(now time.Time, line *turnLine) {
+// grantNext grants the turn, if it is free, to the waiting request with the highest priority.
+func (t *turnQueues) grantNext(now time.Time, line *turnQueue) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if line.holder != "" && now.Before(line.until) || len(line.waiting) == 0 || now.Sub(line.opened) < turnGather {
+	if line.holder != "" && now.Before(line.expiresAt) || len(line.waiting) == 0 || now.Sub(line.openedAt) < turnGatherDelay {
 		return
 	}
 	best := 0
 	for i, w := range line.waiting {
-		if w.Worth > line.waiting[best].Worth {
+		if w.Priority > line.waiting[best].Priority {
 			best = i
 		}
 	}
 	w := line.waiting[best]
 	line.waiting = slices.Delete(line.waiting, best, best+1)
-	line.holder, line.until = w.Run, now.Add(turnLasts)
+	line.holder, line.expiresAt = w.Run, now.Add(turnTTL)
 	close(w.granted)
 }
 
-func (t *turns) withdraw(line *turnLine, w *turnWaiter) {
+func (t *turnQueues) withdraw(line *turnQueue, w *turnWaiter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	line.drop(w.Run)
+	line.remove(w.Run)
 }
 
-// end gives a turn back, or the place in the line of a run that still waits.
-func (t *turns) end(now time.Time, engine member.UpstreamID, run policy.RunID) {
+// release ends the turn of a run, or withdraws the run if it still waits.
+func (t *turnQueues) release(now time.Time, engine member.UpstreamID, run policy.RunID) {
 	t.mu.Lock()
-	line := t.engines[engine]
+	line := t.byEngine[engine]
 	if line == nil {
 		t.mu.Unlock()
 		return
 	}
-	line.drop(run)
+	line.remove(run)
 	t.mu.Unlock()
-	t.grant(now, line)
+	t.grantNext(now, line)
 }
 
-// drop takes a run out of the line, whether it has the turn or waits for it.
-func (l *turnLine) drop(run policy.RunID) {
+// remove removes a run from the queue, whether it has the turn or waits for it.
+func (l *turnQueue) remove(run policy.RunID) {
 	if l.holder == run {
 		l.holder = ""
 	}
 	l.waiting = slices.DeleteFunc(l.waiting, func(w *turnWaiter) bool {
 		if w.Run == run {
-			close(w.dropped)
+			close(w.removed)
 		}
 		return w.Run == run
 	})
 }
 
-// arbiter returns the live host of the engine's cell that gives out its turns;
-// it is this host when the zone has no other.
+// arbiter returns the live host of the engine's cell that grants its turns; this host if the
+// cell has no live one.
 func (p *peerSet) arbiter(now time.Time, u Upstream) Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near []Peer
-	of := p.layout.OfUpstream(u.ID, u.Zone)
-	if p.ownCell == of {
+	cell := p.layout.OfUpstream(u.ID, u.Zone)
+	if p.ownCell == cell {
 		near = append(near, p.self)
 	}
 	for _, s := range p.known {
-		if s.cell == of && s.live(now) {
+		if s.cell == cell && s.live(now) {
 			near = append(near, s.Peer)
 		}
 	}
@@ -203,60 +204,60 @@
 	return member.HighestRanked("moves off "+string(u.ID), near)
 }
 
-// errNoTurn is an arbiter's word that another has the turn.
-var errNoTurn = errors.New("another has the turn")
+// errTurnNotGranted means that the turn of an engine was not granted.
+var errTurnNotGranted = errors.New("the turn was not granted")
 
-// takeTurn asks for the turn of an engine's link and returns how to end it. When
-// the arbiter can't be reached, or the turn doesn't come in time, the error says
-// so, and the run may go without.
-func (f *Forwarder) takeTurn(ctx context.Context, at Upstream, r TurnRequest) (end func(), err error) {
+// acquireTurn requests the turn of an engine's link and returns a function that ends it. If
+// the arbiter can't be reached, or doesn't grant the turn in time, acquireTurn returns an
+// error, and the run may move without a turn.
+func (f *Forwarder) acquireTurn(ctx context.Context, at Upstream, r TurnRequest) (end func(), err error) {
 	nothing := func() {}
 	arbiter := f.peers.arbiter(f.now(), at)
 	if arbiter.ID == f.peers.self.ID {
 		if err := f.OnTurn(ctx, r); err != nil {
 			return nothing, err
 		}
-		return func() { f.turns.end(f.now(), r.Engine, r.Run) }, nil
+		return func() { f.turns.release(f.now(), r.Engine, r.Run) }, nil
 	}
 	peers := f.loadPeerPort()
 	if peers == nil {
-		return nothing, errNoTurn
+		return nothing, errTurnNotGranted
 	}
 	if err := peers.Turn(ctx, arbiter, r); err != nil {
 		if ctx.Err() != nil {
-			// The arbiter doesn't know that nobody waits any more. A run that ends
-			// by itself while it waits would get the turn and hold the others up
-			// until it runs out: 0.9 s of a notice of 1.7 s.
-			go f.endTurn(peers, arbiter, r)
+			// The arbiter doesn't know that the request no longer waits. A run that ends while
+			// it waits would get the turn and block the others until the turn expires, which
+			// takes 0.9 s of a notice of 1.7 s.
+			go f.releaseTurn(peers, arbiter, r)
 		}
 		return nothing, err
 	}
-	return func() { go f.endTurn(peers, arbiter, r) }, nil
+	return func() { go f.releaseTurn(peers, arbiter, r) }, nil
 }
 
-// endTurn tells an arbiter that a run neither has nor wants a turn any more.
-func (f *Forwarder) endTurn(peers Peers, arbiter Peer, r TurnRequest) {
+// releaseTurn tells an arbiter that a run neither has a turn nor waits for one.
+func (f *Forwarder) releaseTurn(peers Peers, arbiter Peer, r TurnRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), shareTimeout)
 	defer cancel()
 	if err := peers.EndTurn(ctx, arbiter, r); err != nil {
-		// The turn runs out by itself.
+		// The turn expires by itself.
 		f.journal.Request(RequestID(r.Run), "turn not ended", "arbiter", arbiter.ID, "err", err)
 	}
 }
 
-// OnTurn serves a peer that asks for a turn.
+// OnTurn serves a peer that requests a turn.
 func (f *Forwarder) OnTurn(ctx context.Context, r TurnRequest) error {
-	if r.AtOnce {
-		if !f.turns.try(f.now(), r) {
-			return errNoTurn
+	if r.NoWait {
+		if !f.turns.tryAcquire(f.now(), r) {
+			return errTurnNotGranted
 		}
 		return nil
 	}
-	if err := f.turns.take(ctx, r); err != nil {
-		return errNoTurn
+	if err := f.turns.acquire(ctx, r); err != nil {
+		return errTurnNotGranted
 	}
 	return nil
 }
 
 // OnEndTurn serves a peer that ends its turn.
-func (f *Forwarder) OnEndTurn(r TurnRequest) { f.turns.end(f.now(), r.Engine, r.Run) }
+func (f *Forwarder) OnEndTurn(r TurnRequest) { f.turns.release(f.now(), r.Engine, r.Run) }
