--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -80,10 +80,10 @@
 	if err != nil {
 		return usageError{err}
 	}
-	settings.UseEnvironment(environment)
+	settings.ApplyEnvironment(environment)
 	entries, released, err := platform.Quarantine(ctx, settings, release)
 	if err != nil {
-		return fmt.Errorf("%s can't be asked: %w; is shedpath serve running here?", settings.Peers, err)
+		return fmt.Errorf("%s can't be asked: %w; is shedpath serve running here?", settings.PeerAddress, err)
 	}
 	if release != nil {
 		return tellReleased(out, *release, released)
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -64,12 +64,12 @@
 	if err != nil {
 		return nil, usageError{err}
 	}
-	settings.UseEnvironment(system.Environment)
+	settings.ApplyEnvironment(system.Environment)
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
 	all, err := platform.Rollouts(ctx, settings)
 	if err != nil {
-		return nil, fmt.Errorf("%s can't be asked: %w; is shedpath serve running here?", settings.Peers, err)
+		return nil, fmt.Errorf("%s can't be asked: %w; is shedpath serve running here?", settings.PeerAddress, err)
 	}
 	return all, nil
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	settings.UseEnvironment(system.Environment)
+	settings.ApplyEnvironment(system.Environment)
 	settings.Clock = clock.System()
 	t := telemetry.NewForward(system.Stdout)
 	defer t.Close()
