--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -148,7 +148,7 @@
 	one, err := daemon.New(ctx, daemon.Settings{
 		Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
 		Host: member.HostID(fmt.Sprintf("e%d", n)), Zone: member.Zone(zone), Platform: platformURL,
-		PlatformWrites: platformclient.PlatformWrites, PlatformReads: platformclient.PlatformReads,
+		PlatformWrites: platformclient.PlatformWritesPerSecond, PlatformReads: platformclient.PlatformReadsPerSecond,
 		Register: true, PeerKey: demoPeerKey, AdminToken: demoAdminToken,
 		HostListEvery: time.Second,
 	}, log.NewNopLogger(), d.out)
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -60,8 +60,8 @@
 	}
 	s := newSettings(cmd)
 	s.listen("listen", "127.0.0.1:8500", "IP:port to listen on", &listen)
-	s.number("writes", platformclient.PlatformWrites, "writes a second that are taken; 0 takes any number", &writes)
-	s.number("reads", platformclient.PlatformReads, "reads a second that are taken; 0 takes any number", &reads)
+	s.number("writes", platformclient.PlatformWritesPerSecond, "writes a second that are taken; 0 takes any number", &writes)
+	s.number("reads", platformclient.PlatformReadsPerSecond, "reads a second that are taken; 0 takes any number", &reads)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if err := s.load(system); err != nil {
 			return err
--- a/internal/consul/breaker.go
+++ b/internal/consul/breaker.go
@@ -16,17 +16,17 @@
 	mu sync.Mutex
 	// failures counts the failures since the last success.
 	failures int
-	// reopen is when the next trial call may go; it holds while failures has
+	// nextTrial is when the next trial call may go; it holds while failures has
 	// reached failuresToOpen.
-	reopen time.Time
+	nextTrial time.Time
 	// random gives the jitter, in [0,1). Nil means math/rand.
 	random func() float64
 }
 
 const (
-	failuresToOpen  = 4
-	shortestBackoff = 100 * time.Millisecond
-	longestBackoff  = 5 * time.Second
+	failuresToOpen = 4
+	minBackoff     = 100 * time.Millisecond
+	maxBackoff     = 5 * time.Second
 )
 
 // allow reports whether a call may go now. Letting a trial call through puts
@@ -37,15 +37,15 @@
 	if b.failures < failuresToOpen {
 		return true
 	}
-	if now.Before(b.reopen) {
+	if now.Before(b.nextTrial) {
 		return false
 	}
-	b.reopen = now.Add(b.backoff())
+	b.nextTrial = now.Add(b.backoff())
 	return true
 }
 
-// report tells how a call that allow let through ended.
-func (b *breaker) report(now time.Time, ok bool) {
+// recordOutcome tells how a call that allow let through ended.
+func (b *breaker) recordOutcome(now time.Time, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if ok {
@@ -54,20 +54,20 @@
 	}
 	b.failures++
 	if b.failures >= failuresToOpen {
-		b.reopen = now.Add(b.backoff())
+		b.nextTrial = now.Add(b.backoff())
 	}
 }
 
 // backoff doubles with each failure past the opening, with half of it jitter.
 func (b *breaker) backoff() time.Duration {
-	wait := shortestBackoff
-	for i := failuresToOpen; i < b.failures && wait < longestBackoff; i++ {
+	wait := minBackoff
+	for i := failuresToOpen; i < b.failures && wait < maxBackoff; i++ {
 		wait *= 2
 	}
 	random := b.random
 	if random == nil {
 		random = rand.Float64
 	}
-	wait = min(wait, longestBackoff)
+	wait = min(wait, maxBackoff)
 	return wait/2 + time.Duration(random()*float64(wait)/2)
 }
--- a/internal/consul/budget.go
+++ b/internal/consul/budget.go
@@ -9,19 +9,19 @@
 	"golang.org/x/time/rate"
 )
 
-// Class ranks the platform calls: when the budget runs short, the lower ranks
+// Priority ranks the platform calls: when the budget runs short, the lower ranks
 // are refused first.
-type Class int
+type Priority int
 
 // The classes, most urgent first.
 const (
-	ConfigurationCalls Class = iota
+	ConfigurationCalls Priority = iota
 	ClaimCalls
 	StatusCalls
 )
 
-// reserved is the part of the burst that each class leaves to those above it.
-var reserved = map[Class]float64{ConfigurationCalls: 0, ClaimCalls: 0.2, StatusCalls: 0.5}
+// reservedFraction is the part of the burst that each class leaves to those above it.
+var reservedFraction = map[Priority]float64{ConfigurationCalls: 0, ClaimCalls: 0.2, StatusCalls: 0.5}
 
 // Budget keeps one daemon's calls within its share of the platform's rates.
 // Use NewBudget.
@@ -33,12 +33,12 @@
 // Rates of the platform's service, as the brief gives them, and the part of
 // them that shedpath lets itself use.
 const (
-	PlatformWrites = 100
-	PlatformReads  = 2000
-	usedShare      = 0.8
+	PlatformWritesPerSecond = 100
+	PlatformReadsPerSecond  = 2000
+	usedFraction            = 0.8
 	// burstSeconds is how long a daemon may save up unused calls.
 	burstSeconds = 2
-	leastBurst   = 8
+	minBurst     = 8
 )
 
 // NewBudget returns the budget of a daemon that is alone; SetDaemons shares it
@@ -46,21 +46,21 @@
 func NewBudget(writesPerSecond, readsPerSecond float64) *Budget {
 	return &Budget{
 		writesPerSecond: writesPerSecond, readsPerSecond: readsPerSecond,
-		writes: rate.NewLimiter(share(writesPerSecond, 1)),
-		reads:  rate.NewLimiter(share(readsPerSecond, 1)),
+		writes: rate.NewLimiter(daemonShare(writesPerSecond, 1)),
+		reads:  rate.NewLimiter(daemonShare(readsPerSecond, 1)),
 	}
 }
 
-// share is one daemon's rate and burst.
-func share(perSecond float64, daemons int) (rate.Limit, int) {
-	mine := perSecond * usedShare / float64(max(daemons, 1))
-	return rate.Limit(mine), max(int(mine*burstSeconds), leastBurst)
+// daemonShare is one daemon's rate and burst.
+func daemonShare(perSecond float64, daemons int) (rate.Limit, int) {
+	ratePerSecond := perSecond * usedFraction / float64(max(daemons, 1))
+	return rate.Limit(ratePerSecond), max(int(ratePerSecond*burstSeconds), minBurst)
 }
 
 // SetDaemons shares the platform's rates among that many daemons.
 func (b *Budget) SetDaemons(n int) {
 	set := func(limiter *rate.Limiter, perSecond float64) {
-		limit, burst := share(perSecond, n)
+		limit, burst := daemonShare(perSecond, n)
 		if limiter.Limit() != limit {
 			limiter.SetLimit(limit)
 			limiter.SetBurst(burst)
@@ -70,11 +70,11 @@
 	set(b.reads, b.readsPerSecond)
 }
 
-func (b *Budget) allowWrite(now time.Time, c Class) bool { return allow(b.writes, now, c) }
-func (b *Budget) allowRead(now time.Time, c Class) bool  { return allow(b.reads, now, c) }
+func (b *Budget) allowWrite(now time.Time, c Priority) bool { return allowCall(b.writes, now, c) }
+func (b *Budget) allowRead(now time.Time, c Priority) bool  { return allowCall(b.reads, now, c) }
 
-func allow(limit *rate.Limiter, now time.Time, c Class) bool {
-	if limit.TokensAt(now) < reserved[c]*float64(limit.Burst()) {
+func allowCall(limit *rate.Limiter, now time.Time, c Priority) bool {
+	if limit.TokensAt(now) < reservedFraction[c]*float64(limit.Burst()) {
 		return false
 	}
 	return limit.AllowN(now, 1)
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -30,15 +30,15 @@
 // Client calls the platform's service. Use New; Class gives the same client
 // for calls of another rank.
 type Client struct {
-	base    string
-	http    *http.Client
-	budget  *Budget
-	breaker *breaker
-	class   Class
+	base       string
+	httpClient *http.Client
+	budget     *Budget
+	breaker    *breaker
+	priority   Priority
 	// observe is told of each call: its name and how it ended.
 	observe func(call, outcome string)
-	// era is the newest that was told, shared by all classes.
-	era *atomic.Uint64
+	// newestEra is the newest that was told, shared by all classes.
+	newestEra *atomic.Uint64
 }
 
 // Option changes how a Client is built.
@@ -60,12 +60,12 @@
 // otherwise.
 func New(base string, opts ...Option) *Client {
 	c := &Client{
-		base:    strings.TrimRight(base, "/"),
-		http:    &http.Client{},
-		budget:  NewBudget(PlatformWrites, PlatformReads),
-		breaker: &breaker{},
-		observe: func(string, string) {},
-		era:     &atomic.Uint64{},
+		base:       strings.TrimRight(base, "/"),
+		httpClient: &http.Client{},
+		budget:     NewBudget(PlatformWritesPerSecond, PlatformReadsPerSecond),
+		breaker:    &breaker{},
+		observe:    func(string, string) {},
+		newestEra:  &atomic.Uint64{},
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -73,29 +73,29 @@
 	return c
 }
 
-// Class returns a client whose calls have the given rank.
-func (c *Client) Class(class Class) *Client {
-	ranked := *c
-	ranked.class = class
-	return &ranked
+// WithPriority returns a client whose calls have the given rank.
+func (c *Client) WithPriority(priority Priority) *Client {
+	clone := *c
+	clone.priority = priority
+	return &clone
 }
 
-// errStatus is an answer that the service gave with a status other than 200.
-type errStatus struct {
+// statusError is an answer that the service gave with a status other than 200.
+type statusError struct {
 	Status int
 	Text   string
 }
 
-func (e *errStatus) Error() string {
+func (e *statusError) Error() string {
 	return fmt.Sprintf("the platform answered %d: %s", e.Status, e.Text)
 }
 
 type request struct {
-	name, method, path string
-	query              url.Values
-	body               []byte
-	timeout            time.Duration
-	read               bool
+	operation, method, path string
+	query                   url.Values
+	body                    []byte
+	timeout                 time.Duration
+	isRead                  bool
 }
 
 type response struct {
@@ -113,38 +113,38 @@
 // service refused it for its rate.
 func (c *Client) call(ctx context.Context, r request) (response, error) {
 	now := time.Now()
-	if !c.admit(now, r) {
-		c.observe(r.name, "over_budget")
-		return response{}, trace.Wrap(entry.ErrNotSent, "%s: over the platform budget", r.name)
+	if !c.withinBudget(now, r) {
+		c.observe(r.operation, "over_budget")
+		return response{}, trace.Wrap(entry.ErrNotSent, "%s: over the platform budget", r.operation)
 	}
 	if !c.breaker.allow(now) {
-		c.observe(r.name, "breaker_open")
-		return response{}, trace.Wrap(entry.ErrNotSent, "%s: the platform keeps failing", r.name)
+		c.observe(r.operation, "breaker_open")
+		return response{}, trace.Wrap(entry.ErrNotSent, "%s: the platform keeps failing", r.operation)
 	}
-	answer, err := c.send(ctx, r)
+	resp, err := c.send(ctx, r)
 	// A caller that gave up says nothing of the platform's health.
 	if ctx.Err() == nil {
-		c.breaker.report(time.Now(), err == nil)
+		c.breaker.recordOutcome(time.Now(), err == nil)
 	}
-	c.observe(r.name, outcome(err))
-	return answer, err
+	c.observe(r.operation, callOutcome(err))
+	return resp, err
 }
 
-func outcome(err error) string {
+func callOutcome(err error) string {
 	if err != nil {
 		return "failed"
 	}
 	return "ok"
 }
 
-func (c *Client) admit(now time.Time, r request) bool {
-	if r.read {
-		return c.budget.allowRead(now, c.class)
+func (c *Client) withinBudget(now time.Time, r request) bool {
+	if r.isRead {
+		return c.budget.allowRead(now, c.priority)
 	}
-	return c.budget.allowWrite(now, c.class)
+	return c.budget.allowWrite(now, c.priority)
 }
 
-const maxAnswerBytes = 64 << 20
+const maxResponseBytes = 64 << 20
 
 func (c *Client) send(ctx context.Context, r request) (response, error) {
 	if r.timeout == 0 {
@@ -164,54 +164,54 @@
 	if err != nil {
 		return response{}, trace.Wrap(entry.ErrNotSent, "%v", err)
 	}
-	if !r.read {
+	if !r.isRead {
 		// A write must not be sent twice by the transport on its own.
 		req.GetBody = nil
 	}
-	answer, err := c.http.Do(req)
+	httpResponse, err := c.httpClient.Do(req)
 	if err != nil && !connected.Load() {
-		return response{}, trace.Wrap(entry.ErrNotSent, "%s: %v", r.name, err)
+		return response{}, trace.Wrap(entry.ErrNotSent, "%s: %v", r.operation, err)
 	}
 	if err != nil {
-		return response{}, trace.Wrap(err, r.name)
+		return response{}, trace.Wrap(err, r.operation)
 	}
-	defer answer.Body.Close()
-	got, err := readResponse(answer)
-	c.observeEra(got.era)
-	return got, err
+	defer httpResponse.Body.Close()
+	parsed, err := readResponse(httpResponse)
+	c.observeEra(parsed.era)
+	return parsed, err
 }
 
 // Era is the newest that the service has told.
-func (c *Client) Era() history.Era { return history.Era(c.era.Load()) }
+func (c *Client) Era() history.Era { return history.Era(c.newestEra.Load()) }
 
 func (c *Client) observeEra(era history.Era) {
-	for known := c.era.Load(); uint64(era) > known; known = c.era.Load() {
-		if c.era.CompareAndSwap(known, uint64(era)) {
+	for known := c.newestEra.Load(); uint64(era) > known; known = c.newestEra.Load() {
+		if c.newestEra.CompareAndSwap(known, uint64(era)) {
 			return
 		}
 	}
 }
 
-func readResponse(answer *http.Response) (response, error) {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
+func readResponse(httpResponse *http.Response) (response, error) {
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if err != nil {
 		return response{}, trace.Wrap(err)
 	}
-	got := response{status: answer.StatusCode, body: body}
-	got.index, _ = strconv.ParseUint(answer.Header.Get("X-Consul-Index"), 10, 64)
+	parsed := response{status: httpResponse.StatusCode, body: body}
+	parsed.index, _ = strconv.ParseUint(httpResponse.Header.Get("X-Consul-Index"), 10, 64)
 	// A service that doesn't tell its era is noticed by its index alone.
-	got.era, _ = history.ParseEra(answer.Header.Get(headerEra))
-	switch answer.StatusCode {
+	parsed.era, _ = history.ParseEra(httpResponse.Header.Get(headerEra))
+	switch httpResponse.StatusCode {
 	case http.StatusOK, http.StatusNotFound:
-		return got, nil
+		return parsed, nil
 	case http.StatusTooManyRequests:
-		return got, trace.Wrap(entry.ErrNotSent, "the platform's rate is used up")
+		return parsed, trace.Wrap(entry.ErrNotSent, "the platform's rate is used up")
 	default:
-		return got, &errStatus{Status: answer.StatusCode, Text: strings.TrimSpace(string(body))}
+		return parsed, &statusError{Status: httpResponse.StatusCode, Text: strings.TrimSpace(string(body))}
 	}
 }
 
-type keyAnswer struct {
+type keyEntry struct {
 	Key         string
 	Value       []byte
 	ModifyIndex uint64
@@ -221,106 +221,106 @@
 
 // Get reads one key.
 func (c *Client) Get(ctx context.Context, key string) (entry.Item, error) {
-	return c.getKey(ctx, request{name: "get", read: true, method: http.MethodGet, path: "/v1/kv/" + key})
+	return c.getKey(ctx, request{operation: "get", isRead: true, method: http.MethodGet, path: "/v1/kv/" + key})
 }
 
 // Watch waits for a write to the key after index, for at most wait.
 func (c *Client) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (entry.Item, error) {
 	query := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {wait.String()}}
 	return c.getKey(ctx, request{
-		name: "watch", read: true, method: http.MethodGet,
+		operation: "watch", isRead: true, method: http.MethodGet,
 		path: "/v1/kv/" + key, query: query, timeout: wait + callTimeout,
 	})
 }
 
 func (c *Client) getKey(ctx context.Context, r request) (entry.Item, error) {
-	got, err := c.call(ctx, r)
+	resp, err := c.call(ctx, r)
 	if err != nil {
 		return entry.Item{}, err
 	}
-	if got.status == http.StatusNotFound {
-		return entry.Item{Index: got.index, Era: got.era}, nil
+	if resp.status == http.StatusNotFound {
+		return entry.Item{Index: resp.index, Era: resp.era}, nil
 	}
-	var keys []keyAnswer
-	if err := json.Unmarshal(got.body, &keys); err != nil || len(keys) != 1 {
-		return entry.Item{}, trace.BadParameter("the platform's answer to %s can't be read: %v", r.name, err)
+	var keys []keyEntry
+	if err := json.Unmarshal(resp.body, &keys); err != nil || len(keys) != 1 {
+		return entry.Item{}, trace.BadParameter("the platform's answer to %s can't be read: %v", r.operation, err)
 	}
-	return entry.Item{Value: keys[0].Value, Version: entry.Version(keys[0].ModifyIndex), Index: got.index, Era: got.era}, nil
+	return entry.Item{Value: keys[0].Value, Version: entry.Version(keys[0].ModifyIndex), Index: resp.index, Era: resp.era}, nil
 }
 
 // Swap writes the key if it still has the version.
 func (c *Client) Swap(ctx context.Context, key string, value []byte, v entry.Version) (bool, error) {
 	query := url.Values{"cas": {strconv.FormatUint(uint64(v), 10)}}
-	return c.change(ctx, request{
-		name: "swap", method: http.MethodPut, path: "/v1/kv/" + key, query: query, body: value,
+	return c.conditionalWrite(ctx, request{
+		operation: "swap", method: http.MethodPut, path: "/v1/kv/" + key, query: query, body: value,
 	})
 }
 
 // Delete removes the key if it still has the version.
 func (c *Client) Delete(ctx context.Context, key string, v entry.Version) (bool, error) {
 	query := url.Values{"cas": {strconv.FormatUint(uint64(v), 10)}}
-	return c.change(ctx, request{name: "delete", method: http.MethodDelete, path: "/v1/kv/" + key, query: query})
+	return c.conditionalWrite(ctx, request{operation: "delete", method: http.MethodDelete, path: "/v1/kv/" + key, query: query})
 }
 
-func (c *Client) change(ctx context.Context, r request) (bool, error) {
-	got, err := c.call(ctx, r)
+func (c *Client) conditionalWrite(ctx context.Context, r request) (bool, error) {
+	resp, err := c.call(ctx, r)
 	if err != nil {
 		return false, err
 	}
 	var done bool
-	if err := json.Unmarshal(got.body, &done); err != nil {
-		return false, trace.Wrap(err, "the platform's answer to %s can't be read", r.name)
+	if err := json.Unmarshal(resp.body, &done); err != nil {
+		return false, trace.Wrap(err, "the platform's answer to %s can't be read", r.operation)
 	}
 	return done, nil
 }
 
 // Acquire asks for the lease on a key, by a session of its own.
 func (c *Client) Acquire(ctx context.Context, key, holder string, ttl time.Duration) (entry.Lease, error) {
-	asked, _ := json.Marshal(map[string]string{"TTL": ttl.String(), "Behavior": "release"})
-	got, err := c.call(ctx, request{name: "session", method: http.MethodPut, path: "/v1/session/create", body: asked})
+	body, _ := json.Marshal(map[string]string{"TTL": ttl.String(), "Behavior": "release"})
+	resp, err := c.call(ctx, request{operation: "session", method: http.MethodPut, path: "/v1/session/create", body: body})
 	if err != nil {
 		return entry.Lease{}, err
 	}
-	var made struct{ ID string }
-	if err := json.Unmarshal(got.body, &made); err != nil || made.ID == "" {
+	var created struct{ ID string }
+	if err := json.Unmarshal(resp.body, &created); err != nil || created.ID == "" {
 		return entry.Lease{}, trace.BadParameter("the platform gave no session: %v", err)
 	}
-	lease := entry.Lease{Key: key, Session: made.ID, TTL: ttl}
-	held, err := c.change(ctx, request{
-		name: "acquire", method: http.MethodPut, path: "/v1/kv/" + key,
-		query: url.Values{"acquire": {made.ID}}, body: []byte(holder),
+	lease := entry.Lease{Key: key, Session: created.ID, TTL: ttl}
+	held, err := c.conditionalWrite(ctx, request{
+		operation: "acquire", method: http.MethodPut, path: "/v1/kv/" + key,
+		query: url.Values{"acquire": {created.ID}}, body: []byte(holder),
 	})
 	if err != nil || !held {
 		return entry.Lease{}, err
 	}
-	lease.Token, err = c.lockIndex(ctx, key, made.ID)
+	lease.Token, err = c.fencingToken(ctx, key, created.ID)
 	return lease, err
 }
 
 // eraShift is where a fencing token has the era, above the count of acquisitions.
 const eraShift = 40
 
-// lockIndex reads the fencing token: the count of the key's acquisitions, above which is the era,
+// fencingToken reads the fencing token: the count of the key's acquisitions, above which is the era,
 // for a service that comes back from a copy counts from an earlier number.
-func (c *Client) lockIndex(ctx context.Context, key, session string) (uint64, error) {
-	got, err := c.call(ctx, request{name: "get", read: true, method: http.MethodGet, path: "/v1/kv/" + key})
+func (c *Client) fencingToken(ctx context.Context, key, session string) (uint64, error) {
+	resp, err := c.call(ctx, request{operation: "get", isRead: true, method: http.MethodGet, path: "/v1/kv/" + key})
 	if err != nil {
 		return 0, err
 	}
-	var keys []keyAnswer
-	if err := json.Unmarshal(got.body, &keys); err != nil || len(keys) != 1 {
+	var keys []keyEntry
+	if err := json.Unmarshal(resp.body, &keys); err != nil || len(keys) != 1 {
 		return 0, trace.BadParameter("the platform's answer can't be read: %v", err)
 	}
 	if keys[0].Session != session {
 		return 0, nil
 	}
-	return uint64(got.era)<<eraShift | keys[0].LockIndex, nil
+	return uint64(resp.era)<<eraShift | keys[0].LockIndex, nil
 }
 
 // Renew keeps the lease for another ttl.
 func (c *Client) Renew(ctx context.Context, l entry.Lease) error {
-	got, err := c.call(ctx, request{name: "renew", method: http.MethodPut, path: "/v1/session/renew/" + l.Session})
-	if err == nil && got.status == http.StatusNotFound {
+	resp, err := c.call(ctx, request{operation: "renew", method: http.MethodPut, path: "/v1/session/renew/" + l.Session})
+	if err == nil && resp.status == http.StatusNotFound {
 		return trace.NotFound("the lease on %s has lapsed", l.Key)
 	}
 	return err
@@ -328,11 +328,11 @@
 
 // Release gives the lease back.
 func (c *Client) Release(ctx context.Context, l entry.Lease) error {
-	_, err := c.call(ctx, request{name: "release", method: http.MethodPut, path: "/v1/session/destroy/" + l.Session})
+	_, err := c.call(ctx, request{operation: "release", method: http.MethodPut, path: "/v1/session/destroy/" + l.Session})
 	return err
 }
 
-type serviceAnswer struct {
+type catalogService struct {
 	ServiceID      string
 	ServiceAddress string
 	ServicePort    int
@@ -348,11 +348,11 @@
 // Hosts reads the list of live and leaving hosts, which lags behind reality.
 func (c *Client) Hosts(ctx context.Context) (member.HostList, error) {
 	var list member.HostList
-	entries, err := c.services(ctx, entryService)
+	entries, err := c.listServices(ctx, entryService)
 	if err != nil {
 		return list, err
 	}
-	upstreams, err := c.services(ctx, upstreamService)
+	upstreams, err := c.listServices(ctx, upstreamService)
 	if err != nil {
 		return list, err
 	}
@@ -371,17 +371,17 @@
 	return list, nil
 }
 
-func (s serviceAnswer) address() string {
+func (s catalogService) address() string {
 	return s.ServiceAddress + ":" + strconv.Itoa(s.ServicePort)
 }
 
-func (c *Client) services(ctx context.Context, name string) ([]serviceAnswer, error) {
-	got, err := c.call(ctx, request{name: "hosts", read: true, method: http.MethodGet, path: "/v1/catalog/service/" + name})
+func (c *Client) listServices(ctx context.Context, name string) ([]catalogService, error) {
+	resp, err := c.call(ctx, request{operation: "hosts", isRead: true, method: http.MethodGet, path: "/v1/catalog/service/" + name})
 	if err != nil {
 		return nil, err
 	}
-	var listed []serviceAnswer
-	if err := json.Unmarshal(got.body, &listed); err != nil {
+	var listed []catalogService
+	if err := json.Unmarshal(resp.body, &listed); err != nil {
 		return nil, trace.Wrap(err, "the host list can't be read")
 	}
 	return listed, nil
--- a/internal/consul/client_test.go
+++ b/internal/consul/client_test.go
@@ -17,7 +17,7 @@
 	standin "github.com/shedpath/shedpath/standin/platform"
 )
 
-func newContract(t *testing.T, opts ...standin.Option) (*Client, *standin.Server) {
+func newTestClient(t *testing.T, opts ...standin.Option) (*Client, *standin.Server) {
 	t.Helper()
 	service := standin.New(opts...)
 	server := httptest.NewServer(service)
@@ -28,7 +28,7 @@
 
 func TestSwapAndDelete(t *testing.T) {
 	is := is.New(t)
-	c, _ := newContract(t)
+	c, _ := newTestClient(t)
 	ctx := t.Context()
 	item, err := c.Get(ctx, "k")
 	is.NoErr(err)
@@ -58,7 +58,7 @@
 
 func TestWatch(t *testing.T) {
 	is := is.New(t)
-	c, service := newContract(t)
+	c, service := newTestClient(t)
 	ctx := t.Context()
 	item, err := c.Get(ctx, "k")
 	is.NoErr(err)
@@ -84,7 +84,7 @@
 
 func TestLeases(t *testing.T) {
 	is := is.New(t)
-	c, _ := newContract(t)
+	c, _ := newTestClient(t)
 	ctx := t.Context()
 	first, err := c.Acquire(ctx, "l", "a", time.Minute)
 	is.NoErr(err)
@@ -105,7 +105,7 @@
 
 func TestHosts(t *testing.T) {
 	is := is.New(t)
-	c, service := newContract(t)
+	c, service := newTestClient(t)
 	ctx := t.Context()
 	e := member.Entry{ID: "e1", Zone: "az1", PeerAddress: "10.0.0.1:1"}
 	u := member.Upstream{ID: "g1", Zone: "az2", Address: "10.0.0.2:2", Pool: "desk", Kind: member.KindEngine, Leaving: true}
@@ -136,7 +136,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			client, service := newContract(t, c.options...)
+			client, service := newTestClient(t, c.options...)
 			if c.options != nil {
 				_, err := client.Swap(t.Context(), "first", nil, 0) // uses the burst up
 				is.NoErr(err)
@@ -159,7 +159,7 @@
 	})
 	t.Run("caller gone", func(t *testing.T) {
 		is := is.New(t)
-		client, _ := newContract(t)
+		client, _ := newTestClient(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, err := client.Get(ctx, "k")
@@ -171,7 +171,7 @@
 	is := is.New(t)
 	now := time.Now()
 	b := NewBudget(100, 2000)
-	count := func(class Class) (n int) {
+	count := func(class Priority) (n int) {
 		for b.allowWrite(now, class) {
 			n++
 		}
@@ -182,7 +182,7 @@
 	is.True(claims > 0)        // left by status
 	is.True(configuration > 0) // left by claims
 	total := status + claims + configuration
-	is.Equal(total, int(100*usedShare*burstSeconds))
+	is.Equal(total, int(100*usedFraction*burstSeconds))
 }
 
 func TestBudgetIsShared(t *testing.T) {
@@ -197,8 +197,8 @@
 			calls++
 		}
 	}
-	share := 100 * usedShare / 340 * 60
-	is.True(float64(calls) <= share+100*usedShare*burstSeconds+leastBurst)
+	share := 100 * usedFraction / 340 * 60
+	is.True(float64(calls) <= share+100*usedFraction*burstSeconds+minBurst)
 }
 
 func TestBreaker(t *testing.T) {
@@ -206,27 +206,27 @@
 	now := time.Now()
 	b := breaker{random: func() float64 { return 1 }}
 	for range failuresToOpen - 1 {
-		b.report(now, false)
+		b.recordOutcome(now, false)
 	}
 	is.True(b.allow(now))
-	b.report(now, false)
+	b.recordOutcome(now, false)
 	is.True(!b.allow(now))
-	now = now.Add(shortestBackoff)
+	now = now.Add(minBackoff)
 	is.True(b.allow(now))  // one trial call
 	is.True(!b.allow(now)) // and no second beside it
 	for range 20 {
-		b.report(now, false)
+		b.recordOutcome(now, false)
 	}
-	is.True(!b.allow(now.Add(longestBackoff - 1)))
-	is.True(b.allow(now.Add(longestBackoff)))
-	b.report(now, true)
+	is.True(!b.allow(now.Add(maxBackoff - 1)))
+	is.True(b.allow(now.Add(maxBackoff)))
+	b.recordOutcome(now, true)
 	is.True(b.allow(now))
 }
 
-// TestTokenGoesBackAfterARestore: the holder after a restore must fence the one before.
-func TestTokenGoesBackAfterARestore(t *testing.T) {
+// TestTokenRisesAfterRestore: the holder after a restore must fence the one before.
+func TestTokenRisesAfterRestore(t *testing.T) {
 	is := is.New(t)
-	client, server := newContract(t)
+	client, server := newTestClient(t)
 	copied := server.Copy()
 	first, err := client.Acquire(t.Context(), "k", "e1", time.Minute)
 	is.NoErr(err)
@@ -237,10 +237,10 @@
 	is.True(client.Renew(t.Context(), first) != nil) // its session is lost, too
 }
 
-// TestWatchOverARestore: a watch from an index that the copy lacks ends, and tells the era.
-func TestWatchOverARestore(t *testing.T) {
+// TestWatchEndsAfterRestore: a watch from an index that the copy lacks ends, and tells the era.
+func TestWatchEndsAfterRestore(t *testing.T) {
 	is := is.New(t)
-	client, server := newContract(t)
+	client, server := newTestClient(t)
 	_, err := client.Swap(t.Context(), "copied", []byte("v"), 0)
 	is.NoErr(err)
 	copied := server.Copy()
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -38,7 +38,7 @@
 
 // Deregister takes a host off the list.
 func (c *Client) Deregister(ctx context.Context, id string) error {
-	_, err := c.call(ctx, request{name: "deregister", method: http.MethodPut, path: "/v1/agent/service/deregister/" + id})
+	_, err := c.call(ctx, request{operation: "deregister", method: http.MethodPut, path: "/v1/agent/service/deregister/" + id})
 	return err
 }
 
@@ -55,6 +55,6 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	_, err = c.call(ctx, request{name: "register", method: http.MethodPut, path: "/v1/agent/service/register", body: body})
+	_, err = c.call(ctx, request{operation: "register", method: http.MethodPut, path: "/v1/agent/service/register", body: body})
 	return err
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -166,7 +166,7 @@
 		Self: d.self(), Seeds: s.Peers, GenerationKey: derive(s.PeerKey, "generation ids"), LocalPlacement: s.Alone,
 		HostListInterval: s.HostListEvery, ConfigPollInterval: s.ConfigPollEvery, LoadInterval: s.LoadEvery, Clock: d.clock,
 	}, entry.Dependencies{
-		Store: d.store, Claims: d.store.Class(consul.ClaimCalls), Outcomes: d.store.Class(consul.StatusCalls),
+		Store: d.store, Claims: d.store.WithPriority(consul.ClaimCalls), Outcomes: d.store.WithPriority(consul.StatusCalls),
 		Hosts: d.store, Leases: d.store, Peers: d.mesh,
 		Engines: engine.New(), Services: service.New(), Upstreams: upstreams{},
 		Observer: d.metrics, Logger: d.logger, Tracer: tracer,
