--- a/internal/consul/breaker.go
+++ b/internal/consul/breaker.go
@@ -9,17 +9,16 @@
 	"time"
 )
 
-// breaker stops calls to a service that keeps failing, and lets one through
-// from time to time to see whether it is back. The zero value is closed and
-// lets every call through.
+// breaker is a circuit breaker: it stops calls to a service that keeps failing, and lets a
+// trial call through from time to time. The zero value is closed and lets every call through.
 type breaker struct {
 	mu sync.Mutex
 	// failures counts the failures since the last success.
 	failures int
-	// nextTrial is when the next trial call may go; it holds while failures has
-	// reached failuresToOpen.
+	// nextTrial is when the next trial call may go; it applies once failures has reached
+	// failuresToOpen.
 	nextTrial time.Time
-	// random gives the jitter, in [0,1). Nil means math/rand.
+	// random returns the jitter, in [0,1). Nil means math/rand.
 	random func() float64
 }
 
@@ -29,8 +28,8 @@
 	maxBackoff     = 5 * time.Second
 )
 
-// allow reports whether a call may go now. Letting a trial call through puts
-// the next trial off, so that only one goes at a time.
+// allow reports whether a call may go now. Allowing a trial call postpones the next one, so
+// that trial calls go one at a time.
 func (b *breaker) allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,7 +43,7 @@
 	return true
 }
 
-// recordOutcome tells how a call that allow let through ended.
+// recordOutcome records whether a call that allow let through succeeded.
 func (b *breaker) recordOutcome(now time.Time, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +57,8 @@
 	}
 }
 
-// backoff doubles with each failure past the opening, with half of it jitter.
+// backoff returns the time until the next trial call. It doubles with each failure after the
+// breaker opens, up to maxBackoff; half of it is jittered.
 func (b *breaker) backoff() time.Duration {
 	wait := minBackoff
 	for i := failuresToOpen; i < b.failures && wait < maxBackoff; i++ {
--- a/internal/consul/budget.go
+++ b/internal/consul/budget.go
@@ -9,40 +9,37 @@
 	"golang.org/x/time/rate"
 )
 
-// Priority ranks the platform calls: when the budget runs short, the lower ranks
-// are refused first.
+// Priority ranks the platform calls: when the budget runs short, calls of lower priority are
+// refused first.
 type Priority int
 
-// The classes, most urgent first.
+// The priorities, highest first.
 const (
 	ConfigurationCalls Priority = iota
 	ClaimCalls
 	StatusCalls
 )
 
-// reservedFraction is the part of the burst that each class leaves to those above it.
+// reservedFraction is the fraction of the burst that each priority leaves to higher ones.
 var reservedFraction = map[Priority]float64{ConfigurationCalls: 0, ClaimCalls: 0.2, StatusCalls: 0.5}
 
-// Budget keeps one daemon's calls within its share of the platform's rates.
-// Use NewBudget.
+// Budget keeps the calls of one daemon within its share of the platform's rates. Use NewBudget.
 type Budget struct {
 	writesPerSecond, readsPerSecond float64
 	writes, reads                   *rate.Limiter
 }
 
-// Rates of the platform's service, as the brief gives them, and the part of
-// them that shedpath lets itself use.
+// The specified rates of the platform's service, and the fraction of them that shedpath uses.
 const (
 	PlatformWritesPerSecond = 100
 	PlatformReadsPerSecond  = 2000
 	usedFraction            = 0.8
-	// burstSeconds is how long a daemon may save up unused calls.
+	// burstSeconds is how many seconds of unused calls a daemon may accumulate.
 	burstSeconds = 2
 	minBurst     = 8
 )
 
-// NewBudget returns the budget of a daemon that is alone; SetDaemons shares it
-// out.
+// NewBudget returns the budget of a single daemon; SetDaemons divides the rates among several.
 func NewBudget(writesPerSecond, readsPerSecond float64) *Budget {
 	return &Budget{
 		writesPerSecond: writesPerSecond, readsPerSecond: readsPerSecond,
@@ -51,13 +48,13 @@
 	}
 }
 
-// daemonShare is one daemon's rate and burst.
+// daemonShare returns the rate and burst of one daemon.
 func daemonShare(perSecond float64, daemons int) (rate.Limit, int) {
 	ratePerSecond := perSecond * usedFraction / float64(max(daemons, 1))
 	return rate.Limit(ratePerSecond), max(int(ratePerSecond*burstSeconds), minBurst)
 }
 
-// SetDaemons shares the platform's rates among that many daemons.
+// SetDaemons divides the platform's rates among n daemons.
 func (b *Budget) SetDaemons(n int) {
 	set := func(limiter *rate.Limiter, perSecond float64) {
 		limit, burst := daemonShare(perSecond, n)
--- a/internal/consul/client.go
+++ b/internal/consul/client.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package consul is the adapter to the platform's key-value service and host
-// list, by Consul's published HTTP interface. Every call passes one budget and
-// one breaker.
+// Package consul is a client of the platform's key-value service and host list, which speak
+// Consul's HTTP API. All calls pass one budget and one circuit breaker.
 package consul
 
 import (
@@ -27,37 +26,36 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Client calls the platform's service. Use New; Class gives the same client
-// for calls of another rank.
+// Client calls the platform's service. Use New; WithPriority returns the same client for calls
+// of another priority.
 type Client struct {
 	base       string
 	httpClient *http.Client
 	budget     *Budget
 	breaker    *breaker
 	priority   Priority
-	// observe is told of each call: its name and how it ended.
+	// observe is called for each call, with its operation and outcome.
 	observe func(call, outcome string)
-	// newestEra is the newest that was told, shared by all classes.
+	// newestEra is the newest era that the service has reported, shared by all priorities.
 	newestEra *atomic.Uint64
 }
 
 // Option changes how a Client is built.
 type Option func(*Client)
 
-// WithBudget sets the budget that the calls are taken from.
+// WithBudget sets the budget that limits the calls.
 func WithBudget(b *Budget) Option { return func(c *Client) { c.budget = b } }
 
-// WithObserver has each call reported, for counters.
+// WithObserver sets a function that is called for each call, for counters.
 func WithObserver(observe func(call, outcome string)) Option {
 	return func(c *Client) { c.observe = observe }
 }
 
-// callTimeout bounds a call that isn't a watch.
+// callTimeout bounds each call; a watch gets it on top of its waiting time.
 const callTimeout = 2 * time.Second
 
-// New returns a client for the service at a base URL such as
-// "http://10.0.0.9:8500", with the rates of the brief unless an option says
-// otherwise.
+// New returns a client for the service at a base URL such as "http://10.0.0.9:8500". Without
+// WithBudget it uses the specified rates of the platform.
 func New(base string, opts ...Option) *Client {
 	c := &Client{
 		base:       strings.TrimRight(base, "/"),
@@ -73,21 +71,21 @@
 	return c
 }
 
-// WithPriority returns a client whose calls have the given rank.
+// WithPriority returns a client whose calls have the given priority.
 func (c *Client) WithPriority(priority Priority) *Client {
 	clone := *c
 	clone.priority = priority
 	return &clone
 }
 
-// statusError is an answer that the service gave with a status other than 200.
+// statusError reports an HTTP status that is not expected from the service.
 type statusError struct {
 	Status int
 	Text   string
 }
 
 func (e *statusError) Error() string {
-	return fmt.Sprintf("the platform answered %d: %s", e.Status, e.Text)
+	return fmt.Sprintf("the platform returned status %d: %s", e.Status, e.Text)
 }
 
 type request struct {
@@ -105,24 +103,26 @@
 	era    history.Era
 }
 
-// headerEra rises by one each time the service comes back from an older copy.
+// headerEra holds the service's era, which rises by one each time the service is restored from
+// an older copy.
 const headerEra = "Store-Era"
 
-// call sends one request. Its error wraps entry.ErrNotSent when the budget or
-// the breaker held the call back, when no connection could be had, or when the
-// service refused it for its rate.
+// call sends one request. Its error wraps entry.ErrNotSent if:
+//   - the budget or the breaker refused the call,
+//   - the request could not be built or no connection was made,
+//   - the service refused the call because of its rate.
 func (c *Client) call(ctx context.Context, r request) (response, error) {
 	now := time.Now()
 	if !c.withinBudget(now, r) {
 		c.observe(r.operation, "over_budget")
-		return response{}, trace.Wrap(entry.ErrNotSent, "%s: over the platform budget", r.operation)
+		return response{}, trace.Wrap(entry.ErrNotSent, "%s: the call exceeds the budget for the platform", r.operation)
 	}
 	if !c.breaker.allow(now) {
 		c.observe(r.operation, "breaker_open")
-		return response{}, trace.Wrap(entry.ErrNotSent, "%s: the platform keeps failing", r.operation)
+		return response{}, trace.Wrap(entry.ErrNotSent, "%s: the circuit breaker is open, the platform keeps failing", r.operation)
 	}
 	resp, err := c.send(ctx, r)
-	// A caller that gave up says nothing of the platform's health.
+	// A call that its caller canceled says nothing about the platform's health.
 	if ctx.Err() == nil {
 		c.breaker.recordOutcome(time.Now(), err == nil)
 	}
@@ -165,7 +165,7 @@
 		return response{}, trace.Wrap(entry.ErrNotSent, "%v", err)
 	}
 	if !r.isRead {
-		// A write must not be sent twice by the transport on its own.
+		// Without GetBody, the transport can't resend a write by itself.
 		req.GetBody = nil
 	}
 	httpResponse, err := c.httpClient.Do(req)
@@ -181,7 +181,7 @@
 	return parsed, err
 }
 
-// Era is the newest that the service has told.
+// Era returns the newest era that the service has reported.
 func (c *Client) Era() history.Era { return history.Era(c.newestEra.Load()) }
 
 func (c *Client) observeEra(era history.Era) {
@@ -199,13 +199,13 @@
 	}
 	parsed := response{status: httpResponse.StatusCode, body: body}
 	parsed.index, _ = strconv.ParseUint(httpResponse.Header.Get("X-Consul-Index"), 10, 64)
-	// A service that doesn't tell its era is noticed by its index alone.
+	// If the service reports no era, only the index can reveal a restore.
 	parsed.era, _ = history.ParseEra(httpResponse.Header.Get(headerEra))
 	switch httpResponse.StatusCode {
 	case http.StatusOK, http.StatusNotFound:
 		return parsed, nil
 	case http.StatusTooManyRequests:
-		return parsed, trace.Wrap(entry.ErrNotSent, "the platform's rate is used up")
+		return parsed, trace.Wrap(entry.ErrNotSent, "the platform refused the call because of its rate limit")
 	default:
 		return parsed, &statusError{Status: httpResponse.StatusCode, Text: strings.TrimSpace(string(body))}
 	}
@@ -224,7 +224,7 @@
 	return c.getKey(ctx, request{operation: "get", isRead: true, method: http.MethodGet, path: "/v1/kv/" + key})
 }
 
-// Watch waits for a write to the key after index, for at most wait.
+// Watch waits up to the given time for a write to the key after index.
 func (c *Client) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (entry.Item, error) {
 	query := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {wait.String()}}
 	return c.getKey(ctx, request{
@@ -243,12 +243,12 @@
 	}
 	var keys []keyEntry
 	if err := json.Unmarshal(resp.body, &keys); err != nil || len(keys) != 1 {
-		return entry.Item{}, trace.BadParameter("the platform's answer to %s can't be read: %v", r.operation, err)
+		return entry.Item{}, trace.BadParameter("parse the platform's answer to %s: %d entries, expected 1: %v", r.operation, len(keys), err)
 	}
 	return entry.Item{Value: keys[0].Value, Version: entry.Version(keys[0].ModifyIndex), Index: resp.index, Era: resp.era}, nil
 }
 
-// Swap writes the key if it still has the version.
+// Swap writes the key if it still has version v, and reports whether it did.
 func (c *Client) Swap(ctx context.Context, key string, value []byte, v entry.Version) (bool, error) {
 	query := url.Values{"cas": {strconv.FormatUint(uint64(v), 10)}}
 	return c.conditionalWrite(ctx, request{
@@ -256,7 +256,7 @@
 	})
 }
 
-// Delete removes the key if it still has the version.
+// Delete removes the key if it still has version v, and reports whether it did.
 func (c *Client) Delete(ctx context.Context, key string, v entry.Version) (bool, error) {
 	query := url.Values{"cas": {strconv.FormatUint(uint64(v), 10)}}
 	return c.conditionalWrite(ctx, request{operation: "delete", method: http.MethodDelete, path: "/v1/kv/" + key, query: query})
@@ -269,12 +269,13 @@
 	}
 	var done bool
 	if err := json.Unmarshal(resp.body, &done); err != nil {
-		return false, trace.Wrap(err, "the platform's answer to %s can't be read", r.operation)
+		return false, trace.Wrap(err, "parse the platform's answer to %s", r.operation)
 	}
 	return done, nil
 }
 
-// Acquire asks for the lease on a key, by a session of its own.
+// Acquire tries to take the lease on a key with a new session. The token of the lease is zero
+// if another session holds it.
 func (c *Client) Acquire(ctx context.Context, key, holder string, ttl time.Duration) (entry.Lease, error) {
 	body, _ := json.Marshal(map[string]string{"TTL": ttl.String(), "Behavior": "release"})
 	resp, err := c.call(ctx, request{operation: "session", method: http.MethodPut, path: "/v1/session/create", body: body})
@@ -283,7 +284,7 @@
 	}
 	var created struct{ ID string }
 	if err := json.Unmarshal(resp.body, &created); err != nil || created.ID == "" {
-		return entry.Lease{}, trace.BadParameter("the platform gave no session: %v", err)
+		return entry.Lease{}, trace.BadParameter("the platform returned no session id: %v", err)
 	}
 	lease := entry.Lease{Key: key, Session: created.ID, TTL: ttl}
 	held, err := c.conditionalWrite(ctx, request{
@@ -297,11 +298,12 @@
 	return lease, err
 }
 
-// eraShift is where a fencing token has the era, above the count of acquisitions.
+// eraShift is the position of the era in a fencing token, above the acquisition count.
 const eraShift = 40
 
-// fencingToken reads the fencing token: the count of the key's acquisitions, above which is the era,
-// for a service that comes back from a copy counts from an earlier number.
+// fencingToken reads the key's lock index (its number of acquisitions) and puts the era above
+// it, since the count of a service restored from a copy restarts at a lower number. It returns
+// zero if the session doesn't hold the key.
 func (c *Client) fencingToken(ctx context.Context, key, session string) (uint64, error) {
 	resp, err := c.call(ctx, request{operation: "get", isRead: true, method: http.MethodGet, path: "/v1/kv/" + key})
 	if err != nil {
@@ -309,7 +311,7 @@
 	}
 	var keys []keyEntry
 	if err := json.Unmarshal(resp.body, &keys); err != nil || len(keys) != 1 {
-		return 0, trace.BadParameter("the platform's answer can't be read: %v", err)
+		return 0, trace.BadParameter("parse the platform's answer for key %s: %d entries, expected 1: %v", key, len(keys), err)
 	}
 	if keys[0].Session != session {
 		return 0, nil
@@ -317,16 +319,16 @@
 	return uint64(resp.era)<<eraShift | keys[0].LockIndex, nil
 }
 
-// Renew keeps the lease for another ttl.
+// Renew extends the lease by its TTL. The error is NotFound if the lease has expired.
 func (c *Client) Renew(ctx context.Context, l entry.Lease) error {
 	resp, err := c.call(ctx, request{operation: "renew", method: http.MethodPut, path: "/v1/session/renew/" + l.Session})
 	if err == nil && resp.status == http.StatusNotFound {
-		return trace.NotFound("the lease on %s has lapsed", l.Key)
+		return trace.NotFound("the lease on %s has expired", l.Key)
 	}
 	return err
 }
 
-// Release gives the lease back.
+// Release gives up the lease by destroying its session.
 func (c *Client) Release(ctx context.Context, l entry.Lease) error {
 	_, err := c.call(ctx, request{operation: "release", method: http.MethodPut, path: "/v1/session/destroy/" + l.Session})
 	return err
@@ -339,13 +341,13 @@
 	ServiceMeta    map[string]string
 }
 
-// Names under which the platform lists the hosts.
+// Service names under which the platform lists the hosts.
 const (
 	entryService    = "shedpath-entry"
 	upstreamService = "shedpath-upstream"
 )
 
-// Hosts reads the list of live and leaving hosts, which lags behind reality.
+// Hosts reads the list of live and leaving hosts, which lags behind their real state.
 func (c *Client) Hosts(ctx context.Context) (member.HostList, error) {
 	var list member.HostList
 	entries, err := c.listServices(ctx, entryService)
@@ -382,7 +384,7 @@
 	}
 	var listed []catalogService
 	if err := json.Unmarshal(resp.body, &listed); err != nil {
-		return nil, trace.Wrap(err, "the host list can't be read")
+		return nil, trace.Wrap(err, "parse the list of service %s", name)
 	}
 	return listed, nil
 }
--- a/internal/consul/client_test.go
+++ b/internal/consul/client_test.go
@@ -22,7 +22,7 @@
 	service := standin.New(opts...)
 	server := httptest.NewServer(service)
 	t.Cleanup(server.Close)
-	// A budget beyond what the test needs: budgets have tests of their own.
+	// The budget is too large to matter here; budgets have their own tests.
 	return New(server.URL, WithBudget(NewBudget(1e6, 1e6))), service
 }
 
@@ -38,7 +38,7 @@
 	is.True(done)
 	done, err = c.Swap(ctx, "k", []byte("2"), 0)
 	is.NoErr(err)
-	is.True(!done) // it is there already
+	is.True(!done) // the key exists already
 	item, err = c.Get(ctx, "k")
 	is.NoErr(err)
 	is.Equal(string(item.Value), "1")
@@ -47,7 +47,7 @@
 	is.True(done)
 	done, err = c.Delete(ctx, "k", item.Version)
 	is.NoErr(err)
-	is.True(!done) // it has changed since
+	is.True(!done) // the key has changed since
 	item, err = c.Get(ctx, "k")
 	is.NoErr(err)
 	is.Equal(string(item.Value), "3")
@@ -91,7 +91,7 @@
 	is.True(first.Token > 0)
 	second, err := c.Acquire(ctx, "l", "b", time.Minute)
 	is.NoErr(err)
-	is.Equal(second.Token, uint64(0)) // another holds it
+	is.Equal(second.Token, uint64(0)) // another session holds it
 	is.NoErr(c.Renew(ctx, first))
 	is.NoErr(c.Release(ctx, first))
 	is.True(c.Renew(ctx, first) != nil)
@@ -100,7 +100,7 @@
 	is.True(third.Token > first.Token) // tokens rise
 	lapsing, err := c.Acquire(ctx, "m", "a", time.Nanosecond)
 	is.NoErr(err)
-	is.Equal(lapsing.Token, uint64(0)) // it lapsed before it was read
+	is.Equal(lapsing.Token, uint64(0)) // it expired before the token was read
 }
 
 func TestHosts(t *testing.T) {
@@ -120,8 +120,8 @@
 	is.Equal(len(list.Entries), 0) // the list lags by an hour
 }
 
-// TestFaults has each fault of the service be told as what it is: surely
-// without effect, or unsure.
+// TestFaults checks which faults of the service are reported as certainly not sent, and which
+// leave it open whether the write took effect.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults  standin.Faults
@@ -179,8 +179,8 @@
 	}
 	status, claims, configuration := count(StatusCalls), count(ClaimCalls), count(ConfigurationCalls)
 	is.True(status > 0)
-	is.True(claims > 0)        // left by status
-	is.True(configuration > 0) // left by claims
+	is.True(claims > 0)        // reserved from status calls
+	is.True(configuration > 0) // reserved from claim calls
 	total := status + claims + configuration
 	is.Equal(total, int(100*usedFraction*burstSeconds))
 }
@@ -191,7 +191,7 @@
 	b.SetDaemons(340)
 	start := time.Now()
 	calls := 0
-	// A minute's calls of one daemon, which takes all it can.
+	// One daemon calls as often as it may for a minute.
 	for ms := range 60_000 {
 		if b.allowWrite(start.Add(time.Duration(ms)*time.Millisecond), ConfigurationCalls) {
 			calls++
@@ -213,7 +213,7 @@
 	is.True(!b.allow(now))
 	now = now.Add(minBackoff)
 	is.True(b.allow(now))  // one trial call
-	is.True(!b.allow(now)) // and no second beside it
+	is.True(!b.allow(now)) // but no second one at the same time
 	for range 20 {
 		b.recordOutcome(now, false)
 	}
@@ -223,7 +223,8 @@
 	is.True(b.allow(now))
 }
 
-// TestTokenRisesAfterRestore: the holder after a restore must fence the one before.
+// TestTokenRisesAfterRestore checks that the lease holder after a restore fences the earlier
+// one, although the restored service counts from a lower number.
 func TestTokenRisesAfterRestore(t *testing.T) {
 	is := is.New(t)
 	client, server := newTestClient(t)
@@ -234,10 +235,11 @@
 	second, err := client.Acquire(t.Context(), "k", "e2", time.Minute)
 	is.NoErr(err)
 	is.True(second.Token > first.Token)
-	is.True(client.Renew(t.Context(), first) != nil) // its session is lost, too
+	is.True(client.Renew(t.Context(), first) != nil) // its session is lost as well
 }
 
-// TestWatchEndsAfterRestore: a watch from an index that the copy lacks ends, and tells the era.
+// TestWatchEndsAfterRestore checks that a watch from an index that the restored copy lacks ends,
+// and reports the new era.
 func TestWatchEndsAfterRestore(t *testing.T) {
 	is := is.New(t)
 	client, server := newTestClient(t)
--- a/internal/consul/register.go
+++ b/internal/consul/register.go
@@ -23,20 +23,20 @@
 	Meta    map[string]string
 }
 
-// RegisterEntry puts an entry on the host list.
+// RegisterEntry adds an entry host to the host list.
 func (c *Client) RegisterEntry(ctx context.Context, e member.Entry) error {
 	return c.register(ctx, string(e.ID), entryService, e.PeerAddress, map[string]string{"zone": string(e.Zone)})
 }
 
-// RegisterUpstream puts an upstream on the host list. On the real platform the
-// hosts do this by themselves; here it serves the stand-ins.
+// RegisterUpstream adds an upstream to the host list. On the real platform the hosts register
+// themselves; the stand-ins use this method.
 func (c *Client) RegisterUpstream(ctx context.Context, u member.Upstream) error {
 	return c.register(ctx, string(u.ID), upstreamService, u.Address, map[string]string{
 		"zone": string(u.Zone), "pool": u.Pool, "kind": string(u.Kind), "leaving": strconv.FormatBool(u.Leaving),
 	})
 }
 
-// Deregister takes a host off the list.
+// Deregister removes a host from the host list.
 func (c *Client) Deregister(ctx context.Context, id string) error {
 	_, err := c.call(ctx, request{operation: "deregister", method: http.MethodPut, path: "/v1/agent/service/deregister/" + id})
 	return err
@@ -49,7 +49,7 @@
 	}
 	port, err := strconv.Atoi(portText)
 	if err != nil {
-		return trace.BadParameter("port %q", portText)
+		return trace.BadParameter("address %q has an invalid port %q", address, portText)
 	}
 	body, err := json.Marshal(registration{ID: id, Name: name, Address: host, Port: port, Meta: meta})
 	if err != nil {
