--- a/cmd/shedpath/main.go
+++ b/cmd/shedpath/main.go
@@ -12,5 +12,5 @@
 )
 
 func main() {
-	os.Exit(cli.Main(os.Args[1:], cli.Standard()))
+	os.Exit(cli.Main(os.Args[1:], cli.ProcessSystem()))
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -21,26 +21,26 @@
 
 // Exit codes.
 const (
-	exitOK     = 0
-	exitFailed = 1
-	exitUsage  = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
 // System is what a command uses of its process.
 type System struct {
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
-	// Environment looks a variable up.
-	Environment func(name string) (string, bool)
-	// Signals delivers the requests to stop.
-	Signals func() (<-chan os.Signal, func())
+	// LookupEnv looks a variable up.
+	LookupEnv func(name string) (string, bool)
+	// NotifySignals delivers the requests to stop.
+	NotifySignals func() (<-chan os.Signal, func())
 }
 
-// Standard is the process's own system.
-func Standard() System {
+// ProcessSystem is the process's own system.
+func ProcessSystem() System {
 	return System{
-		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr, Environment: os.LookupEnv,
-		Signals: func() (<-chan os.Signal, func()) {
+		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr, LookupEnv: os.LookupEnv,
+		NotifySignals: func() (<-chan os.Signal, func()) {
 			signals := make(chan os.Signal, 2)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			return signals, func() { signal.Stop(signals) }
@@ -53,13 +53,13 @@
 
 func (e usageError) Unwrap() error { return e.error }
 
-// errSilent ends a command that has already said what failed.
-var errSilent = errors.New("failed")
+// errAlreadyReported ends a command that has already said what failed.
+var errAlreadyReported = errors.New("failed")
 
 // Main runs a command and returns its exit code: 0, 1 for a failure, and 2 for
 // a mistake in the call or its settings.
 func Main(args []string, s System) int {
-	root := newRoot(&s)
+	root := newRootCommand(&s)
 	root.SetArgs(args)
 	root.SetIn(s.Stdin)
 	root.SetOut(s.Stdout)
@@ -69,18 +69,18 @@
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, errSilent):
-		return exitFailed
+	case errors.Is(err, errAlreadyReported):
+		return exitFailure
 	case errors.As(err, &usage):
 		fmt.Fprintf(s.Stderr, "shedpath: %v\n", err)
 		return exitUsage
 	default:
 		fmt.Fprintf(s.Stderr, "shedpath: %v\n", err)
-		return exitFailed
+		return exitFailure
 	}
 }
 
-func newRoot(s *System) *cobra.Command {
+func newRootCommand(s *System) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "shedpath",
 		Short: "Serve generations of unknown length on crowded engines",
@@ -132,12 +132,12 @@
 	return log.With(logger, "ts", log.DefaultTimestampUTC)
 }
 
-// untilSignals returns a context that ends with the first signal and one that
+// signalContexts returns a context that ends with the first signal and one that
 // ends with the second.
-func (s *System) untilSignals(parent context.Context) (stop, cut context.Context, release func()) {
+func (s *System) signalContexts(parent context.Context) (stop, cut context.Context, release func()) {
 	stop, cancelStop := context.WithCancel(parent)
 	cut, cancelCut := context.WithCancel(parent)
-	signals, unsubscribe := s.Signals()
+	signals, unsubscribe := s.NotifySignals()
 	done := make(chan struct{})
 	go func() {
 		for _, cancel := range []context.CancelFunc{cancelStop, cancelCut} {
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -24,13 +24,13 @@
 // apiClient calls the resource API of one entry.
 type apiClient struct {
 	server, token string
-	http          *http.Client
+	httpClient    *http.Client
 }
 
 const apiTimeout = 15 * time.Second
 
-func (f *clientFlags) client() *apiClient {
-	return &apiClient{server: strings.TrimRight(f.server, "/"), token: f.token, http: &http.Client{}}
+func (f *clientFlags) newClient() *apiClient {
+	return &apiClient{server: strings.TrimRight(f.server, "/"), token: f.token, httpClient: &http.Client{}}
 }
 
 // clientFlags are the settings that every operator's command has.
@@ -40,7 +40,7 @@
 
 func (f *clientFlags) declare(s *settings) {
 	s.url("server", "http://127.0.0.1:8081", "URL of an entry's operator side", &f.server)
-	s.required(s.text("token", "", "the operators' token", &f.token))
+	s.markRequired(s.text("token", "", "the operators' token", &f.token))
 }
 
 // document is a resource as operators write it.
@@ -54,8 +54,8 @@
 }
 
 type documentStatus struct {
-	Holds bool                  `json:"holds"`
-	Zones map[string]zoneStatus `json:"zones"`
+	InForceEverywhere bool                  `json:"holds"`
+	Zones             map[string]zoneStatus `json:"zones"`
 }
 
 type zoneStatus struct {
@@ -70,8 +70,8 @@
 	Items    []document        `json:"items"`
 }
 
-// problem is what the API answers to a failed call.
-type problem struct {
+// errorResponse is what the API answers to a failed call.
+type errorResponse struct {
 	Message  string            `json:"message"`
 	Findings resource.Findings `json:"findings"`
 	Error    struct {
@@ -102,40 +102,40 @@
 		req.Header[name] = values
 	}
 	req.Header.Set("Authorization", "Bearer "+c.token)
-	answer, err := c.http.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("%s can't be reached: %w; is the entry running, and is --server its operator side?", c.server, err)
 	}
-	if answer.StatusCode >= http.StatusBadRequest {
-		defer answer.Body.Close()
-		return nil, readProblem(answer)
+	if resp.StatusCode >= http.StatusBadRequest {
+		defer resp.Body.Close()
+		return nil, readError(resp)
 	}
-	return answer, nil
+	return resp, nil
 }
 
-func readProblem(answer *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, 1<<20))
-	var p problem
+func readError(resp *http.Response) error {
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
+	var response errorResponse
 	message := strings.TrimSpace(string(text))
-	if json.Unmarshal(text, &p) == nil {
-		message = p.Message + p.Error.Message
+	if json.Unmarshal(text, &response) == nil {
+		message = response.Message + response.Error.Message
 	}
-	if answer.StatusCode == http.StatusUnauthorized {
+	if resp.StatusCode == http.StatusUnauthorized {
 		message = "the token is not the operators' token; give --token or set SHEDPATH_TOKEN"
 	}
-	return &apiError{Status: answer.StatusCode, Message: message, Findings: p.Findings}
+	return &apiError{Status: resp.StatusCode, Message: message, Findings: response.Findings}
 }
 
 // call sends a request and decodes the answer.
 func (c *apiClient) call(ctx context.Context, method, path string, header http.Header, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, apiTimeout)
 	defer cancel()
-	answer, err := c.request(ctx, method, path, header, body)
+	resp, err := c.request(ctx, method, path, header, body)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if err := json.NewDecoder(answer.Body).Decode(into); err != nil {
+	defer resp.Body.Close()
+	if err := json.NewDecoder(resp.Body).Decode(into); err != nil {
 		return trace.Wrap(err, "the answer of %s can't be read", c.server)
 	}
 	return nil
@@ -149,14 +149,14 @@
 	return path
 }
 
-func matchHeader(version *resource.Revision) http.Header {
+func ifMatchHeader(version *resource.Revision) http.Header {
 	if version == nil {
 		return nil
 	}
 	return http.Header{"If-Match": {strconv.Quote(strconv.FormatUint(uint64(*version), 10))}}
 }
 
-type accepted struct {
+type changeResponse struct {
 	ResourceVersion resource.Revision `json:"resourceVersion"`
 }
 
@@ -165,9 +165,9 @@
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	var done accepted
-	err = c.call(ctx, http.MethodPut, resourcePath(d.Kind, d.Name), matchHeader(d.ResourceVersion), body, &done)
-	return done.ResourceVersion, err
+	var response changeResponse
+	err = c.call(ctx, http.MethodPut, resourcePath(d.Kind, d.Name), ifMatchHeader(d.ResourceVersion), body, &response)
+	return response.ResourceVersion, err
 }
 
 func (c *apiClient) get(ctx context.Context, kind resource.Kind, name resource.Name) (document, error) {
@@ -183,14 +183,14 @@
 }
 
 func (c *apiClient) delete(ctx context.Context, kind resource.Kind, name resource.Name) error {
-	var done accepted
-	return c.call(ctx, http.MethodDelete, resourcePath(kind, name), nil, nil, &done)
+	var response changeResponse
+	return c.call(ctx, http.MethodDelete, resourcePath(kind, name), nil, nil, &response)
 }
 
-// untilReady waits until the entry answers and is ready. An answer that says
+// waitUntilReady waits until the entry answers and is ready. An answer that says
 // what is wrong with the call ends the wait.
-func (c *apiClient) untilReady(ctx context.Context, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+func (c *apiClient) waitUntilReady(ctx context.Context, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		var status entryStatus
@@ -205,25 +205,25 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(waitPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// waitPause is how often a wait looks again.
-const waitPause = 100 * time.Millisecond
+// pollInterval is how often a wait looks again.
+const pollInterval = 100 * time.Millisecond
 
-// waitUntilHolds waits until a resource is seen in force in every zone.
-func (c *apiClient) waitUntilHolds(ctx context.Context, kind resource.Kind, name resource.Name) error {
+// waitUntilInForce waits until a resource is seen in force in every zone.
+func (c *apiClient) waitUntilInForce(ctx context.Context, kind resource.Kind, name resource.Name) error {
 	for {
 		d, err := c.get(ctx, kind, name)
-		if err == nil && d.Status != nil && d.Status.Holds {
+		if err == nil && d.Status != nil && d.Status.InForceEverywhere {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%s/%s was accepted, but wasn't seen in force in every zone in time", kind, name)
-		case <-time.After(waitPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -30,20 +30,20 @@
 	"github.com/shedpath/shedpath/standin/service"
 )
 
-// demoSite is the configuration that the demo applies; it is also
+// demoConfiguration is the configuration that the demo applies; it is also
 // examples/site.yaml.
 //
 //go:embed site.yaml
-var demoSite []byte
+var demoConfiguration []byte
 
 // Keys of the demo's site, which is on loopback only.
 const (
 	demoPeerKey    = "demo-peer-key-not-for-real-use"
 	demoAdminToken = "demo-operator"
-	demoCallerKey  = "demo-counter"
+	demoAccountKey = "demo-counter"
 )
 
-const demoWait = 30 * time.Second
+const demoTimeout = 30 * time.Second
 
 func newDemoCommand(system *System) *cobra.Command {
 	var once bool
@@ -57,12 +57,12 @@
 		Args:    cobra.NoArgs,
 	}
 	s := newSettings(cmd)
-	s.truth("once", "end after the two calls", &once)
+	s.boolean("once", "end after the two calls", &once)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if err := s.load(system); err != nil {
 			return err
 		}
-		stop, cut, release := system.untilSignals(cmd.Context())
+		stop, cut, release := system.signalContexts(cmd.Context())
 		defer release()
 		return runDemo(stop, cut, system.Stdout, once)
 	}
@@ -71,21 +71,21 @@
 
 // demo is the running site.
 type demo struct {
-	out     io.Writer
-	zones   []string
-	daemons []*daemon.Daemon
-	parts   conc.WaitGroup
+	out        io.Writer
+	zones      []string
+	daemons    []*daemon.Daemon
+	goroutines conc.WaitGroup
 }
 
 func runDemo(stop, cut context.Context, out io.Writer, once bool) error {
-	running, cancel := context.WithCancel(stop)
+	ctx, cancel := context.WithCancel(stop)
 	d := &demo{out: out, zones: []string{"az1", "az2", "az3"}}
-	defer d.parts.Wait()
+	defer d.goroutines.Wait()
 	defer cancel()
-	if err := d.start(running, cut); err != nil {
+	if err := d.start(ctx, cut); err != nil {
 		return err
 	}
-	if err := d.show(running); err != nil {
+	if err := d.applyAndCall(ctx); err != nil {
 		return err
 	}
 	if once {
@@ -102,8 +102,8 @@
 		return "", err
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
-	d.parts.Go(func() { _ = server.Serve(listener) })
-	d.parts.Go(func() {
+	d.goroutines.Go(func() { _ = server.Serve(listener) })
+	d.goroutines.Go(func() {
 		<-ctx.Done()
 		_ = server.Close()
 	})
@@ -132,9 +132,9 @@
 }
 
 func (d *demo) startZone(ctx, cut context.Context, client *platformclient.Client, platformURL, zone string, n int) error {
-	model := engine.New()
-	d.parts.Go(func() { model.Run(ctx) })
-	address, err := d.serve(ctx, model)
+	engineServer := engine.New()
+	d.goroutines.Go(func() { engineServer.Run(ctx) })
+	address, err := d.serve(ctx, engineServer)
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	one, err := daemon.New(ctx, daemon.Settings{
+	entry, err := daemon.New(ctx, daemon.Settings{
 		Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
 		Host: member.HostID(fmt.Sprintf("e%d", n)), Zone: member.Zone(zone), Platform: platformURL,
 		PlatformWrites: platformclient.PlatformWrites, PlatformReads: platformclient.PlatformReads,
@@ -155,25 +155,25 @@
 	if err != nil {
 		return err
 	}
-	d.daemons = append(d.daemons, one)
-	d.parts.Go(func() { _ = one.Run(ctx, cut) })
+	d.daemons = append(d.daemons, entry)
+	d.goroutines.Go(func() { _ = entry.Run(ctx, cut) })
 	return nil
 }
 
-// show applies the configuration, makes the two calls and prints how to go on.
-func (d *demo) show(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, demoWait)
+// applyAndCall applies the configuration, makes the two calls and prints how to go on.
+func (d *demo) applyAndCall(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
 	admin := "http://" + d.daemons[0].Addresses().Admin
-	documents, found, err := parseDocuments(bytes.NewReader(demoSite))
-	if err := errors.Join(err, found.Err()); err != nil {
+	documents, findings, err := parseDocuments(bytes.NewReader(demoConfiguration))
+	if err := errors.Join(err, findings.Err()); err != nil {
 		return err
 	}
-	operator := (&clientFlags{server: admin, token: demoAdminToken}).client()
-	if err := d.untilFormed(ctx, operator); err != nil {
+	client := (&clientFlags{server: admin, token: demoAdminToken}).newClient()
+	if err := d.waitForAllZones(ctx, client); err != nil {
 		return err
 	}
-	if err := apply(ctx, d.out, operator, documents, demoWait); err != nil {
+	if err := apply(ctx, d.out, client, documents, demoTimeout); err != nil {
 		return err
 	}
 	caller := "http://" + d.daemons[0].Addresses().Caller
@@ -187,48 +187,48 @@
 	return nil
 }
 
-// untilFormed waits until the first entry hears from every zone: before that,
+// waitForAllZones waits until the first entry hears from every zone: before that,
 // "in force in every zone" would mean the zones known so far.
-func (d *demo) untilFormed(ctx context.Context, c *apiClient) error {
+func (d *demo) waitForAllZones(ctx context.Context, c *apiClient) error {
 	for {
 		var status entryStatus
 		err := c.call(ctx, http.MethodGet, "/status", nil, nil, &status)
-		present := 0
+		upToDate := 0
 		for _, z := range status.Zones {
 			if z.InForce == "yes" {
-				present++
+				upToDate++
 			}
 		}
-		if err == nil && present == len(d.zones) {
+		if err == nil && upToDate == len(d.zones) {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return errors.New("the zones did not hear of each other in time")
-		case <-time.After(waitPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 const demoPrompt = `{"model":"quote","stream":true,"max_tokens":24,"ignore_eos":true,"messages":[{"role":"user","content":"12 chains and 4 hubs, please"}]}`
 
-// untilServed sends a request until the site takes it: a new site's entries
+// sendUntilAccepted sends a request until the site takes it: a new site's entries
 // need a moment to hear of the upstreams.
-func untilServed(ctx context.Context, make func() (*http.Request, error)) (*http.Response, error) {
+func sendUntilAccepted(ctx context.Context, newRequest func() (*http.Request, error)) (*http.Response, error) {
 	for {
-		req, err := make()
+		req, err := newRequest()
 		if err != nil {
 			return nil, err
 		}
-		req.Header.Set("Authorization", "Bearer "+demoCallerKey)
-		answer, err := http.DefaultClient.Do(req)
+		req.Header.Set("Authorization", "Bearer "+demoAccountKey)
+		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			return nil, err
 		}
-		if answer.StatusCode != http.StatusServiceUnavailable {
-			return answer, nil
+		if resp.StatusCode != http.StatusServiceUnavailable {
+			return resp, nil
 		}
-		_ = answer.Body.Close()
+		_ = resp.Body.Close()
 		select {
 		case <-ctx.Done():
 			return nil, errors.New("the site did not take the call in time")
@@ -238,26 +238,26 @@
 }
 
 func (d *demo) generate(ctx context.Context, caller string) error {
-	answer, err := untilServed(ctx, func() (*http.Request, error) {
+	resp, err := sendUntilAccepted(ctx, func() (*http.Request, error) {
 		return http.NewRequestWithContext(ctx, http.MethodPost, caller+"/v1/chat/completions", strings.NewReader(demoPrompt))
 	})
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	fmt.Fprintf(d.out, "\nA generation by model \"quote\" (status %d):\n ", answer.StatusCode)
-	for event, err := range sse.Read(answer.Body, nil) {
+	defer resp.Body.Close()
+	fmt.Fprintf(d.out, "\nA generation by model \"quote\" (status %d):\n ", resp.StatusCode)
+	for event, err := range sse.Read(resp.Body, nil) {
 		if err != nil {
 			return err
 		}
-		fmt.Fprint(d.out, contentOf(event.Data))
+		fmt.Fprint(d.out, chunkContent(event.Data))
 	}
 	fmt.Fprintln(d.out)
 	return nil
 }
 
-// contentOf returns the text of a chat chunk, or the event itself.
-func contentOf(data string) string {
+// chunkContent returns the text of a chat chunk, or the event itself.
+func chunkContent(data string) string {
 	var chunk struct {
 		Choices []struct {
 			Delta struct {
@@ -272,31 +272,31 @@
 }
 
 func (d *demo) callService(ctx context.Context, caller string) error {
-	answer, err := untilServed(ctx, func() (*http.Request, error) {
+	resp, err := sendUntilAccepted(ctx, func() (*http.Request, error) {
 		return http.NewRequestWithContext(ctx, http.MethodGet, caller+"/services/stock/lines/chain-11", nil)
 	})
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	line, err := bufio.NewReader(answer.Body).ReadString('\n')
+	defer resp.Body.Close()
+	line, err := bufio.NewReader(resp.Body).ReadString('\n')
 	if err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
-	fmt.Fprintf(d.out, "\nA call of service \"stock\" (status %d):\n  %s\n", answer.StatusCode, strings.TrimSpace(line))
+	fmt.Fprintf(d.out, "\nA call of service \"stock\" (status %d):\n  %s\n", resp.StatusCode, strings.TrimSpace(line))
 	return nil
 }
 
 func (d *demo) printAddresses(caller, admin string) {
 	fmt.Fprintln(d.out, "\nThe entries:")
-	for i, one := range d.daemons {
-		at := one.Addresses()
-		fmt.Fprintf(d.out, "  %s  callers http://%s  operators http://%s\n", d.zones[i], at.Caller, at.Admin)
+	for i, entry := range d.daemons {
+		addresses := entry.Addresses()
+		fmt.Fprintf(d.out, "  %s  callers http://%s  operators http://%s\n", d.zones[i], addresses.Caller, addresses.Admin)
 	}
 	fmt.Fprintf(d.out, `
 Try:
   curl -N %s/v1/completions -H 'Authorization: Bearer %s' \
     -d '{"model":"quote","prompt":"brake pads","stream":true,"max_tokens":40}'
   go run ./cmd/shedpath status --server %s --token %s
-`, caller, demoCallerKey, admin, demoAdminToken)
+`, caller, demoAccountKey, admin, demoAdminToken)
 }
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -32,26 +32,26 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
-	cmd.AddCommand(newDevPlatform(system), newDevEngine(system), newDevService(system), newDevBench(system))
+	cmd.AddCommand(newDevPlatformCommand(system), newDevEngineCommand(system), newDevServiceCommand(system), newDevBenchCommand(system))
 	return cmd
 }
 
 // serveUntilSignal serves a stand-in until it is asked to stop.
-func serveUntilSignal(system *System, parent context.Context, listener net.Listener, handler http.Handler, beside func(ctx context.Context)) {
-	stop, _, release := system.untilSignals(parent)
+func serveUntilSignal(system *System, parent context.Context, listener net.Listener, handler http.Handler, background func(ctx context.Context)) {
+	stop, _, release := system.signalContexts(parent)
 	defer release()
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second}
-	var parts conc.WaitGroup
-	parts.Go(func() { _ = server.Serve(listener) })
-	if beside != nil {
-		parts.Go(func() { beside(stop) })
+	var goroutines conc.WaitGroup
+	goroutines.Go(func() { _ = server.Serve(listener) })
+	if background != nil {
+		goroutines.Go(func() { background(stop) })
 	}
 	<-stop.Done()
 	_ = server.Close()
-	parts.Wait()
+	goroutines.Wait()
 }
 
-func newDevPlatform(system *System) *cobra.Command {
+func newDevPlatformCommand(system *System) *cobra.Command {
 	var listen string
 	var writes, reads float64
 	cmd := &cobra.Command{
@@ -59,7 +59,7 @@
 		Example: "  shedpath dev platform --listen 127.0.0.1:8500",
 	}
 	s := newSettings(cmd)
-	s.listen("listen", "127.0.0.1:8500", "IP:port to listen on", &listen)
+	s.listenAddress("listen", "127.0.0.1:8500", "IP:port to listen on", &listen)
 	s.number("writes", platformclient.PlatformWrites, "writes a second that are taken; 0 takes any number", &writes)
 	s.number("reads", platformclient.PlatformReads, "reads a second that are taken; 0 takes any number", &reads)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
@@ -82,12 +82,12 @@
 	listen, id, zone, pool, platform string
 }
 
-func (f *upstreamFlags) declare(s *settings, standardPool string) {
-	s.listen("listen", "127.0.0.1:0", "IP:port to listen on", &f.listen)
-	s.required(s.text("id", "", "name of this upstream, unique in the site", &f.id))
-	s.required(s.text("zone", "", "availability zone of this upstream", &f.zone))
-	s.text("pool", standardPool, "engine pool or service that it belongs to", &f.pool)
-	s.required(s.url("platform", "", "URL of the platform, to be put on the host list", &f.platform))
+func (f *upstreamFlags) declare(s *settings, defaultPool string) {
+	s.listenAddress("listen", "127.0.0.1:0", "IP:port to listen on", &f.listen)
+	s.markRequired(s.text("id", "", "name of this upstream, unique in the site", &f.id))
+	s.markRequired(s.text("zone", "", "availability zone of this upstream", &f.zone))
+	s.text("pool", defaultPool, "engine pool or service that it belongs to", &f.pool)
+	s.markRequired(s.url("platform", "", "URL of the platform, to be put on the host list", &f.platform))
 }
 
 func (f *upstreamFlags) upstream(kind member.UpstreamKind, address string) member.Upstream {
@@ -96,8 +96,8 @@
 	}
 }
 
-// register puts an upstream on the host list, trying again while it can't.
-func register(ctx context.Context, platformURL string, u member.Upstream) {
+// registerUpstream puts an upstream on the host list, trying again while it can't.
+func registerUpstream(ctx context.Context, platformURL string, u member.Upstream) {
 	client := platformclient.New(platformURL)
 	for client.RegisterUpstream(ctx, u) != nil {
 		select {
@@ -108,7 +108,7 @@
 	}
 }
 
-func newDevEngine(system *System) *cobra.Command {
+func newDevEngineCommand(system *System) *cobra.Command {
 	var flags upstreamFlags
 	settings := engine.DefaultSettings()
 	linger := engine.DefaultLinger
@@ -134,17 +134,17 @@
 		server := engine.New(engine.WithSettings(settings), engine.WithLinger(linger))
 		fmt.Fprintf(system.Stdout, "listen=%s\n", listener.Addr())
 		serveUntilSignal(system, cmd.Context(), listener, server, func(ctx context.Context) {
-			var parts conc.WaitGroup
-			defer parts.Wait()
-			parts.Go(func() { server.Run(ctx) })
-			register(ctx, flags.platform, flags.upstream(member.KindEngine, listener.Addr().String()))
+			var goroutines conc.WaitGroup
+			defer goroutines.Wait()
+			goroutines.Go(func() { server.Run(ctx) })
+			registerUpstream(ctx, flags.platform, flags.upstream(member.KindEngine, listener.Addr().String()))
 		})
 		return nil
 	}
 	return cmd
 }
 
-func newDevService(system *System) *cobra.Command {
+func newDevServiceCommand(system *System) *cobra.Command {
 	var flags upstreamFlags
 	cmd := &cobra.Command{
 		Use: "service", Short: "Run a stand-in for a plain service", Args: cobra.NoArgs,
@@ -162,14 +162,14 @@
 		}
 		fmt.Fprintf(system.Stdout, "listen=%s\n", listener.Addr())
 		serveUntilSignal(system, cmd.Context(), listener, &service.Server{}, func(ctx context.Context) {
-			register(ctx, flags.platform, flags.upstream(member.KindService, listener.Addr().String()))
+			registerUpstream(ctx, flags.platform, flags.upstream(member.KindService, listener.Addr().String()))
 		})
 		return nil
 	}
 	return cmd
 }
 
-func newDevBench(system *System) *cobra.Command {
+func newDevBenchCommand(system *System) *cobra.Command {
 	var policies, workloads, loads string
 	var seeds int
 	cmd := &cobra.Command{
@@ -188,7 +188,7 @@
 		if err := s.load(system); err != nil {
 			return err
 		}
-		chosen := bench.Settings{
+		benchSettings := bench.Settings{
 			Policies: strings.Split(policies, ","), Workloads: strings.Split(workloads, ","), Seeds: max(seeds, 1),
 		}
 		for text := range strings.SplitSeq(loads, ",") {
@@ -196,9 +196,9 @@
 			if err != nil || load <= 0 {
 				return usageError{fmt.Errorf("--loads: want numbers above 0, not %q", text)}
 			}
-			chosen.Loads = append(chosen.Loads, load)
+			benchSettings.Loads = append(benchSettings.Loads, load)
 		}
-		return bench.Run(system.Stdout, chosen)
+		return bench.Run(system.Stdout, benchSettings)
 	}
 	return cmd
 }
--- a/internal/cli/documents.go
+++ b/internal/cli/documents.go
@@ -29,11 +29,11 @@
 		defer file.Close()
 		source = file
 	}
-	documents, found, err := parseDocuments(source)
+	documents, findings, err := parseDocuments(source)
 	if err != nil {
 		return nil, usageError{fmt.Errorf("%s: %w", path, err)}
 	}
-	if err := found.Err(); err != nil {
+	if err := findings.Err(); err != nil {
 		return nil, usageError{fmt.Errorf("%s is not valid:\n%w", path, err)}
 	}
 	return documents, nil
@@ -41,7 +41,7 @@
 
 func parseDocuments(source io.Reader) ([]document, resource.Findings, error) {
 	var documents []document
-	var found resource.Findings
+	var findings resource.Findings
 	decoder := yamlv3.NewDecoder(source)
 	for n := 1; ; n++ {
 		var node yamlv3.Node
@@ -55,17 +55,17 @@
 		if node.Kind == 0 || len(node.Content) == 1 && node.Content[0].Tag == "!!null" {
 			continue
 		}
-		d, wrong := parseDocument(&node)
-		for _, finding := range wrong {
-			place := fmt.Sprintf("document %d, line %d, %s", n, node.Content[0].Line, finding.Field)
-			found = append(found, resource.Finding{Field: place, Message: finding.Message})
+		d, documentFindings := parseDocument(&node)
+		for _, finding := range documentFindings {
+			field := fmt.Sprintf("document %d, line %d, %s", n, node.Content[0].Line, finding.Field)
+			findings = append(findings, resource.Finding{Field: field, Message: finding.Message})
 		}
 		documents = append(documents, d)
 	}
-	if len(documents) == 0 && len(found) == 0 {
+	if len(documents) == 0 && len(findings) == 0 {
 		return nil, nil, errors.New("there are no documents")
 	}
-	return documents, found, nil
+	return documents, findings, nil
 }
 
 func parseDocument(node *yamlv3.Node) (document, resource.Findings) {
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -22,25 +22,25 @@
 	name resource.Name
 }
 
-// zoneWord is the argument before a zone's name.
-const zoneWord = "zone"
+// zoneArgument is the argument before a zone's name.
+const zoneArgument = "zone"
 
 // parseDrainTarget takes "UPSTREAM" or "zone ZONE".
 func parseDrainTarget(args []string) (drainTarget, error) {
 	switch {
 	case len(args) == 1:
 		return drainTarget{resource.DrainOrder{Upstream: args[0]}, resource.Name(strings.ToLower(args[0]))}, nil
-	case args[0] == zoneWord:
-		return drainTarget{resource.DrainOrder{Zone: args[1]}, resource.Name(zoneWord + "-" + strings.ToLower(args[1]))}, nil
+	case args[0] == zoneArgument:
+		return drainTarget{resource.DrainOrder{Zone: args[1]}, resource.Name(zoneArgument + "-" + strings.ToLower(args[1]))}, nil
 	default:
-		return drainTarget{}, usageError{fmt.Errorf("%q: give an upstream, or the word %q and a zone", strings.Join(args, " "), zoneWord)}
+		return drainTarget{}, usageError{fmt.Errorf("%q: give an upstream, or the word %q and a zone", strings.Join(args, " "), zoneArgument)}
 	}
 }
 
 // String is the target as the operator named it.
 func (t drainTarget) String() string {
 	if t.order.Zone != "" {
-		return zoneWord + " " + t.order.Zone
+		return zoneArgument + " " + t.order.Zone
 	}
 	return t.order.Upstream
 }
@@ -53,8 +53,8 @@
 		Long:    `drain declares a drain order: running work goes on, and no new work comes.`,
 		Example: "  shedpath drain g1 --wait 5s\n  shedpath drain zone recife-a", Args: cobra.RangeArgs(1, 2),
 	}
-	return operatorCommand(system, cmd, func(s *settings) {
-		s.truth("undo", "remove the drain order, as undrain does", &undo)
+	return newOperatorCommand(system, cmd, func(s *settings) {
+		s.boolean("undo", "remove the drain order, as undrain does", &undo)
 		s.duration("wait", 5*time.Second, "how long to wait until the order is in force in every zone", &wait)
 	}, func(ctx context.Context, c *apiClient, args []string) error {
 		target, err := parseDrainTarget(args)
@@ -78,7 +78,7 @@
 		Long:    `undrain removes the drain order about an upstream or a zone.`,
 		Example: "  shedpath undrain g1\n  shedpath undrain zone recife-a", Args: cobra.RangeArgs(1, 2),
 	}
-	return operatorCommand(system, cmd, nil, func(ctx context.Context, c *apiClient, args []string) error {
+	return newOperatorCommand(system, cmd, nil, func(ctx context.Context, c *apiClient, args []string) error {
 		target, err := parseDrainTarget(args)
 		if err != nil {
 			return err
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -18,8 +18,8 @@
 
 // Least lengths of the secrets.
 const (
-	leastPeerKey    = 16
-	leastAdminToken = 8
+	minPeerKeyLength    = 16
+	minAdminTokenLength = 8
 )
 
 // entryFlags are the settings of an entry as they are written.
@@ -29,19 +29,19 @@
 }
 
 func (f *entryFlags) declare(s *settings) {
-	s.listen("listen", "127.0.0.1:8080", "IP:port for callers", &f.Listen)
-	s.listen("admin-listen", "127.0.0.1:8081", "IP:port for operators, health and metrics", &f.AdminListen)
-	s.listen("peer-listen", "127.0.0.1:8082", "IP:port for the other entries", &f.PeerListen)
-	s.listen("peer-advertise", "", "IP:port where peers reach this host; default: what --peer-listen got", &f.PeerAdvertise)
-	s.required(s.text("host-id", "", "name of this host, unique in the site", &f.host))
-	s.required(s.text("zone", "", "availability zone of this host", &f.zone))
-	s.required(s.url("platform", "", "URL of the platform's key-value service", &f.Platform))
+	s.listenAddress("listen", "127.0.0.1:8080", "IP:port for callers", &f.Listen)
+	s.listenAddress("admin-listen", "127.0.0.1:8081", "IP:port for operators, health and metrics", &f.AdminListen)
+	s.listenAddress("peer-listen", "127.0.0.1:8082", "IP:port for the other entries", &f.PeerListen)
+	s.listenAddress("peer-advertise", "", "IP:port where peers reach this host; default: what --peer-listen got", &f.PeerAdvertise)
+	s.markRequired(s.text("host-id", "", "name of this host, unique in the site", &f.host))
+	s.markRequired(s.text("zone", "", "availability zone of this host", &f.zone))
+	s.markRequired(s.url("platform", "", "URL of the platform's key-value service", &f.Platform))
 	s.number("platform-writes", consul.PlatformWrites, "writes a second that the service takes from all hosts", &f.PlatformWrites)
 	s.number("platform-reads", consul.PlatformReads, "reads a second that the service takes from all hosts", &f.PlatformReads)
-	s.truth("register", "put this host on the host list itself, where the platform doesn't", &f.Register)
+	s.boolean("register", "put this host on the host list itself, where the platform doesn't", &f.Register)
 	s.peers("peers", "peers to know from the start, as HOST@ZONE=IP:port,...", &f.Peers)
-	s.secret("peer-key", "key shared by all entries of the site", leastPeerKey, &f.PeerKey)
-	s.secret("admin-token", "token that operators give", leastAdminToken, &f.AdminToken)
+	s.secret("peer-key", "key shared by all entries of the site", minPeerKeyLength, &f.PeerKey)
+	s.secret("admin-token", "token that operators give", minAdminTokenLength, &f.AdminToken)
 	s.text("tls-cert", "", "PEM certificate for callers and operators", &f.TLSCertificate)
 	s.text("tls-key", "", "PEM key of the certificate", &f.TLSKey)
 	s.choice("trace", string(telemetry.TraceNone), "where spans go", []string{
@@ -51,14 +51,14 @@
 	s.choice("log-level", "info", "least level of the log", []string{"debug", "info", "warn", "error"}, &f.logLevel)
 	s.duration("stop-grace", 5*time.Second, "how long calls are still taken after a stop was asked for", &f.StopGrace)
 	s.duration("stop-timeout", 0, "when a stop cuts what still runs; 0s never does", &f.StopTimeout)
-	s.truth("alone", "place without a coordinator, for comparison; give it to all entries or none", &f.Alone)
+	s.boolean("alone", "place without a coordinator, for comparison; give it to all entries or none", &f.Alone)
 	s.duration("host-list-every", 5*time.Second, "period of reading the host list", &f.HostListEvery)
 	s.duration("config-poll-every", 20*time.Second, "period of looking for configuration without a watch", &f.ConfigPollEvery)
 	s.duration("load-every", 250*time.Millisecond, "period of asking engines for their load", &f.LoadEvery)
 }
 
-// settle finds what is wrong across settings and fills in the typed ones.
-func (f *entryFlags) settle() error {
+// resolve finds what is wrong across settings and fills in the typed ones.
+func (f *entryFlags) resolve() error {
 	f.Host, f.Zone = member.HostID(f.host), member.Zone(f.zone)
 	f.Trace = telemetry.TraceTarget(f.trace)
 	switch {
@@ -87,7 +87,7 @@
 		if err := s.load(system); err != nil {
 			return err
 		}
-		if err := flags.settle(); err != nil {
+		if err := flags.resolve(); err != nil {
 			return err
 		}
 		return runEntry(cmd, system, flags)
@@ -96,13 +96,13 @@
 }
 
 func runEntry(cmd *cobra.Command, system *System, flags entryFlags) error {
-	stop, cut, release := system.untilSignals(cmd.Context())
+	stop, cut, release := system.signalContexts(cmd.Context())
 	defer release()
 	d, err := daemon.New(cmd.Context(), flags.Settings, newLogger(system.Stderr, flags.logLevel), system.Stdout)
 	if err != nil {
 		return err
 	}
-	at := d.Addresses()
-	fmt.Fprintf(system.Stdout, "caller=%s admin=%s peer=%s\n", at.Caller, at.Admin, at.Peer)
+	addresses := d.Addresses()
+	fmt.Fprintf(system.Stdout, "caller=%s admin=%s peer=%s\n", addresses.Caller, addresses.Admin, addresses.Peer)
 	return d.Run(stop, cut)
 }
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -13,8 +13,8 @@
 	"github.com/shedpath/shedpath/internal/explain"
 )
 
-// mostUnread is how many lines that can't be read are named; the rest is counted.
-const mostUnread = 10
+// maxUnreadShown is how many lines that can't be read are named; the rest is counted.
+const maxUnreadShown = 10
 
 func newExplainCommand(system *System) *cobra.Command {
 	var request string
@@ -33,7 +33,7 @@
 	}
 	s := newSettings(cmd)
 	s.text("request", "", "id of the request to tell about", &request)
-	s.truth("failed", "leave out the requests that were answered or whose callers left", &failed)
+	s.boolean("failed", "leave out the requests that were answered or whose callers left", &failed)
 	cmd.RunE = func(_ *cobra.Command, files []string) error {
 		if err := s.load(system); err != nil {
 			return err
@@ -42,41 +42,41 @@
 		if err != nil {
 			return err
 		}
-		return explainTo(system.Stdout, explain.Stories(lines), request, failed)
+		return writeExplanation(system.Stdout, explain.Stories(lines), request, failed)
 	}
 	return cmd
 }
 
-func explainTo(to io.Writer, stories []explain.Story, request string, failed bool) error {
+func writeExplanation(out io.Writer, stories []explain.Story, request string, failed bool) error {
 	if request == "" {
-		return explain.WriteTable(to, chosen(stories, failed))
+		return explain.WriteTable(out, filterStories(stories, failed))
 	}
 	for _, s := range stories {
 		if s.Request == request {
-			return explain.WriteStory(to, s)
+			return explain.WriteStory(out, s)
 		}
 	}
 	return fmt.Errorf("no line is about request %s; above 300 request lines a second a host logs only some requests", request)
 }
 
-func chosen(stories []explain.Story, failed bool) []explain.Story {
+func filterStories(stories []explain.Story, failed bool) []explain.Story {
 	if !failed {
 		return stories
 	}
-	var some []explain.Story
+	var failures []explain.Story
 	for _, s := range stories {
 		if s.Cause.Failed() {
-			some = append(some, s)
+			failures = append(failures, s)
 		}
 	}
-	return some
+	return failures
 }
 
 // readLogs reads every file, or standard input, and names what couldn't be read.
 func readLogs(system *System, files []string) ([]explain.Line, error) {
 	if len(files) == 0 {
 		lines, unread, err := explain.Read("stdin", system.Stdin)
-		nameUnread(system.Stderr, unread)
+		reportUnread(system.Stderr, unread)
 		return lines, err
 	}
 	var all []explain.Line
@@ -87,7 +87,7 @@
 		}
 		lines, unread, err := explain.Read(name, file)
 		_ = file.Close() // it was only read
-		nameUnread(system.Stderr, unread)
+		reportUnread(system.Stderr, unread)
 		if err != nil {
 			return nil, err
 		}
@@ -96,11 +96,11 @@
 	return all, nil
 }
 
-func nameUnread(to io.Writer, unread []explain.Unread) {
-	for _, u := range unread[:min(len(unread), mostUnread)] {
-		fmt.Fprintf(to, "shedpath: %s\n", u)
+func reportUnread(out io.Writer, unread []explain.Unread) {
+	for _, u := range unread[:min(len(unread), maxUnreadShown)] {
+		fmt.Fprintf(out, "shedpath: %s\n", u)
 	}
-	if more := len(unread) - mostUnread; more > 0 {
-		fmt.Fprintf(to, "shedpath: %s: %d more lines can't be read\n", unread[0].File, more)
+	if more := len(unread) - maxUnreadShown; more > 0 {
+		fmt.Fprintf(out, "shedpath: %s: %d more lines can't be read\n", unread[0].File, more)
 	}
 }
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -16,8 +16,8 @@
 )
 
 func newLoadCommand(system *System) *cobra.Command {
-	chosen := load.Settings{Mix: load.DefaultMix()}
-	var entries, file, form string
+	loadSettings := load.Settings{Mix: load.DefaultMix()}
+	var entries, mixFile, format string
 	var seed int
 	cmd := &cobra.Command{
 		Use: "load", Short: "Send calls at a steady rate and report what callers saw", Args: cobra.NoArgs,
@@ -27,28 +27,28 @@
 		Example: "  shedpath load --entries http://127.0.0.1:8080 --key demo-counter --rate 5 --for 30s",
 	}
 	s := newSettings(cmd)
-	s.required(s.text("entries", "", "URLs of entries' caller sides, with commas between", &entries))
-	s.required(s.text("key", "", "client account's key", &chosen.Key))
-	s.number("rate", 2, "calls a second", &chosen.Rate)
-	s.duration("for", 10*time.Second, "how long calls are sent", &chosen.For)
+	s.markRequired(s.text("entries", "", "URLs of entries' caller sides, with commas between", &entries))
+	s.markRequired(s.text("key", "", "client account's key", &loadSettings.Key))
+	s.number("rate", 2, "calls a second", &loadSettings.Rate)
+	s.duration("for", 10*time.Second, "how long calls are sent", &loadSettings.For)
 	s.count("seed", 1, "seed of the calls and their times", &seed)
-	s.text("mix", "", "YAML file with the kinds of call; see examples/mix.yaml", &file)
-	s.truth("come-back", "have refused callers come back once, when they were told to", &chosen.ComeBack)
-	s.choice("output", formTable, "form of the report", []string{formTable, formJSON}, &form)
+	s.text("mix", "", "YAML file with the kinds of call; see examples/mix.yaml", &mixFile)
+	s.boolean("come-back", "have refused callers come back once, when they were told to", &loadSettings.ComeBack)
+	s.choice("output", outputTable, "form of the report", []string{outputTable, outputJSON}, &format)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if err := s.load(system); err != nil {
 			return err
 		}
-		if err := readMix(file, &chosen.Mix); err != nil {
+		if err := readMix(mixFile, &loadSettings.Mix); err != nil {
 			return err
 		}
-		if chosen.Rate <= 0 {
+		if loadSettings.Rate <= 0 {
 			return usageError{errors.New("--rate must be above 0")}
 		}
-		chosen.Entries, chosen.Seed, chosen.Progress = strings.Split(entries, ","), uint64(seed), system.Stderr
-		stop, _, release := system.untilSignals(cmd.Context())
+		loadSettings.Entries, loadSettings.Seed, loadSettings.Progress = strings.Split(entries, ","), uint64(seed), system.Stderr
+		stop, _, release := system.signalContexts(cmd.Context())
 		defer release()
-		return report(system, form, load.Run(stop, chosen))
+		return writeReport(system, format, load.Run(stop, loadSettings))
 	}
 	return cmd
 }
@@ -69,9 +69,9 @@
 	return nil
 }
 
-func report(system *System, form string, r load.Report) error {
+func writeReport(system *System, format string, r load.Report) error {
 	write := r.WriteText
-	if form == formJSON {
+	if format == outputJSON {
 		write = r.WriteJSON
 	}
 	if err := write(system.Stdout); err != nil {
@@ -80,7 +80,7 @@
 	for _, k := range r.Kinds {
 		if k.Disorder > 0 {
 			fmt.Fprintln(system.Stderr, "shedpath: a stream had a token missing, twice or out of order")
-			return errSilent
+			return errAlreadyReported
 		}
 	}
 	return nil
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -20,19 +20,19 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// operatorCommand makes a command that talks to an entry's operator side.
-func operatorCommand(system *System, cmd *cobra.Command, more func(s *settings), run func(ctx context.Context, c *apiClient, args []string) error) *cobra.Command {
+// newOperatorCommand makes a command that talks to an entry's operator side.
+func newOperatorCommand(system *System, cmd *cobra.Command, addSettings func(s *settings), run func(ctx context.Context, c *apiClient, args []string) error) *cobra.Command {
 	var flags clientFlags
 	s := newSettings(cmd)
 	flags.declare(s)
-	if more != nil {
-		more(s)
+	if addSettings != nil {
+		addSettings(s)
 	}
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		if err := s.load(system); err != nil {
 			return err
 		}
-		return run(cmd.Context(), flags.client(), args)
+		return run(cmd.Context(), flags.newClient(), args)
 	}
 	return cmd
 }
@@ -59,8 +59,8 @@
 		Example: "  shedpath apply -f examples/site.yaml --wait 5s\n  cat route.yaml | shedpath apply -f -",
 		Args:    cobra.NoArgs,
 	}
-	return operatorCommand(system, cmd, func(s *settings) {
-		s.required(s.text("file", "", "YAML or JSON file; - reads the standard input", &file))
+	return newOperatorCommand(system, cmd, func(s *settings) {
+		s.markRequired(s.text("file", "", "YAML or JSON file; - reads the standard input", &file))
 		s.duration("wait", 0, "how long to wait until the entry is ready, and until the resources are in force in every zone", &wait)
 	}, func(ctx context.Context, c *apiClient, _ []string) error {
 		documents, err := readDocuments(system, file)
@@ -75,7 +75,7 @@
 // until the entry answers, and until the resources are in force everywhere.
 func apply(ctx context.Context, out io.Writer, c *apiClient, documents []document, wait time.Duration) error {
 	if wait > 0 {
-		if err := c.untilReady(ctx, wait); err != nil {
+		if err := c.waitUntilReady(ctx, wait); err != nil {
 			return err
 		}
 	}
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for _, d := range documents {
-		if err := c.waitUntilHolds(ctx, d.Kind, d.Name); err != nil {
+		if err := c.waitUntilInForce(ctx, d.Kind, d.Name); err != nil {
 			return err
 		}
 	}
@@ -102,20 +102,20 @@
 
 // The forms of output.
 const (
-	formTable = "table"
-	formYAML  = "yaml"
-	formJSON  = "json"
+	outputTable = "table"
+	outputYAML  = "yaml"
+	outputJSON  = "json"
 )
 
 func newGetCommand(system *System) *cobra.Command {
-	var form string
+	var format string
 	cmd := &cobra.Command{
 		Use: "get KIND [NAME]", Short: "Show resources and whether they are in force",
 		Example: "  shedpath get routes\n  shedpath get route quote -o yaml",
 		Args:    cobra.RangeArgs(1, 2),
 	}
-	return operatorCommand(system, cmd, func(s *settings) {
-		s.choice("output", formTable, "form of the output", []string{formTable, formYAML, formJSON}, &form)
+	return newOperatorCommand(system, cmd, func(s *settings) {
+		s.choice("output", outputTable, "form of the output", []string{outputTable, outputYAML, outputJSON}, &format)
 	}, func(ctx context.Context, c *apiClient, args []string) error {
 		kind, err := parseKind(args[0])
 		if err != nil {
@@ -126,24 +126,24 @@
 			if err != nil {
 				return err
 			}
-			return show(system.Stdout, form, d, []document{d})
+			return writeOutput(system.Stdout, format, d, []document{d})
 		}
 		list, err := c.list(ctx, kind)
 		if err != nil {
 			return err
 		}
-		return show(system.Stdout, form, list, list.Items)
+		return writeOutput(system.Stdout, format, list, list.Items)
 	})
 }
 
-func show(out io.Writer, form string, whole any, rows []document) error {
-	switch form {
-	case formJSON:
+func writeOutput(out io.Writer, format string, value any, rows []document) error {
+	switch format {
+	case outputJSON:
 		encoder := json.NewEncoder(out)
 		encoder.SetIndent("", "  ")
-		return encoder.Encode(whole)
-	case formYAML:
-		text, err := yaml.Marshal(whole)
+		return encoder.Encode(value)
+	case outputYAML:
+		text, err := yaml.Marshal(value)
 		if err != nil {
 			return err
 		}
@@ -157,27 +157,27 @@
 		if d.ResourceVersion != nil {
 			version = *d.ResourceVersion
 		}
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\n", d.Kind, d.Name, version, inForce(d.Status), d.Spec)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\n", d.Kind, d.Name, version, inForceSummary(d.Status), d.Spec)
 	}
 	return table.Flush()
 }
 
-// inForce puts a status in one word, or names the zones where it isn't so.
-func inForce(s *documentStatus) string {
+// inForceSummary puts a status in one word, or names the zones where it isn't so.
+func inForceSummary(s *documentStatus) string {
 	if s == nil {
 		return "-"
 	}
-	if s.Holds {
+	if s.InForceEverywhere {
 		return "everywhere"
 	}
-	var not []string
+	var pending []string
 	for zone, state := range s.Zones {
 		if state.InForce != "yes" {
-			not = append(not, zone+":"+state.InForce)
+			pending = append(pending, zone+":"+state.InForce)
 		}
 	}
-	slices.Sort(not)
-	return strings.Join(not, ",")
+	slices.Sort(pending)
+	return strings.Join(pending, ",")
 }
 
 func newWatchCommand(system *System) *cobra.Command {
@@ -189,7 +189,7 @@
 		Example: "  shedpath watch routes --since 12",
 		Args:    cobra.RangeArgs(1, 2),
 	}
-	return operatorCommand(system, cmd, func(s *settings) {
+	return newOperatorCommand(system, cmd, func(s *settings) {
 		s.count("since", 0, "show only what changed after this revision", &since)
 	}, func(ctx context.Context, c *apiClient, args []string) error {
 		kind, err := parseKind(args[0])
@@ -200,15 +200,15 @@
 		if len(args) == 2 {
 			name = resource.Name(args[1])
 		}
-		stop, _, release := system.untilSignals(ctx)
+		stop, _, release := system.signalContexts(ctx)
 		defer release()
 		path := fmt.Sprintf("%s?watch=1&since=%d", resourcePath(kind, name), since)
-		answer, err := c.request(stop, http.MethodGet, path, nil, nil)
+		resp, err := c.request(stop, http.MethodGet, path, nil, nil)
 		if err != nil {
 			return err
 		}
-		defer answer.Body.Close()
-		_, err = io.Copy(system.Stdout, answer.Body)
+		defer resp.Body.Close()
+		_, err = io.Copy(system.Stdout, resp.Body)
 		if stop.Err() != nil {
 			return nil
 		}
@@ -221,7 +221,7 @@
 		Use: "delete KIND NAME", Short: "Remove a resource",
 		Example: "  shedpath delete route quote", Args: cobra.ExactArgs(2),
 	}
-	return operatorCommand(system, cmd, nil, func(ctx context.Context, c *apiClient, args []string) error {
+	return newOperatorCommand(system, cmd, nil, func(ctx context.Context, c *apiClient, args []string) error {
 		kind, err := parseKind(args[0])
 		if err != nil {
 			return err
@@ -236,14 +236,14 @@
 
 // entryStatus is what an entry tells of itself.
 type entryStatus struct {
-	Host     string                `json:"host"`
-	Zone     string                `json:"zone"`
-	Revision resource.Revision     `json:"revision"`
-	Ready    bool                  `json:"ready"`
-	Leaving  bool                  `json:"leaving"`
-	InFlight int                   `json:"inFlight"`
-	Era      uint64                `json:"platformEra"`
-	Zones    map[string]zoneStatus `json:"zones"`
+	Host        string                `json:"host"`
+	Zone        string                `json:"zone"`
+	Revision    resource.Revision     `json:"revision"`
+	Ready       bool                  `json:"ready"`
+	Leaving     bool                  `json:"leaving"`
+	InFlight    int                   `json:"inFlight"`
+	PlatformEra uint64                `json:"platformEra"`
+	Zones       map[string]zoneStatus `json:"zones"`
 	// OutOfService are the zones whose upstreams get no new work.
 	OutOfService []string `json:"outOfService"`
 	Entries      []struct {
@@ -269,26 +269,26 @@
 }
 
 func newStatusCommand(system *System) *cobra.Command {
-	var form string
+	var format string
 	cmd := &cobra.Command{
 		Use: "status", Short: "Show what an entry knows of the site",
 		Example: "  shedpath status --server http://10.0.0.5:8081", Args: cobra.NoArgs,
 	}
-	return operatorCommand(system, cmd, func(s *settings) {
-		s.choice("output", formTable, "form of the output", []string{formTable, formYAML, formJSON}, &form)
+	return newOperatorCommand(system, cmd, func(s *settings) {
+		s.choice("output", outputTable, "form of the output", []string{outputTable, outputYAML, outputJSON}, &format)
 	}, func(ctx context.Context, c *apiClient, _ []string) error {
 		var status entryStatus
 		if err := c.call(ctx, http.MethodGet, "/status", nil, nil, &status); err != nil {
 			return err
 		}
-		if form != formTable {
-			return show(system.Stdout, form, status, nil)
+		if format != outputTable {
+			return writeOutput(system.Stdout, format, status, nil)
 		}
-		return showStatus(system.Stdout, status)
+		return writeStatus(system.Stdout, status)
 	})
 }
 
-func showStatus(out io.Writer, s entryStatus) error {
+func writeStatus(out io.Writer, s entryStatus) error {
 	state := "ready"
 	switch {
 	case s.Leaving:
@@ -296,7 +296,7 @@
 	case !s.Ready:
 		state = "not ready"
 	}
-	fmt.Fprintf(out, "%s in %s: %s, revision %d, platform era %d, %d calls in flight\n\n", s.Host, s.Zone, state, s.Revision, s.Era, s.InFlight)
+	fmt.Fprintf(out, "%s in %s: %s, revision %d, platform era %d, %d calls in flight\n\n", s.Host, s.Zone, state, s.Revision, s.PlatformEra, s.InFlight)
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(table, "ZONE\tENTRIES\tREVISION\tUP TO DATE\tIN SERVICE")
 	for _, zone := range sortedKeys(s.Zones) {
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -18,28 +18,28 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// quarantined is a request under which upstreams ended.
-type quarantined struct {
-	Asks    string  `json:"asks"`
-	Account string  `json:"account"`
-	Route   string  `json:"route"`
-	Held    bool    `json:"held"`
-	Ended   int     `json:"upstreamsEnded"`
-	Ago     float64 `json:"lastEndedAgoSeconds"`
+// quarantineItem is a request under which upstreams ended.
+type quarantineItem struct {
+	Fingerprint         string  `json:"asks"`
+	Account             string  `json:"account"`
+	Route               string  `json:"route"`
+	Held                bool    `json:"held"`
+	UpstreamsEnded      int     `json:"upstreamsEnded"`
+	LastEndedAgoSeconds float64 `json:"lastEndedAgoSeconds"`
 }
 
 // quarantineTimeout bounds a host's answer.
 const quarantineTimeout = 5 * time.Second
 
 func newQuarantineCommand(system *System) *cobra.Command {
-	cmd := quarantineCommand(system, &cobra.Command{
+	cmd := newListOrReleaseCommand(system, &cobra.Command{
 		Use: "quarantine", Short: "Show the requests under which upstreams ended",
 		Long: `quarantine lists the requests under which upstreams ended, as every host knows
 them. One that is held is sent to no upstream any more. On a host of shedpath serve
 (SHEDPATH_NODE_FILE is set) it asks that host, else an entry's operator side.`,
 		Example: "  shedpath quarantine\n  shedpath quarantine release 556781ddacdea7a6bcd06ac9cb55ae24fbff04418df9fb38", Args: cobra.NoArgs,
 	})
-	cmd.AddCommand(quarantineCommand(system, &cobra.Command{
+	cmd.AddCommand(newListOrReleaseCommand(system, &cobra.Command{
 		Use: "release ASKS", Short: "Let a request through again, when its upstreams are mended",
 		Long:    `release forgets at every host what is against a request; ASKS is as the list shows it.`,
 		Example: "  shedpath quarantine release 556781ddacdea7a6bcd06ac9cb55ae24fbff04418df9fb38", Args: cobra.ExactArgs(1),
@@ -47,9 +47,9 @@
 	return cmd
 }
 
-// quarantineCommand makes a command that lists what is quarantined, or releases what its
+// newListOrReleaseCommand makes a command that lists what is quarantined, or releases what its
 // argument names.
-func quarantineCommand(system *System, cmd *cobra.Command) *cobra.Command {
+func newListOrReleaseCommand(system *System, cmd *cobra.Command) *cobra.Command {
 	var flags clientFlags
 	s := newSettings(cmd)
 	flags.declare(s)
@@ -64,18 +64,18 @@
 			}
 			release = &f
 		}
-		if path, err := platform.SettingsPath(system.Environment); err == nil {
-			return quarantineOnHost(ctx, system.Stdout, system.Environment, path, release)
+		if path, err := platform.SettingsPath(system.LookupEnv); err == nil {
+			return runQuarantineOnHost(ctx, system.Stdout, system.LookupEnv, path, release)
 		}
 		if err := s.load(system); err != nil {
 			return err
 		}
-		return quarantineByAPI(ctx, system.Stdout, flags.client(), release)
+		return runQuarantineByAPI(ctx, system.Stdout, flags.newClient(), release)
 	}
 	return cmd
 }
 
-func quarantineOnHost(ctx context.Context, out io.Writer, environment func(string) (string, bool), path string, release *quarantine.Fingerprint) error {
+func runQuarantineOnHost(ctx context.Context, out io.Writer, environment func(string) (string, bool), path string, release *quarantine.Fingerprint) error {
 	settings, err := platform.ReadSettings(path)
 	if err != nil {
 		return usageError{err}
@@ -86,44 +86,44 @@
 		return fmt.Errorf("%s can't be asked: %w; is shedpath serve running here?", settings.Peers, err)
 	}
 	if release != nil {
-		return tellReleased(out, *release, released)
+		return writeReleased(out, *release, released)
 	}
-	var all []quarantined
+	var items []quarantineItem
 	for _, e := range entries {
-		all = append(all, quarantined{e.Request.String(), e.Caller, e.Route, e.Standing == quarantine.Held, e.Ended, e.Last.Seconds()})
+		items = append(items, quarantineItem{e.Request.String(), e.Caller, e.Route, e.Standing == quarantine.Held, e.Ended, e.Last.Seconds()})
 	}
-	return writeQuarantine(out, all)
+	return writeQuarantine(out, items)
 }
 
-func quarantineByAPI(ctx context.Context, out io.Writer, c *apiClient, release *quarantine.Fingerprint) error {
+func runQuarantineByAPI(ctx context.Context, out io.Writer, c *apiClient, release *quarantine.Fingerprint) error {
 	if release != nil {
-		answer, err := c.request(ctx, http.MethodDelete, "/quarantine/"+release.String(), nil, nil)
+		resp, err := c.request(ctx, http.MethodDelete, "/quarantine/"+release.String(), nil, nil)
 		if err != nil {
 			return err
 		}
-		return joinClose(tellReleased(out, *release, true), answer.Body)
+		return closeBody(writeReleased(out, *release, true), resp.Body)
 	}
-	answer, err := c.request(ctx, http.MethodGet, "/quarantine", nil, nil)
+	resp, err := c.request(ctx, http.MethodGet, "/quarantine", nil, nil)
 	if err != nil {
 		return err
 	}
-	var all []quarantined
-	err = json.NewDecoder(answer.Body).Decode(&all)
-	if err = joinClose(err, answer.Body); err != nil {
+	var items []quarantineItem
+	err = json.NewDecoder(resp.Body).Decode(&items)
+	if err = closeBody(err, resp.Body); err != nil {
 		return err
 	}
-	return writeQuarantine(out, all)
+	return writeQuarantine(out, items)
 }
 
-// joinClose closes a body and returns the first error.
-func joinClose(err error, body io.Closer) error {
+// closeBody closes a body and returns the first error.
+func closeBody(err error, body io.Closer) error {
 	if closing := body.Close(); err == nil {
 		return closing
 	}
 	return err
 }
 
-func tellReleased(out io.Writer, f quarantine.Fingerprint, released bool) error {
+func writeReleased(out io.Writer, f quarantine.Fingerprint, released bool) error {
 	if !released {
 		return fmt.Errorf("nothing is against %s here", f)
 	}
@@ -131,21 +131,21 @@
 	return err
 }
 
-func writeQuarantine(out io.Writer, all []quarantined) error {
+func writeQuarantine(out io.Writer, items []quarantineItem) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ASKS\tACCOUNT\tROUTE\tUPSTREAMS ENDED\tLAST\tSTANDING")
-	for _, q := range all {
+	for _, q := range items {
 		standing := "suspect"
 		if q.Held {
 			standing = "held"
 		}
-		last := time.Duration(q.Ago * float64(time.Second)).Round(time.Millisecond)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%v ago\t%s\n", q.Asks, dash(q.Account), dash(q.Route), q.Ended, last, standing)
+		last := time.Duration(q.LastEndedAgoSeconds * float64(time.Second)).Round(time.Millisecond)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%v ago\t%s\n", q.Fingerprint, orDash(q.Account), orDash(q.Route), q.UpstreamsEnded, last, standing)
 	}
 	return w.Flush()
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -27,7 +27,7 @@
 serve knows them (SHEDPATH_NODE_FILE is set), and which host decides.`,
 		Example: "  shedpath rollout\n  shedpath rollout show orders", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, err := askRollouts(cmd.Context(), system)
+			all, err := fetchRollouts(cmd.Context(), system)
 			if err != nil {
 				return err
 			}
@@ -40,13 +40,13 @@
 host that decides adds up what all have seen; the evidence is shown there.`,
 		Example: "  shedpath rollout show orders", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			all, err := askRollouts(cmd.Context(), system)
+			all, err := fetchRollouts(cmd.Context(), system)
 			if err != nil {
 				return err
 			}
 			for _, r := range all {
 				if string(r.Service) == args[0] {
-					return showRollout(system.Stdout, r)
+					return writeRolloutEvidence(system.Stdout, r)
 				}
 			}
 			return fmt.Errorf("no rollout of %s is known here", args[0])
@@ -55,8 +55,8 @@
 	return cmd
 }
 
-func askRollouts(ctx context.Context, system *System) ([]forward.RolloutEntry, error) {
-	path, err := platform.SettingsPath(system.Environment)
+func fetchRollouts(ctx context.Context, system *System) ([]forward.RolloutEntry, error) {
+	path, err := platform.SettingsPath(system.LookupEnv)
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, usageError{err}
 	}
-	settings.UseEnvironment(system.Environment)
+	settings.UseEnvironment(system.LookupEnv)
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
 	all, err := platform.Rollouts(ctx, settings)
@@ -87,11 +87,11 @@
 	return w.Flush()
 }
 
-func showRollout(out io.Writer, r forward.RolloutEntry) error {
+func writeRolloutEvidence(out io.Writer, r forward.RolloutEntry) error {
 	if err := writeRollouts(out, []forward.RolloutEntry{r}); err != nil {
 		return err
 	}
-	measures := map[rollout.Measure]string{rollout.Whole: "answer", rollout.First: "first event", rollout.Pace: "between events"}
+	measureNames := map[rollout.Measure]string{rollout.Whole: "answer", rollout.First: "first event", rollout.Pace: "between events"}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nROUTE\tMEASURE\tVERSION\tGOOD\tFAILED\tMEDIAN")
 	for _, e := range r.Evidence {
@@ -99,7 +99,7 @@
 		if e.Target {
 			version = string(r.Target)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%v\n", e.Route, measures[e.Measure], version, e.Good, e.Failed, e.Median().Round(time.Millisecond))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%v\n", e.Route, measureNames[e.Measure], version, e.Good, e.Failed, e.Median().Round(time.Millisecond))
 	}
 	return w.Flush()
 }
--- a/internal/cli/script_test.go
+++ b/internal/cli/script_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
-		"shedpath": func() { os.Exit(Main(os.Args[1:], Standard())) },
+		"shedpath": func() { os.Exit(Main(os.Args[1:], ProcessSystem())) },
 	})
 }
 
@@ -44,10 +44,10 @@
 	ts.Defer(func() {
 		cancel()
 		cancelCut()
-		d.parts.Wait()
+		d.goroutines.Wait()
 	})
 	ts.Check(d.start(stop, cut))
-	ts.Check(d.show(stop))
+	ts.Check(d.applyAndCall(stop))
 	ts.Setenv("SERVER", "http://"+d.daemons[0].Addresses().Admin)
 	ts.Setenv("SERVER2", "http://"+d.daemons[1].Addresses().Admin)
 	ts.Setenv("CALLER", "http://"+d.daemons[0].Addresses().Caller)
@@ -70,22 +70,22 @@
 			is.NoErr(err)
 			continue
 		}
-		documents, found, err := parseDocuments(bytes.NewReader(text))
+		documents, findings, err := parseDocuments(bytes.NewReader(text))
 		is.NoErr(err)
-		is.NoErr(found.Err())
+		is.NoErr(findings.Err())
 		is.True(len(documents) > 0)
 		if filepath.Base(file) == "site.yaml" {
-			is.Equal(string(text), string(demoSite))
+			is.Equal(string(text), string(demoConfiguration))
 		}
 	}
 }
 
 func FuzzParseDocuments(f *testing.F) {
-	f.Add(string(demoSite))
+	f.Add(string(demoConfiguration))
 	f.Add("kind: routes\nname: [x]\n---\n{}\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		documents, found, err := parseDocuments(bytes.NewReader([]byte(text)))
-		if err == nil && len(documents) == 0 && len(found) == 0 {
+		documents, findings, err := parseDocuments(bytes.NewReader([]byte(text)))
+		if err == nil && len(documents) == 0 && len(findings) == 0 {
 			t.Fatal("nothing, and no word of it")
 		}
 	})
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -32,7 +32,7 @@
 }
 
 func serve(ctx context.Context, system *System) error {
-	path, err := platform.SettingsPath(system.Environment)
+	path, err := platform.SettingsPath(system.LookupEnv)
 	if err != nil {
 		return usageError{err}
 	}
@@ -40,7 +40,7 @@
 	if err != nil {
 		return usageError{err}
 	}
-	settings.UseEnvironment(system.Environment)
+	settings.UseEnvironment(system.LookupEnv)
 	settings.Clock = clock.System()
 	t := telemetry.NewForward(system.Stdout)
 	defer t.Close()
@@ -48,19 +48,19 @@
 	if err != nil {
 		return err
 	}
-	stop, _, release := system.untilSignals(ctx)
+	stop, _, release := system.signalContexts(ctx)
 	defer release()
 	// Settings are reread until the very end: without a taker, a SIGHUP that comes while
 	// the host stops would end the process and every stream with it.
-	running, ended := context.WithCancel(ctx)
-	defer ended()
-	go reloadSettings(running, path, d, t)
+	reloadCtx, stopReloading := context.WithCancel(ctx)
+	defer stopReloading()
+	go reloadSettings(reloadCtx, path, d, t)
 	return d.Run(stop)
 }
 
-// settingsEvery is how often the settings file is looked at; it may change
+// settingsPollInterval is how often the settings file is looked at; it may change
 // without a signal.
-const settingsEvery = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // reloadSettings rereads the settings at each SIGHUP and when the file has
 // changed. Settings that can't be read leave the old ones in force.
@@ -68,20 +68,20 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	tick := time.NewTicker(settingsEvery)
+	tick := time.NewTicker(settingsPollInterval)
 	defer tick.Stop()
-	before := modified(path)
+	lastModified := modificationTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		case <-tick.C:
-			if now := modified(path); now.Equal(before) {
+			if now := modificationTime(path); now.Equal(lastModified) {
 				continue
 			}
 		}
-		before = modified(path)
+		lastModified = modificationTime(path)
 		settings, err := platform.ReadSettings(path)
 		if err != nil {
 			t.HostEvent("settings not reloaded", "err", err)
@@ -91,9 +91,9 @@
 	}
 }
 
-// modified is when a file last changed; zero when that can't be told, as when
+// modificationTime is when a file last changed; zero when that can't be told, as when
 // it is being replaced.
-func modified(path string) time.Time {
+func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/internal/cli/serve_test.go
+++ b/internal/cli/serve_test.go
@@ -32,14 +32,14 @@
 // Evidence: with signals in overlapping series, each of ten hosts that got a SIGHUP 0.5
 // to 2 s after a SIGTERM was gone within 20 ms; no "stopped" line of them.
 
-// servedVariable has the test's own program serve in place of testing.
-const servedVariable = "SHEDPATH_TEST_SERVE"
+// serveVariable has the test's own program serve in place of testing.
+const serveVariable = "SHEDPATH_TEST_SERVE"
 
 // TestSignalsWhileStopping has a host that stops outlive the signals that come
 // meanwhile.
 func TestSignalsWhileStopping(t *testing.T) {
-	if os.Getenv(servedVariable) != "" {
-		os.Exit(Main([]string{"serve"}, Standard()))
+	if os.Getenv(serveVariable) != "" {
+		os.Exit(Main([]string{"serve"}, ProcessSystem()))
 	}
 	for name, sig := range map[string]syscall.Signal{
 		"hangup": syscall.SIGHUP, "interrupt": syscall.SIGINT, "terminate again": syscall.SIGTERM,
@@ -101,7 +101,7 @@
 reads_per_s = 2000
 `, ip, loopback.FirstPort, loopback.FirstPort+1), 0o600))
 	host := exec.Command(os.Args[0], "-test.run=^TestSignalsWhileStopping$")
-	host.Env = append(os.Environ(), servedVariable+"=1", platform.SettingsVariable+"="+file)
+	host.Env = append(os.Environ(), serveVariable+"=1", platform.SettingsVariable+"="+file)
 	host.Stderr = os.Stderr
 	out, err := host.StdoutPipe()
 	is.NoErr(err)
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -30,19 +30,19 @@
 // with all of them can be told together.
 type setting struct {
 	name     string
-	written  string
+	value    string
 	required bool
-	// instead names a setting that makes up for this one when it is missing.
-	instead string
-	parse   func(text string) error
+	// alternative names a setting that makes up for this one when it is missing.
+	alternative string
+	parse       func(text string) error
 }
 
 // String, Set and Type make a setting a flag's value.
-func (v *setting) String() string { return v.written }
+func (v *setting) String() string { return v.value }
 
 // Set keeps the text; it is parsed when all are.
 func (v *setting) Set(text string) error {
-	v.written = text
+	v.value = text
 	return nil
 }
 
@@ -62,63 +62,63 @@
 
 // add declares a setting. An empty default with required means that one must
 // be given.
-func (s *settings) add(name, standard, usage string, parse func(text string) error) *setting {
-	v := &setting{name: name, written: standard, parse: parse}
+func (s *settings) add(name, defaultValue, usage string, parse func(text string) error) *setting {
+	v := &setting{name: name, value: defaultValue, parse: parse}
 	s.all = append(s.all, v)
 	s.cmd.Flags().VarP(v, name, shorthands[name], fmt.Sprintf("%s [%s]", usage, EnvironmentName(name)))
 	return v
 }
 
-func (s *settings) required(v *setting) { v.required = true }
+func (s *settings) markRequired(v *setting) { v.required = true }
 
 // load reads the environment, parses everything and returns all findings as a
 // usage error.
 func (s *settings) load(system *System) error {
-	var found resource.Findings
+	var findings resource.Findings
 	for _, v := range s.all {
-		place := "--" + v.name
+		source := "--" + v.name
 		if !s.cmd.Flags().Changed(v.name) {
-			if text, set := system.Environment(EnvironmentName(v.name)); set {
-				v.written, place = text, EnvironmentName(v.name)
+			if text, set := system.LookupEnv(EnvironmentName(v.name)); set {
+				v.value, source = text, EnvironmentName(v.name)
 			}
 		}
-		if v.written == "" {
-			if v.required && !s.given(system, v.instead) {
-				found = append(found, resource.Finding{
+		if v.value == "" {
+			if v.required && !s.isSet(system, v.alternative) {
+				findings = append(findings, resource.Finding{
 					Field: "--" + v.name, Message: "is missing; give the flag or set " + EnvironmentName(v.name),
 				})
 			}
 			continue
 		}
-		if err := v.parse(v.written); err != nil {
-			found = append(found, resource.Finding{Field: place, Message: err.Error()})
+		if err := v.parse(v.value); err != nil {
+			findings = append(findings, resource.Finding{Field: source, Message: err.Error()})
 		}
 	}
-	if err := found.Err(); err != nil {
+	if err := findings.Err(); err != nil {
 		return usageError{fmt.Errorf("the settings are not valid:\n%w", err)}
 	}
 	return nil
 }
 
-// given reports whether a setting was written anywhere.
-func (s *settings) given(system *System, name string) bool {
+// isSet reports whether a setting was written anywhere.
+func (s *settings) isSet(system *System, name string) bool {
 	if name == "" {
 		return false
 	}
-	text, set := system.Environment(EnvironmentName(name))
+	text, set := system.LookupEnv(EnvironmentName(name))
 	return s.cmd.Flags().Changed(name) || set && text != ""
 }
 
-func (s *settings) text(name, standard, usage string, into *string) *setting {
-	return s.add(name, standard, usage, func(text string) error {
+func (s *settings) text(name, defaultValue, usage string, into *string) *setting {
+	return s.add(name, defaultValue, usage, func(text string) error {
 		*into = text
 		return nil
 	})
 }
 
-// listen takes an IP:port to listen on.
-func (s *settings) listen(name, standard, usage string, into *string) *setting {
-	return s.add(name, standard, usage, func(text string) error {
+// listenAddress takes an IP:port to listenAddress on.
+func (s *settings) listenAddress(name, defaultValue, usage string, into *string) *setting {
+	return s.add(name, defaultValue, usage, func(text string) error {
 		if _, err := netip.ParseAddrPort(text); err != nil {
 			return fmt.Errorf("want an IP number and port such as 10.0.0.5:8080, not %q", text)
 		}
@@ -127,8 +127,8 @@
 	})
 }
 
-func (s *settings) url(name, standard, usage string, into *string) *setting {
-	return s.add(name, standard, usage, func(text string) error {
+func (s *settings) url(name, defaultValue, usage string, into *string) *setting {
+	return s.add(name, defaultValue, usage, func(text string) error {
 		parsed, err := url.Parse(text)
 		if err != nil || parsed.Host == "" || (parsed.Scheme != "http" && parsed.Scheme != "https") {
 			return fmt.Errorf("want a URL such as http://10.0.0.9:8500, not %q", text)
@@ -138,8 +138,8 @@
 	})
 }
 
-func (s *settings) duration(name string, standard time.Duration, usage string, into *time.Duration) *setting {
-	return s.add(name, standard.String(), usage, func(text string) error {
+func (s *settings) duration(name string, defaultValue time.Duration, usage string, into *time.Duration) *setting {
+	return s.add(name, defaultValue.String(), usage, func(text string) error {
 		d, err := time.ParseDuration(text)
 		if err != nil || d < 0 {
 			return fmt.Errorf("want a duration such as 1.5s, not %q", text)
@@ -149,8 +149,8 @@
 	})
 }
 
-func (s *settings) number(name string, standard float64, usage string, into *float64) *setting {
-	return s.add(name, strconv.FormatFloat(standard, 'g', -1, 64), usage, func(text string) error {
+func (s *settings) number(name string, defaultValue float64, usage string, into *float64) *setting {
+	return s.add(name, strconv.FormatFloat(defaultValue, 'g', -1, 64), usage, func(text string) error {
 		n, err := strconv.ParseFloat(text, 64)
 		if err != nil || n < 0 {
 			return fmt.Errorf("want a number of at least 0, not %q", text)
@@ -160,8 +160,8 @@
 	})
 }
 
-func (s *settings) count(name string, standard int, usage string, into *int) *setting {
-	return s.add(name, strconv.Itoa(standard), usage, func(text string) error {
+func (s *settings) count(name string, defaultValue int, usage string, into *int) *setting {
+	return s.add(name, strconv.Itoa(defaultValue), usage, func(text string) error {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 0 {
 			return fmt.Errorf("want a whole number of at least 0, not %q", text)
@@ -171,7 +171,7 @@
 	})
 }
 
-func (s *settings) truth(name, usage string, into *bool) *setting {
+func (s *settings) boolean(name, usage string, into *bool) *setting {
 	v := s.add(name, "false", usage, func(text string) error {
 		b, err := strconv.ParseBool(text)
 		if err != nil {
@@ -184,8 +184,8 @@
 	return v
 }
 
-func (s *settings) choice(name, standard, usage string, choices []string, into *string) *setting {
-	return s.add(name, standard, usage+" ("+strings.Join(choices, ", ")+")", func(text string) error {
+func (s *settings) choice(name, defaultValue, usage string, choices []string, into *string) *setting {
+	return s.add(name, defaultValue, usage+" ("+strings.Join(choices, ", ")+")", func(text string) error {
 		for _, choice := range choices {
 			if text == choice {
 				*into = text
@@ -197,16 +197,16 @@
 }
 
 // secret takes a secret itself, or by NAME-file the name of a file with it.
-func (s *settings) secret(name, usage string, least int, into *string) {
+func (s *settings) secret(name, usage string, minLength int, into *string) {
 	check := func(text string) error {
-		if len(text) < least {
-			return fmt.Errorf("has %d characters; it needs at least %d", len(text), least)
+		if len(text) < minLength {
+			return fmt.Errorf("has %d characters; it needs at least %d", len(text), minLength)
 		}
 		*into = text
 		return nil
 	}
 	direct := s.add(name, "", usage, check)
-	direct.required, direct.instead = true, name+"-file"
+	direct.required, direct.alternative = true, name+"-file"
 	s.add(name+"-file", "", usage+", read from this file", func(path string) error {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -219,8 +219,8 @@
 // peers takes a list of HOST@ZONE=IP:port.
 func (s *settings) peers(name, usage string, into *[]member.Entry) *setting {
 	return s.add(name, "", usage, func(text string) error {
-		for one := range strings.SplitSeq(text, ",") {
-			peer, err := parsePeer(strings.TrimSpace(one))
+		for item := range strings.SplitSeq(text, ",") {
+			peer, err := parsePeer(strings.TrimSpace(item))
 			if err != nil {
 				return err
 			}
