--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cli is shedpath's command line: the daemon, the stand-ins, and the
-// operators' commands.
+// Package cli implements shedpath's command line: the daemons, the stand-ins for
+// tests, and the operators' commands.
 package cli
 
 import (
@@ -26,17 +26,18 @@
 	exitUsage   = 2
 )
 
-// System is what a command uses of its process.
+// System holds the parts of the process that a command uses; tests can replace them.
 type System struct {
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
-	// LookupEnv looks a variable up.
+	// LookupEnv returns an environment variable and whether it is set.
 	LookupEnv func(name string) (string, bool)
-	// NotifySignals delivers the requests to stop.
+	// NotifySignals returns a channel of stop signals and a function that ends
+	// their delivery.
 	NotifySignals func() (<-chan os.Signal, func())
 }
 
-// ProcessSystem is the process's own system.
+// ProcessSystem returns the System of the current process.
 func ProcessSystem() System {
 	return System{
 		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr, LookupEnv: os.LookupEnv,
@@ -48,16 +49,16 @@
 	}
 }
 
-// usageError is a mistake in how a command was called.
+// usageError reports wrong arguments, flags or settings of a command.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// errAlreadyReported ends a command that has already said what failed.
+// errAlreadyReported fails a command that has already printed the cause.
 var errAlreadyReported = errors.New("failed")
 
-// Main runs a command and returns its exit code: 0, 1 for a failure, and 2 for
-// a mistake in the call or its settings.
+// Main runs a command and returns its exit code: 0 for success, 1 for a failure,
+// and 2 for wrong arguments or settings.
 func Main(args []string, s System) int {
 	root := newRootCommand(&s)
 	root.SetArgs(args)
@@ -83,12 +84,12 @@
 func newRootCommand(s *System) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "shedpath",
-		Short: "Serve generations of unknown length on crowded engines",
+		Short: "Serve language model generations and service calls",
 		Long: `shedpath serves language model generations and plain service calls from
 small entry hosts in several availability zones.
 
 Every setting is a flag and an environment variable: --peer-key is also
-SHEDPATH_PEER_KEY. The flag goes first.`,
+SHEDPATH_PEER_KEY. A flag takes precedence over its variable.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -105,7 +106,8 @@
 	return root
 }
 
-// wrapArgErrors makes wrong arguments of any command a usage error.
+// wrapArgErrors turns the argument errors of cmd and its subcommands into usage
+// errors.
 func wrapArgErrors(cmd *cobra.Command) {
 	check := cmd.Args
 	if check != nil {
@@ -121,7 +123,7 @@
 	}
 }
 
-// logLevels are the values of --log-level.
+// logLevels maps the values of --log-level to filters.
 var logLevels = map[string]level.Option{
 	"debug": level.AllowDebug(), "info": level.AllowInfo(), "warn": level.AllowWarn(), "error": level.AllowError(),
 }
@@ -132,8 +134,8 @@
 	return log.With(logger, "ts", log.DefaultTimestampUTC)
 }
 
-// signalContexts returns a context that ends with the first signal and one that
-// ends with the second.
+// signalContexts returns two contexts: the first signal cancels stop, the second
+// cancels cut. The caller must call release.
 func (s *System) signalContexts(parent context.Context) (stop, cut context.Context, release func()) {
 	stop, cancelStop := context.WithCancel(parent)
 	cut, cancelCut := context.WithCancel(parent)
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -21,19 +21,20 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// apiClient calls the resource API of one entry.
+// apiClient calls the operator API of one entry.
 type apiClient struct {
 	server, token string
 	httpClient    *http.Client
 }
 
+// apiTimeout bounds one API call, except a watch.
 const apiTimeout = 15 * time.Second
 
 func (f *clientFlags) newClient() *apiClient {
 	return &apiClient{server: strings.TrimRight(f.server, "/"), token: f.token, httpClient: &http.Client{}}
 }
 
-// clientFlags are the settings that every operator's command has.
+// clientFlags are the settings that all operator commands share.
 type clientFlags struct {
 	server, token string
 }
@@ -43,11 +44,12 @@
 	s.markRequired(s.text("token", "", "the operators' token", &f.token))
 }
 
-// document is a resource as operators write it.
+// document is a resource in the form of the operators' files and of the API.
 type document struct {
 	Kind resource.Kind `json:"kind"`
 	Name resource.Name `json:"name"`
-	// ResourceVersion, when given, is the one that the change was made from.
+	// ResourceVersion, if set, is the version that the change is based on; the API
+	// rejects the change if the resource is at another version.
 	ResourceVersion *resource.Revision `json:"resourceVersion,omitempty"`
 	Spec            json.RawMessage    `json:"spec"`
 	Status          *documentStatus    `json:"status,omitempty"`
@@ -70,7 +72,7 @@
 	Items    []document        `json:"items"`
 }
 
-// errorResponse is what the API answers to a failed call.
+// errorResponse is the body of the API's response to a failed call.
 type errorResponse struct {
 	Message  string            `json:"message"`
 	Findings resource.Findings `json:"findings"`
@@ -79,7 +81,7 @@
 	} `json:"error"`
 }
 
-// apiError is a call that the API refused.
+// apiError reports a call that the API answered with an error status.
 type apiError struct {
 	Status   int
 	Message  string
@@ -126,7 +128,8 @@
 	return &apiError{Status: resp.StatusCode, Message: message, Findings: response.Findings}
 }
 
-// call sends a request and decodes the answer.
+// call sends a request and decodes the JSON response into the value that into
+// points to.
 func (c *apiClient) call(ctx context.Context, method, path string, header http.Header, body []byte, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, apiTimeout)
 	defer cancel()
@@ -136,7 +139,7 @@
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(resp.Body).Decode(into); err != nil {
-		return trace.Wrap(err, "the answer of %s can't be read", c.server)
+		return trace.Wrap(err, "the response from %s can't be decoded", c.server)
 	}
 	return nil
 }
@@ -187,8 +190,8 @@
 	return c.call(ctx, http.MethodDelete, resourcePath(kind, name), nil, nil, &response)
 }
 
-// waitUntilReady waits until the entry answers and is ready. An answer that says
-// what is wrong with the call ends the wait.
+// waitUntilReady polls the entry until it reports that it is ready. It returns
+// an error after the timeout, or as soon as the API answers with an error status.
 func (c *apiClient) waitUntilReady(ctx context.Context, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -210,10 +213,11 @@
 	}
 }
 
-// pollInterval is how often a wait looks again.
+// pollInterval is the pause between two polls of the API.
 const pollInterval = 100 * time.Millisecond
 
-// waitUntilInForce waits until a resource is seen in force in every zone.
+// waitUntilInForce polls the entry until it reports the resource as in force in
+// every zone, or until ctx ends.
 func (c *apiClient) waitUntilInForce(ctx context.Context, kind resource.Kind, name resource.Name) error {
 	for {
 		d, err := c.get(ctx, kind, name)
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -30,19 +30,20 @@
 	"github.com/shedpath/shedpath/standin/service"
 )
 
-// demoConfiguration is the configuration that the demo applies; it is also
+// demoConfiguration is the configuration that the demo applies; it equals
 // examples/site.yaml.
 //
 //go:embed site.yaml
 var demoConfiguration []byte
 
-// Keys of the demo's site, which is on loopback only.
+// Keys of the demo's site, which listens on loopback only.
 const (
 	demoPeerKey    = "demo-peer-key-not-for-real-use"
 	demoAdminToken = "demo-operator"
 	demoAccountKey = "demo-counter"
 )
 
+// demoTimeout bounds the demo's configuration and calls.
 const demoTimeout = 30 * time.Second
 
 func newDemoCommand(system *System) *cobra.Command {
@@ -51,8 +52,8 @@
 		Use: "demo", Short: "Run a small site of three zones in one process",
 		Long: `demo runs stand-ins for the platform, an engine for each of three zones and a
 plain service, with one entry a zone, on loopback ports. It applies a sample
-configuration, sends one generation and one service call, and stays until it is
-interrupted.`,
+configuration, sends one generation and one service call, and keeps running until
+it is interrupted.`,
 		Example: "  shedpath demo\n  shedpath demo --once",
 		Args:    cobra.NoArgs,
 	}
@@ -69,7 +70,7 @@
 	return cmd
 }
 
-// demo is the running site.
+// demo is a running site: the stand-ins and one entry for each zone.
 type demo struct {
 	out        io.Writer
 	zones      []string
@@ -96,6 +97,8 @@
 	return nil
 }
 
+// serve serves the handler on a free loopback port until ctx ends, and returns
+// the address.
 func (d *demo) serve(ctx context.Context, handler http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,6 +134,7 @@
 	})
 }
 
+// startZone starts an engine stand-in and an entry in a zone; n numbers both.
 func (d *demo) startZone(ctx, cut context.Context, client *platformclient.Client, platformURL, zone string, n int) error {
 	engineServer := engine.New()
 	d.goroutines.Go(func() { engineServer.Run(ctx) })
@@ -160,7 +164,8 @@
 	return nil
 }
 
-// applyAndCall applies the configuration, makes the two calls and prints how to go on.
+// applyAndCall applies the configuration, makes the two calls, and prints the
+// entries' addresses and commands to try.
 func (d *demo) applyAndCall(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, demoTimeout)
 	defer cancel()
@@ -187,8 +192,8 @@
 	return nil
 }
 
-// waitForAllZones waits until the first entry hears from every zone: before that,
-// "in force in every zone" would mean the zones known so far.
+// waitForAllZones waits until the first entry has the state of every zone. Before
+// that, "in force in every zone" covers only the zones known so far.
 func (d *demo) waitForAllZones(ctx context.Context, c *apiClient) error {
 	for {
 		var status entryStatus
@@ -204,7 +209,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.New("the zones did not hear of each other in time")
+			return fmt.Errorf("the first entry saw only %d of %d zones up to date before the deadline", upToDate, len(d.zones))
 		case <-time.After(pollInterval):
 		}
 	}
@@ -212,8 +217,8 @@
 
 const demoPrompt = `{"model":"quote","stream":true,"max_tokens":24,"ignore_eos":true,"messages":[{"role":"user","content":"12 chains and 4 hubs, please"}]}`
 
-// sendUntilAccepted sends a request until the site takes it: a new site's entries
-// need a moment to hear of the upstreams.
+// sendUntilAccepted repeats a request while it is answered with status 503: the
+// entries of a new site answer so until they know the upstreams.
 func sendUntilAccepted(ctx context.Context, newRequest func() (*http.Request, error)) (*http.Response, error) {
 	for {
 		req, err := newRequest()
@@ -231,7 +236,7 @@
 		_ = resp.Body.Close()
 		select {
 		case <-ctx.Done():
-			return nil, errors.New("the site did not take the call in time")
+			return nil, fmt.Errorf("%s %s: still answered with status 503 at the deadline", req.Method, req.URL)
 		case <-time.After(200 * time.Millisecond):
 		}
 	}
@@ -256,7 +261,8 @@
 	return nil
 }
 
-// chunkContent returns the text of a chat chunk, or the event itself.
+// chunkContent returns the text of a chat chunk, or the event's data if it isn't
+// a chunk with choices.
 func chunkContent(data string) string {
 	var chunk struct {
 		Choices []struct {
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -27,8 +27,8 @@
 	cmd := &cobra.Command{
 		Use:   "dev",
 		Short: "Run stand-ins for the platform, an engine or a plain service",
-		Long: `dev runs small stand-ins, one process each, for tests and trials. Their fault
-switches are set by PUT /standin/faults.`,
+		Long: `dev runs small stand-ins, one process each, for tests and trials. PUT
+/standin/faults makes them inject faults.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
@@ -36,7 +36,8 @@
 	return cmd
 }
 
-// serveUntilSignal serves a stand-in until it is asked to stop.
+// serveUntilSignal serves a stand-in until the first signal. It runs background,
+// if given, meanwhile and waits for it to return.
 func serveUntilSignal(system *System, parent context.Context, listener net.Listener, handler http.Handler, background func(ctx context.Context)) {
 	stop, _, release := system.signalContexts(parent)
 	defer release()
@@ -77,7 +78,7 @@
 	return cmd
 }
 
-// upstreamFlags are what engines and services have in common.
+// upstreamFlags are the settings that the stand-ins for engines and services share.
 type upstreamFlags struct {
 	listen, id, zone, pool, platform string
 }
@@ -96,7 +97,8 @@
 	}
 }
 
-// registerUpstream puts an upstream on the host list, trying again while it can't.
+// registerUpstream registers an upstream with the platform and retries until that
+// succeeds or ctx ends.
 func registerUpstream(ctx context.Context, platformURL string, u member.Upstream) {
 	client := platformclient.New(platformURL)
 	for client.RegisterUpstream(ctx, u) != nil {
@@ -174,9 +176,9 @@
 	var seeds int
 	cmd := &cobra.Command{
 		Use: "bench", Short: "Measure placement policies in virtual time", Args: cobra.NoArgs,
-		Long: `bench steps the stand-in engine's model with no network, with lagging load
-reports and several entries deciding, on the same seeded arrivals for each
-policy, and prints medians over the seeds.`,
+		Long: `bench simulates engines with the stand-in engine's model, without a network.
+Several entries place requests from delayed load reports. Every policy gets the
+same seeded arrivals; the results are medians over the seeds.`,
 		Example: "  shedpath dev bench --policies least-loaded,ours,oracle --workloads counter --loads 0.9,1.2",
 	}
 	s := newSettings(cmd)
--- a/internal/cli/documents.go
+++ b/internal/cli/documents.go
@@ -18,7 +18,7 @@
 )
 
 // readDocuments reads the documents of a YAML or JSON file, or of the standard
-// input for "-", and reports everything wrong with them together.
+// input if path is "-". One usage error lists everything that is wrong with them.
 func readDocuments(system *System, path string) ([]document, error) {
 	source := system.Stdin
 	if path != "-" {
@@ -39,6 +39,9 @@
 	return documents, nil
 }
 
+// parseDocuments parses and checks all documents of a stream. The findings name
+// the document, its line and the field; the error is for a stream that isn't YAML
+// or is empty.
 func parseDocuments(source io.Reader) ([]document, resource.Findings, error) {
 	var documents []document
 	var findings resource.Findings
--- a/internal/cli/drain.go
+++ b/internal/cli/drain.go
@@ -15,17 +15,17 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// drainTarget is what a drain order is about: an upstream, or a whole zone.
+// drainTarget is the upstream or the zone that a drain order names.
 type drainTarget struct {
 	order resource.DrainOrder
-	// name is that of the order's resource.
+	// name is the name of the order's resource.
 	name resource.Name
 }
 
-// zoneArgument is the argument before a zone's name.
+// zoneArgument is the argument that precedes a zone's name.
 const zoneArgument = "zone"
 
-// parseDrainTarget takes "UPSTREAM" or "zone ZONE".
+// parseDrainTarget parses the arguments "UPSTREAM" or "zone ZONE".
 func parseDrainTarget(args []string) (drainTarget, error) {
 	switch {
 	case len(args) == 1:
@@ -37,7 +37,7 @@
 	}
 }
 
-// String is the target as the operator named it.
+// String returns the target as the operator wrote it.
 func (t drainTarget) String() string {
 	if t.order.Zone != "" {
 		return zoneArgument + " " + t.order.Zone
@@ -49,8 +49,8 @@
 	var undo bool
 	var wait time.Duration
 	cmd := &cobra.Command{
-		Use: "drain {UPSTREAM | zone ZONE}", Short: "Keep new work from an upstream, or from all of a zone's",
-		Long:    `drain declares a drain order: running work goes on, and no new work comes.`,
+		Use: "drain {UPSTREAM | zone ZONE}", Short: "Send no new work to an upstream, or to any upstream of a zone",
+		Long:    `drain declares a drain order: running work continues, and no new work is sent.`,
 		Example: "  shedpath drain g1 --wait 5s\n  shedpath drain zone recife-a", Args: cobra.RangeArgs(1, 2),
 	}
 	return newOperatorCommand(system, cmd, func(s *settings) {
@@ -74,8 +74,8 @@
 
 func newUndrainCommand(system *System) *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "undrain {UPSTREAM | zone ZONE}", Short: "Give work to an upstream or a zone again",
-		Long:    `undrain removes the drain order about an upstream or a zone.`,
+		Use: "undrain {UPSTREAM | zone ZONE}", Short: "Send work to an upstream or a zone again",
+		Long:    `undrain removes the drain order of an upstream or a zone.`,
 		Example: "  shedpath undrain g1\n  shedpath undrain zone recife-a", Args: cobra.RangeArgs(1, 2),
 	}
 	return newOperatorCommand(system, cmd, nil, func(ctx context.Context, c *apiClient, args []string) error {
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -16,13 +16,14 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Least lengths of the secrets.
+// Minimum lengths of the secrets, in bytes.
 const (
 	minPeerKeyLength    = 16
 	minAdminTokenLength = 8
 )
 
-// entryFlags are the settings of an entry as they are written.
+// entryFlags are the settings of the entry command. The fields outside Settings
+// hold texts that resolve converts.
 type entryFlags struct {
 	daemon.Settings
 	host, zone, trace, logLevel string
@@ -57,7 +58,8 @@
 	s.duration("load-every", 250*time.Millisecond, "period of asking engines for their load", &f.LoadEvery)
 }
 
-// resolve finds what is wrong across settings and fills in the typed ones.
+// resolve sets the typed settings from their texts and checks settings that
+// depend on each other.
 func (f *entryFlags) resolve() error {
 	f.Host, f.Zone = member.HostID(f.host), member.Zone(f.zone)
 	f.Trace = telemetry.TraceTarget(f.trace)
@@ -75,8 +77,9 @@
 	cmd := &cobra.Command{
 		Use:   "entry",
 		Short: "Run an entry host's daemon",
-		Long: `entry takes callers' generations and service calls to upstreams. The first
-SIGTERM or SIGINT stops it without cutting a running call; the second cuts.`,
+		Long: `entry forwards callers' generations and service calls to upstreams. The first
+SIGTERM or SIGINT stops it without cutting a running call; the second cuts the
+calls that still run.`,
 		Example: `  shedpath entry --host-id e1 --zone az1 --platform http://10.0.0.9:8500 \
     --peer-key-file /run/secrets/peer-key --admin-token-file /run/secrets/admin-token`,
 		Args: cobra.NoArgs,
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -13,7 +13,8 @@
 	"github.com/shedpath/shedpath/internal/explain"
 )
 
-// maxUnreadShown is how many lines that can't be read are named; the rest is counted.
+// maxUnreadShown is how many unreadable lines of a file are listed; the others are
+// only counted.
 const maxUnreadShown = 10
 
 func newExplainCommand(system *System) *cobra.Command {
@@ -21,14 +22,14 @@
 	var failed bool
 	cmd := &cobra.Command{
 		Use:   "explain [FILE...]",
-		Short: "Tell from hosts' logs how requests ended and why",
+		Short: "Show from hosts' logs how requests ended and why",
 		Long: `explain reads the decision lines of one or more hosts, from files or, without any,
 from its standard input. With --request it prints the lines about one request and how
 it ended; without, a table of how requests ended, by cause and route.
 
-What stands before a line's fields, such as the name that a log collector puts there,
-names its host; else the file does. Lines that aren't decision lines are named by file
-and number.`,
+Text before a line's first field, such as a name added by a log collector, identifies
+its host; without such text the file name does. Lines that aren't decision lines are
+reported by file and line number.`,
 		Example: "  shedpath explain host-1.log host-2.log\n  shedpath explain --request 2468b8ce7c66d151 *.log",
 	}
 	s := newSettings(cmd)
@@ -47,6 +48,8 @@
 	return cmd
 }
 
+// writeExplanation writes the story of one request, or a table of all requests if
+// request is empty.
 func writeExplanation(out io.Writer, stories []explain.Story, request string, failed bool) error {
 	if request == "" {
 		return explain.WriteTable(out, filterStories(stories, failed))
@@ -59,6 +62,7 @@
 	return fmt.Errorf("no line is about request %s; above 300 request lines a second a host logs only some requests", request)
 }
 
+// filterStories returns all stories, or only those of failed requests.
 func filterStories(stories []explain.Story, failed bool) []explain.Story {
 	if !failed {
 		return stories
@@ -72,7 +76,8 @@
 	return failures
 }
 
-// readLogs reads every file, or standard input, and names what couldn't be read.
+// readLogs reads the files, or standard input if there are none, and reports
+// unreadable lines on standard error.
 func readLogs(system *System, files []string) ([]explain.Line, error) {
 	if len(files) == 0 {
 		lines, unread, err := explain.Read("stdin", system.Stdin)
@@ -86,7 +91,7 @@
 			return nil, err
 		}
 		lines, unread, err := explain.Read(name, file)
-		_ = file.Close() // it was only read
+		_ = file.Close() // the file was only read
 		reportUnread(system.Stderr, unread)
 		if err != nil {
 			return nil, err
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -21,9 +21,9 @@
 	var seed int
 	cmd := &cobra.Command{
 		Use: "load", Short: "Send calls at a steady rate and report what callers saw", Args: cobra.NoArgs,
-		Long: `load sends generations and service calls at a rate, whatever becomes of the
-earlier ones, and reads every stream token by token. It exits with 1 when a
-stream had a token missing, twice or out of order.`,
+		Long: `load sends generations and service calls at a fixed rate, without waiting for
+earlier ones to end, and reads every stream token by token. It exits with 1 if a
+stream had a token missing, repeated or out of order.`,
 		Example: "  shedpath load --entries http://127.0.0.1:8080 --key demo-counter --rate 5 --for 30s",
 	}
 	s := newSettings(cmd)
@@ -53,6 +53,8 @@
 	return cmd
 }
 
+// readMix reads the kinds of call from a YAML file; without a file, the mix stays
+// as it is.
 func readMix(file string, into *load.Mix) error {
 	if file == "" {
 		return nil
@@ -69,6 +71,8 @@
 	return nil
 }
 
+// writeReport writes the report. It returns errAlreadyReported if a stream had
+// tokens missing, repeated or out of order.
 func writeReport(system *System, format string, r load.Report) error {
 	write := r.WriteText
 	if format == outputJSON {
--- a/internal/cli/operator.go
+++ b/internal/cli/operator.go
@@ -20,7 +20,8 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// newOperatorCommand makes a command that talks to an entry's operator side.
+// newOperatorCommand completes cmd as a command that calls an entry's operator
+// API. addSettings, if not nil, declares the command's own settings.
 func newOperatorCommand(system *System, cmd *cobra.Command, addSettings func(s *settings), run func(ctx context.Context, c *apiClient, args []string) error) *cobra.Command {
 	var flags clientFlags
 	s := newSettings(cmd)
@@ -37,7 +38,7 @@
 	return cmd
 }
 
-// parseKind takes a kind in its plural or singular form.
+// parseKind parses the plural or singular name of a resource kind.
 func parseKind(text string) (resource.Kind, error) {
 	for _, kind := range resource.Kinds() {
 		if text == string(kind) || text+"s" == string(kind) {
@@ -54,8 +55,8 @@
 		Use:   "apply -f FILE",
 		Short: "Declare resources from a YAML or JSON file",
 		Long: `apply checks all documents of a file first, then declares them in order. A
-document with a resourceVersion is only accepted while the resource is still
-at that version.`,
+document with a resourceVersion is accepted only if the resource is still at
+that version.`,
 		Example: "  shedpath apply -f examples/site.yaml --wait 5s\n  cat route.yaml | shedpath apply -f -",
 		Args:    cobra.NoArgs,
 	}
@@ -71,8 +72,9 @@
 	})
 }
 
-// apply declares the documents. With a wait it also waits, for as long at most,
-// until the entry answers, and until the resources are in force everywhere.
+// apply declares the documents in order. If wait is above zero, it first waits up
+// to that time until the entry is ready, and afterwards up to the same time again
+// until the resources are in force in every zone.
 func apply(ctx context.Context, out io.Writer, c *apiClient, documents []document, wait time.Duration) error {
 	if wait > 0 {
 		if err := c.waitUntilReady(ctx, wait); err != nil {
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// The forms of output.
+// Values of --output.
 const (
 	outputTable = "table"
 	outputYAML  = "yaml"
@@ -136,6 +138,7 @@
 	})
 }
 
+// writeOutput writes value as JSON or YAML, or rows as a table.
 func writeOutput(out io.Writer, format string, value any, rows []document) error {
 	switch format {
 	case outputJSON:
@@ -162,7 +165,8 @@
 	return table.Flush()
 }
 
-// inForceSummary puts a status in one word, or names the zones where it isn't so.
+// inForceSummary returns "everywhere" for a resource that is in force in every
+// zone, a list of the zones where it isn't, or "-" without a status.
 func inForceSummary(s *documentStatus) string {
 	if s == nil {
 		return "-"
@@ -183,7 +187,7 @@
 func newWatchCommand(system *System) *cobra.Command {
 	var since int
 	cmd := &cobra.Command{
-		Use: "watch KIND [NAME]", Short: "Show changes of resources as they come",
+		Use: "watch KIND [NAME]", Short: "Show changes of resources as they happen",
 		Long: `watch writes a line of JSON for each change, and for each change of whether a
 resource is in force, until it is interrupted.`,
 		Example: "  shedpath watch routes --since 12",
@@ -234,7 +238,7 @@
 	})
 }
 
-// entryStatus is what an entry tells of itself.
+// entryStatus is an entry's response to GET /status.
 type entryStatus struct {
 	Host        string                `json:"host"`
 	Zone        string                `json:"zone"`
@@ -244,7 +248,7 @@
 	InFlight    int                   `json:"inFlight"`
 	PlatformEra uint64                `json:"platformEra"`
 	Zones       map[string]zoneStatus `json:"zones"`
-	// OutOfService are the zones whose upstreams get no new work.
+	// OutOfService lists the zones whose upstreams get no new work.
 	OutOfService []string `json:"outOfService"`
 	Entries      []struct {
 		Host    string `json:"host"`
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -18,7 +18,7 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// quarantineItem is a request under which upstreams ended.
+// quarantineItem describes a request during which upstreams ended.
 type quarantineItem struct {
 	Fingerprint         string  `json:"asks"`
 	Account             string  `json:"account"`
@@ -28,27 +28,28 @@
 	LastEndedAgoSeconds float64 `json:"lastEndedAgoSeconds"`
 }
 
-// quarantineTimeout bounds a host's answer.
+// quarantineTimeout bounds the wait for a host's response.
 const quarantineTimeout = 5 * time.Second
 
 func newQuarantineCommand(system *System) *cobra.Command {
 	cmd := newListOrReleaseCommand(system, &cobra.Command{
-		Use: "quarantine", Short: "Show the requests under which upstreams ended",
-		Long: `quarantine lists the requests under which upstreams ended, as every host knows
-them. One that is held is sent to no upstream any more. On a host of shedpath serve
-(SHEDPATH_NODE_FILE is set) it asks that host, else an entry's operator side.`,
+		Use: "quarantine", Short: "Show the requests during which upstreams ended",
+		Long: `quarantine lists the requests during which upstreams ended; every host has the
+whole list. A request with the standing "held" is sent to no upstream. On a host of
+shedpath serve (SHEDPATH_NODE_FILE is set) the command queries that host, otherwise
+an entry's operator side.`,
 		Example: "  shedpath quarantine\n  shedpath quarantine release 556781ddacdea7a6bcd06ac9cb55ae24fbff04418df9fb38", Args: cobra.NoArgs,
 	})
 	cmd.AddCommand(newListOrReleaseCommand(system, &cobra.Command{
-		Use: "release ASKS", Short: "Let a request through again, when its upstreams are mended",
-		Long:    `release forgets at every host what is against a request; ASKS is as the list shows it.`,
+		Use: "release ASKS", Short: "Let a request through again, after its upstreams are repaired",
+		Long:    `release removes a request from the quarantine of every host; ASKS is the value in the list.`,
 		Example: "  shedpath quarantine release 556781ddacdea7a6bcd06ac9cb55ae24fbff04418df9fb38", Args: cobra.ExactArgs(1),
 	}))
 	return cmd
 }
 
-// newListOrReleaseCommand makes a command that lists what is quarantined, or releases what its
-// argument names.
+// newListOrReleaseCommand completes cmd as a command that lists the quarantine, or
+// releases the request whose fingerprint is the argument.
 func newListOrReleaseCommand(system *System, cmd *cobra.Command) *cobra.Command {
 	var flags clientFlags
 	s := newSettings(cmd)
@@ -75,6 +76,7 @@
 	return cmd
 }
 
+// runQuarantineOnHost lists or releases through the host whose settings file is at path.
 func runQuarantineOnHost(ctx context.Context, out io.Writer, environment func(string) (string, bool), path string, release *quarantine.Fingerprint) error {
 	settings, err := platform.ReadSettings(path)
 	if err != nil {
@@ -83,7 +85,7 @@
 	settings.UseEnvironment(environment)
 	entries, released, err := platform.Quarantine(ctx, settings, release)
 	if err != nil {
-		return fmt.Errorf("%s can't be asked: %w; is shedpath serve running here?", settings.Peers, err)
+		return fmt.Errorf("%s can't be queried: %w; is shedpath serve running here?", settings.Peers, err)
 	}
 	if release != nil {
 		return writeReleased(out, *release, released)
@@ -95,6 +97,7 @@
 	return writeQuarantine(out, items)
 }
 
+// runQuarantineByAPI lists or releases through an entry's operator API.
 func runQuarantineByAPI(ctx context.Context, out io.Writer, c *apiClient, release *quarantine.Fingerprint) error {
 	if release != nil {
 		resp, err := c.request(ctx, http.MethodDelete, "/quarantine/"+release.String(), nil, nil)
@@ -115,7 +118,7 @@
 	return writeQuarantine(out, items)
 }
 
-// closeBody closes a body and returns the first error.
+// closeBody closes body and returns err, or the error of closing if err is nil.
 func closeBody(err error, body io.Closer) error {
 	if closing := body.Close(); err == nil {
 		return closing
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -17,14 +17,14 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// rolloutTimeout bounds a host's answer.
+// rolloutTimeout bounds the wait for a host's response.
 const rolloutTimeout = 5 * time.Second
 
 func newRolloutCommand(system *System) *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "rollout", Short: "Show the moves of services to other versions",
-		Long: `rollout lists the moves of services to upstreams of another version, as this host of shedpath
-serve knows them (SHEDPATH_NODE_FILE is set), and which host decides.`,
+		Use: "rollout", Short: "Show the rollouts of services to other versions",
+		Long: `rollout lists the rollouts of services to upstreams of another version that this host of
+shedpath serve knows (SHEDPATH_NODE_FILE is set), and the host that decides on each.`,
 		Example: "  shedpath rollout\n  shedpath rollout show orders", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			all, err := fetchRollouts(cmd.Context(), system)
@@ -35,9 +35,10 @@
 		},
 	}
 	cmd.AddCommand(&cobra.Command{
-		Use: "show SERVICE", Short: "Show what this host has seen of a service's versions",
-		Long: `show lists the answers of the versions of a service that this host has seen since the order. The
-host that decides adds up what all have seen; the evidence is shown there.`,
+		Use: "show SERVICE", Short: "Show what this host has observed of a service's versions",
+		Long: `show lists how the versions of a service have answered this host since the rollout was ordered.
+The deciding host adds up the observations of all hosts; run the command there to see the
+evidence.`,
 		Example: "  shedpath rollout show orders", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			all, err := fetchRollouts(cmd.Context(), system)
@@ -55,6 +56,7 @@
 	return cmd
 }
 
+// fetchRollouts queries the local host of shedpath serve for its rollouts.
 func fetchRollouts(ctx context.Context, system *System) ([]forward.RolloutEntry, error) {
 	path, err := platform.SettingsPath(system.LookupEnv)
 	if err != nil {
@@ -69,7 +71,7 @@
 	defer cancel()
 	all, err := platform.Rollouts(ctx, settings)
 	if err != nil {
-		return nil, fmt.Errorf("%s can't be asked: %w; is shedpath serve running here?", settings.Peers, err)
+		return nil, fmt.Errorf("%s can't be queried: %w; is shedpath serve running here?", settings.Peers, err)
 	}
 	return all, nil
 }
--- a/internal/cli/script_test.go
+++ b/internal/cli/script_test.go
@@ -23,8 +23,9 @@
 	})
 }
 
-// TestScripts runs the commands as operators do. The script command "site"
-// starts the demo's site and sets SERVER, CALLER and the token for it.
+// TestScripts runs the commands as operators do. The script command "site" starts
+// the demo's site and sets SERVER, SERVER2, CALLER, SHEDPATH_SERVER and
+// SHEDPATH_TOKEN.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata/script",
@@ -55,8 +56,8 @@
 	ts.Setenv("SHEDPATH_TOKEN", demoAdminToken)
 }
 
-// TestExamples checks every file under examples, and that the demo's site is
-// the one shown there.
+// TestExamples checks that every file under examples is valid, and that the demo
+// applies examples/site.yaml.
 func TestExamples(t *testing.T) {
 	is := is.New(t)
 	files, err := filepath.Glob("../../examples/*.yaml")
@@ -86,7 +87,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		documents, findings, err := parseDocuments(bytes.NewReader([]byte(text)))
 		if err == nil && len(documents) == 0 && len(findings) == 0 {
-			t.Fatal("nothing, and no word of it")
+			t.Fatalf("parseDocuments(%q) returned no documents, no findings and no error", text)
 		}
 	})
 }
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -22,10 +22,10 @@
 		Use:   "serve",
 		Short: "Run an entry host on the users' platform",
 		Long: `serve runs an entry host that takes its settings, its configuration and its
-upstreams from the users' platform. The settings file is named by the variable
-SHEDPATH_NODE_FILE, a secret that the site's hosts share, if there is one, is in
-SHEDPATH_PEER_SECRET. SIGTERM stops it without cutting a running call, within the
-grace that the settings give; SIGHUP rereads the settings.`,
+upstreams from the users' platform. The variable SHEDPATH_NODE_FILE names the
+settings file; SHEDPATH_PEER_SECRET holds the secret that the site's hosts share,
+if there is one. SIGTERM stops the host and lets running calls finish within the
+grace period of the settings; SIGHUP rereads the settings.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return serve(cmd.Context(), system) },
 	}
@@ -50,20 +50,20 @@
 	}
 	stop, _, release := system.signalContexts(ctx)
 	defer release()
-	// Settings are reread until the very end: without a taker, a SIGHUP that comes while
-	// the host stops would end the process and every stream with it.
+	// Settings are reread until Run has returned. If nothing handled SIGHUP while the
+	// host stops, the signal's default action would end the process and every stream.
 	reloadCtx, stopReloading := context.WithCancel(ctx)
 	defer stopReloading()
 	go reloadSettings(reloadCtx, path, d, t)
 	return d.Run(stop)
 }
 
-// settingsPollInterval is how often the settings file is looked at; it may change
-// without a signal.
+// settingsPollInterval is how often the settings file is checked for a change that
+// no signal announces.
 const settingsPollInterval = 2 * time.Second
 
-// reloadSettings rereads the settings at each SIGHUP and when the file has
-// changed. Settings that can't be read leave the old ones in force.
+// reloadSettings rereads the settings on SIGHUP and when the file has changed,
+// until ctx ends. If the file can't be read, the old settings stay in force.
 func reloadSettings(ctx context.Context, path string, d *platform.Daemon, t *telemetry.Forward) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -91,8 +91,8 @@
 	}
 }
 
-// modificationTime is when a file last changed; zero when that can't be told, as when
-// it is being replaced.
+// modificationTime returns when a file last changed, or the zero time if that is
+// unknown, such as while the file is being replaced.
 func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/cli/serve_test.go
+++ b/internal/cli/serve_test.go
@@ -22,21 +22,13 @@
 	"github.com/shedpath/shedpath/platform"
 )
 
-// What happened: hosts were stopped one after another while their settings changed. A
-// host that was told to reread its settings after it had been told to stop died at
-// once, and the streams that it had its grace for with it.
-//
-// The cause: rereading ended with the first SIGTERM, which gave SIGHUP back to its
-// default, and that ends the process.
-//
-// Evidence: with signals in overlapping series, each of ten hosts that got a SIGHUP 0.5
-// to 2 s after a SIGTERM was gone within 20 ms; no "stopped" line of them.
-
-// serveVariable has the test's own program serve in place of testing.
+// serveVariable makes the test binary run "shedpath serve" instead of the tests.
 const serveVariable = "SHEDPATH_TEST_SERVE"
 
-// TestSignalsWhileStopping has a host that stops outlive the signals that come
-// meanwhile.
+// TestSignalsWhileStopping checks that a stopping host survives further signals
+// until it has stopped. It guards against this failure: the host stopped handling
+// SIGHUP at the first SIGTERM, so a SIGHUP during the grace period had its default
+// action and ended the process together with its running streams.
 func TestSignalsWhileStopping(t *testing.T) {
 	if os.Getenv(serveVariable) != "" {
 		os.Exit(Main([]string{"serve"}, ProcessSystem()))
@@ -59,13 +51,14 @@
 			signalling.Wait()
 			_, err := io.Copy(io.Discard, lines)
 			is.NoErr(err)
-			// The last signal may have come when it had stopped and listened no more.
+			// The last signal may arrive after the host has stopped handling signals, so
+			// the exit status isn't checked.
 			_ = host.Wait()
 		})
 	}
 }
 
-// signalUntil sends a signal again and again until the channel closes.
+// signalUntil sends a signal every 5 ms until the channel is closed.
 func signalUntil(ended <-chan struct{}, to *os.Process, sig os.Signal) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
@@ -74,13 +67,14 @@
 		case <-ended:
 			return
 		case <-tick.C:
-			// It may have ended meanwhile; its log tells how.
+			// The process may have ended already; the test checks its log.
 			_ = to.Signal(sig)
 		}
 	}
 }
 
-// startHost starts a host whose platform isn't there, and returns its log.
+// startHost starts a host whose platform is unreachable, and returns the process
+// and its log.
 func startHost(t *testing.T) (*exec.Cmd, *bufio.Reader) {
 	t.Helper()
 	is := is.New(t)
@@ -110,7 +104,7 @@
 	return host, bufio.NewReader(out)
 }
 
-// awaitLine reads a log up to a line with some text.
+// awaitLine reads a log up to the first line that contains the text.
 func awaitLine(t *testing.T, log *bufio.Reader, text string) {
 	t.Helper()
 	for {
--- a/internal/cli/settings.go
+++ b/internal/cli/settings.go
@@ -18,38 +18,39 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// EnvironmentPrefix starts the name of each setting's environment variable.
+// EnvironmentPrefix is the prefix of every setting's environment variable.
 const EnvironmentPrefix = "SHEDPATH_"
 
-// EnvironmentName is the environment variable of a flag.
+// EnvironmentName returns the name of the environment variable of a flag.
 func EnvironmentName(flag string) string {
 	return EnvironmentPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// setting is one flag that keeps what was written, so that everything wrong
-// with all of them can be told together.
+// setting is the value of one flag. It keeps the unparsed text, so that
+// settings.load can report the errors of all settings together.
 type setting struct {
 	name     string
 	value    string
 	required bool
-	// alternative names a setting that makes up for this one when it is missing.
+	// alternative names a setting that may be given instead of this required one.
 	alternative string
 	parse       func(text string) error
 }
 
-// String, Set and Type make a setting a flag's value.
+// String returns the unparsed text. String, Set and Type implement pflag.Value.
 func (v *setting) String() string { return v.value }
 
-// Set keeps the text; it is parsed when all are.
+// Set keeps the text; settings.load parses it.
 func (v *setting) Set(text string) error {
 	v.value = text
 	return nil
 }
 
-// Type is shown in the help.
+// Type returns the placeholder that the help shows for the value.
 func (v *setting) Type() string { return "value" }
 
-// settings are a command's flags with their environment variables.
+// settings holds a command's flags, each of which can also be set by an
+// environment variable.
 type settings struct {
 	cmd *cobra.Command
 	all []*setting
@@ -57,11 +58,10 @@
 
 func newSettings(cmd *cobra.Command) *settings { return &settings{cmd: cmd} }
 
-// shorthands are the letters that some flags have besides their names.
+// shorthands maps the names of flags to their one-letter forms.
 var shorthands = map[string]string{"file": "f", "output": "o"}
 
-// add declares a setting. An empty default with required means that one must
-// be given.
+// add declares a setting. A setting that is empty is not parsed.
 func (s *settings) add(name, defaultValue, usage string, parse func(text string) error) *setting {
 	v := &setting{name: name, value: defaultValue, parse: parse}
 	s.all = append(s.all, v)
@@ -69,10 +69,11 @@
 	return v
 }
 
+// markRequired makes it an error if a setting is empty.
 func (s *settings) markRequired(v *setting) { v.required = true }
 
-// load reads the environment, parses everything and returns all findings as a
-// usage error.
+// load reads the environment variables of the flags that were not given, parses
+// all settings, and returns all findings as one usage error.
 func (s *settings) load(system *System) error {
 	var findings resource.Findings
 	for _, v := range s.all {
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// isSet reports whether a setting was written anywhere.
+// isSet reports whether a setting was given as a flag or as a variable that is
+// not empty.
 func (s *settings) isSet(system *System, name string) bool {
 	if name == "" {
 		return false
@@ -116,7 +118,7 @@
 	})
 }
 
-// listenAddress takes an IP:port to listenAddress on.
+// listenAddress declares the IP:port of a listener.
 func (s *settings) listenAddress(name, defaultValue, usage string, into *string) *setting {
 	return s.add(name, defaultValue, usage, func(text string) error {
 		if _, err := netip.ParseAddrPort(text); err != nil {
@@ -196,7 +198,8 @@
 	})
 }
 
-// secret takes a secret itself, or by NAME-file the name of a file with it.
+// secret declares a required secret: the flag holds the secret itself, or
+// NAME-file names a file that contains it. minLength is in bytes.
 func (s *settings) secret(name, usage string, minLength int, into *string) {
 	check := func(text string) error {
 		if len(text) < minLength {
@@ -216,7 +219,7 @@
 	})
 }
 
-// peers takes a list of HOST@ZONE=IP:port.
+// peers declares a list of HOST@ZONE=IP:port, separated by commas.
 func (s *settings) peers(name, usage string, into *[]member.Entry) *setting {
 	return s.add(name, "", usage, func(text string) error {
 		for item := range strings.SplitSeq(text, ",") {
