--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -42,28 +42,28 @@
 		if err != nil {
 			return err
 		}
-		return explainTo(system.Stdout, explain.Stories(lines), request, failed)
+		return explainTo(system.Stdout, explain.Timelines(lines), request, failed)
 	}
 	return cmd
 }
 
-func explainTo(to io.Writer, stories []explain.Story, request string, failed bool) error {
+func explainTo(to io.Writer, stories []explain.Timeline, request string, failed bool) error {
 	if request == "" {
 		return explain.WriteTable(to, chosen(stories, failed))
 	}
 	for _, s := range stories {
 		if s.Request == request {
-			return explain.WriteStory(to, s)
+			return explain.WriteTimeline(to, s)
 		}
 	}
 	return fmt.Errorf("no line is about request %s; above 300 request lines a second a host logs only some requests", request)
 }
 
-func chosen(stories []explain.Story, failed bool) []explain.Story {
+func chosen(stories []explain.Timeline, failed bool) []explain.Timeline {
 	if !failed {
 		return stories
 	}
-	var some []explain.Story
+	var some []explain.Timeline
 	for _, s := range stories {
 		if s.Cause.Failed() {
 			some = append(some, s)
@@ -96,7 +96,7 @@
 	return all, nil
 }
 
-func nameUnread(to io.Writer, unread []explain.Unread) {
+func nameUnread(to io.Writer, unread []explain.UnreadableLine) {
 	for _, u := range unread[:min(len(unread), mostUnread)] {
 		fmt.Fprintf(to, "shedpath: %s\n", u)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -87,7 +87,7 @@
 	mesh    *peer.Mesh
 	store   *consul.Client
 	budget  *consul.Budget
-	metrics *telemetry.Metrics
+	metrics *telemetry.EntryMetrics
 
 	callerListener, adminListener, peerListener net.Listener
 	// callers is callerListener, or what that secures.
@@ -158,7 +158,7 @@
 		return trace.Wrap(err)
 	}
 	d.shutdownTraces = shutdown
-	d.metrics = telemetry.NewMetrics()
+	d.metrics = telemetry.NewEntryMetrics()
 	d.budget = consul.NewBudget(s.PlatformWrites, s.PlatformReads)
 	d.store = consul.New(s.Platform, consul.WithBudget(d.budget), consul.WithObserver(d.metrics.PlatformCall))
 	d.mesh = peer.NewMesh(s.Host, []byte(s.PeerKey), peer.WithClock(d.clock))
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -20,7 +20,7 @@
 	// Source is what stands before the line's first field, such as the name of the
 	// host that a log collector put there; the file's name when nothing does.
 	Source string
-	At     time.Time
+	Time   time.Time
 	// Event is what happened, such as "placed".
 	Event string
 	// Request is the id of the request that it is about; empty for a line about
@@ -42,31 +42,33 @@
 	return d
 }
 
-// Unread is a line that couldn't be read.
-type Unread struct {
-	File   string
-	Number int
-	Why    string
+// UnreadableLine is a line that couldn't be read.
+type UnreadableLine struct {
+	File       string
+	LineNumber int
+	Reason     string
 }
 
-func (u Unread) String() string { return fmt.Sprintf("%s:%d: %s", u.File, u.Number, u.Why) }
+func (u UnreadableLine) String() string {
+	return fmt.Sprintf("%s:%d: %s", u.File, u.LineNumber, u.Reason)
+}
 
 // maxLineBytes bounds one line; decision lines have some hundred bytes.
 const maxLineBytes = 1 << 20
 
 // Read reads a log. Lines that aren't decision lines are returned beside it, each
 // with its place; an error says that the rest of the file couldn't be read.
-func Read(file string, from io.Reader) (lines []Line, unread []Unread, err error) {
-	scanner := bufio.NewScanner(from)
+func Read(file string, r io.Reader) (lines []Line, unread []UnreadableLine, err error) {
+	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
-	for number := 1; scanner.Scan(); number++ {
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
 		text := strings.TrimSpace(scanner.Text())
 		if text == "" {
 			continue
 		}
-		line, why := parse(file, text)
-		if why != "" {
-			unread = append(unread, Unread{File: file, Number: number, Why: why})
+		line, reason := parseLine(file, text)
+		if reason != "" {
+			unread = append(unread, UnreadableLine{File: file, LineNumber: lineNumber, Reason: reason})
 			continue
 		}
 		lines = append(lines, line)
@@ -80,8 +82,8 @@
 // timeField begins the fields of a decision line.
 const timeField = "ts="
 
-func parse(file, text string) (line Line, why string) {
-	before, fields, found := cutFields(text)
+func parseLine(file, text string) (line Line, reason string) {
+	before, fields, found := splitSource(text)
 	if !found {
 		return line, "no field ts"
 	}
@@ -101,23 +103,23 @@
 	if err != nil {
 		return line, "the field ts is no time"
 	}
-	line.At, line.Event, line.Request = at, line.fields["msg"], line.fields["request"]
+	line.Time, line.Event, line.Request = at, line.fields["msg"], line.fields["request"]
 	if line.Event == "" {
 		return line, "no field msg"
 	}
 	return line, ""
 }
 
-// cutFields splits a line before its first field. Of what stands before, the last
+// splitSource splits a line before its first field. Of what stands before, the last
 // word names the source.
-func cutFields(text string) (source, fields string, found bool) {
-	at := strings.Index(text, timeField)
-	if at < 0 || at > 0 && text[at-1] != ' ' {
+func splitSource(text string) (source, fields string, found bool) {
+	start := strings.Index(text, timeField)
+	if start < 0 || start > 0 && text[start-1] != ' ' {
 		return "", "", false
 	}
-	words := strings.Fields(text[:at])
+	words := strings.Fields(text[:start])
 	if len(words) > 0 {
 		source = words[len(words)-1]
 	}
-	return source, text[at:], true
+	return source, text[start:], true
 }
--- a/internal/explain/table.go
+++ b/internal/explain/table.go
@@ -12,66 +12,66 @@
 	"time"
 )
 
-// row is the requests of one route that ended in one way.
-type row struct {
-	cause Cause
-	route string
-	took  []time.Duration
-	first Story
-	last  Story
+// causeRow is the requests of one route that ended in one way.
+type causeRow struct {
+	cause     Cause
+	route     string
+	durations []time.Duration
+	first     Timeline
+	last      Timeline
 }
 
-func (r *row) median() time.Duration {
-	slices.Sort(r.took)
-	return r.took[len(r.took)/2]
+func (r *causeRow) median() time.Duration {
+	slices.Sort(r.durations)
+	return r.durations[len(r.durations)/2]
 }
 
 // WriteTable writes how requests ended, by cause and route, the most frequent
 // first. Each row names a request to look at.
-func WriteTable(to io.Writer, stories []Story) error {
+func WriteTable(to io.Writer, stories []Timeline) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REQUESTS\tHOW THEY ENDED\tROUTE\tTOOK, MEDIAN\tFIRST\tLAST\tFOR INSTANCE")
-	for _, r := range rows(stories) {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\t%s\t%s\n", len(r.took), r.cause, dash(r.route), r.median().Round(time.Millisecond),
-			clock(r.first.Began), clock(r.last.Began), r.first.Request)
+	for _, r := range groupByCause(stories) {
+		fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\t%s\t%s\n", len(r.durations), r.cause, dashIfEmpty(r.route), r.median().Round(time.Millisecond),
+			formatTimeOfDay(r.first.Start), formatTimeOfDay(r.last.Start), r.first.Request)
 	}
 	return w.Flush()
 }
 
-func rows(stories []Story) []*row {
+func groupByCause(stories []Timeline) []*causeRow {
 	type key struct {
 		cause Cause
 		route string
 	}
-	byKey := map[key]*row{}
-	var all []*row
+	byKey := map[key]*causeRow{}
+	var all []*causeRow
 	for _, s := range stories {
 		k := key{s.Cause, s.Route}
 		r := byKey[k]
 		if r == nil {
-			r = &row{cause: s.Cause, route: s.Route, first: s}
+			r = &causeRow{cause: s.Cause, route: s.Route, first: s}
 			byKey[k] = r
 			all = append(all, r)
 		}
-		r.took, r.last = append(r.took, s.Took), s
+		r.durations, r.last = append(r.durations, s.Duration), s
 	}
-	slices.SortStableFunc(all, func(a, b *row) int { return cmp.Compare(len(b.took), len(a.took)) })
+	slices.SortStableFunc(all, func(a, b *causeRow) int { return cmp.Compare(len(b.durations), len(a.durations)) })
 	return all
 }
 
-func dash(s string) string {
+func dashIfEmpty(s string) string {
 	if s == "" {
 		return "-"
 	}
 	return s
 }
 
-func clock(t time.Time) string { return t.Format("15:04:05.000") }
+func formatTimeOfDay(t time.Time) string { return t.Format("15:04:05.000") }
 
-// WriteStory writes one request's lines and how it ended.
-func WriteStory(to io.Writer, s Story) error {
+// WriteTimeline writes one request's lines and how it ended.
+func WriteTimeline(to io.Writer, s Timeline) error {
 	for _, line := range s.Lines {
-		if _, err := fmt.Fprintf(to, "%s %8s %s %s\n", clock(line.At), "+"+line.At.Sub(s.Began).Round(time.Millisecond).String(), line.Source, line.Text); err != nil {
+		if _, err := fmt.Fprintf(to, "%s %8s %s %s\n", formatTimeOfDay(line.Time), "+"+line.Time.Sub(s.Start).Round(time.Millisecond).String(), line.Source, line.Text); err != nil {
 			return err
 		}
 	}
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -15,17 +15,17 @@
 // The causes of an end that isn't a refusal's; those are the refusals' codes after
 // "refused: ".
 const (
-	CauseAnswered   Cause = "answered"
-	CauseFailure    Cause = "an upstream's failure passed on"
-	CauseCallerLeft Cause = "the caller left"
-	CauseNoEnd      Cause = "no end: its host died, or its log ends"
-	CauseStopped    Cause = "cut: its host stopped"
-	CauseLeft       Cause = "cut: the engine left before the run was moved"
-	CauseGone       Cause = "cut: the engine went without notice"
-	CauseCrash      Cause = "cut: the engine ended"
-	CauseLink       Cause = "cut: the link to the engine broke"
-	CauseUnknown    Cause = "cut"
-	CauseBounded    Cause = refusedPrefix + "overloaded, upstreams limited or backing off"
+	CauseAnswered         Cause = "answered"
+	CauseUpstreamFailure  Cause = "an upstream's failure passed on"
+	CauseCallerLeft       Cause = "the caller left"
+	CauseNoEnd            Cause = "no end: its host died, or its log ends"
+	CauseHostStopped      Cause = "cut: its host stopped"
+	CauseEngineLeft       Cause = "cut: the engine left before the run was moved"
+	CauseEngineGone       Cause = "cut: the engine went without notice"
+	CauseEngineEnded      Cause = "cut: the engine ended"
+	CauseLinkBroke        Cause = "cut: the link to the engine broke"
+	CauseCutUnknown       Cause = "cut"
+	CauseUpstreamsLimited Cause = refusedPrefix + "overloaded, upstreams limited or backing off"
 )
 
 const refusedPrefix = "refused: "
@@ -33,112 +33,112 @@
 // Failed reports whether the caller didn't get what it asked for.
 func (c Cause) Failed() bool { return c != CauseAnswered && c != CauseCallerLeft }
 
-// Story is all that the logs say of one request.
-type Story struct {
+// Timeline is all that the logs say of one request.
+type Timeline struct {
 	Request string
 	// Route is empty for a request that no route took.
 	Route string
 	// Lines are in the order of their times.
 	Lines []Line
 	Cause Cause
-	// Took is from its arrival to its end; zero without an end.
-	Took time.Duration
-	// Began is when the first line was written.
-	Began time.Time
+	// Duration is from its arrival to its end; zero without an end.
+	Duration time.Duration
+	// Start is when the first line was written.
+	Start time.Time
 }
 
 // Events of the lines that tell how a request ended.
 const (
-	eventAnswered = "answered"
-	eventRefused  = "refused"
-	eventLeaves   = "engine leaves"
-	eventBroke    = "connection broke"
+	eventAnswered        = "answered"
+	eventRefused         = "refused"
+	eventEngineLeaves    = "engine leaves"
+	eventConnectionBroke = "connection broke"
 )
 
-// Stories groups lines by request and tells how each ended, in the order in which
+// Timelines groups lines by request and tells how each ended, in the order in which
 // the requests began.
-func Stories(lines []Line) []Story {
+func Timelines(lines []Line) []Timeline {
 	lines = slices.Clone(lines)
-	slices.SortStableFunc(lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	index := map[string]int{}
-	var stories []Story
+	var stories []Timeline
 	for _, line := range lines {
 		if line.Request == "" {
 			continue
 		}
-		at, known := index[line.Request]
+		i, known := index[line.Request]
 		if !known {
-			at = len(stories)
-			index[line.Request] = at
-			stories = append(stories, Story{Request: line.Request, Began: line.At, Cause: CauseNoEnd})
+			i = len(stories)
+			index[line.Request] = i
+			stories = append(stories, Timeline{Request: line.Request, Start: line.Time, Cause: CauseNoEnd})
 		}
-		stories[at].take(line)
+		stories[i].add(line)
 	}
 	return stories
 }
 
-func (s *Story) take(line Line) {
+func (s *Timeline) add(line Line) {
 	s.Lines = append(s.Lines, line)
 	switch line.Event {
 	case eventAnswered, eventRefused:
-		s.Route, s.Took = line.Field("route"), line.duration("took")
-		s.Cause = s.cause(line)
+		s.Route, s.Duration = line.Field("route"), line.duration("took")
+		s.Cause = s.determineCause(line)
 	}
 }
 
-// cause tells how a request ended from its last line and those before it.
-func (s *Story) cause(end Line) Cause {
+// determineCause tells how a request ended from its last line and those before it.
+func (s *Timeline) determineCause(end Line) Cause {
 	if end.Event == eventRefused {
 		if end.Field("code") == "caller_left" {
 			return CauseCallerLeft
 		}
-		if kept := end.Field("kept_back"); end.Field("code") == "overloaded" && kept != "" && kept != "0" {
-			return CauseBounded
+		if keptBack := end.Field("kept_back"); end.Field("code") == "overloaded" && keptBack != "" && keptBack != "0" {
+			return CauseUpstreamsLimited
 		}
 		return Cause(refusedPrefix + end.Field("code"))
 	}
 	switch end.Field("outcome") {
 	case "ok":
 		if strings.HasPrefix(end.Field("status"), "5") {
-			return CauseFailure
+			return CauseUpstreamFailure
 		}
 		return CauseAnswered
 	case "cut":
-		return s.cutBy(end)
+		return s.cutCause(end)
 	case "interrupted":
-		return CauseStopped
+		return CauseHostStopped
 	default:
 		return CauseCallerLeft
 	}
 }
 
-// cutBy tells what cut a stream.
-func (s *Story) cutBy(end Line) Cause {
-	why := end.Field("err")
+// cutCause tells what cut a stream.
+func (s *Timeline) cutCause(end Line) Cause {
+	errText := end.Field("err")
 	switch {
-	case s.leaving(end.Field("upstream")):
-		return CauseLeft
-	case s.ended(end.Field("upstream")):
-		return CauseCrash
-	case strings.Contains(why, "timed out"), strings.Contains(why, "reset"), strings.Contains(why, "no route"):
-		return CauseLink
-	case strings.Contains(why, "EOF"):
-		return CauseGone
+	case s.sawEngineLeave(end.Field("upstream")):
+		return CauseEngineLeft
+	case s.sawEngineEnd(end.Field("upstream")):
+		return CauseEngineEnded
+	case strings.Contains(errText, "timed out"), strings.Contains(errText, "reset"), strings.Contains(errText, "no route"):
+		return CauseLinkBroke
+	case strings.Contains(errText, "EOF"):
+		return CauseEngineGone
 	default:
-		return CauseUnknown
+		return CauseCutUnknown
 	}
 }
 
-// leaving reports whether the request's host knew that an engine leaves.
-func (s *Story) leaving(upstream string) bool {
+// sawEngineLeave reports whether the request's host knew that an engine leaves.
+func (s *Timeline) sawEngineLeave(upstream string) bool {
 	return slices.ContainsFunc(s.Lines, func(l Line) bool {
-		return l.Event == eventLeaves && l.Field("upstream") == upstream
+		return l.Event == eventEngineLeaves && l.Field("upstream") == upstream
 	})
 }
 
-// ended reports whether the request's host saw that an engine had ended.
-func (s *Story) ended(upstream string) bool {
+// sawEngineEnd reports whether the request's host saw that an engine had sawEngineEnd.
+func (s *Timeline) sawEngineEnd(upstream string) bool {
 	return slices.ContainsFunc(s.Lines, func(l Line) bool {
-		return l.Event == eventBroke && l.Field("upstream") == upstream && l.Field("ended") == "true" && l.Field("leaving") == "false"
+		return l.Event == eventConnectionBroke && l.Field("upstream") == upstream && l.Field("ended") == "true" && l.Field("leaving") == "false"
 	})
 }
--- a/internal/telemetry/forward_test.go
+++ b/internal/telemetry/forward_test.go
@@ -18,9 +18,9 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// TestDecisionLines has a decision be one line with its request's id, and its
+// TestDecisionLogAndCount has a decision be one line with its request's id, and its
 // count be served.
-func TestDecisionLines(t *testing.T) {
+func TestDecisionLogAndCount(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	f := NewForward(&out)
@@ -36,8 +36,8 @@
 	is.True(strings.Contains(page.Body.String(), `shedpath_answers_total{kind="safe",outcome="ok"} 1`))
 }
 
-// TestLearnt has the metrics tell what was learnt, from how much and how long ago.
-func TestLearnt(t *testing.T) {
+// TestEngineEstimateMetrics has the metrics tell what was learnt, from how much and how long ago.
+func TestEngineEstimateMetrics(t *testing.T) {
 	is := is.New(t)
 	f := NewForward(io.Discard)
 	defer f.Close()
@@ -74,43 +74,43 @@
 	}
 }
 
-// stuckWriter never takes a line before it is freed.
-type stuckWriter struct{ free chan struct{} }
+// blockedWriter never takes a line before it is freed.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (w stuckWriter) Write(p []byte) (int, error) {
-	<-w.free
+func (w blockedWriter) Write(p []byte) (int, error) {
+	<-w.unblock
 	return len(p), nil
 }
 
-// TestRingLog has lines dropped and counted, and nobody held up, when the log's
+// TestRingLogDropsWhenWriterBlocks has lines dropped and counted, and nobody held up, when the log's
 // reader is stuck.
-func TestRingLog(t *testing.T) {
+func TestRingLogDropsWhenWriterBlocks(t *testing.T) {
 	is := is.New(t)
-	w := stuckWriter{free: make(chan struct{})}
+	w := blockedWriter{unblock: make(chan struct{})}
 	r := NewRingLog(w)
-	for range 3 * ringLines {
+	for range 3 * ringCapacity {
 		_, err := io.WriteString(r, "line\n")
 		is.NoErr(err)
 	}
-	is.True(r.Dropped() >= 2*ringLines-1)
-	close(w.free)
+	is.True(r.Dropped() >= 2*ringCapacity-1)
+	close(w.unblock)
 	r.Close()
 }
 
-// TestSampler has whole stories kept above the log's rate.
-func TestSampler(t *testing.T) {
+// TestSamplerKeepsWholeRequests has whole stories kept above the log's rate.
+func TestSamplerKeepsWholeRequests(t *testing.T) {
 	is := is.New(t)
 	var s sampler
 	now := time.Unix(100, 0)
-	for n := range 4 * linesPerSecond {
-		is.True(s.keep(now, fmt.Sprint("r", n))) // the first second sets the rate
+	for n := range 4 * maxLinesPerSecond {
+		is.True(s.shouldLog(now, fmt.Sprint("r", n))) // the first second sets the rate
 	}
 	now = now.Add(time.Second)
 	kept := 0
 	for n := range 1000 {
 		id := fmt.Sprint("r", n)
-		first := s.keep(now, id)
-		is.Equal(s.keep(now, id), first)
+		first := s.shouldLog(now, id)
+		is.Equal(s.shouldLog(now, id), first)
 		if first {
 			kept++
 		}
--- a/internal/telemetry/limits.go
+++ b/internal/telemetry/limits.go
@@ -9,8 +9,8 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// mostLimitSeries bounds the upstreams whose limits are told by name.
-const mostLimitSeries = 64
+// maxLimitSeries bounds the upstreams whose limits are told by name.
+const maxLimitSeries = 64
 
 // limitCollector serves which upstreams name a limit.
 type limitCollector struct {
@@ -25,7 +25,7 @@
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "limit", name), help, labels, nil)
 	}
-	f.all.MustRegister(&limitCollector{
+	f.promRegistry.MustRegister(&limitCollector{
 		read:      read,
 		named:     desc("named", "Requests a second that an upstream takes from all hosts together, by its own word.", "upstream"),
 		bound:     desc("bound", "Requests a second that an upstream is given by all hosts together at present.", "upstream"),
@@ -44,7 +44,7 @@
 func (c *limitCollector) Collect(to chan<- prometheus.Metric) {
 	entries := c.read()
 	to <- prometheus.MustNewConstMetric(c.upstreams, prometheus.GaugeValue, float64(len(entries)))
-	for _, e := range entries[:min(len(entries), mostLimitSeries)] {
+	for _, e := range entries[:min(len(entries), maxLimitSeries)] {
 		if e.Named > 0 {
 			to <- prometheus.MustNewConstMetric(c.named, prometheus.GaugeValue, float64(e.Named), string(e.Upstream))
 		}
--- a/internal/telemetry/quarantine.go
+++ b/internal/telemetry/quarantine.go
@@ -18,7 +18,7 @@
 // WatchQuarantine has the metrics tell how many requests are suspected and held, read when
 // they are asked for.
 func (f *Forward) WatchQuarantine(read func() []quarantine.Entry) {
-	f.all.MustRegister(&quarantineCollector{read: read, requests: prometheus.NewDesc(
+	f.promRegistry.MustRegister(&quarantineCollector{read: read, requests: prometheus.NewDesc(
 		prometheus.BuildFQName(namespace, "quarantine", "requests"),
 		"Different requests under which upstreams ended, by what is thought of them.", []string{"standing"}, nil,
 	)})
--- a/internal/telemetry/registry.go
+++ b/internal/telemetry/registry.go
@@ -15,33 +15,35 @@
 
 // registry makes and serves one process's metrics.
 type registry struct {
-	all *prometheus.Registry
+	promRegistry *prometheus.Registry
 }
 
-func newRegistry() registry { return registry{all: prometheus.NewRegistry()} }
+func newRegistry() registry { return registry{promRegistry: prometheus.NewRegistry()} }
 
 func (r registry) counter(name, help string, labels ...string) *prometheus.CounterVec {
 	c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
-	r.all.MustRegister(c)
+	r.promRegistry.MustRegister(c)
 	return c
 }
 
 func (r registry) histogram(name, help string, buckets []float64, labels ...string) *prometheus.HistogramVec {
 	h := prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: buckets}, labels)
-	r.all.MustRegister(h)
+	r.promRegistry.MustRegister(h)
 	return h
 }
 
 func (r registry) gauge(name, help string, labels ...string) *prometheus.GaugeVec {
 	g := prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, labels)
-	r.all.MustRegister(g)
+	r.promRegistry.MustRegister(g)
 	return g
 }
 
 // Gauge adds a value that is read when it is asked for.
 func (r registry) Gauge(name, help string, read func() float64) {
-	r.all.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
+	r.promRegistry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
 // Handler serves the metrics.
-func (r registry) Handler() http.Handler { return promhttp.HandlerFor(r.all, promhttp.HandlerOpts{}) }
+func (r registry) Handler() http.Handler {
+	return promhttp.HandlerFor(r.promRegistry, promhttp.HandlerOpts{})
+}
--- a/internal/telemetry/ringlog.go
+++ b/internal/telemetry/ringlog.go
@@ -13,20 +13,20 @@
 // a bounded ring for a goroutine that writes them, and those that don't fit are
 // counted and dropped. Use NewRingLog.
 type RingLog struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	done    chan struct{}
-	once    sync.Once
+	lines     chan []byte
+	dropped   atomic.Int64
+	drained   chan struct{}
+	closeOnce sync.Once
 }
 
-// ringLines is how many lines may wait: a second or two of a busy host's.
-const ringLines = 1024
+// ringCapacity is how many lines may wait: a second or two of a busy host's.
+const ringCapacity = 1024
 
 // NewRingLog starts a ring in front of a writer.
 func NewRingLog(to io.Writer) *RingLog {
-	r := &RingLog{lines: make(chan []byte, ringLines), done: make(chan struct{})}
+	r := &RingLog{lines: make(chan []byte, ringCapacity), drained: make(chan struct{})}
 	go func() {
-		defer close(r.done)
+		defer close(r.drained)
 		for line := range r.lines {
 			// A log that can't be written has nowhere to say so.
 			_, _ = to.Write(line)
@@ -50,6 +50,6 @@
 
 // Close writes what waits and ends the ring. Nothing may be written after it.
 func (r *RingLog) Close() {
-	r.once.Do(func() { close(r.lines) })
-	<-r.done
+	r.closeOnce.Do(func() { close(r.lines) })
+	<-r.drained
 }
--- a/internal/telemetry/wallclock_test.go
+++ b/internal/telemetry/wallclock_test.go
@@ -13,54 +13,54 @@
 	"testing"
 )
 
-// wallClock finds what gives a moment without the steady clock's reading: numbers of
+// wallClockUse finds what gives a moment without the steady clock's reading: numbers of
 // seconds since 1970, moments read from text, and moments stripped of it.
-var wallClock = regexp.MustCompile(`\.Unix(Nano|Micro|Milli)?\(|time\.(Unix(Micro|Milli)?|Parse|Date)\(|\.Round\(0\)|\.(Un)?[Mm]arshalBinary\(`)
+var wallClockUse = regexp.MustCompile(`\.Unix(Nano|Micro|Milli)?\(|time\.(Unix(Micro|Milli)?|Parse|Date)\(|\.Round\(0\)|\.(Un)?[Mm]arshalBinary\(`)
 
-// usesTimeOfDay are the files that may: the moments of log lines are read back, and
+// wallClockAllowedFiles are the files that may: the moments of log lines are read back, and
 // the policy benchmark's virtual time begins at a date.
-var usesTimeOfDay = []string{"internal/explain/line.go", "internal/bench/run.go"}
+var wallClockAllowedFiles = []string{"internal/explain/line.go", "internal/bench/run.go"}
 
-// steadyClock finds what takes the present time from the steady clock, which stands still
+// monotonicClockUse finds what takes the present time from the steady clock, which stands still
 // while the machine is suspended.
-var steadyClock = regexp.MustCompile(`time\.(Now|Since|Until)\(|context\.WithDeadline`)
+var monotonicClockUse = regexp.MustCompile(`time\.(Now|Since|Until)\(|context\.WithDeadline`)
 
-// countsSuspensions are the packages that decide by the time that really passes.
-var countsSuspensions = []string{
+// suspensionAwarePackages are the packages that decide by the time that really passes.
+var suspensionAwarePackages = []string{
 	"forward", "entry", "order", "claim", "member", "policy", "quarantine", "platform", "internal/peer", "internal/web",
 	"rollout", "roster", "cell", "spool",
 }
 
-// usesSteadyClock are the files of these that may: bounds of single sockets and calls
+// monotonicClockAllowedFiles are the files of these that may: bounds of single sockets and calls
 // between hosts, of some seconds at most, which end late by a suspension and on which
 // nothing else rests.
-var usesSteadyClock = []string{
+var monotonicClockAllowedFiles = []string{
 	"platform/ingress.go", "platform/server.go", "internal/peer/conn.go", "internal/peer/handshake.go", "internal/peer/places.go",
 	"forward/stopping.go",
 }
 
-// TestSuspensionsCount has no proof, lease, window or deadline stand still while the
+// TestNoMonotonicClock has no proof, lease, window or deadline stand still while the
 // machine is suspended.
-func TestSuspensionsCount(t *testing.T) {
-	for _, dir := range countsSuspensions {
+func TestNoMonotonicClock(t *testing.T) {
+	for _, dir := range suspensionAwarePackages {
 		files, err := filepath.Glob(filepath.Join("../..", dir, "*.go"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, path := range files {
-			place, err := filepath.Rel("../..", path)
+			relPath, err := filepath.Rel("../..", path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if strings.HasSuffix(path, "_test.go") || slices.Contains(usesSteadyClock, filepath.ToSlash(place)) {
+			if strings.HasSuffix(path, "_test.go") || slices.Contains(monotonicClockAllowedFiles, filepath.ToSlash(relPath)) {
 				continue
 			}
 			text, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if found := steadyClock.Find(text); found != nil {
-				t.Errorf("%s uses a clock that stands still while the machine is suspended: %q", place, found)
+			if found := monotonicClockUse.Find(text); found != nil {
+				t.Errorf("%s uses a clock that stands still while the machine is suspended: %q", relPath, found)
 			}
 		}
 	}
@@ -81,14 +81,14 @@
 		if !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") {
 			return nil
 		}
-		if place, err := filepath.Rel(root, path); err != nil || slices.Contains(usesTimeOfDay, filepath.ToSlash(place)) {
+		if relPath, err := filepath.Rel(root, path); err != nil || slices.Contains(wallClockAllowedFiles, filepath.ToSlash(relPath)) {
 			return err
 		}
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		if found := wallClock.Find(text); found != nil {
+		if found := wallClockUse.Find(text); found != nil {
 			t.Errorf("%s uses the time of day: %q", path, found)
 		}
 		return nil
--- a/internal/web/admin.go
+++ b/internal/web/admin.go
@@ -24,15 +24,15 @@
 type Admin struct {
 	entry *entry.Entry
 	token string
-	// stuck tells why callers' connections can't be taken; nil while they are.
-	stuck  func() error
-	router *httprouter.Router
+	// acceptError tells why callers' connections can't be taken; nil while they are.
+	acceptError func() error
+	router      *httprouter.Router
 }
 
 // NewAdmin returns the handler for operators, who must give the token. Health
 // and metrics are open. stuck tells why callers' connections can't be taken.
-func NewAdmin(e *entry.Entry, token string, stuck func() error, metrics http.Handler) *Admin {
-	a := &Admin{entry: e, token: token, stuck: stuck, router: httprouter.New()}
+func NewAdmin(e *entry.Entry, token string, acceptError func() error, metrics http.Handler) *Admin {
+	a := &Admin{entry: e, token: token, acceptError: acceptError, router: httprouter.New()}
 	a.router.GET("/apis/v1/:kind", a.authenticated(a.list))
 	a.router.GET("/apis/v1/:kind/:name", a.authenticated(a.get))
 	a.router.PUT("/apis/v1/:kind/:name", a.authenticated(a.put))
@@ -110,14 +110,14 @@
 func statusAnswerOf(zones []entry.ZoneState, at time.Time, wanted resource.Revision) *statusAnswer {
 	answer := &statusAnswer{Holds: true, Zones: map[string]zoneAnswer{}}
 	for _, z := range zones {
-		one := zoneAnswerOf(z, at, wanted)
-		answer.Zones[string(z.Zone)] = one
-		answer.Holds = answer.Holds && one.InForce == inForceYes
+		zoneStatus := zoneAnswerOf(z, at, wanted)
+		answer.Zones[string(z.Zone)] = zoneStatus
+		answer.Holds = answer.Holds && zoneStatus.InForce == inForceYes
 	}
 	return answer
 }
 
-func (a *Admin) answerOf(r resource.Resource) resourceAnswer {
+func (a *Admin) resourceAnswerOf(r resource.Resource) resourceAnswer {
 	at := a.entry.Now()
 	return resourceAnswer{
 		Kind: r.Kind, Name: r.Name, ResourceVersion: r.Revision, Spec: r.Spec,
@@ -142,8 +142,8 @@
 	}
 	catalog := a.entry.Catalog()
 	answer := listAnswer{Revision: catalog.Revision(), Items: []resourceAnswer{}}
-	for _, one := range catalog.List(kind) {
-		answer.Items = append(answer.Items, a.answerOf(one))
+	for _, item := range catalog.List(kind) {
+		answer.Items = append(answer.Items, a.resourceAnswerOf(item))
 	}
 	writeJSON(w, http.StatusOK, answer)
 }
@@ -154,13 +154,13 @@
 		a.watch(w, r, kind, name)
 		return
 	}
-	one, found := a.entry.Catalog().Get(kind, name)
+	res, found := a.entry.Catalog().Get(kind, name)
 	if !found {
 		writeProblem(w, http.StatusNotFound, "there is no "+string(kind)+"/"+string(name), nil)
 		return
 	}
-	w.Header().Set("ETag", etag(one.Revision))
-	writeJSON(w, http.StatusOK, a.answerOf(one))
+	w.Header().Set("ETag", etag(res.Revision))
+	writeJSON(w, http.StatusOK, a.resourceAnswerOf(res))
 }
 
 func etag(r resource.Revision) string { return strconv.Quote(strconv.FormatUint(uint64(r), 10)) }
@@ -186,7 +186,7 @@
 func (a *Admin) put(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	text, failure := readBody(w, r, 2*resource.MaxSpecBytes)
 	if failure != nil {
-		writeProblem(w, statusOf(failure.Code), failure.Message, nil)
+		writeProblem(w, httpStatusOf(failure.Code), failure.Message, nil)
 		return
 	}
 	var body putBody
@@ -215,7 +215,7 @@
 }
 
 func (a *Admin) propose(w http.ResponseWriter, r *http.Request, change resource.Change) {
-	match, err := matchOf(r)
+	match, err := parseIfMatch(r)
 	if err != nil {
 		writeProblem(w, http.StatusBadRequest, err.Error(), nil)
 		return
@@ -232,8 +232,8 @@
 	case errors.As(err, &conflict):
 		answer := problemAnswer{Message: conflict.Error()}
 		if conflict.Current.Revision > 0 {
-			there := a.answerOf(conflict.Current)
-			answer.Now = &there
+			current := a.resourceAnswerOf(conflict.Current)
+			answer.Now = &current
 		}
 		writeJSON(w, http.StatusConflict, answer)
 	case errors.Is(err, entry.ErrOutcomeUnknown):
@@ -244,14 +244,14 @@
 	}
 }
 
-// matchOf reads If-Match: a quoted or bare revision; "0" wants a resource that
+// parseIfMatch reads If-Match: a quoted or bare revision; "0" wants a resource that
 // isn't there yet.
-func matchOf(r *http.Request) (*resource.Revision, error) {
-	written := strings.Trim(r.Header.Get("If-Match"), `"`)
-	if written == "" || written == "*" {
+func parseIfMatch(r *http.Request) (*resource.Revision, error) {
+	value := strings.Trim(r.Header.Get("If-Match"), `"`)
+	if value == "" || value == "*" {
 		return nil, nil
 	}
-	n, err := strconv.ParseUint(written, 10, 64)
+	n, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
 		return nil, errors.New("If-Match must be a resourceVersion")
 	}
@@ -279,7 +279,7 @@
 	case !a.entry.Ready():
 		http.Error(w, "no configuration yet: neither a peer nor the platform has given one", http.StatusServiceUnavailable)
 	default:
-		if err := a.stuck(); err != nil {
+		if err := a.acceptError(); err != nil {
 			http.Error(w, "connections can't be taken: "+err.Error(), http.StatusServiceUnavailable)
 			return
 		}
--- a/internal/web/answer.go
+++ b/internal/web/answer.go
@@ -30,8 +30,8 @@
 	RetryAfterMs int64          `json:"retry_after_ms,omitempty"`
 }
 
-// statuses gives the HTTP status of each code; the others are 502.
-var statuses = map[entry.Code]int{
+// httpStatuses gives the HTTP status of each code; the others are 502.
+var httpStatuses = map[entry.Code]int{
 	entry.CodeBadRequest:           http.StatusBadRequest,
 	entry.CodeUnauthorized:         http.StatusUnauthorized,
 	entry.CodeUnknownModel:         http.StatusNotFound,
@@ -54,16 +54,16 @@
 	entry.CodeQuarantined: http.StatusUnprocessableEntity,
 }
 
-func statusOf(c entry.Code) int {
-	if status, known := statuses[c]; known {
+func httpStatusOf(c entry.Code) int {
+	if status, known := httpStatuses[c]; known {
 		return status
 	}
 	return http.StatusBadGateway
 }
 
-func errorOf(f *entry.Failure) errorAnswer {
+func errorAnswerOf(f *entry.Failure) errorAnswer {
 	kind := "server_error"
-	if statusOf(f.Code) < http.StatusInternalServerError {
+	if httpStatusOf(f.Code) < http.StatusInternalServerError {
 		kind = "invalid_request_error"
 	}
 	return errorAnswer{Error: errorBody{
@@ -71,8 +71,8 @@
 	}}
 }
 
-// asFailure turns any error into the failure that the caller is told.
-func asFailure(err error) *entry.Failure {
+// failureOf turns any error into the failure that the caller is told.
+func failureOf(err error) *entry.Failure {
 	var f *entry.Failure
 	if errors.As(err, &f) {
 		return f
@@ -86,7 +86,7 @@
 		seconds := int(math.Ceil(f.RetryAfter.Seconds()))
 		w.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
-	writeJSON(w, statusOf(f.Code), errorOf(f))
+	writeJSON(w, httpStatusOf(f.Code), errorAnswerOf(f))
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
@@ -104,5 +104,5 @@
 	Code: entry.CodeUnauthorized, RunState: entry.NotRun, Message: "give a valid key as 'Authorization: Bearer KEY'",
 }
 
-// notReadyRetry is when to come back to an entry without a configuration.
-const notReadyRetry = time.Second
+// notReadyRetryAfter is when to come back to an entry without a configuration.
+const notReadyRetryAfter = time.Second
--- a/internal/web/caller.go
+++ b/internal/web/caller.go
@@ -29,7 +29,7 @@
 	c := &Caller{entry: e, tracer: tracer, router: httprouter.New()}
 	c.router.POST("/v1/completions", c.authenticated(c.generate(entry.ShapeCompletion)))
 	c.router.POST("/v1/chat/completions", c.authenticated(c.generate(entry.ShapeChat)))
-	c.router.GET("/v1/models", c.authenticated(c.models))
+	c.router.GET("/v1/models", c.authenticated(c.listModels))
 	for _, method := range []string{
 		http.MethodGet, http.MethodPost, http.MethodPut, http.MethodPatch, http.MethodDelete, http.MethodHead,
 	} {
@@ -61,7 +61,7 @@
 		account, known := c.entry.Authenticate(key)
 		if !isBearer || !known {
 			if !c.entry.Ready() {
-				writeFailure(w, &entry.Failure{Code: entry.CodeNotReady, RunState: entry.NotRun, Message: "this entry has no configuration yet", RetryAfter: notReadyRetry})
+				writeFailure(w, &entry.Failure{Code: entry.CodeNotReady, RunState: entry.NotRun, Message: "this entry has no configuration yet", RetryAfter: notReadyRetryAfter})
 				return
 			}
 			w.Header().Set("WWW-Authenticate", "Bearer")
@@ -74,56 +74,56 @@
 
 func (c *Caller) generate(shape entry.Shape) accountHandler {
 	return func(w http.ResponseWriter, r *http.Request, _ httprouter.Params, account resource.Account) {
-		text, failure := readCall(w, r, maxGenerationBytes)
+		text, failure := readCallBody(w, r, maxGenerationBytes)
 		if failure != nil {
 			writeFailure(w, failure)
 			return
 		}
 		if last := r.Header.Get("Last-Event-ID"); last != "" {
-			c.resume(w, r, account, last)
+			c.resumeStream(w, r, account, last)
 			return
 		}
-		request, asked, failure := parseGeneration(shape, account, text)
+		request, body, failure := parseGeneration(shape, account, text)
 		switch {
 		case failure != nil:
 			writeFailure(w, failure)
-		case asked.Stream:
-			c.stream(w, r, request, asked)
+		case body.Stream:
+			c.generateStream(w, r, request, body)
 		default:
-			c.whole(w, r, request, asked)
+			c.generateWhole(w, r, request, body)
 		}
 	}
 }
 
-func (c *Caller) stream(w http.ResponseWriter, r *http.Request, request entry.GenerationRequest, asked generationBody) {
+func (c *Caller) generateStream(w http.ResponseWriter, r *http.Request, request entry.GenerationRequest, body generationBody) {
 	sink := newEventSink(w)
-	ending, err := c.entry.Generate(r.Context(), request, sink)
-	finish(w, sink, asked, ending, err)
+	result, err := c.entry.Generate(r.Context(), request, sink)
+	finishStream(w, sink, body, result, err)
 }
 
-// resume carries on with a generation that another entry began.
-func (c *Caller) resume(w http.ResponseWriter, r *http.Request, account resource.Account, last string) {
+// resumeStream carries on with a generation that another entry began.
+func (c *Caller) resumeStream(w http.ResponseWriter, r *http.Request, account resource.Account, lastEventID string) {
 	sink := newEventSink(w)
-	ending, err := c.entry.Resume(r.Context(), account, last, sink)
-	finish(w, sink, generationBody{}, ending, err)
+	result, err := c.entry.Resume(r.Context(), account, lastEventID, sink)
+	finishStream(w, sink, generationBody{}, result, err)
 }
 
-func finish(w http.ResponseWriter, sink *eventSink, asked generationBody, ending entry.RunResult, err error) {
+func finishStream(w http.ResponseWriter, sink *eventSink, body generationBody, result entry.RunResult, err error) {
 	switch {
 	case err == nil:
-		sink.end(asked, ending)
-	case sink.begun:
-		sink.fail(asFailure(err))
+		sink.finish(body, result)
+	case sink.headersSent:
+		sink.fail(failureOf(err))
 	default:
-		writeFailure(w, asFailure(err))
+		writeFailure(w, failureOf(err))
 	}
 }
 
-func (c *Caller) whole(w http.ResponseWriter, r *http.Request, request entry.GenerationRequest, asked generationBody) {
-	var sink wholeSink
-	ending, err := c.entry.Generate(r.Context(), request, &sink)
+func (c *Caller) generateWhole(w http.ResponseWriter, r *http.Request, request entry.GenerationRequest, body generationBody) {
+	var sink collectingSink
+	result, err := c.entry.Generate(r.Context(), request, &sink)
 	if err != nil {
-		failure := asFailure(err)
+		failure := failureOf(err)
 		if failure.RunState == entry.Partial {
 			// This caller has seen nothing of the answer.
 			failure.RunState = entry.Unknown
@@ -131,7 +131,7 @@
 		writeFailure(w, failure)
 		return
 	}
-	writeJSON(w, http.StatusOK, sink.answer(request.Shape, asked.Model, ending))
+	writeJSON(w, http.StatusOK, sink.answer(request.Shape, body.Model, result))
 }
 
 type modelAnswer struct {
@@ -145,7 +145,7 @@
 	Data   []modelAnswer `json:"data"`
 }
 
-func (c *Caller) models(w http.ResponseWriter, _ *http.Request, _ httprouter.Params, _ resource.Account) {
+func (c *Caller) listModels(w http.ResponseWriter, _ *http.Request, _ httprouter.Params, _ resource.Account) {
 	answer := modelsAnswer{Object: "list", Data: []modelAnswer{}}
 	catalog := c.entry.Catalog()
 	for _, r := range catalog.List(resource.Routes) {
@@ -156,47 +156,47 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// hopHeaders belong to one connection and aren't passed on; neither is the
+// unforwardedHeaders belong to one connection and aren't passed on; neither is the
 // caller's key.
-var hopHeaders = []string{
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization", "Content-Length",
 }
 
-func passedOn(header http.Header) http.Header {
-	passed := header.Clone()
-	for _, listed := range passed.Values("Connection") {
+func forwardableHeader(header http.Header) http.Header {
+	forwarded := header.Clone()
+	for _, listed := range forwarded.Values("Connection") {
 		for name := range strings.SplitSeq(listed, ",") {
-			passed.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
-		passed.Del(name)
+	for _, name := range unforwardedHeaders {
+		forwarded.Del(name)
 	}
-	return passed
+	return forwarded
 }
 
-// maxIdempotencyKey bounds the length of a caller's key.
-const maxIdempotencyKey = 255
+// maxIdempotencyKeyBytes bounds the length of a caller's key.
+const maxIdempotencyKeyBytes = 255
 
 func (c *Caller) callService(w http.ResponseWriter, r *http.Request, params httprouter.Params, account resource.Account) {
-	body, failure := readCall(w, r, maxServiceBytes)
+	body, failure := readCallBody(w, r, maxServiceBytes)
 	if failure != nil {
 		writeFailure(w, failure)
 		return
 	}
 	request := entry.ServiceRequest{
 		Account: account, Route: resource.Name(params.ByName("route")), ID: uuid.NewString(),
-		Method: r.Method, Path: servicePath(r, params), Header: passedOn(r.Header), Body: body,
+		Method: r.Method, Path: servicePath(r, params), Header: forwardableHeader(r.Header), Body: body,
 		IdempotencyKey: r.Header.Get("Idempotency-Key"),
 	}
-	if len(request.IdempotencyKey) > maxIdempotencyKey {
+	if len(request.IdempotencyKey) > maxIdempotencyKeyBytes {
 		writeFailure(w, badRequest("the Idempotency-Key is longer than 255 characters"))
 		return
 	}
 	answer, err := c.entry.CallService(r.Context(), request)
 	if err != nil {
-		writeFailure(w, asFailure(err))
+		writeFailure(w, failureOf(err))
 		return
 	}
 	writeServiceAnswer(w, answer)
@@ -213,7 +213,7 @@
 }
 
 func writeServiceAnswer(w http.ResponseWriter, answer entry.ServiceAnswer) {
-	for name, values := range passedOn(answer.Header) {
+	for name, values := range forwardableHeader(answer.Header) {
 		w.Header()[name] = values
 	}
 	w.WriteHeader(answer.Status)
--- a/internal/web/request.go
+++ b/internal/web/request.go
@@ -24,8 +24,8 @@
 	// bytesPerToken estimates a prompt's tokens; the engine's reports correct
 	// what it gets wrong.
 	bytesPerToken = 4
-	// prefixBytes is how much of a prompt is looked at for reuse.
-	prefixBytes = 4 << 10
+	// prefixHashBytes is how much of a prompt is looked at for reuse.
+	prefixHashBytes = 4 << 10
 )
 
 // generationBody is the part of an OpenAI request that shedpath reads.
@@ -44,7 +44,7 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-func (b *generationBody) limit() int { return max(b.MaxTokens, b.MaxCompletionTokens) }
+func (b *generationBody) maxOutputTokens() int { return max(b.MaxTokens, b.MaxCompletionTokens) }
 
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *entry.Failure) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
@@ -61,9 +61,9 @@
 // errCallerLeft is told to nobody: the connection is closed.
 var errCallerLeft = &entry.Failure{Code: entry.CodeCancelled, RunState: entry.NotRun, Message: "the caller has left"}
 
-// readCall reads the body of something that upstreams are to work on, unless its caller has
+// readCallBody reads the body of something that upstreams are to work on, unless its caller has
 // left meanwhile: they would be at work for nobody.
-func readCall(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *entry.Failure) {
+func readCallBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *entry.Failure) {
 	body, failure := readBody(w, r, limit)
 	if failure == nil && reach.CallerLeft(r.Context()) {
 		return nil, errCallerLeft
@@ -74,44 +74,44 @@
 // parseGeneration checks a generation request and makes its body ask for a
 // stream.
 func parseGeneration(shape entry.Shape, account resource.Account, text []byte) (entry.GenerationRequest, generationBody, *entry.Failure) {
-	var asked generationBody
+	var parsed generationBody
 	var request entry.GenerationRequest
-	if err := json.Unmarshal(text, &asked); err != nil {
-		return request, asked, badRequest("the body is not a JSON request: " + err.Error())
+	if err := json.Unmarshal(text, &parsed); err != nil {
+		return request, parsed, badRequest("the body is not a JSON request: " + err.Error())
 	}
-	prompt := asked.Prompt
+	prompt := parsed.Prompt
 	if shape == entry.ShapeChat {
-		prompt = asked.Messages
+		prompt = parsed.Messages
 	}
 	switch {
-	case asked.Model == "":
-		return request, asked, badRequest("model is missing")
+	case parsed.Model == "":
+		return request, parsed, badRequest("model is missing")
 	case len(prompt) == 0:
-		return request, asked, badRequest("the prompt or the messages are missing")
-	case asked.N > 1:
-		return request, asked, badRequest("n must be 1: one answer is one generation")
-	case asked.MaxTokens < 0:
-		return request, asked, badRequest("max_tokens must not be negative")
-	case asked.MaxCompletionTokens < 0:
-		return request, asked, badRequest("max_completion_tokens must not be negative")
+		return request, parsed, badRequest("the prompt or the messages are missing")
+	case parsed.N > 1:
+		return request, parsed, badRequest("n must be 1: one answer is one generation")
+	case parsed.MaxTokens < 0:
+		return request, parsed, badRequest("max_tokens must not be negative")
+	case parsed.MaxCompletionTokens < 0:
+		return request, parsed, badRequest("max_completion_tokens must not be negative")
 	}
-	body, err := askForStream(text)
+	body, err := forceStream(text)
 	if err != nil {
-		return request, asked, badRequest(err.Error())
+		return request, parsed, badRequest(err.Error())
 	}
 	request = entry.GenerationRequest{
-		Account: account, Route: resource.Name(asked.Model), Shape: shape, Body: body,
-		Prompt: policy.Tokens(len(prompt)/bytesPerToken + 1), Limit: policy.Tokens(asked.limit()),
+		Account: account, Route: resource.Name(parsed.Model), Shape: shape, Body: body,
+		Prompt: policy.Tokens(len(prompt)/bytesPerToken + 1), Limit: policy.Tokens(parsed.maxOutputTokens()),
 	}
-	if len(prompt) >= prefixBytes {
-		request.Prefix = xxhash.Sum64String(asked.Model + "\x00" + string(prompt[:prefixBytes]))
-		request.PrefixTokens = prefixBytes / bytesPerToken
+	if len(prompt) >= prefixHashBytes {
+		request.Prefix = xxhash.Sum64String(parsed.Model + "\x00" + string(prompt[:prefixHashBytes]))
+		request.PrefixTokens = prefixHashBytes / bytesPerToken
 	}
-	return request, asked, nil
+	return request, parsed, nil
 }
 
-// askForStream sets "stream" in the body and leaves the rest as it is.
-func askForStream(text []byte) ([]byte, error) {
+// forceStream sets "stream" in the body and leaves the rest as it is.
+func forceStream(text []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(text, &fields); err != nil {
 		return nil, err
--- a/internal/web/request_test.go
+++ b/internal/web/request_test.go
@@ -22,8 +22,8 @@
 func TestParseGeneration(t *testing.T) {
 	for name, c := range map[string]struct {
 		body string
-		// names is a word of the refusal; empty for a request that is taken.
-		names string
+		// wantWord is a word of the refusal; empty for a request that is taken.
+		wantWord string
 	}{
 		"taken":                          {`{"model":"m","prompt":"x","max_tokens":5}`, ""},
 		"no model":                       {`{"prompt":"x"}`, "model"},
@@ -37,36 +37,36 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			_, _, failure := parseGeneration(entry.ShapeCompletion, "a", []byte(c.body))
-			if c.names == "" {
+			if c.wantWord == "" {
 				is.True(failure == nil)
 				return
 			}
 			is.Equal(failure.Code, entry.CodeBadRequest)
 			is.Equal(failure.RunState, entry.NotRun)
-			is.True(strings.Contains(failure.Message, c.names))
+			is.True(strings.Contains(failure.Message, c.wantWord))
 		})
 	}
 }
 
-// TestCallerLeftUnread has a call whose caller left before it was read not be passed on.
-func TestCallerLeftUnread(t *testing.T) {
+// TestReadCallBodyCallerLeft has a call whose caller left before it was read not be passed on.
+func TestReadCallBodyCallerLeft(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer listener.Close()
-	caller, err := net.Dial("tcp", listener.Addr().String())
+	clientConn, err := net.Dial("tcp", listener.Addr().String())
 	is.NoErr(err)
-	here, err := listener.Accept()
+	serverConn, err := listener.Accept()
 	is.NoErr(err)
-	defer here.Close()
+	defer serverConn.Close()
 	read := func() *entry.Failure {
-		r := httptest.NewRequestWithContext(reach.WithConn(t.Context(), here), http.MethodPost, "/", strings.NewReader("{}"))
-		_, failure := readCall(httptest.NewRecorder(), r, 100)
+		r := httptest.NewRequestWithContext(reach.WithConn(t.Context(), serverConn), http.MethodPost, "/", strings.NewReader("{}"))
+		_, failure := readCallBody(httptest.NewRecorder(), r, 100)
 		return failure
 	}
 	is.Equal(read(), nil)
-	is.NoErr(caller.Close())
-	_, err = here.Read(make([]byte, 8))
+	is.NoErr(clientConn.Close())
+	_, err = serverConn.Read(make([]byte, 8))
 	is.Equal(err, io.EOF) // the close has arrived
 	is.Equal(read(), errCallerLeft)
 }
--- a/internal/web/sink.go
+++ b/internal/web/sink.go
@@ -14,11 +14,11 @@
 
 // eventSink passes an answer on as server-sent events.
 type eventSink struct {
-	w          http.ResponseWriter
-	controller *http.ResponseController
-	id         entry.GenerationID
-	begun      bool
-	line       []byte
+	w            http.ResponseWriter
+	controller   *http.ResponseController
+	generationID entry.GenerationID
+	headersSent  bool
+	buf          []byte
 }
 
 func newEventSink(w http.ResponseWriter) *eventSink {
@@ -27,7 +27,7 @@
 
 // Begin sends the headers.
 func (s *eventSink) Begin(id entry.GenerationID) error {
-	s.id, s.begun = id, true
+	s.generationID, s.headersSent = id, true
 	header := s.w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-cache")
@@ -38,14 +38,14 @@
 
 // Token sends one token under the id that a caller can come back with.
 func (s *eventSink) Token(index int, data string) error {
-	line := append(s.line[:0], "id: "...)
-	line = append(line, s.id...)
+	line := append(s.buf[:0], "id: "...)
+	line = append(line, s.generationID...)
 	line = append(line, ':')
 	line = strconv.AppendInt(line, int64(index), 10)
 	line = append(line, "\ndata: "...)
 	line = append(line, data...)
 	line = append(line, "\n\n"...)
-	s.line = line
+	s.buf = line
 	_, err := s.w.Write(line)
 	return err
 }
@@ -53,22 +53,22 @@
 // Flush sends what is held.
 func (s *eventSink) Flush() error { return s.controller.Flush() }
 
-// end sends the last events of an answer that is whole.
-func (s *eventSink) end(asked generationBody, ending entry.RunResult) {
-	if asked.StreamOptions != nil && asked.StreamOptions.IncludeUsage {
-		usage, _ := json.Marshal(usageChunk{ID: string(s.id), Model: asked.Model, Choices: []struct{}{}, Usage: usageOf(ending)})
-		s.event(string(usage))
+// finish sends the last events of an answer that is whole.
+func (s *eventSink) finish(body generationBody, result entry.RunResult) {
+	if body.StreamOptions != nil && body.StreamOptions.IncludeUsage {
+		usage, _ := json.Marshal(usageChunk{ID: string(s.generationID), Model: body.Model, Choices: []struct{}{}, Usage: usageOf(result)})
+		s.writeEvent(string(usage))
 	}
-	s.event("[DONE]")
+	s.writeEvent("[DONE]")
 }
 
 // fail sends the error that ends an answer that can't be finished.
 func (s *eventSink) fail(f *entry.Failure) {
-	text, _ := json.Marshal(errorOf(f))
-	s.event(string(text))
+	text, _ := json.Marshal(errorAnswerOf(f))
+	s.writeEvent(string(text))
 }
 
-func (s *eventSink) event(data string) {
+func (s *eventSink) writeEvent(data string) {
 	// A caller that went away gets nothing.
 	_, _ = s.w.Write([]byte("data: " + data + "\n\n"))
 	_ = s.controller.Flush()
@@ -80,8 +80,8 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-func usageOf(e entry.RunResult) usage {
-	return usage{PromptTokens: e.PromptTokens, CompletionTokens: e.CompletionTokens, TotalTokens: e.PromptTokens + e.CompletionTokens}
+func usageOf(result entry.RunResult) usage {
+	return usage{PromptTokens: result.PromptTokens, CompletionTokens: result.CompletionTokens, TotalTokens: result.PromptTokens + result.CompletionTokens}
 }
 
 type usageChunk struct {
@@ -91,11 +91,11 @@
 	Usage   usage      `json:"usage"`
 }
 
-// wholeSink gathers an answer for a caller that didn't ask for a stream.
-type wholeSink struct {
-	id   entry.GenerationID
-	text strings.Builder
-	last chunk
+// collectingSink gathers an answer for a caller that didn't ask for a stream.
+type collectingSink struct {
+	generationID entry.GenerationID
+	text         strings.Builder
+	lastChunk    chunk
 }
 
 // chunk is one token's data in either shape.
@@ -112,13 +112,13 @@
 }
 
 // Begin keeps the id.
-func (s *wholeSink) Begin(id entry.GenerationID) error {
-	s.id = id
+func (s *collectingSink) Begin(id entry.GenerationID) error {
+	s.generationID = id
 	return nil
 }
 
 // Token adds a token's text.
-func (s *wholeSink) Token(_ int, data string) error {
+func (s *collectingSink) Token(_ int, data string) error {
 	var c chunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
 		return err
@@ -126,13 +126,13 @@
 	if len(c.Choices) > 0 {
 		s.text.WriteString(c.Choices[0].Text)
 		s.text.WriteString(c.Choices[0].Delta.Content)
-		s.last = c
+		s.lastChunk = c
 	}
 	return nil
 }
 
 // Flush does nothing: the answer goes out whole.
-func (s *wholeSink) Flush() error { return nil }
+func (s *collectingSink) Flush() error { return nil }
 
 type message struct {
 	Role    string `json:"role"`
@@ -146,7 +146,7 @@
 	FinishReason string   `json:"finish_reason"`
 }
 
-type wholeAnswer struct {
+type completionAnswer struct {
 	ID          string   `json:"id"`
 	Object      string   `json:"object"`
 	Created     int64    `json:"created"`
@@ -156,22 +156,22 @@
 	Usage       usage    `json:"usage"`
 }
 
-func (s *wholeSink) answer(shape entry.Shape, model string, ending entry.RunResult) wholeAnswer {
+func (s *collectingSink) answer(shape entry.Shape, model string, result entry.RunResult) completionAnswer {
 	text := s.text.String()
-	one := choice{FinishReason: "stop"}
-	if len(s.last.Choices) > 0 && s.last.Choices[0].FinishReason != "" {
-		one.FinishReason = s.last.Choices[0].FinishReason
+	onlyChoice := choice{FinishReason: "stop"}
+	if len(s.lastChunk.Choices) > 0 && s.lastChunk.Choices[0].FinishReason != "" {
+		onlyChoice.FinishReason = s.lastChunk.Choices[0].FinishReason
 	}
-	answer := wholeAnswer{
-		ID: string(s.id), Object: "text_completion", Created: s.last.Created, Model: model,
-		Fingerprint: s.last.Fingerprint, Usage: usageOf(ending),
+	answer := completionAnswer{
+		ID: string(s.generationID), Object: "text_completion", Created: s.lastChunk.Created, Model: model,
+		Fingerprint: s.lastChunk.Fingerprint, Usage: usageOf(result),
 	}
 	if shape == entry.ShapeChat {
 		answer.Object = "chat.completion"
-		one.Message = &message{Role: "assistant", Content: text}
+		onlyChoice.Message = &message{Role: "assistant", Content: text}
 	} else {
-		one.Text = &text
+		onlyChoice.Text = &text
 	}
-	answer.Choices = []choice{one}
+	answer.Choices = []choice{onlyChoice}
 	return answer
 }
--- a/internal/web/watch.go
+++ b/internal/web/watch.go
@@ -27,8 +27,8 @@
 	watchPut    = "put"
 	watchDelete = "delete"
 	watchStatus = "status"
-	// statusEvery is how often a watch looks whether a status has changed.
-	statusEvery = 500 * time.Millisecond
+	// statusPollInterval is how often a watch looks whether a status has changed.
+	statusPollInterval = 500 * time.Millisecond
 )
 
 // watch writes a line for each change of the watched resources after a
@@ -36,14 +36,14 @@
 // leaves or the entry stops.
 func (a *Admin) watch(w http.ResponseWriter, r *http.Request, kind resource.Kind, name resource.Name) {
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
-	state := watcher{admin: a, kind: kind, name: name, since: resource.Revision(since), shown: map[resource.Name]shown{}}
+	state := watcher{admin: a, kind: kind, name: name, sinceRevision: resource.Revision(since), reported: map[resource.Name]reportedState{}}
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	encoder, controller := json.NewEncoder(w), http.NewResponseController(w)
-	tick := time.NewTicker(statusEvery)
+	tick := time.NewTicker(statusPollInterval)
 	defer tick.Stop()
 	for {
 		changed := a.entry.Changed()
-		for _, event := range state.events() {
+		for _, event := range state.newEvents() {
 			if encoder.Encode(event) != nil {
 				return
 			}
@@ -60,43 +60,43 @@
 	}
 }
 
-// shown is what a watch has told of a resource.
-type shown struct {
+// reportedState is what a watch has told of a resource.
+type reportedState struct {
 	resource resource.Resource
 	holds    bool
 }
 
 type watcher struct {
-	admin *Admin
-	kind  resource.Kind
-	name  resource.Name
-	since resource.Revision
-	shown map[resource.Name]shown
+	admin         *Admin
+	kind          resource.Kind
+	name          resource.Name
+	sinceRevision resource.Revision
+	reported      map[resource.Name]reportedState
 }
 
-func (s *watcher) events() []watchEvent {
+func (s *watcher) newEvents() []watchEvent {
 	var events []watchEvent
 	present := map[resource.Name]bool{}
-	for _, one := range s.admin.entry.Catalog().List(s.kind) {
-		if s.name != "" && one.Name != s.name {
+	for _, r := range s.admin.entry.Catalog().List(s.kind) {
+		if s.name != "" && r.Name != s.name {
 			continue
 		}
-		present[one.Name] = true
-		answer := s.admin.answerOf(one)
-		before, known := s.shown[one.Name]
-		s.shown[one.Name] = shown{resource: one, holds: answer.Status.Holds}
+		present[r.Name] = true
+		answer := s.admin.resourceAnswerOf(r)
+		before, known := s.reported[r.Name]
+		s.reported[r.Name] = reportedState{resource: r, holds: answer.Status.Holds}
 		switch {
-		case known && before.resource.Revision != one.Revision, !known && one.Revision > s.since:
+		case known && before.resource.Revision != r.Revision, !known && r.Revision > s.sinceRevision:
 			events = append(events, watchEvent{Type: watchPut, Resource: answer})
 		case known && before.holds != answer.Status.Holds:
 			events = append(events, watchEvent{Type: watchStatus, Resource: answer})
 		}
 	}
-	for name, before := range s.shown {
+	for name, before := range s.reported {
 		if !present[name] {
-			delete(s.shown, name)
-			gone := resourceAnswer{Kind: s.kind, Name: name, ResourceVersion: before.resource.Revision, Spec: before.resource.Spec}
-			events = append(events, watchEvent{Type: watchDelete, Resource: gone})
+			delete(s.reported, name)
+			deleted := resourceAnswer{Kind: s.kind, Name: name, ResourceVersion: before.resource.Revision, Spec: before.resource.Spec}
+			events = append(events, watchEvent{Type: watchDelete, Resource: deleted})
 		}
 	}
 	return events
