--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -13,7 +13,7 @@
 
 const tsPrefix = "ts=2026-12-01T10:00:0"
 
-// TestDetermineCause tells each way in which a request can end.
+// TestDetermineCause checks the cause for each way in which a request can end.
 func TestDetermineCause(t *testing.T) {
 	const placed = tsPrefix + `0.1Z msg=placed request=r upstream=e1` + "\n"
 	for name, c := range map[string]struct {
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestCauseIgnoresStopOfAnotherHost has a stream not count as cut by another host's stop.
+// TestCauseIgnoresStopOfAnotherHost checks that a request that ends on one host is not
+// reported as cut because another host stops.
 func TestCauseIgnoresStopOfAnotherHost(t *testing.T) {
 	is := is.New(t)
 	stop, _, err := Read("h1.log", strings.NewReader(tsPrefix+"0Z msg=stopping\n"))
@@ -64,7 +65,8 @@
 	is.Equal(Timelines(append(stop, end...))[0].Cause, CauseCallerLeft)
 }
 
-// TestRead has each line read or named with its place.
+// TestRead checks that each line is either parsed or reported with its position and a
+// reason.
 func TestRead(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
@@ -75,7 +77,7 @@
 		"a collector's prefix":     {"  12.5 entry-3 " + tsPrefix + "0Z msg=placed", "entry-3", ""},
 		"no time":                  {"msg=placed request=r", "", "no field ts"},
 		"a time in another field":  {"at x" + tsPrefix + "0Z", "", "no field ts"},
-		"a time that is none":      {"ts=noon msg=placed", "", "the field ts is no time"},
+		"a time that is none":      {"ts=noon msg=placed", "", "field ts is not an RFC 3339 time"},
 		"no event":                 {tsPrefix + "0Z request=r", "", "no field msg"},
 		"a quote that doesn't end": {tsPrefix + `0Z msg="placed`, "", "logfmt syntax error"},
 	} {
@@ -97,7 +99,7 @@
 	}
 }
 
-// TestReadTooLong has a line that is longer than any real one told as an error.
+// TestReadTooLong checks that a line longer than maxLineBytes gives an error.
 func TestReadTooLong(t *testing.T) {
 	_, _, err := Read("h1.log", strings.NewReader(strings.Repeat("x", maxLineBytes+1)))
 	is.New(t).True(err != nil)
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package explain reads the decision lines of hosts' logs and tells how requests
-// ended and why.
+// Package explain reads the decision lines of the hosts' logs and determines how
+// and why each request ended.
 package explain
 
 import (
@@ -15,34 +15,34 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Line is one line of a log.
+// Line is one decision line of a log.
 type Line struct {
-	// Source is what stands before the line's first field, such as the name of the
-	// host that a log collector put there; the file's name when nothing does.
+	// Source is the last word before the line's first field, such as the host name that
+	// a log collector puts there. It is the file name if nothing precedes the fields.
 	Source string
 	Time   time.Time
-	// Event is what happened, such as "placed".
+	// Event is the value of the field msg, such as "placed".
 	Event string
-	// Request is the id of the request that it is about; empty for a line about
-	// what the host believes.
+	// Request is the ID of the request that the line is about. It is empty for a line
+	// about the state of the host.
 	Request string
-	// Text is the line's fields as they were written.
+	// Text holds the fields exactly as they appear in the log.
 	Text string
 
 	fields map[string]string
 }
 
-// Field returns a field's value; empty when the line doesn't have it.
+// Field returns the value of a field, or an empty string if the line doesn't have it.
 func (l *Line) Field(name string) string { return l.fields[name] }
 
-// duration returns a field as a time; zero when it isn't one.
+// duration returns the value of a field as a duration, or zero if it can't be parsed.
 func (l *Line) duration(name string) time.Duration {
-	// A field that is missing or another's is no time.
+	// The field may be missing or hold something else; both give zero.
 	d, _ := time.ParseDuration(l.fields[name])
 	return d
 }
 
-// UnreadableLine is a line that couldn't be read.
+// UnreadableLine is a line that is not a valid decision line, and the reason.
 type UnreadableLine struct {
 	File       string
 	LineNumber int
@@ -53,11 +53,11 @@
 	return fmt.Sprintf("%s:%d: %s", u.File, u.LineNumber, u.Reason)
 }
 
-// maxLineBytes bounds one line; decision lines have some hundred bytes.
+// maxLineBytes bounds the length of a line. Decision lines have a few hundred bytes.
 const maxLineBytes = 1 << 20
 
-// Read reads a log. Lines that aren't decision lines are returned beside it, each
-// with its place; an error says that the rest of the file couldn't be read.
+// Read reads a log and returns its decision lines. Other lines are returned in unread,
+// each with its position. If err is not nil, the rest of the file couldn't be read.
 func Read(file string, r io.Reader) (lines []Line, unread []UnreadableLine, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
@@ -79,7 +79,7 @@
 	return lines, unread, nil
 }
 
-// timeField begins the fields of a decision line.
+// timeField is the start of the first field of a decision line.
 const timeField = "ts="
 
 func parseLine(file, text string) (line Line, reason string) {
@@ -101,7 +101,7 @@
 	}
 	at, err := time.Parse(time.RFC3339Nano, line.fields["ts"])
 	if err != nil {
-		return line, "the field ts is no time"
+		return line, "field ts is not an RFC 3339 time"
 	}
 	line.Time, line.Event, line.Request = at, line.fields["msg"], line.fields["request"]
 	if line.Event == "" {
@@ -110,8 +110,8 @@
 	return line, ""
 }
 
-// splitSource splits a line before its first field. Of what stands before, the last
-// word names the source.
+// splitSource splits a line before its first field. The last word before the fields,
+// if any, is the source.
 func splitSource(text string) (source, fields string, found bool) {
 	start := strings.Index(text, timeField)
 	if start < 0 || start > 0 && text[start-1] != ' ' {
--- a/internal/explain/table.go
+++ b/internal/explain/table.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// causeRow is the requests of one route that ended in one way.
+// causeRow collects the requests of one route that ended for one cause.
 type causeRow struct {
 	cause     Cause
 	route     string
@@ -26,8 +26,8 @@
 	return r.durations[len(r.durations)/2]
 }
 
-// WriteTable writes how requests ended, by cause and route, the most frequent
-// first. Each row names a request to look at.
+// WriteTable writes how many requests ended, by cause and route, the most frequent
+// first. Each row names the first of its requests as an example.
 func WriteTable(to io.Writer, stories []Timeline) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "REQUESTS\tHOW THEY ENDED\tROUTE\tTOOK, MEDIAN\tFIRST\tLAST\tFOR INSTANCE")
@@ -68,7 +68,8 @@
 
 func formatTimeOfDay(t time.Time) string { return t.Format("15:04:05.000") }
 
-// WriteTimeline writes one request's lines and how it ended.
+// WriteTimeline writes the lines of one request, each with the time since the first, and
+// how the request ended.
 func WriteTimeline(to io.Writer, s Timeline) error {
 	for _, line := range s.Lines {
 		if _, err := fmt.Fprintf(to, "%s %8s %s %s\n", formatTimeOfDay(line.Time), "+"+line.Time.Sub(s.Start).Round(time.Millisecond).String(), line.Source, line.Text); err != nil {
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Cause says how a request ended, in words that lead to the operators' page.
+// Cause is how a request ended, in the words that the operators' documentation uses.
 type Cause string
 
-// The causes of an end that isn't a refusal's; those are the refusals' codes after
-// "refused: ".
+// The causes other than refusals. The cause of a refusal is "refused: " followed by the
+// refusal's code. CauseUpstreamsLimited is a refusal for which upstreams were withheld.
 const (
 	CauseAnswered         Cause = "answered"
 	CauseUpstreamFailure  Cause = "an upstream's failure passed on"
@@ -30,24 +30,25 @@
 
 const refusedPrefix = "refused: "
 
-// Failed reports whether the caller didn't get what it asked for.
+// Failed reports whether the request failed. A request whose caller left did not fail.
 func (c Cause) Failed() bool { return c != CauseAnswered && c != CauseCallerLeft }
 
-// Timeline is all that the logs say of one request.
+// Timeline holds all log lines of one request and how the request ended.
 type Timeline struct {
 	Request string
-	// Route is empty for a request that no route took.
+	// Route is empty if no route matched the request or its end is not in the log.
 	Route string
-	// Lines are in the order of their times.
+	// Lines are sorted by time.
 	Lines []Line
 	Cause Cause
-	// Duration is from its arrival to its end; zero without an end.
+	// Duration is the time from the request's arrival to its end; zero if the end is not
+	// in the log.
 	Duration time.Duration
-	// Start is when the first line was written.
+	// Start is the time of the first line.
 	Start time.Time
 }
 
-// Events of the lines that tell how a request ended.
+// Events of the lines that the cause is determined from.
 const (
 	eventAnswered        = "answered"
 	eventRefused         = "refused"
@@ -55,8 +56,8 @@
 	eventConnectionBroke = "connection broke"
 )
 
-// Timelines groups lines by request and tells how each ended, in the order in which
-// the requests began.
+// Timelines groups lines by request and determines how each request ended. The result
+// is sorted by the start of the requests.
 func Timelines(lines []Line) []Timeline {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
@@ -86,7 +87,8 @@
 	}
 }
 
-// determineCause tells how a request ended from its last line and those before it.
+// determineCause returns how a request ended, from the line about its end and the lines
+// before it.
 func (s *Timeline) determineCause(end Line) Cause {
 	if end.Event == eventRefused {
 		if end.Field("code") == "caller_left" {
@@ -112,7 +114,7 @@
 	}
 }
 
-// cutCause tells what cut a stream.
+// cutCause returns why a stream was cut.
 func (s *Timeline) cutCause(end Line) Cause {
 	errText := end.Field("err")
 	switch {
@@ -129,14 +131,15 @@
 	}
 }
 
-// sawEngineLeave reports whether the request's host knew that an engine leaves.
+// sawEngineLeave reports whether the request's lines announce that the engine leaves.
 func (s *Timeline) sawEngineLeave(upstream string) bool {
 	return slices.ContainsFunc(s.Lines, func(l Line) bool {
 		return l.Event == eventEngineLeaves && l.Field("upstream") == upstream
 	})
 }
 
-// sawEngineEnd reports whether the request's host saw that an engine had sawEngineEnd.
+// sawEngineEnd reports whether the request's lines show that the engine ended without
+// leaving first.
 func (s *Timeline) sawEngineEnd(upstream string) bool {
 	return slices.ContainsFunc(s.Lines, func(l Line) bool {
 		return l.Event == eventConnectionBroke && l.Field("upstream") == upstream && l.Field("ended") == "true" && l.Field("leaving") == "false"
--- a/internal/telemetry/forward.go
+++ b/internal/telemetry/forward.go
@@ -20,7 +20,7 @@
 	"github.com/shedpath/shedpath/permit"
 )
 
-// Forward logs and counts what a forwarder does. Use NewForward.
+// Forward writes a forwarder's log and holds its metrics. Use NewForward.
 type Forward struct {
 	ringLog *RingLog
 	logger  log.Logger
@@ -50,40 +50,40 @@
 	pauseBuckets = []float64{.005, .01, .02, .03, .05, .07, .1, .14, .18, .25, .5, 1, 2, 5}
 )
 
-// NewForward returns telemetry that logs to a writer.
+// NewForward returns the telemetry of a forwarder, which logs to a writer.
 func NewForward(to io.Writer) *Forward {
 	f := &Forward{ringLog: NewRingLog(to), registry: newRegistry()}
 	f.logger = log.With(log.NewLogfmtLogger(f.ringLog), "ts", log.DefaultTimestampUTC)
-	f.answers = f.counter("answers_total", "Requests by kind and how they ended.", "kind", "outcome")
+	f.answers = f.counter("answers_total", "Requests by kind and outcome.", "kind", "outcome")
 	f.requestDuration = f.histogram("request_seconds", "Time from a request's arrival to the end of its answer.", callBuckets, "kind")
-	f.firstEvent = f.histogram("first_event_seconds", "Time to a stream's first event.", callBuckets).WithLabelValues()
-	f.eventGap = f.histogram("event_gap_seconds", "Time between two events of a stream.", pauseBuckets).WithLabelValues()
-	f.repeats = f.counter("repeats_total", "Requests that were sent once more.", "why")
-	f.moves = f.counter("moves_total", "Runs that were moved to another engine.", "outcome")
-	f.movePause = f.histogram("move_pause_seconds", "How long a moved run stood still.", pauseBuckets).WithLabelValues()
-	f.storeCalls = f.counter("store_calls_total", "Calls to the platform's store.", "call", "outcome")
-	f.unreadableEntries = f.counter("unread_entries_total", "Entries of the platform's store that couldn't be read or used.").WithLabelValues()
-	f.brokenConnections = f.counter("broken_connections_total", "Connections that an upstream ended before its answer, by whether it had ended itself.", "upstream")
+	f.firstEvent = f.histogram("first_event_seconds", "Time from a request's arrival to the first event of its stream.", callBuckets).WithLabelValues()
+	f.eventGap = f.histogram("event_gap_seconds", "Time between two consecutive events of a stream.", pauseBuckets).WithLabelValues()
+	f.repeats = f.counter("repeats_total", "Requests that were sent to a further upstream, by reason.", "why")
+	f.moves = f.counter("moves_total", "Stopped runs that were moved to another engine or lost, by outcome.", "outcome")
+	f.movePause = f.histogram("move_pause_seconds", "Time for which a moved or lost run made no progress.", pauseBuckets).WithLabelValues()
+	f.storeCalls = f.counter("store_calls_total", "Calls to the platform's store, by call and outcome.", "call", "outcome")
+	f.unreadableEntries = f.counter("unread_entries_total", "Entries of the platform's store that could not be read or used.").WithLabelValues()
+	f.brokenConnections = f.counter("broken_connections_total", "Connections that an upstream ended before its answer was complete, by whether the upstream itself had ended.", "upstream")
 	f.suspendedSeconds = f.counter("suspended_seconds_total", "Time for which this machine was suspended.").WithLabelValues()
-	f.permits = f.counter("permits_total", "Answers to whether something may be sent to an upstream that is bounded.", "outcome")
-	f.signals = f.counter("upstream_signals_total", "What upstreams told about themselves in their answers.", "signal")
-	f.withheldSends = f.counter("sends_kept_back_total", "What wasn't sent to the upstream that was chosen for it, by the reason.", "reason")
-	f.sendsDespiteReason = f.counter("sends_despite_total", "What was sent to an upstream although a reason was against it, for a run would be lost otherwise.", "reason")
-	f.unloggedRequests = f.counter("unlogged_requests_total", "Decisions that were left out of the log by sampling.").WithLabelValues()
+	f.permits = f.counter("permits_total", "Requests for a permit to send to a bounded upstream, by outcome.", "outcome")
+	f.signals = f.counter("upstream_signals_total", "Signals that upstreams gave about themselves in their answers, by kind.", "signal")
+	f.withheldSends = f.counter("sends_kept_back_total", "Sends to a chosen upstream that were withheld, by reason.", "reason")
+	f.sendsDespiteReason = f.counter("sends_despite_total", "Sends that were made despite a reason against them, because a run would have been lost otherwise, by reason.", "reason")
+	f.unloggedRequests = f.counter("unlogged_requests_total", "Request log lines that were left out by sampling.").WithLabelValues()
 	f.promRegistry.MustRegister(
 		collectors.NewGoCollector(),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
-			Namespace: "shedpath", Name: "log_lines_dropped_total", Help: "Log lines that didn't fit into the ring.",
+			Namespace: "shedpath", Name: "log_lines_dropped_total", Help: "Log lines that were dropped because the log's buffer was full.",
 		}, func() float64 { return float64(f.ringLog.Dropped()) }),
 	)
 	return f
 }
 
-// Close writes the lines that still wait.
+// Close writes the buffered log lines and stops the log.
 func (f *Forward) Close() { f.ringLog.Close() }
 
-// Request notes a decision about one request, unless the log is over its rate
-// and the request isn't one of the sample.
+// Request logs a decision about one request, unless the log is above its rate and the
+// request is not in the sample.
 func (f *Forward) Request(id forward.RequestID, event string, keyvals ...any) {
 	if !f.sampler.shouldLog(time.Now(), string(id)) {
 		f.unloggedRequests.Inc()
@@ -92,42 +92,45 @@
 	f.log(append([]any{"msg", event, "request", id}, keyvals...))
 }
 
-// HostEvent notes a change of what this host believes.
+// HostEvent logs a change in what this host knows about the site, its upstreams, its peers
+// or itself.
 func (f *Forward) HostEvent(event string, keyvals ...any) {
 	f.log(append([]any{"msg", event}, keyvals...))
 }
 
 func (f *Forward) log(keyvals []any) {
-	// The ring takes every line; one that can't be encoded is a mistake in the
-	// call and shows in the tests.
+	// The ring's writes never fail. An error means that the key-value pairs can't be
+	// encoded, which is a mistake in the call that tests reveal.
 	_ = f.logger.Log(keyvals...)
 }
 
-// Answered counts a request's end.
+// Answered counts a request that got its final answer and records how long it took.
 func (f *Forward) Answered(kind forward.Kind, outcome string, took time.Duration) {
 	f.answers.WithLabelValues(string(kind), outcome).Inc()
 	f.requestDuration.WithLabelValues(string(kind)).Observe(took.Seconds())
 }
 
-// FirstEvent counts the time to a stream's first event.
+// FirstEvent records the time from a request's arrival to the first event of its stream.
 func (f *Forward) FirstEvent(took time.Duration) { f.firstEvent.Observe(took.Seconds()) }
 
-// EventGap counts the time between two events.
+// EventGap records the time between two events of a stream.
 func (f *Forward) EventGap(d time.Duration) { f.eventGap.Observe(d.Seconds()) }
 
-// Repeated counts a request that was sent once more.
+// Repeated counts a request that is sent to a further upstream.
 func (f *Forward) Repeated(why string) { f.repeats.WithLabelValues(why).Inc() }
 
-// Moved counts a run that was moved.
+// Moved counts a stopped run that was moved or lost, and records for how long it stood
+// still.
 func (f *Forward) Moved(outcome string, pause time.Duration) {
 	f.moves.WithLabelValues(outcome).Inc()
 	f.movePause.Observe(pause.Seconds())
 }
 
-// UnreadableEntries counts entries that couldn't be read or used.
+// UnreadableEntries counts entries of the platform's store that could not be read or used.
 func (f *Forward) UnreadableEntries(entries int) { f.unreadableEntries.Add(float64(entries)) }
 
-// ConnectionBroken counts a connection that an upstream ended before its answer.
+// ConnectionBroken counts a connection that an upstream ended before its answer was
+// complete. ended is set if the upstream itself had ended.
 func (f *Forward) ConnectionBroken(ended bool) {
 	upstream := "there"
 	if ended {
@@ -136,16 +139,16 @@
 	f.brokenConnections.WithLabelValues(upstream).Inc()
 }
 
-// Suspended counts the time for which this machine was suspended.
+// Suspended adds to the time for which this machine was suspended.
 func (f *Forward) Suspended(d time.Duration) { f.suspendedSeconds.Add(d.Seconds()) }
 
-// Permit counts an answer to whether something may be sent to a bounded upstream.
+// Permit counts the outcome of a request for a permit to send to a bounded upstream.
 func (f *Forward) Permit(o permit.Outcome) { f.permits.WithLabelValues(string(o)).Inc() }
 
-// Signal counts what an upstream told about itself in an answer.
+// Signal counts a signal that an upstream gave about itself in an answer.
 func (f *Forward) Signal(k forward.SignalKind) { f.signals.WithLabelValues(string(k)).Inc() }
 
-// Send counts what was not sent, or sent all the same.
+// Send counts a send that was withheld, or made despite a reason against it.
 func (f *Forward) Send(v eligibility.Verdict) {
 	if !v.OK() {
 		f.withheldSends.WithLabelValues(string(v.Reason)).Inc()
@@ -154,12 +157,13 @@
 	f.sendsDespiteReason.WithLabelValues(string(v.Despite)).Inc()
 }
 
-// WatchSignals has the metrics tell which upstreams leave, by who told first, and how many want
-// no requests from this host.
+// WatchSignals registers metrics that count the leaving upstreams, by the source that reported
+// it first, and the upstreams that asked this host for backoff or to which traffic is
+// returning. The functions are called at each scrape.
 func (f *Forward) WatchSignals(leaving func() map[forward.LeavingSource]int, backoffs func() []backoff.Status) {
-	desc := prometheus.NewDesc(prometheus.BuildFQName(namespace, "", "upstreams_leaving"), "Upstreams that leave, by who told first.", []string{"source"}, nil)
+	desc := prometheus.NewDesc(prometheus.BuildFQName(namespace, "", "upstreams_leaving"), "Upstreams that are leaving, by the source that reported it first.", []string{"source"}, nil)
 	f.promRegistry.MustRegister(&leavingCollector{desc, leaving})
-	f.Gauge("upstreams_backing_off", "Upstreams that want no requests from this host at present.", func() float64 {
+	f.Gauge("upstreams_backing_off", "Upstreams that currently accept no requests from this host.", func() float64 {
 		n := 0
 		for _, e := range backoffs() {
 			if e.Remaining > 0 {
@@ -168,7 +172,7 @@
 		}
 		return float64(n)
 	})
-	f.Gauge("upstreams_returning", "Upstreams to which traffic returns in steps after a backoff.", func() float64 {
+	f.Gauge("upstreams_returning", "Upstreams to which traffic is returning in steps after a backoff.", func() float64 {
 		n := 0
 		for _, e := range backoffs() {
 			if e.Remaining == 0 {
@@ -179,50 +183,52 @@
 	})
 }
 
-// leavingCollector serves how many upstreams leave.
+// leavingCollector exports the number of leaving upstreams per source.
 type leavingCollector struct {
 	desc *prometheus.Desc
 	read func() map[forward.LeavingSource]int
 }
 
-// Describe sends the collector's metric.
+// Describe sends the descriptor of the collector's metric.
 func (c *leavingCollector) Describe(to chan<- *prometheus.Desc) { to <- c.desc }
 
-// Collect sends the values as they are now.
+// Collect sends the current values.
 func (c *leavingCollector) Collect(to chan<- prometheus.Metric) {
 	for source, n := range c.read() {
 		to <- prometheus.MustNewConstMetric(c.desc, prometheus.GaugeValue, float64(n), string(source))
 	}
 }
 
-// WatchPeers has the metrics tell how many other hosts are heard.
+// WatchPeers registers a metric for the number of live peers. read is called at each scrape.
 func (f *Forward) WatchPeers(read func() int) {
-	f.Gauge("peers", "Other hosts that were heard lately.", func() float64 { return float64(read()) })
+	f.Gauge("peers", "Other hosts that this host heard from recently.", func() float64 { return float64(read()) })
 }
 
-// WatchEra has the metrics tell the era of the platform's store as this host knows it, and how
-// many hosts that were heard lately know another.
+// WatchEra registers metrics for the era of the platform's store as this host knows it and for
+// the number of live peers that know another era. The functions are called at each scrape.
 func (f *Forward) WatchEra(era func() history.Era, disagreeing func() int) {
-	f.Gauge("store_era", "Era of the platform's store, which rises when it is restored from a copy; zero while it isn't known.", func() float64 { return float64(era()) })
-	f.Gauge("peers_in_other_era", "Other hosts, heard lately, that know another era of the platform's store.", func() float64 { return float64(disagreeing()) })
+	f.Gauge("store_era", "Era of the platform's store, which rises when the store is restored from a copy; zero while it is unknown.", func() float64 { return float64(era()) })
+	f.Gauge("peers_in_other_era", "Other hosts, heard from recently, that know a different era of the platform's store.", func() float64 { return float64(disagreeing()) })
 }
 
 // StoreCall counts a call to the platform's store.
 func (f *Forward) StoreCall(call, outcome string) { f.storeCalls.WithLabelValues(call, outcome).Inc() }
 
-// sampler keeps the log within a rate: above it, only a part of the requests is
-// logged, chosen by id, so that what is logged of a request is whole.
+// sampler bounds the rate of request lines in the log. Above the rate only a sample of the
+// requests is logged. The sample is chosen by request ID, so that within a period either all
+// lines of a request are logged or none.
 type sampler struct {
 	mu sync.Mutex
-	// periodStart is when the present period began.
+	// periodStart is when the current period of one second began, and periodLines the lines
+	// offered since.
 	periodStart time.Time
 	periodLines int
-	// divisor is the number of requests that one in the log stands for.
+	// divisor is set once per period: one in divisor requests is logged.
 	divisor uint64
 }
 
-// maxLinesPerSecond is the rate of request lines above which the log is sampled;
-// a line costs about 10 µs of the processor.
+// maxLinesPerSecond is the rate of request lines above which the log is sampled. A line
+// costs about 10 µs of CPU time.
 const maxLinesPerSecond = 300
 
 func (s *sampler) shouldLog(now time.Time, id string) bool {
--- a/internal/telemetry/forward_test.go
+++ b/internal/telemetry/forward_test.go
@@ -18,8 +18,8 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// TestDecisionLogAndCount has a decision be one line with its request's id, and its
-// count be served.
+// TestDecisionLogAndCount checks that a decision is logged as one line with its request ID
+// and that answers are counted in the served metrics.
 func TestDecisionLogAndCount(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
@@ -36,7 +36,8 @@
 	is.True(strings.Contains(page.Body.String(), `shedpath_answers_total{kind="safe",outcome="ok"} 1`))
 }
 
-// TestEngineEstimateMetrics has the metrics tell what was learnt, from how much and how long ago.
+// TestEngineEstimateMetrics checks that the metrics export the estimates, their sample
+// counts and their age.
 func TestEngineEstimateMetrics(t *testing.T) {
 	is := is.New(t)
 	f := NewForward(io.Discard)
@@ -55,7 +56,7 @@
 	}
 }
 
-// TestQuarantineMetric has the metrics tell how many requests are suspected and held.
+// TestQuarantineMetric checks that the metrics count suspected and held requests.
 func TestQuarantineMetric(t *testing.T) {
 	is := is.New(t)
 	f := NewForward(io.Discard)
@@ -74,7 +75,7 @@
 	}
 }
 
-// blockedWriter never takes a line before it is freed.
+// blockedWriter blocks each write until unblock is closed.
 type blockedWriter struct{ unblock chan struct{} }
 
 func (w blockedWriter) Write(p []byte) (int, error) {
@@ -82,8 +83,8 @@
 	return len(p), nil
 }
 
-// TestRingLogDropsWhenWriterBlocks has lines dropped and counted, and nobody held up, when the log's
-// reader is stuck.
+// TestRingLogDropsWhenWriterBlocks checks that callers don't block and that lines are dropped
+// and counted while the underlying writer is blocked.
 func TestRingLogDropsWhenWriterBlocks(t *testing.T) {
 	is := is.New(t)
 	w := blockedWriter{unblock: make(chan struct{})}
@@ -97,7 +98,8 @@
 	r.Close()
 }
 
-// TestSamplerKeepsWholeRequests has whole stories kept above the log's rate.
+// TestSamplerKeepsWholeRequests checks that above the log's rate a request is either logged
+// with all its lines or not at all.
 func TestSamplerKeepsWholeRequests(t *testing.T) {
 	is := is.New(t)
 	var s sampler
--- a/internal/telemetry/limits.go
+++ b/internal/telemetry/limits.go
@@ -9,38 +9,38 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// maxLimitSeries bounds the upstreams whose limits are told by name.
+// maxLimitSeries bounds the number of upstreams that get a time series of their own.
 const maxLimitSeries = 64
 
-// limitCollector serves which upstreams name a limit.
+// limitCollector exports the rate limits that upstreams name and the bounds in force.
 type limitCollector struct {
 	read         func() []ratelimit.Entry
 	named, bound *prometheus.Desc
 	upstreams    *prometheus.Desc
 }
 
-// WatchLimits has the metrics tell the limits that upstreams name, read when they are asked
-// for.
+// WatchLimits registers metrics for the rate limits of upstreams. read is called at each
+// scrape.
 func (f *Forward) WatchLimits(read func() []ratelimit.Entry) {
 	desc := func(name, help string, labels ...string) *prometheus.Desc {
 		return prometheus.NewDesc(prometheus.BuildFQName(namespace, "limit", name), help, labels, nil)
 	}
 	f.promRegistry.MustRegister(&limitCollector{
 		read:      read,
-		named:     desc("named", "Requests a second that an upstream takes from all hosts together, by its own word.", "upstream"),
-		bound:     desc("bound", "Requests a second that an upstream is given by all hosts together at present.", "upstream"),
-		upstreams: desc("upstreams", "Upstreams that are bounded at present."),
+		named:     desc("named", "Rate limit that an upstream states for all hosts together, in requests per second.", "upstream"),
+		bound:     desc("bound", "Rate at which all hosts together may currently send to an upstream, in requests per second.", "upstream"),
+		upstreams: desc("upstreams", "Upstreams that are currently rate limited."),
 	})
 }
 
-// Describe sends the collector's metrics.
+// Describe sends the descriptors of the collector's metrics.
 func (c *limitCollector) Describe(to chan<- *prometheus.Desc) {
 	to <- c.named
 	to <- c.bound
 	to <- c.upstreams
 }
 
-// Collect sends the values as they are now.
+// Collect sends the current values.
 func (c *limitCollector) Collect(to chan<- prometheus.Metric) {
 	entries := c.read()
 	to <- prometheus.MustNewConstMetric(c.upstreams, prometheus.GaugeValue, float64(len(entries)))
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package telemetry is the adapter to metrics, traces and logs.
+// Package telemetry implements metrics, traces and logs with Prometheus, OpenTelemetry and
+// logfmt.
 package telemetry
 
 import (
@@ -15,7 +16,7 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// EntryMetrics counts what an entry does. Use NewMetrics.
+// EntryMetrics holds the metrics of an entry. Use NewEntryMetrics.
 type EntryMetrics struct {
 	registry
 	firstToken       *prometheus.HistogramVec
@@ -34,7 +35,8 @@
 	platformCalls    *prometheus.CounterVec
 }
 
-// stallThreshold is the pause between tokens that a waiting person notices.
+// stallThreshold is the shortest gap between tokens that counts as a stall, because a
+// waiting person notices it.
 const stallThreshold = time.Second
 
 var (
@@ -42,33 +44,34 @@
 	tokenBuckets      = []float64{.005, .01, .02, .03, .05, .07, .1, .2, .5, 1, 2, 5, 10}
 )
 
-// NewEntryMetrics returns metrics in a registry of their own.
+// NewEntryMetrics returns an entry's metrics in a new registry.
 func NewEntryMetrics() *EntryMetrics {
 	m := &EntryMetrics{registry: newRegistry()}
-	m.firstToken = m.histogram("first_token_seconds", "Time from a request to its first token.", firstTokenBuckets, "pool")
+	m.firstToken = m.histogram("first_token_seconds", "Time from a caller's request to its first token.", firstTokenBuckets, "pool")
 	m.betweenTokens = m.histogram("between_tokens_seconds", "Time from one token to the next.", tokenBuckets, "pool")
-	m.stallSeconds = m.counter("stall_seconds_total", "Time that callers spent in pauses of a second and more.", "pool")
+	m.stallSeconds = m.counter("stall_seconds_total", "Total time of gaps between tokens that lasted a second or more.", "pool")
 	m.queueTime = m.histogram("wait_seconds", "Time that generations were queued for an engine.", firstTokenBuckets, "pool")
-	m.answers = m.counter("answers_total", "Calls by how they ended.", "kind", "outcome", "run")
-	m.placements = m.counter("placements_total", "Generations by who found their engine.", "pool", "by")
-	m.refusals = m.counter("refusals_total", "Generations that got no place, by reason.", "pool", "reason")
-	m.preemptions = m.gauge("engine_preemptions", "Runs that an engine threw back since its start.", "pool", "engine")
-	m.engineUsedTokens = m.gauge("engine_used_tokens", "Memory in use on an engine.", "pool", "engine")
+	m.answers = m.counter("answers_total", "Calls by kind, outcome and state of the run.", "kind", "outcome", "run")
+	m.placements = m.counter("placements_total", "Generations that were placed on an engine, by what decided the placement.", "pool", "by")
+	m.refusals = m.counter("refusals_total", "Generations that could not be placed, by reason.", "pool", "reason")
+	m.preemptions = m.gauge("engine_preemptions", "Runs that an engine has preempted since it started.", "pool", "engine")
+	m.engineUsedTokens = m.gauge("engine_used_tokens", "Memory in use on an engine, in tokens.", "pool", "engine")
 	m.engineRunning = m.gauge("engine_running", "Runs in an engine's batch.", "pool", "engine")
-	m.retries = m.counter("retries_total", "Calls that were started again.", "why")
-	m.resumes = m.counter("resumes_total", "Streams that were taken up again.", "why")
-	m.withheld = m.counter("spoilt_total", "Upstream events and answers that were kept from callers.", "what")
-	m.platformCalls = m.counter("platform_calls_total", "Calls to the platform's service.", "call", "outcome")
+	m.retries = m.counter("retries_total", "Generations that were started again elsewhere, by reason.", "why")
+	m.resumes = m.counter("resumes_total", "Streams that were resumed, by reason.", "why")
+	m.withheld = m.counter("spoilt_total", "Upstream events and answers that were withheld from callers.", "what")
+	m.platformCalls = m.counter("platform_calls_total", "Calls to the platform's service, by call and outcome.", "call", "outcome")
 	m.promRegistry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
 
-// FirstToken records the time to a first token.
+// FirstToken records the time from a caller's request to its first token.
 func (m *EntryMetrics) FirstToken(pool resource.Name, d time.Duration) {
 	m.firstToken.WithLabelValues(string(pool)).Observe(d.Seconds())
 }
 
-// BetweenTokens records the time between two tokens.
+// BetweenTokens records the time between two tokens, and adds it to the stall time if it is
+// a stall.
 func (m *EntryMetrics) BetweenTokens(pool resource.Name, d time.Duration) {
 	m.betweenTokens.WithLabelValues(string(pool)).Observe(d.Seconds())
 	if d >= stallThreshold {
@@ -76,40 +79,40 @@
 	}
 }
 
-// Waited records a time in the queue.
+// Waited records how long a generation was queued.
 func (m *EntryMetrics) Waited(pool resource.Name, d time.Duration) {
 	m.queueTime.WithLabelValues(string(pool)).Observe(d.Seconds())
 }
 
-// Answered counts a call's end.
+// Answered counts a call that ended. outcome is "ok" or the code of the failure.
 func (m *EntryMetrics) Answered(kind, outcome string, run entry.RunState) {
 	m.answers.WithLabelValues(kind, outcome, string(run)).Inc()
 }
 
-// Placed counts who found an engine.
+// Placed counts a placement. by is what decided it: "coordinator", "local" or "zone".
 func (m *EntryMetrics) Placed(pool resource.Name, by string) {
 	m.placements.WithLabelValues(string(pool), by).Inc()
 }
 
-// Refused counts a generation that got no place.
+// Refused counts a generation that could not be placed.
 func (m *EntryMetrics) Refused(pool resource.Name, reason policy.Reason) {
 	m.refusals.WithLabelValues(string(pool), string(reason)).Inc()
 }
 
-// EngineLoad records an engine's last report.
+// EngineLoad records an engine's latest load report.
 func (m *EntryMetrics) EngineLoad(pool resource.Name, load entry.EngineLoad) {
 	m.preemptions.WithLabelValues(string(pool), string(load.Engine)).Set(float64(load.Preemptions))
 	m.engineUsedTokens.WithLabelValues(string(pool), string(load.Engine)).Set(float64(load.UsedMemory))
 	m.engineRunning.WithLabelValues(string(pool), string(load.Engine)).Set(float64(load.Running))
 }
 
-// Retried counts a call started again.
+// Retried counts a generation that was started again elsewhere.
 func (m *EntryMetrics) Retried(why string) { m.retries.WithLabelValues(why).Inc() }
 
-// Resumed counts a stream taken up again.
+// Resumed counts a stream that was resumed.
 func (m *EntryMetrics) Resumed(why string) { m.resumes.WithLabelValues(why).Inc() }
 
-// Spoilt counts what was kept from a caller.
+// Spoilt counts an upstream's event or answer that was withheld from the caller.
 func (m *EntryMetrics) Spoilt(what string) { m.withheld.WithLabelValues(what).Inc() }
 
 // PlatformCall counts a call to the platform's service.
--- a/internal/telemetry/quarantine.go
+++ b/internal/telemetry/quarantine.go
@@ -9,25 +9,25 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// quarantineCollector serves how many requests upstreams have ended under.
+// quarantineCollector exports the number of suspected and held requests.
 type quarantineCollector struct {
 	read     func() []quarantine.Entry
 	requests *prometheus.Desc
 }
 
-// WatchQuarantine has the metrics tell how many requests are suspected and held, read when
-// they are asked for.
+// WatchQuarantine registers a metric for the number of suspected and held requests. read is
+// called at each scrape.
 func (f *Forward) WatchQuarantine(read func() []quarantine.Entry) {
 	f.promRegistry.MustRegister(&quarantineCollector{read: read, requests: prometheus.NewDesc(
 		prometheus.BuildFQName(namespace, "quarantine", "requests"),
-		"Different requests under which upstreams ended, by what is thought of them.", []string{"standing"}, nil,
+		"Distinct requests that are suspected of ending upstreams or held for it, by standing.", []string{"standing"}, nil,
 	)})
 }
 
-// Describe sends the collector's metric.
+// Describe sends the descriptor of the collector's metric.
 func (c *quarantineCollector) Describe(to chan<- *prometheus.Desc) { to <- c.requests }
 
-// Collect sends the values as they are now.
+// Collect sends the current values.
 func (c *quarantineCollector) Collect(to chan<- prometheus.Metric) {
 	count := map[quarantine.Standing]int{}
 	for _, e := range c.read() {
--- a/internal/telemetry/registry.go
+++ b/internal/telemetry/registry.go
@@ -10,10 +10,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// namespace begins every metric's name.
+// namespace is the prefix of every metric's name.
 const namespace = "shedpath"
 
-// registry makes and serves one process's metrics.
+// registry registers and serves the metrics of one process.
 type registry struct {
 	promRegistry *prometheus.Registry
 }
@@ -38,12 +38,12 @@
 	return g
 }
 
-// Gauge adds a value that is read when it is asked for.
+// Gauge registers a gauge whose value is read at each scrape.
 func (r registry) Gauge(name, help string, read func() float64) {
 	r.promRegistry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Handler serves the metrics.
+// Handler returns a handler that serves the metrics.
 func (r registry) Handler() http.Handler {
 	return promhttp.HandlerFor(r.promRegistry, promhttp.HandlerOpts{})
 }
--- a/internal/telemetry/ringlog.go
+++ b/internal/telemetry/ringlog.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 )
 
-// RingLog is a writer of log lines that never blocks its callers: lines wait in
-// a bounded ring for a goroutine that writes them, and those that don't fit are
-// counted and dropped. Use NewRingLog.
+// RingLog is an io.Writer for log lines that never blocks its callers. Lines are queued in
+// a bounded buffer for a goroutine that writes them. Lines that don't fit are dropped and
+// counted. Use NewRingLog.
 type RingLog struct {
 	lines     chan []byte
 	dropped   atomic.Int64
@@ -19,23 +19,23 @@
 	closeOnce sync.Once
 }
 
-// ringCapacity is how many lines may wait: a second or two of a busy host's.
+// ringCapacity is how many lines may be queued: what a busy host logs in a second or two.
 const ringCapacity = 1024
 
-// NewRingLog starts a ring in front of a writer.
+// NewRingLog returns a RingLog that writes to a writer, and starts its goroutine.
 func NewRingLog(to io.Writer) *RingLog {
 	r := &RingLog{lines: make(chan []byte, ringCapacity), drained: make(chan struct{})}
 	go func() {
 		defer close(r.drained)
 		for line := range r.lines {
-			// A log that can't be written has nowhere to say so.
+			// There is nowhere to report that the log can't be written.
 			_, _ = to.Write(line)
 		}
 	}()
 	return r
 }
 
-// Write queues one line, or drops it.
+// Write queues one line, or drops it if the buffer is full. It never returns an error.
 func (r *RingLog) Write(line []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), line...):
@@ -45,10 +45,10 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns how many lines have been dropped so far.
 func (r *RingLog) Dropped() int64 { return r.dropped.Load() }
 
-// Close writes what waits and ends the ring. Nothing may be written after it.
+// Close writes the queued lines and stops the goroutine. Write must not be called after it.
 func (r *RingLog) Close() {
 	r.closeOnce.Do(func() { close(r.lines) })
 	<-r.drained
--- a/internal/telemetry/traces.go
+++ b/internal/telemetry/traces.go
@@ -17,29 +17,29 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// TraceTarget says where spans go.
+// TraceTarget is where spans are exported to.
 type TraceTarget string
 
-// The targets.
+// The trace targets.
 const (
 	TraceNone   TraceTarget = "none"
 	TraceStdout TraceTarget = "stdout"
 	TraceOTLP   TraceTarget = "otlp"
 )
 
-// TraceSettings steer the spans of one process.
+// TraceSettings configures the export of one process's spans.
 type TraceSettings struct {
 	Target TraceTarget
-	// Endpoint is the OTLP collector's URL.
+	// Endpoint is the URL of the OTLP collector, used if Target is TraceOTLP.
 	Endpoint string
-	// Output takes the spans of TraceStdout.
+	// Output receives the spans if Target is TraceStdout.
 	Output io.Writer
 	Host   string
 	Zone   string
 }
 
-// NewTracer returns a tracer and the function that sends off what it still
-// holds.
+// NewTracer returns a tracer and a function that exports the buffered spans and shuts the
+// tracer down.
 func NewTracer(ctx context.Context, s TraceSettings) (trace.Tracer, func(context.Context) error, error) {
 	exporter, err := newExporter(ctx, s)
 	if err != nil {
--- a/internal/telemetry/wallclock_test.go
+++ b/internal/telemetry/wallclock_test.go
@@ -13,34 +13,34 @@
 	"testing"
 )
 
-// wallClockUse finds what gives a moment without the steady clock's reading: numbers of
-// seconds since 1970, moments read from text, and moments stripped of it.
+// wallClockUse matches code that makes a time without a monotonic clock reading: Unix
+// timestamps, times parsed from text or bytes, and times stripped of the reading.
 var wallClockUse = regexp.MustCompile(`\.Unix(Nano|Micro|Milli)?\(|time\.(Unix(Micro|Milli)?|Parse|Date)\(|\.Round\(0\)|\.(Un)?[Mm]arshalBinary\(`)
 
-// wallClockAllowedFiles are the files that may: the moments of log lines are read back, and
-// the policy benchmark's virtual time begins at a date.
+// wallClockAllowedFiles may use the wall clock: explain parses the timestamps of log lines,
+// and the virtual time of the policy benchmark begins at a date.
 var wallClockAllowedFiles = []string{"internal/explain/line.go", "internal/bench/run.go"}
 
-// monotonicClockUse finds what takes the present time from the steady clock, which stands still
-// while the machine is suspended.
+// monotonicClockUse matches code that takes the current time from the monotonic clock, which
+// stands still while the machine is suspended.
 var monotonicClockUse = regexp.MustCompile(`time\.(Now|Since|Until)\(|context\.WithDeadline`)
 
-// suspensionAwarePackages are the packages that decide by the time that really passes.
+// suspensionAwarePackages decide by elapsed time that includes suspensions.
 var suspensionAwarePackages = []string{
 	"forward", "entry", "order", "claim", "member", "policy", "quarantine", "platform", "internal/peer", "internal/web",
 	"rollout", "roster", "cell", "spool",
 }
 
-// monotonicClockAllowedFiles are the files of these that may: bounds of single sockets and calls
-// between hosts, of some seconds at most, which end late by a suspension and on which
-// nothing else rests.
+// monotonicClockAllowedFiles are files of these packages that may use the monotonic clock, for
+// timeouts of a few seconds at most on single sockets and calls between hosts. A suspension
+// makes such a timeout end late, and nothing else depends on it.
 var monotonicClockAllowedFiles = []string{
 	"platform/ingress.go", "platform/server.go", "internal/peer/conn.go", "internal/peer/handshake.go", "internal/peer/places.go",
 	"forward/stopping.go",
 }
 
-// TestNoMonotonicClock has no proof, lease, window or deadline stand still while the
-// machine is suspended.
+// TestNoMonotonicClock guards against proofs, leases, windows and deadlines that stand still
+// while the machine is suspended.
 func TestNoMonotonicClock(t *testing.T) {
 	for _, dir := range suspensionAwarePackages {
 		files, err := filepath.Glob(filepath.Join("../..", dir, "*.go"))
@@ -60,14 +60,14 @@
 				t.Fatal(err)
 			}
 			if found := monotonicClockUse.Find(text); found != nil {
-				t.Errorf("%s uses a clock that stands still while the machine is suspended: %q", relPath, found)
+				t.Errorf("%s uses the monotonic clock, which stands still while the machine is suspended: %q", relPath, found)
 			}
 		}
 	}
 }
 
-// TestNoWallClock has no code measure a duration by the time of day, which jumps on
-// some hosts.
+// TestNoWallClock guards against durations that are measured with the time of day, which
+// jumps on some hosts.
 func TestNoWallClock(t *testing.T) {
 	const root = "../.."
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
--- a/internal/web/admin.go
+++ b/internal/web/admin.go
@@ -19,18 +19,19 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Admin serves the operators' side of an entry: the resource API, its status,
+// Admin serves an entry's API for operators: resources, status, quarantine, profiles,
 // health and metrics. Use NewAdmin.
 type Admin struct {
 	entry *entry.Entry
 	token string
-	// acceptError tells why callers' connections can't be taken; nil while they are.
+	// acceptError returns why callers' connections can't be accepted, or nil if they can.
 	acceptError func() error
 	router      *httprouter.Router
 }
 
-// NewAdmin returns the handler for operators, who must give the token. Health
-// and metrics are open. stuck tells why callers' connections can't be taken.
+// NewAdmin returns the handler for operators, who must authenticate with the token. Health,
+// readiness and metrics need no token. acceptError returns why callers' connections can't be
+// accepted, or nil if they can.
 func NewAdmin(e *entry.Entry, token string, acceptError func() error, metrics http.Handler) *Admin {
 	a := &Admin{entry: e, token: token, acceptError: acceptError, router: httprouter.New()}
 	a.router.GET("/apis/v1/:kind", a.authenticated(a.list))
@@ -47,7 +48,7 @@
 	return a
 }
 
-// ServeHTTP serves an operator.
+// ServeHTTP serves an operator's request.
 func (a *Admin) ServeHTTP(w http.ResponseWriter, r *http.Request) { a.router.ServeHTTP(w, r) }
 
 func (a *Admin) authenticated(next httprouter.Handle) httprouter.Handle {
@@ -62,7 +63,7 @@
 	}
 }
 
-// resourceAnswer is a resource as the API shows it.
+// resourceAnswer is the JSON form of a resource.
 type resourceAnswer struct {
 	Kind            resource.Kind     `json:"kind"`
 	Name            resource.Name     `json:"name"`
@@ -72,13 +73,13 @@
 }
 
 type statusAnswer struct {
-	// Holds says that the resource was seen in force in every known zone.
+	// Holds is set if the resource is reported to be in force in every known zone.
 	Holds bool                  `json:"holds"`
 	Zones map[string]zoneAnswer `json:"zones"`
 }
 
 type zoneAnswer struct {
-	// InForce is "yes", "no" or "unknown".
+	// InForce is "yes", "no", or "unknown" if the zone has no fresh report.
 	InForce  string            `json:"inForce"`
 	Revision resource.Revision `json:"revision"`
 	Entries  int               `json:"entries"`
@@ -169,7 +170,7 @@
 type problemAnswer struct {
 	Message  string            `json:"message"`
 	Findings resource.Findings `json:"findings,omitempty"`
-	// Now is the resource as it is, after a conflict.
+	// Now is the current resource after a conflict, if it exists.
 	Now *resourceAnswer `json:"now,omitempty"`
 }
 
@@ -177,8 +178,7 @@
 	writeJSON(w, status, problemAnswer{Message: message, Findings: findings})
 }
 
-// putBody is what an operator sends: a whole resource, of which only the spec
-// counts.
+// putBody is the body of a PUT: a whole resource, of which only the spec is used.
 type putBody struct {
 	Spec json.RawMessage `json:"spec"`
 }
@@ -244,8 +244,8 @@
 	}
 }
 
-// parseIfMatch reads If-Match: a quoted or bare revision; "0" wants a resource that
-// isn't there yet.
+// parseIfMatch parses the If-Match header: a quoted or bare revision, where "0" requires that
+// the resource does not exist yet. It returns nil if the header is missing or "*".
 func parseIfMatch(r *http.Request) (*resource.Revision, error) {
 	value := strings.Trim(r.Header.Get("If-Match"), `"`)
 	if value == "" || value == "*" {
@@ -259,7 +259,7 @@
 	return &revision, nil
 }
 
-// profile serves Go's profiles by name; "profile" is the processor's.
+// profile serves Go's runtime profiles by name; "profile" is the CPU profile.
 func profile(w http.ResponseWriter, r *http.Request, params httprouter.Params) {
 	if name := params.ByName("profile"); name != "profile" {
 		pprof.Handler(name).ServeHTTP(w, r)
--- a/internal/web/answer.go
+++ b/internal/web/answer.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package web is the adapter to callers and operators: OpenAI's completion
-// endpoints, the plain services' routes, and the resource API, over HTTP.
+// Package web serves an entry's HTTP endpoints. Callers use OpenAI's completion endpoints and
+// the routes of plain services. Operators use the resource API, status and metrics.
 package web
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/shedpath/shedpath/entry"
 )
 
-// errorAnswer is the body of every failed call, in the shape that OpenAI's
-// clients read, with run and retry_after_ms added.
+// errorAnswer is the body of a failed call, in the format that OpenAI's clients expect, with
+// run and retry_after_ms added.
 type errorAnswer struct {
 	Error errorBody `json:"error"`
 }
@@ -30,7 +30,7 @@
 	RetryAfterMs int64          `json:"retry_after_ms,omitempty"`
 }
 
-// httpStatuses gives the HTTP status of each code; the others are 502.
+// httpStatuses maps failure codes to HTTP statuses. Other codes get 502.
 var httpStatuses = map[entry.Code]int{
 	entry.CodeBadRequest:           http.StatusBadRequest,
 	entry.CodeUnauthorized:         http.StatusUnauthorized,
@@ -50,7 +50,7 @@
 	entry.CodeClaimUnavailable:     http.StatusServiceUnavailable,
 	entry.CodeTimeout:              http.StatusGatewayTimeout,
 	entry.CodeCancelled:            499,
-	// Clients' libraries send a 5xx again by themselves.
+	// Not a 5xx: client libraries retry those automatically.
 	entry.CodeQuarantined: http.StatusUnprocessableEntity,
 }
 
@@ -71,7 +71,7 @@
 	}}
 }
 
-// failureOf turns any error into the failure that the caller is told.
+// failureOf returns the failure that err wraps, or an internal failure if it wraps none.
 func failureOf(err error) *entry.Failure {
 	var f *entry.Failure
 	if errors.As(err, &f) {
@@ -82,7 +82,7 @@
 
 func writeFailure(w http.ResponseWriter, f *entry.Failure) {
 	if f.RetryAfter > 0 {
-		// Whole seconds are all that the header can say.
+		// The header can only hold whole seconds.
 		seconds := int(math.Ceil(f.RetryAfter.Seconds()))
 		w.Header().Set("Retry-After", strconv.Itoa(seconds))
 	}
@@ -92,7 +92,7 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A caller that went away gets nothing.
+	// An error means that the client is gone, so there is nobody to report it to.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
@@ -104,5 +104,6 @@
 	Code: entry.CodeUnauthorized, RunState: entry.NotRun, Message: "give a valid key as 'Authorization: Bearer KEY'",
 }
 
-// notReadyRetryAfter is when to come back to an entry without a configuration.
+// notReadyRetryAfter is the delay after which callers of an entry without a configuration are
+// asked to retry.
 const notReadyRetryAfter = time.Second
--- a/internal/web/caller.go
+++ b/internal/web/caller.go
@@ -17,7 +17,7 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Caller serves the callers' side of an entry. Use NewCaller.
+// Caller serves an entry's API for callers. Use NewCaller.
 type Caller struct {
 	entry  *entry.Entry
 	tracer trace.Tracer
@@ -41,13 +41,14 @@
 	return c
 }
 
-// ServeHTTP serves a caller, in a span that continues the caller's trace.
+// ServeHTTP serves a caller's request in a span that continues the caller's trace.
 func (c *Caller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	ctx := propagation.TraceContext{}.Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := c.tracer.Start(ctx, "caller", trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
 	if c.entry.Leaving() {
-		// The next call is to come by the balancer, to another entry.
+		// Makes the caller open a new connection, which the load balancer sends to another
+		// entry.
 		w.Header().Set("Connection", "close")
 	}
 	c.router.ServeHTTP(w, r.WithContext(ctx))
@@ -101,7 +102,7 @@
 	finishStream(w, sink, body, result, err)
 }
 
-// resumeStream carries on with a generation that another entry began.
+// resumeStream resumes a generation that another entry started.
 func (c *Caller) resumeStream(w http.ResponseWriter, r *http.Request, account resource.Account, lastEventID string) {
 	sink := newEventSink(w)
 	result, err := c.entry.Resume(r.Context(), account, lastEventID, sink)
@@ -125,7 +126,7 @@
 	if err != nil {
 		failure := failureOf(err)
 		if failure.RunState == entry.Partial {
-			// This caller has seen nothing of the answer.
+			// The caller has received no part of the answer.
 			failure.RunState = entry.Unknown
 		}
 		writeFailure(w, failure)
@@ -156,8 +157,8 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
-// unforwardedHeaders belong to one connection and aren't passed on; neither is the
-// caller's key.
+// unforwardedHeaders are not forwarded: hop-by-hop headers, Content-Length, and the caller's
+// key in Authorization.
 var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization", "Content-Length",
@@ -176,7 +177,7 @@
 	return forwarded
 }
 
-// maxIdempotencyKeyBytes bounds the length of a caller's key.
+// maxIdempotencyKeyBytes bounds the length of a caller's Idempotency-Key.
 const maxIdempotencyKeyBytes = 255
 
 func (c *Caller) callService(w http.ResponseWriter, r *http.Request, params httprouter.Params, account resource.Account) {
@@ -203,7 +204,7 @@
 }
 
 func servicePath(r *http.Request, params httprouter.Params) string {
-	// The escaped path keeps what the caller wrote.
+	// The escaped path preserves the caller's encoding.
 	prefix := "/services/" + params.ByName("route")
 	path := strings.TrimPrefix(r.URL.EscapedPath(), prefix)
 	if r.URL.RawQuery != "" {
@@ -222,8 +223,8 @@
 	}
 	defer answer.Rest.Close()
 	if _, err := io.Copy(w, answer.Rest); err != nil {
-		// The status is out already: breaking the connection is what tells the
-		// caller that the answer isn't whole.
+		// The status has been sent already. Only aborting the connection shows the caller
+		// that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/web/quarantine.go
+++ b/internal/web/quarantine.go
@@ -12,7 +12,7 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// quarantinedAnswer is a request under which upstreams ended.
+// quarantinedAnswer is the JSON form of a request during which upstreams ended.
 type quarantinedAnswer struct {
 	Asks          string  `json:"asks"`
 	Account       string  `json:"account"`
--- a/internal/web/request.go
+++ b/internal/web/request.go
@@ -17,18 +17,19 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Bounds of what a caller may send.
+// Limits on request bodies, and how prompts are estimated.
 const (
 	maxGenerationBytes = 8 << 20
 	maxServiceBytes    = 4 << 20
-	// bytesPerToken estimates a prompt's tokens; the engine's reports correct
-	// what it gets wrong.
+	// bytesPerToken is used to estimate a prompt's tokens. The engine's reports correct the
+	// estimate's errors.
 	bytesPerToken = 4
-	// prefixHashBytes is how much of a prompt is looked at for reuse.
+	// prefixHashBytes is the length of the prompt prefix that is hashed to find cached
+	// prefixes that can be reused.
 	prefixHashBytes = 4 << 10
 )
 
-// generationBody is the part of an OpenAI request that shedpath reads.
+// generationBody holds the fields of an OpenAI request that shedpath uses.
 type generationBody struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -58,11 +59,11 @@
 	return body, nil
 }
 
-// errCallerLeft is told to nobody: the connection is closed.
+// errCallerLeft never reaches the caller, whose connection is closed.
 var errCallerLeft = &entry.Failure{Code: entry.CodeCancelled, RunState: entry.NotRun, Message: "the caller has left"}
 
-// readCallBody reads the body of something that upstreams are to work on, unless its caller has
-// left meanwhile: they would be at work for nobody.
+// readCallBody reads the body of a request that goes to upstreams. It fails if the caller has
+// left in the meantime, because the upstreams' work would be wasted.
 func readCallBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *entry.Failure) {
 	body, failure := readBody(w, r, limit)
 	if failure == nil && reach.CallerLeft(r.Context()) {
@@ -71,8 +72,8 @@
 	return body, failure
 }
 
-// parseGeneration checks a generation request and makes its body ask for a
-// stream.
+// parseGeneration parses and validates a generation request. The body that is sent to the
+// engine always requests a stream.
 func parseGeneration(shape entry.Shape, account resource.Account, text []byte) (entry.GenerationRequest, generationBody, *entry.Failure) {
 	var parsed generationBody
 	var request entry.GenerationRequest
@@ -110,7 +111,7 @@
 	return request, parsed, nil
 }
 
-// forceStream sets "stream" in the body and leaves the rest as it is.
+// forceStream sets "stream" to true in a JSON body and leaves the other fields unchanged.
 func forceStream(text []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(text, &fields); err != nil {
--- a/internal/web/request_test.go
+++ b/internal/web/request_test.go
@@ -17,12 +17,12 @@
 	"github.com/shedpath/shedpath/internal/reach"
 )
 
-// TestParseGeneration has a request that can't be met refused with the field's
-// name.
+// TestParseGeneration checks that an invalid request is rejected with a message that names
+// the field.
 func TestParseGeneration(t *testing.T) {
 	for name, c := range map[string]struct {
 		body string
-		// wantWord is a word of the refusal; empty for a request that is taken.
+		// wantWord occurs in the failure's message; empty if the request is valid.
 		wantWord string
 	}{
 		"taken":                          {`{"model":"m","prompt":"x","max_tokens":5}`, ""},
@@ -48,7 +48,8 @@
 	}
 }
 
-// TestReadCallBodyCallerLeft has a call whose caller left before it was read not be passed on.
+// TestReadCallBodyCallerLeft checks that a call is not sent to upstreams if its caller left
+// before the body was read.
 func TestReadCallBodyCallerLeft(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/web/sink.go
+++ b/internal/web/sink.go
@@ -12,7 +12,7 @@
 	"github.com/shedpath/shedpath/entry"
 )
 
-// eventSink passes an answer on as server-sent events.
+// eventSink streams an answer to the caller as server-sent events.
 type eventSink struct {
 	w            http.ResponseWriter
 	controller   *http.ResponseController
@@ -25,7 +25,7 @@
 	return &eventSink{w: w, controller: http.NewResponseController(w)}
 }
 
-// Begin sends the headers.
+// Begin writes the status and the headers.
 func (s *eventSink) Begin(id entry.GenerationID) error {
 	s.generationID, s.headersSent = id, true
 	header := s.w.Header()
@@ -36,7 +36,8 @@
 	return nil
 }
 
-// Token sends one token under the id that a caller can come back with.
+// Token writes one token as an event. The event's ID is the generation ID and the token's index;
+// a caller that sends it as Last-Event-ID resumes the stream.
 func (s *eventSink) Token(index int, data string) error {
 	line := append(s.buf[:0], "id: "...)
 	line = append(line, s.generationID...)
@@ -50,10 +51,11 @@
 	return err
 }
 
-// Flush sends what is held.
+// Flush sends the buffered events.
 func (s *eventSink) Flush() error { return s.controller.Flush() }
 
-// finish sends the last events of an answer that is whole.
+// finish sends the events that end a complete answer: the usage if the caller asked for it, and
+// [DONE].
 func (s *eventSink) finish(body generationBody, result entry.RunResult) {
 	if body.StreamOptions != nil && body.StreamOptions.IncludeUsage {
 		usage, _ := json.Marshal(usageChunk{ID: string(s.generationID), Model: body.Model, Choices: []struct{}{}, Usage: usageOf(result)})
@@ -62,14 +64,14 @@
 	s.writeEvent("[DONE]")
 }
 
-// fail sends the error that ends an answer that can't be finished.
+// fail sends the error event that ends an incomplete answer.
 func (s *eventSink) fail(f *entry.Failure) {
 	text, _ := json.Marshal(errorAnswerOf(f))
 	s.writeEvent(string(text))
 }
 
 func (s *eventSink) writeEvent(data string) {
-	// A caller that went away gets nothing.
+	// An error means that the caller is gone, so there is nobody to report it to.
 	_, _ = s.w.Write([]byte("data: " + data + "\n\n"))
 	_ = s.controller.Flush()
 }
@@ -91,14 +93,14 @@
 	Usage   usage      `json:"usage"`
 }
 
-// collectingSink gathers an answer for a caller that didn't ask for a stream.
+// collectingSink collects an answer for a caller that didn't ask for a stream.
 type collectingSink struct {
 	generationID entry.GenerationID
 	text         strings.Builder
 	lastChunk    chunk
 }
 
-// chunk is one token's data in either shape.
+// chunk is the data of one token, of a completion (Text) or a chat completion (Delta).
 type chunk struct {
 	Created     int64  `json:"created"`
 	Fingerprint string `json:"system_fingerprint"`
@@ -111,13 +113,13 @@
 	} `json:"choices"`
 }
 
-// Begin keeps the id.
+// Begin stores the generation ID.
 func (s *collectingSink) Begin(id entry.GenerationID) error {
 	s.generationID = id
 	return nil
 }
 
-// Token adds a token's text.
+// Token appends the text of a token to the answer.
 func (s *collectingSink) Token(_ int, data string) error {
 	var c chunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// Flush does nothing: the answer goes out whole.
+// Flush does nothing, because the answer is sent as a whole.
 func (s *collectingSink) Flush() error { return nil }
 
 type message struct {
--- a/internal/web/watch.go
+++ b/internal/web/watch.go
@@ -16,7 +16,7 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// watchEvent is one line of a watch.
+// watchEvent is one line of a watch response.
 type watchEvent struct {
 	// Type is "put", "delete" or "status".
 	Type     string         `json:"type"`
@@ -27,13 +27,13 @@
 	watchPut    = "put"
 	watchDelete = "delete"
 	watchStatus = "status"
-	// statusPollInterval is how often a watch looks whether a status has changed.
+	// statusPollInterval is the interval at which a watch checks for changed statuses.
 	statusPollInterval = 500 * time.Millisecond
 )
 
-// watch writes a line for each change of the watched resources after a
-// revision, and for each change of whether they hold, until the operator
-// leaves or the entry stops.
+// watch writes a line for each change of the watched resources after a revision, and for each
+// change of whether a resource holds in all zones. It returns when the operator disconnects or
+// the entry starts to leave.
 func (a *Admin) watch(w http.ResponseWriter, r *http.Request, kind resource.Kind, name resource.Name) {
 	since, _ := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	state := watcher{admin: a, kind: kind, name: name, sinceRevision: resource.Revision(since), reported: map[resource.Name]reportedState{}}
@@ -60,7 +60,7 @@
 	}
 }
 
-// reportedState is what a watch has told of a resource.
+// reportedState is the state of a resource that a watch last reported.
 type reportedState struct {
 	resource resource.Resource
 	holds    bool
@@ -102,7 +102,7 @@
 	return events
 }
 
-// entryAnswer is an entry's status.
+// entryAnswer is the JSON form of an entry's status.
 type entryAnswer struct {
 	Host         string                `json:"host"`
 	Zone         string                `json:"zone"`
