--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -94,7 +94,7 @@
 			}
 			is.Equal(len(unread), 0)
 			is.Equal(lines[0].Source, c.source)
-			is.Equal(lines[0].Time, time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC))
+			is.Equal(lines[0].Timestamp, time.Date(2026, 12, 1, 10, 0, 0, 0, time.UTC))
 		})
 	}
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -19,8 +19,8 @@
 type Line struct {
 	// Source is the last word before the line's first field, such as the host name that
 	// a log collector puts there. It is the file name if nothing precedes the fields.
-	Source string
-	Time   time.Time
+	Source    string
+	Timestamp time.Time
 	// Event is the value of the field msg, such as "placed".
 	Event string
 	// Request is the ID of the request that the line is about. It is empty for a line
@@ -103,7 +103,7 @@
 	if err != nil {
 		return line, "field ts is not an RFC 3339 time"
 	}
-	line.Time, line.Event, line.Request = at, line.fields["msg"], line.fields["request"]
+	line.Timestamp, line.Event, line.Request = at, line.fields["msg"], line.fields["request"]
 	if line.Event == "" {
 		return line, "no field msg"
 	}
--- a/internal/explain/table.go
+++ b/internal/explain/table.go
@@ -53,7 +53,7 @@
 			byKey[k] = r
 			all = append(all, r)
 		}
-		r.durations, r.last = append(r.durations, s.Duration), s
+		r.durations, r.last = append(r.durations, s.RequestDuration), s
 	}
 	slices.SortStableFunc(all, func(a, b *causeRow) int { return cmp.Compare(len(b.durations), len(a.durations)) })
 	return all
@@ -72,7 +72,7 @@
 // how the request ended.
 func WriteTimeline(to io.Writer, s Timeline) error {
 	for _, line := range s.Lines {
-		if _, err := fmt.Fprintf(to, "%s %8s %s %s\n", formatTimeOfDay(line.Time), "+"+line.Time.Sub(s.Start).Round(time.Millisecond).String(), line.Source, line.Text); err != nil {
+		if _, err := fmt.Fprintf(to, "%s %8s %s %s\n", formatTimeOfDay(line.Timestamp), "+"+line.Timestamp.Sub(s.Start).Round(time.Millisecond).String(), line.Source, line.Text); err != nil {
 			return err
 		}
 	}
--- a/internal/explain/timeline.go
+++ b/internal/explain/timeline.go
@@ -41,9 +41,9 @@
 	// Lines are sorted by time.
 	Lines []Line
 	Cause Cause
-	// Duration is the time from the request's arrival to its end; zero if the end is not
+	// RequestDuration is the time from the request's arrival to its end; zero if the end is not
 	// in the log.
-	Duration time.Duration
+	RequestDuration time.Duration
 	// Start is the time of the first line.
 	Start time.Time
 }
@@ -60,7 +60,7 @@
 // is sorted by the start of the requests.
 func Timelines(lines []Line) []Timeline {
 	lines = slices.Clone(lines)
-	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	slices.SortStableFunc(lines, func(a, b Line) int { return a.Timestamp.Compare(b.Timestamp) })
 	index := map[string]int{}
 	var stories []Timeline
 	for _, line := range lines {
@@ -71,7 +71,7 @@
 		if !known {
 			i = len(stories)
 			index[line.Request] = i
-			stories = append(stories, Timeline{Request: line.Request, Start: line.Time, Cause: CauseNoEnd})
+			stories = append(stories, Timeline{Request: line.Request, Start: line.Timestamp, Cause: CauseNoEnd})
 		}
 		stories[i].add(line)
 	}
@@ -82,7 +82,7 @@
 	s.Lines = append(s.Lines, line)
 	switch line.Event {
 	case eventAnswered, eventRefused:
-		s.Route, s.Duration = line.Field("route"), line.duration("took")
+		s.Route, s.RequestDuration = line.Field("route"), line.duration("took")
 		s.Cause = s.determineCause(line)
 	}
 }
