--- a/forward/brokenconnection_test.go
+++ b/forward/brokenconnection_test.go
@@ -74,14 +74,14 @@
 		"stream, in its midst":        {"/llm/", breaks(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\n"), errReader{}), nil), closed, "first_event_ago="},
 		"call":                        {"/order/", breaks(nil, syscall.ECONNRESET), closed, "ended=true"},
 		"the upstream still listens":  {"/order/", breaks(nil, io.ErrUnexpectedEOF), nil, "ended=false"},
-		"the upstream can't be asked": {"/order/", breaks(nil, io.ErrUnexpectedEOF), func(Upstream) error { return errGone }, "ended=false"},
+		"the upstream can't be asked": {"/order/", breaks(nil, io.ErrUnexpectedEOF), func(Upstream) error { return errConnectionLost }, "ended=false"},
 		"bytes that are no answer":    {"/order/", breaks(nil, ErrMismatchedResponse), closed, ""},
 		"a link that fell silent":     {"/order/", breaks(nil, syscall.ETIMEDOUT), closed, ""},
 		"nothing was sent":            {"/order/", breaks(nil, ErrNotSent), closed, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			f := newForwarder(t, &fakeTransport{send: c.send, reach: c.reach})
+			f := newForwarder(t, &fakeTransport{send: c.send, checkReachable: c.reach})
 			journal := &recordingJournal{}
 			f.journal = journal
 			request := call(c.path)
--- a/forward/coldupstream_test.go
+++ b/forward/coldupstream_test.go
@@ -124,7 +124,7 @@
 				is := is.New(t)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				fleet := newNeedyFleet()
+				fleet := newLimitingFleet()
 				s := newNeedySite(fleet, 1, 10, 2)
 				config := testConfig(2)
 				config.Services[1].ColdRate = maxRate
@@ -137,7 +137,7 @@
 				}
 				if cut {
 					for n := range 5 {
-						s.cutOff(s.nth(n).settings.Self.PeerAddress)
+						s.isolate(s.nth(n).settings.Self.PeerAddress)
 					}
 				}
 				for n := range 600 {
@@ -148,7 +148,7 @@
 				}
 				var arrivals []time.Duration
 				fleet.mu.Lock()
-				for _, r := range fleet.got["llm00"] {
+				for _, r := range fleet.requests["llm00"] {
 					arrivals = append(arrivals, r.at)
 				}
 				fleet.mu.Unlock()
--- a/forward/crashday_test.go
+++ b/forward/crashday_test.go
@@ -83,7 +83,7 @@
 		defer cancel()
 		random := rand.New(rand.NewPCG(seed, 0))
 		fleet := newFakeFleet()
-		fleet.events = 160
+		fleet.eventCount = 160
 		s := newCrashSiteOf(fleet, l.zones, l.hostsPerZone, l.engines)
 		for _, f := range s.hosts {
 			f.crashes.SetHeldAfter(heldAfter)
@@ -127,7 +127,7 @@
 			}
 		})
 		every(l.crashingPerSecond, func(n int) {
-			body := fmt.Sprint(crashing, draw(l.crashing))
+			body := fmt.Sprint(crashingPrefix, draw(l.crashing))
 			s.anyHost(draw(hosts), l).Serve(ctx, crashCall("/llm/", body, n), &fakeSink{})
 		})
 		per := func(d time.Duration) float64 {
@@ -138,8 +138,8 @@
 		}
 		engine := func() member.UpstreamID { return member.UpstreamID(fmt.Sprintf("llm%02d", draw(l.engines))) }
 		revision := rev(100)
-		every(per(l.crashesEvery), func(int) { fleet.end(engine()) })
-		every(per(l.flapsEvery), func(n int) { fleet.end(member.UpstreamID(fmt.Sprintf("llm%02d", n%2))) })
+		every(per(l.crashesEvery), func(int) { fleet.endUpstream(engine()) })
+		every(per(l.flapsEvery), func(n int) { fleet.endUpstream(member.UpstreamID(fmt.Sprintf("llm%02d", n%2))) })
 		every(per(l.reclaimsEvery), func(int) {
 			id := engine()
 			u, known := s.hostAt(0).fleet.Upstream(id)
@@ -152,7 +152,7 @@
 			mu.Unlock()
 			s.origin.publish(Change{Upstream: u})
 			time.Sleep(2 * time.Second)
-			fleet.end(id)
+			fleet.endUpstream(id)
 			time.Sleep(4 * time.Second)
 			mu.Lock()
 			revision = rev(revision.Revision() + 1)
@@ -162,8 +162,8 @@
 		})
 		calls.Wait()
 		fleet.mu.Lock()
-		for body := range fleet.ends {
-			tally.ends += len(fleet.ends[body])
+		for body := range fleet.crashes {
+			tally.ends += len(fleet.crashes[body])
 			tally.sent += len(fleet.arrivals[body])
 		}
 		fleet.mu.Unlock()
--- a/forward/crashing_test.go
+++ b/forward/crashing_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, f := range s.hosts {
-		f.transport = &fakeTransport{send: fleet.Send, reach: fleet.Reach}
+		f.transport = &fakeTransport{send: fleet.Send, checkReachable: fleet.checkReachable}
 		f.settings.DrainTime = 2 * time.Second
 		f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
 	}
@@ -93,11 +93,11 @@
 				s.serveAll(ctx)
 				time.Sleep(3 * time.Second)
 				for n := range 30 {
-					go s.hostAt(n).Serve(ctx, crashCall(path, crashing, n), &fakeSink{})
+					go s.hostAt(n).Serve(ctx, crashCall(path, crashingPrefix, n), &fakeSink{})
 					time.Sleep(900 * time.Millisecond)
 				}
 				time.Sleep(5 * time.Second)
-				late, all := fleet.after(crashing, 3, contactBound)
+				late, all := fleet.arrivalsAfter(crashingPrefix, 3, contactBound)
 				if late > 3 {
 					t.Errorf("after three upstreams had ended it reached upstreams %d times more; %d ended", late, all)
 				}
--- a/forward/drill_test.go
+++ b/forward/drill_test.go
@@ -234,7 +234,7 @@
 	before := func(d *drill) {
 		d.store.order("z2", true)
 		time.Sleep(time.Second)
-		d.cutOff(cut)
+		d.isolate(cut)
 		d.withoutStore(true, "z1-h02")
 	}
 	playDrill(t, 3, 3, before, func(d *drill) {
@@ -242,7 +242,7 @@
 		d.store.order("z2", false)
 		d.store.list(leavingUp("app1"))
 		time.Sleep(3 * time.Second)
-		d.regain(cut)
+		d.reconnect(cut)
 		time.Sleep(time.Second)
 		d.withoutStore(false, "z1-h02")
 		d.hold("app1 gets nothing", leavingKnownWithin, 3*time.Second, takesNot("app1"))
@@ -287,11 +287,11 @@
 func TestDirectoryEntryThatTheCopyLost(t *testing.T) {
 	playDrill(t, 3, 3, nil, func(d *drill) {
 		before := map[member.HostID]int32{}
-		for host, n := range d.entries {
+		for host, n := range d.directoryWrites {
 			before[host] = n.Load()
 		}
 		time.Sleep(leavingKnownWithin + directoryRewriteWindow + directoryCheckInterval)
-		for host, n := range d.entries {
+		for host, n := range d.directoryWrites {
 			if wrote, listed := n.Load()-before[host], before[host] > 0; wrote > 1 || (wrote == 1) != listed {
 				d.finding("%s, listed %v, wrote its entry %d times", host, listed, wrote)
 			}
--- a/forward/drillday_test.go
+++ b/forward/drillday_test.go
@@ -293,10 +293,10 @@
 		d.disturb(lasts, self.ID)
 		d.withoutStore(true, self.ID)
 		if n%2 == 0 {
-			d.cutOff(self.PeerAddress)
+			d.isolate(self.PeerAddress)
 		}
 		time.Sleep(lasts)
-		d.regain(self.PeerAddress)
+		d.reconnect(self.PeerAddress)
 		d.withoutStore(false, self.ID)
 	})
 	every(200*time.Millisecond, 600*time.Millisecond, func(int) { d.store.touch() })
--- a/forward/drillstore_test.go
+++ b/forward/drillstore_test.go
@@ -203,7 +203,7 @@
 func (l drillLink) Read(ctx context.Context, known history.Era) (OriginUpdate, error) {
 	PauseFor(ctx, drillAnswers)
 	if !l.call() {
-		return OriginUpdate{}, errGone
+		return OriginUpdate{}, errConnectionLost
 	}
 	news, _, _ := l.newest(0, true)
 	return news, nil
@@ -212,7 +212,7 @@
 func (l drillLink) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
 	PauseFor(ctx, drillAnswers)
 	if !l.call() {
-		return OriginUpdate{}, errGone
+		return OriginUpdate{}, errConnectionLost
 	}
 	over := time.NewTimer(wait)
 	defer over.Stop()
@@ -235,14 +235,14 @@
 		away := l.away
 		l.drillStore.mu.Unlock()
 		if away {
-			return OriginUpdate{}, errGone
+			return OriginUpdate{}, errConnectionLost
 		}
 	}
 }
 
 func (l drillLink) Keep(_ context.Context, m quarantine.Mark) error {
 	if !l.call() {
-		return errGone
+		return errConnectionLost
 	}
 	for i := range m.Crashes {
 		m.Crashes[i].Ago = 0
@@ -285,7 +285,7 @@
 	d.mu.Lock()
 	d.ends[f.settings.Self.PeerAddress] = end
 	d.mu.Unlock()
-	d.startBy(ctx, f, drillLink{d.store, f.settings.Self.ID, &d.cutMu, d.noStore})
+	d.startWithOrigin(ctx, f, drillLink{d.store, f.settings.Self.ID, &d.cutMu, d.noStore})
 	go f.Run(ctx)
 }
 
@@ -298,7 +298,7 @@
 	end()
 	settings.FirstStart = false
 	fresh := New(settings, &fakeTransport{}, silentJournal{}, silentObserver{})
-	d.replace(fresh)
+	d.replaceHost(fresh)
 	d.startHost(fresh)
 	return fresh
 }
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -60,11 +60,11 @@
 	x := &exchange{Forwarder: f, call: c, sink: to}
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	if !f.enter(x, end) {
-		x.refuse(Refusal{Code: CodeStopping, RetryAfter: x.retryStopping(c.Arrived)})
+	if !f.addInFlight(x, end) {
+		x.refuse(Refusal{Code: CodeStopping, RetryAfter: x.stoppingRetryAfter(c.Arrived)})
 		return
 	}
-	defer f.leave(x)
+	defer f.removeInFlight(x)
 	defer x.recoverPanic(x.answerPanic)
 	refusal, ok := x.admit(c.Arrived)
 	if !ok {
@@ -121,7 +121,7 @@
 	// caller has waited for that time, too, and may have left.
 	late := x.settings.Clock.Late(now)
 	if x.call.CallerTimeout > 0 && x.call.CallerTimeout <= late {
-		return Refusal{Code: CodeLate, RetryAfter: retryElsewhere}, false
+		return Refusal{Code: CodeLate, RetryAfter: otherHostRetryAfter}, false
 	}
 	x.deadline = earliestDeadline(now.Add(-late), x.call.CallerTimeout, x.route.Timeout)
 	x.zones = x.allowedZones()
@@ -137,8 +137,8 @@
 		return Refusal{Code: CodeRegion, RetryAfter: maxRetryAfter}, false
 	}
 	if !x.endsBeforeStop(now) {
-		x.journal.Request(x.call.ID, "would outlast the stop", "stopping_for", now.Sub(x.stopBegan()), "limit", x.call.Prompt.MaxOutputTokens, "hint", x.call.Prompt.ExpectedOutputTokens)
-		return Refusal{Code: CodeStopping, RetryAfter: x.retryStopping(now)}, false
+		x.journal.Request(x.call.ID, "would outlast the stop", "stopping_for", now.Sub(x.stopStartedAt()), "limit", x.call.Prompt.MaxOutputTokens, "hint", x.call.Prompt.ExpectedOutputTokens)
+		return Refusal{Code: CodeStopping, RetryAfter: x.stoppingRetryAfter(now)}, false
 	}
 	return Refusal{}, true
 }
--- a/forward/fake_test.go
+++ b/forward/fake_test.go
@@ -25,10 +25,10 @@
 	// send answers a request; nil refuses every one.
 	send func(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error)
 	move func(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error)
-	// healthy answers health questions; nil says well.
-	healthy func(u Upstream) (bool, error)
-	// reach answers looks at an upstream; nil says that it is there.
-	reach func(u Upstream) error
+	// checkHealth answers health questions; nil says well.
+	checkHealth func(u Upstream) (bool, error)
+	// checkReachable answers looks at an upstream; nil says that it is there.
+	checkReachable func(u Upstream) error
 	// sent are the upstreams that got the request, in order.
 	sent []member.UpstreamID
 	// discarded are the handles that were freed.
@@ -60,18 +60,18 @@
 }
 
 func (f *fakeTransport) Health(_ context.Context, u Upstream, _ string) (Health, error) {
-	if f.healthy == nil {
+	if f.checkHealth == nil {
 		return Health{Healthy: true}, nil
 	}
-	well, err := f.healthy(u)
+	well, err := f.checkHealth(u)
 	return Health{Healthy: well}, err
 }
 
 func (f *fakeTransport) CheckReachable(_ context.Context, u Upstream) error {
-	if f.reach == nil {
+	if f.checkReachable == nil {
 		return nil
 	}
-	return f.reach(u)
+	return f.checkReachable(u)
 }
 
 func (f *fakeTransport) sentTo() []member.UpstreamID {
@@ -82,18 +82,18 @@
 
 // fakeSink keeps what the caller gets.
 type fakeSink struct {
-	mu      sync.Mutex
-	status  int
-	body    strings.Builder
-	refused *Refusal
-	cut     bool
-	// gone has the caller's connection fail.
-	gone bool
-	// wrote, when set, is told of each write.
-	wrote func(p []byte)
+	mu        sync.Mutex
+	status    int
+	body      strings.Builder
+	refused   *Refusal
+	truncated bool
+	// callerGone has the caller's connection fail.
+	callerGone bool
+	// onWrite, when set, is told of each write.
+	onWrite func(p []byte)
 }
 
-var errGone = errors.New("the caller is gone")
+var errConnectionLost = errors.New("the caller is gone")
 
 func (s *fakeSink) SendResponse(a *Response, body []byte) error {
 	s.status = a.Status
@@ -109,12 +109,12 @@
 func (s *fakeSink) Write(p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone {
-		return errGone
+	if s.callerGone {
+		return errConnectionLost
 	}
 	s.body.Write(p)
-	if s.wrote != nil {
-		s.wrote(p)
+	if s.onWrite != nil {
+		s.onWrite(p)
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 	return nil
 }
 
-func (s *fakeSink) Truncate() { s.cut = true }
+func (s *fakeSink) Truncate() { s.truncated = true }
 
 // silentJournal and silentObserver keep nothing.
 type (
@@ -208,8 +208,8 @@
 	}
 }
 
-// sendLate is a send whose good answer comes after 100 ms of virtual time.
-func sendLate(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
+// sendAfterDelay is a send whose good answer comes after 100 ms of virtual time.
+func sendAfterDelay(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 	time.Sleep(100 * time.Millisecond)
 	return answer(http.StatusOK, "late"), nil
 }
--- a/forward/fakefleet_test.go
+++ b/forward/fakefleet_test.go
@@ -18,21 +18,21 @@
 // Upstreams in virtual time that can end, for tests of what hosts learn from that.
 
 const (
-	// fakeReads is how long an upstream takes to its first event, and fakeGap is between
+	// fakeFirstEventDelay is how long an upstream takes to its first event, and fakeGap is between
 	// two.
-	fakeReads = 300 * time.Millisecond
-	fakeGap   = 50 * time.Millisecond
-	// fakeDies is how long after its first token a request of which an upstream ends
+	fakeFirstEventDelay = 300 * time.Millisecond
+	fakeEventGap        = 50 * time.Millisecond
+	// fakeCrashDelay is how long after its first token a request of which an upstream ends
 	// brings that about.
-	fakeDies = 90 * time.Millisecond
-	// fakeCallTakes is how long a plain call takes.
-	fakeCallTakes = 20 * time.Millisecond
-	// fakeDown is how long an upstream that has ended is away.
-	fakeDown = 2500 * time.Millisecond
+	fakeCrashDelay = 90 * time.Millisecond
+	// fakeCallDuration is how long a plain call takes.
+	fakeCallDuration = 20 * time.Millisecond
+	// fakeDowntime is how long an upstream that has ended is away.
+	fakeDowntime = 2500 * time.Millisecond
 )
 
-// crashing begins the body of a request that every upstream ends of.
-const crashing = "crashing"
+// crashingPrefix begins the body of a request that every upstream ends of.
+const crashingPrefix = "crashing"
 
 // fakeFleet plays all upstreams of a site.
 type fakeFleet struct {
@@ -40,10 +40,10 @@
 	upstreams map[member.UpstreamID]*fakeUpstream
 	// arrivals are the crashing requests that reached an upstream, by body.
 	arrivals map[string][]arrival
-	// ends are when an upstream ended under each of them.
-	ends map[string][]time.Time
-	// events bounds a stream.
-	events int
+	// crashes are when an upstream ended under each of them.
+	crashes map[string][]time.Time
+	// eventCount bounds a stream.
+	eventCount int
 }
 
 // arrival is a request's at an upstream.
@@ -63,11 +63,11 @@
 
 func newFakeFleet() *fakeFleet {
 	return &fakeFleet{
-		upstreams: map[member.UpstreamID]*fakeUpstream{}, arrivals: map[string][]arrival{}, ends: map[string][]time.Time{}, events: 40,
+		upstreams: map[member.UpstreamID]*fakeUpstream{}, arrivals: map[string][]arrival{}, crashes: map[string][]time.Time{}, eventCount: 40,
 	}
 }
 
-func (f *fakeFleet) of(id member.UpstreamID) *fakeUpstream {
+func (f *fakeFleet) upstream(id member.UpstreamID) *fakeUpstream {
 	u := f.upstreams[id]
 	if u == nil {
 		u = &fakeUpstream{runs: map[*fakeRun]bool{}}
@@ -76,42 +76,42 @@
 	return u
 }
 
-// end has an upstream end now, with all that runs there.
-func (f *fakeFleet) end(id member.UpstreamID) {
+// endUpstream has an upstream endUpstream now, with all that runs there.
+func (f *fakeFleet) endUpstream(id member.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u := f.of(id)
-	u.downUntil = time.Now().Add(fakeDown)
+	u := f.upstream(id)
+	u.downUntil = time.Now().Add(fakeDowntime)
 	for run := range u.runs {
 		close(run.lost)
 	}
 	clear(u.runs)
 }
 
-// begin notes that a request has reached an upstream; false says that it is down.
-func (f *fakeFleet) begin(id member.UpstreamID, body string) (*fakeRun, bool) {
+// startRun notes that a request has reached an upstream; false says that it is down.
+func (f *fakeFleet) startRun(id member.UpstreamID, body string) (*fakeRun, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	u := f.of(id)
+	u := f.upstream(id)
 	if time.Now().Before(u.downUntil) {
 		return nil, false
 	}
 	run := &fakeRun{lost: make(chan struct{})}
 	u.runs[run] = true
-	if strings.HasPrefix(body, crashing) {
+	if strings.HasPrefix(body, crashingPrefix) {
 		f.arrivals[body] = append(f.arrivals[body], arrival{time.Now(), id})
 	}
 	return run, true
 }
 
-func (f *fakeFleet) finish(id member.UpstreamID, run *fakeRun) {
+func (f *fakeFleet) finishRun(id member.UpstreamID, run *fakeRun) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.of(id).runs, run)
+	delete(f.upstream(id).runs, run)
 }
 
-// work waits; the error says that the upstream or the request has ended meanwhile.
-func (r *fakeRun) work(ctx context.Context, d time.Duration) error {
+// wait waits; the error says that the upstream or the request has ended meanwhile.
+func (r *fakeRun) wait(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -127,15 +127,15 @@
 // crash has an upstream end under a request.
 func (f *fakeFleet) crash(id member.UpstreamID, body string) {
 	f.mu.Lock()
-	f.ends[body] = append(f.ends[body], time.Now())
+	f.crashes[body] = append(f.crashes[body], time.Now())
 	f.mu.Unlock()
-	f.end(id)
+	f.endUpstream(id)
 }
 
 // Send plays an upstream's answer: a stream for the service of engines, else a short body.
 func (f *fakeFleet) Send(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 	body := string(out.Call.Body)
-	run, ok := f.begin(u.ID, body)
+	run, ok := f.startRun(u.ID, body)
 	if !ok {
 		return nil, ErrNotSent
 	}
@@ -146,11 +146,11 @@
 		a.ContentLength, a.Body = -1, read
 		return a, nil
 	}
-	defer f.finish(u.ID, run)
-	if strings.HasPrefix(body, crashing) {
+	defer f.finishRun(u.ID, run)
+	if strings.HasPrefix(body, crashingPrefix) {
 		f.crash(u.ID, body)
 	}
-	if err := run.work(ctx, fakeCallTakes); err != nil {
+	if err := run.wait(ctx, fakeCallDuration); err != nil {
 		return nil, err
 	}
 	return answer(200, "fine"), nil
@@ -158,44 +158,44 @@
 
 // stream writes a run's events.
 func (f *fakeFleet) stream(ctx context.Context, id member.UpstreamID, run *fakeRun, body string, to io.Writer) error {
-	defer f.finish(id, run)
-	if err := run.work(ctx, fakeReads); err != nil {
+	defer f.finishRun(id, run)
+	if err := run.wait(ctx, fakeFirstEventDelay); err != nil {
 		return err
 	}
-	if strings.HasPrefix(body, crashing) {
-		if err := run.work(ctx, fakeDies); err != nil {
+	if strings.HasPrefix(body, crashingPrefix) {
+		if err := run.wait(ctx, fakeCrashDelay); err != nil {
 			return err
 		}
 		f.crash(id, body)
 		return io.ErrUnexpectedEOF
 	}
-	for n := range f.events {
+	for n := range f.eventCount {
 		if _, err := fmt.Fprintf(to, "id: %d\ndata: x\n\n", n+1); err != nil {
-			return errors.Join(errGone, err)
+			return errors.Join(errConnectionLost, err)
 		}
-		if err := run.work(ctx, fakeGap); err != nil {
+		if err := run.wait(ctx, fakeEventGap); err != nil {
 			return err
 		}
 	}
 	return io.EOF
 }
 
-// Reach tells whether an upstream listens.
-func (f *fakeFleet) Reach(u Upstream) error {
+// checkReachable tells whether an upstream listens.
+func (f *fakeFleet) checkReachable(u Upstream) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Now().Before(f.of(u.ID).downUntil) {
+	if time.Now().Before(f.upstream(u.ID).downUntil) {
 		return ErrPortClosed
 	}
 	return nil
 }
 
-// after counts the arrivals of a crashing request later than a while after upstreams
+// arrivalsAfter counts the arrivals of a crashing request later than a while arrivalsAfter upstreams
 // ended under it for the nth time; all is how many ended.
-func (f *fakeFleet) after(body string, nth int, slack time.Duration) (late, all int) {
+func (f *fakeFleet) arrivalsAfter(body string, nth int, slack time.Duration) (late, all int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ends := f.ends[body]
+	ends := f.crashes[body]
 	if len(ends) < nth {
 		return 0, len(ends)
 	}
@@ -207,8 +207,8 @@
 	return late, len(ends)
 }
 
-// reset breaks every connection; the upstreams go on.
-func (f *fakeFleet) reset() {
+// breakConnections breaks every connection; the upstreams go on.
+func (f *fakeFleet) breakConnections() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, u := range f.upstreams {
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -433,7 +433,7 @@
 	source := SourcePeer
 	if ownFinding {
 		source = SourceHost
-		f.tellPeers(k, now.Add(markShared))
+		f.shareLeaving(k, now.Add(observedLeavingShareTime))
 	}
 	k.startLeaving(now, source)
 	k.leavingUnconfirmed = true
--- a/forward/fleet_test.go
+++ b/forward/fleet_test.go
@@ -142,8 +142,8 @@
 	f.MarkLeaving(now, "a", 900*time.Millisecond, true)
 	is.Equal(len(availableIDs(&f, now)), 0)
 	is.Equal(f.ExpectedEnd("a", now, 2*time.Second), now.Add(900*time.Millisecond))
-	is.Equal(f.Marks(now), []LeavingMark{{Engine: "a", In: 900 * time.Millisecond}})
-	is.Equal(len(f.Marks(now.Add(time.Minute))), 0)
+	is.Equal(f.LeavingMarks(now), []LeavingMark{{Upstream: "a", Remaining: 900 * time.Millisecond}})
+	is.Equal(len(f.LeavingMarks(now.Add(time.Minute))), 0)
 	f.Replace(now, []Upstream{llmUpstream("a", 1, false)}, rev(4))
 	is.Equal(availableIDs(&f, now), map[member.UpstreamID]bool{"a": true})
 }
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -68,7 +68,7 @@
 func (o *failingOrigin) Read(context.Context, history.Era) (OriginUpdate, error) {
 	o.reads.Add(1)
 	if o.failing.Load() {
-		return OriginUpdate{}, errGone
+		return OriginUpdate{}, errConnectionLost
 	}
 	return OriginUpdate{Changes: []Change{{Upstream: llmUpstream("llm1", 1, false)}}, Revision: rev(1)}, nil
 }
@@ -76,7 +76,7 @@
 func (o *failingOrigin) Watch(ctx context.Context, after history.Point, _ time.Duration) (OriginUpdate, error) {
 	PauseFor(ctx, 100*time.Millisecond)
 	if o.failing.Load() {
-		return OriginUpdate{}, errGone
+		return OriginUpdate{}, errConnectionLost
 	}
 	return OriginUpdate{Revision: after}, nil
 }
@@ -138,23 +138,23 @@
 }
 
 func (p *fakeFollowedPeer) Share(context.Context, Peer, Share) (Share, error) {
-	return Share{}, errGone
+	return Share{}, errConnectionLost
 }
 func (p *fakeFollowedPeer) Turn(context.Context, Peer, TurnRequest) error { return nil }
 func (p *fakeFollowedPeer) Rollout(context.Context, Peer, rollout.Report) (rollout.Status, error) {
-	return rollout.Status{}, errGone
+	return rollout.Status{}, errConnectionLost
 }
 
 func (p *fakeFollowedPeer) Permit(context.Context, Peer, permit.Ask) (permit.Reply, error) {
-	return permit.Reply{}, errGone
+	return permit.Reply{}, errConnectionLost
 }
 func (p *fakeFollowedPeer) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
 func (p *fakeFollowedPeer) Ask(context.Context, Peer, PlacementRequest) (PlacementGrant, error) {
-	return PlacementGrant{}, errGone
+	return PlacementGrant{}, errConnectionLost
 }
 
 func (p *fakeFollowedPeer) Config(context.Context, Peer, Version) (ConfigReply, error) {
-	return ConfigReply{}, errGone
+	return ConfigReply{}, errConnectionLost
 }
 
 func (p *fakeFollowedPeer) Follow(ctx context.Context, _ Peer, r FollowRequest) (FollowReply, error) {
--- a/forward/incarnation_test.go
+++ b/forward/incarnation_test.go
@@ -42,7 +42,7 @@
 		}
 	}
 	leaving := func(life Incarnation) step {
-		return receive(Share{Leaving: []LeavingMark{{Engine: "llm1", Life: life}}})
+		return receive(Share{Leaving: []LeavingMark{{Upstream: "llm1", Incarnation: life}}})
 	}
 	failing := func(life Incarnation) step {
 		return receive(Share{Failing: []FailingMark{{Upstream: "llm1", Incarnation: life, Remaining: 5 * time.Second}}})
@@ -160,7 +160,7 @@
 		began := time.Now()
 		<-served
 		is.Equal(time.Since(began), time.Duration(0))
-		is.True(sink.cut)
+		is.True(sink.truncated)
 		is.Equal(moves, 0)
 	})
 }
--- a/forward/interrupted_test.go
+++ b/forward/interrupted_test.go
@@ -79,7 +79,7 @@
 				default:
 					t.Fatal("the host has stopped, but Serve has not returned for the request in progress")
 				}
-				is.Equal(sink.cut, c.cut)
+				is.Equal(sink.truncated, c.cut)
 				is.Equal(sink.refused != nil, !c.cut)
 				if !c.cut {
 					is.Equal(sink.refused.Code, CodeInterrupted)
@@ -98,7 +98,7 @@
 func TestCloseRefusesNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		transport := &fakeTransport{send: sendLate}
+		transport := &fakeTransport{send: sendAfterDelay}
 		f, sink := newForwarder(t, transport), &fakeSink{}
 		go f.Serve(t.Context(), call("/order/"), sink)
 		synctest.Wait()
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -34,7 +34,7 @@
 		is.True(s.origin.reads.Load() <= 6) // the three seed hosts, and those that found them too late
 		time.Sleep(10 * time.Second)
 		listed := 0
-		for _, entries := range s.entries {
+		for _, entries := range s.directoryWrites {
 			if entries.Load() > 0 {
 				listed++
 			}
@@ -69,7 +69,7 @@
 		is.Equal(joiner.peers.liveHostsInZone(time.Now()), 3)
 		is.Equal(s.origin.reads.Load(), reads)
 		watches := s.origin.watches.Load()
-		s.lose(s.others("10.2.0.3:1")...)
+		s.makeUnreachable(s.otherAddresses("10.2.0.3:1")...)
 		time.Sleep(5 * time.Second)
 		is.Equal(s.origin.reads.Load(), reads) // the host has everything up to a revision, so it only watches
 		is.True(s.origin.watches.Load() > watches)
@@ -95,7 +95,7 @@
 				is := is.New(t)
 				s := newSite(2, 3, c.first)
 				f := s.hosts[c.host]
-				s.lose(s.others(c.host)...)
+				s.makeUnreachable(s.otherAddresses(c.host)...)
 				ctx, cancel := context.WithCancel(t.Context())
 				s.start(ctx, f)
 				if c.after > 0 {
@@ -121,9 +121,9 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s.startAll(ctx)
 		time.Sleep(3 * time.Second)
-		s.origin.lost.Store(true)
+		s.origin.unavailable.Store(true)
 		time.Sleep(8 * time.Second)
-		s.origin.lost.Store(false)
+		s.origin.unavailable.Store(false)
 		// Hosts that are about to retry read the origin; the others receive the result from them
 		// within half a second.
 		time.Sleep(3 * time.Second)
@@ -179,7 +179,7 @@
 			is.True(f.peers.self.ID == "z1-h02" || f.peers.isKnown("z1-h02"))
 		}
 		kill()
-		s.lose("10.1.0.2:1")
+		s.makeUnreachable("10.1.0.2:1")
 		time.Sleep(2*peerForgetTimeout + 2*time.Second)
 		for _, f := range s.hosts {
 			is.True(!f.peers.isKnown("z1-h02"))
@@ -296,9 +296,9 @@
 		leaving := Change{Upstream: upstreamInZone("llm3", "z2")}
 		leaving.Leaving, leaving.Revision = true, rev(20)
 		s.origin.publish(leaving)
-		s.origin.order(outOfService("z1", 21))
+		s.origin.orderZones(outOfService("z1", 21))
 		time.Sleep(time.Second)
-		s.origin.lost.Store(true)
+		s.origin.unavailable.Store(true)
 		time.Sleep(10 * time.Second)
 		is.True(!joiner.Ready()) // it knows nothing
 		s.start(ctx, joiner)
@@ -308,8 +308,8 @@
 		is.Equal(availableIDs(joiner.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
 		is.True(joiner.OriginAge(time.Now()) > maxOriginProofAge)
 		is.True(!joiner.listKnown(time.Now()))
-		s.origin.lost.Store(false)
-		s.origin.order(backInService("z1", 22))
+		s.origin.unavailable.Store(false)
+		s.origin.orderZones(backInService("z1", 22))
 		time.Sleep(6 * time.Second)
 		is.Equal(availableIDs(joiner.fleet, time.Now()), map[member.UpstreamID]bool{"llm1": true, "llm2": true})
 		is.True(joiner.OriginAge(time.Now()) <= maxOriginProofAge)
--- a/forward/leaving.go
+++ b/forward/leaving.go
@@ -26,27 +26,27 @@
 
 // LeavingMark is a host's word that an upstream leaves, for its peers.
 type LeavingMark struct {
-	Engine member.UpstreamID
-	Life   Incarnation
-	// In is how long it will still serve; zero when that isn't known.
-	In time.Duration
-	// Said says that the upstream told so itself.
-	Said bool
+	Upstream    member.UpstreamID
+	Incarnation Incarnation
+	// Remaining is how long it will still serve; zero when that isn't known.
+	Remaining time.Duration
+	// Declared says that the upstream told so itself.
+	Declared bool
 }
 
 const (
-	// markShared is how long a finding is told to peers.
-	markShared = 3 * time.Second
-	// saidShared is how long an upstream's own word is, while the list doesn't have it.
-	saidShared = 30 * time.Second
-	// forgetSaid is how long an upstream that said that it leaves is remembered after the
+	// observedLeavingShareTime is how long a finding is told to peers.
+	observedLeavingShareTime = 3 * time.Second
+	// declaredLeavingShareTime is how long an upstream's own word is, while the list doesn't have it.
+	declaredLeavingShareTime = 30 * time.Second
+	// selfReportRetention is how long an upstream that said that it leaves is remembered after the
 	// list dropped it: its entry may lapse and come back while it still serves.
-	forgetSaid = 5 * time.Minute
+	selfReportRetention = 5 * time.Minute
 )
 
-// SaidLeaving takes in an upstream's own word, to this host or with own unset to a peer,
+// RecordSelfReportedLeaving takes in an upstream's own word, to this host or with own unset to a peer,
 // that it leaves. The list doesn't take that back. It reports whether it is new.
-func (f *Fleet) SaidLeaving(now time.Time, id member.UpstreamID, life Incarnation, own bool) bool {
+func (f *Fleet) RecordSelfReportedLeaving(now time.Time, id member.UpstreamID, life Incarnation, own bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.upstreams[id]
@@ -55,21 +55,21 @@
 	}
 	k.leavingSelfReported, k.leavingDeclared, k.leavingUnconfirmed = true, true, false
 	if own && !k.gone {
-		f.tellPeers(k, now.Add(saidShared))
+		f.shareLeaving(k, now.Add(declaredLeavingShareTime))
 	}
 	k.startLeaving(now, SourceUpstream)
 	f.notify(true)
 	return true
 }
 
-// tellPeers has peers be told for a while that an upstream leaves. The mutex is held.
-func (f *Fleet) tellPeers(k *knownUpstream, until time.Time) {
+// shareLeaving has peers be told for a while that an upstream leaves. The mutex is held.
+func (f *Fleet) shareLeaving(k *knownUpstream, until time.Time) {
 	k.shareLeavingUntil = until
 	f.shareLeavingUntil = laterOf(f.shareLeavingUntil, until)
 }
 
-// Marks returns this host's own words that upstreams leave.
-func (f *Fleet) Marks(now time.Time) []LeavingMark {
+// LeavingMarks returns this host's own words that upstreams leave.
+func (f *Fleet) LeavingMarks(now time.Time) []LeavingMark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !now.Before(f.shareLeavingUntil) {
@@ -80,9 +80,9 @@
 		if !now.Before(k.shareLeavingUntil) || k.gone {
 			continue
 		}
-		mark := LeavingMark{Engine: id, Life: k.Incarnation, Said: k.leavingSelfReported || k.leavingDeclared}
+		mark := LeavingMark{Upstream: id, Incarnation: k.Incarnation, Declared: k.leavingSelfReported || k.leavingDeclared}
 		if !k.expectedEnd.IsZero() {
-			mark.In = max(k.expectedEnd.Sub(now), time.Millisecond)
+			mark.Remaining = max(k.expectedEnd.Sub(now), time.Millisecond)
 		}
 		marks = append(marks, mark)
 	}
@@ -91,36 +91,36 @@
 
 // receiveLeaving takes in a peer's word that an upstream leaves.
 func (f *Forwarder) receiveLeaving(now time.Time, from member.HostID, mark LeavingMark) {
-	if !f.fleet.ReceiveIncarnation(mark.Engine, mark.Life) {
+	if !f.fleet.ReceiveIncarnation(mark.Upstream, mark.Incarnation) {
 		return
 	}
 	isNew := false
-	if mark.Said {
-		isNew = f.fleet.SaidLeaving(now, mark.Engine, mark.Life, false)
+	if mark.Declared {
+		isNew = f.fleet.RecordSelfReportedLeaving(now, mark.Upstream, mark.Incarnation, false)
 	} else {
-		isNew = f.fleet.MarkLeaving(now, mark.Engine, mark.In, false)
+		isNew = f.fleet.MarkLeaving(now, mark.Upstream, mark.Remaining, false)
 	}
 	if isNew && f.peers.inOtherCell(from) {
 		// The others of this cell hear it from this host.
-		f.fleet.retell(now, mark.Engine)
+		f.fleet.relayLeaving(now, mark.Upstream)
 		f.peers.notifyOwnCell()
 	}
 	if isNew {
-		f.journal.HostEvent("peer says that an upstream leaves", "upstream", mark.Engine, "peer", from, "in", mark.In, "upstream_said_so", mark.Said)
+		f.journal.HostEvent("peer says that an upstream leaves", "upstream", mark.Upstream, "peer", from, "in", mark.Remaining, "upstream_said_so", mark.Declared)
 	}
 }
 
-// retell has a peer's word that an upstream leaves be told on.
-func (f *Fleet) retell(now time.Time, id member.UpstreamID) {
+// relayLeaving has a peer's word that an upstream leaves be told on.
+func (f *Fleet) relayLeaving(now time.Time, id member.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if k := f.upstreams[id]; k != nil {
-		f.tellPeers(k, laterOf(k.shareLeavingUntil, now.Add(markShared)))
+		f.shareLeaving(k, laterOf(k.shareLeavingUntil, now.Add(observedLeavingShareTime)))
 	}
 }
 
-// LeavingUpstreams counts the upstreams that leave, by who told first.
-func (f *Fleet) LeavingUpstreams() map[LeavingSource]int {
+// LeavingUpstreamCounts counts the upstreams that leave, by who told first.
+func (f *Fleet) LeavingUpstreamCounts() map[LeavingSource]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := map[LeavingSource]int{SourceList: 0, SourceUpstream: 0, SourceHost: 0, SourcePeer: 0, SourceRollout: 0}
--- a/forward/leaving_test.go
+++ b/forward/leaving_test.go
@@ -31,9 +31,9 @@
 // "leader not followed" and "configuration not fetched" between; with 400 routes up to
 // 2.8 s. Without configurations in series, none was later than 0.8 s.
 
-// TestLeavingPassesConfigurations has every host hear within half of the drain time
+// TestLeavingNotDelayedByConfigurations has every host hear within half of the drain time
 // that an upstream leaves, while configurations come faster than they can be carried.
-func TestLeavingPassesConfigurations(t *testing.T) {
+func TestLeavingNotDelayedByConfigurations(t *testing.T) {
 	const drain = 2 * time.Second
 	for _, takes := range []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond, 1500 * time.Millisecond} {
 		t.Run(takes.String(), func(t *testing.T) {
@@ -43,7 +43,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				s.startAll(ctx)
 				time.Sleep(4 * time.Second)
-				s.narrow(takes)
+				s.setConfigTransferTime(takes)
 				for n := range 60 {
 					s.origin.configure(Version(2+n), rev(20+n))
 					if n == 30 {
@@ -67,9 +67,9 @@
 	}
 }
 
-// TestLeavingPassesHostsThatStandStill has every host that runs hear within three
+// TestLeavingNotDelayedByFrozenHosts has every host that runs hear within three
 // quarters of the drain time that an upstream leaves, whichever hosts stand still.
-func TestLeavingPassesHostsThatStandStill(t *testing.T) {
+func TestLeavingNotDelayedByFrozenHosts(t *testing.T) {
 	const drain = 2 * time.Second
 	for _, still := range [][]string{
 		{},
--- a/forward/limitfaults_test.go
+++ b/forward/limitfaults_test.go
@@ -21,10 +21,10 @@
 // Limits while hosts start, stop, are suspended and cut off, and while upstreams change.
 
 // restart has another process be in a host's place, which knows nothing.
-func (s *site) restart(ctx context.Context, fleet *needyFleet, old *Forwarder) *Forwarder {
-	f := New(old.settings, &fakeTransport{send: fleet.sendFrom(old.settings.Self.ID), reach: fleet.Reach}, silentJournal{}, silentObserver{})
+func (s *site) restart(ctx context.Context, fleet *limitingFleet, old *Forwarder) *Forwarder {
+	f := New(old.settings, &fakeTransport{send: fleet.sendFrom(old.settings.Self.ID), checkReachable: fleet.checkReachable}, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
-	s.replace(f)
+	s.replaceHost(f)
 	s.start(ctx, f)
 	go f.Run(ctx)
 	return f
@@ -50,86 +50,86 @@
 	const until = 40 * time.Second
 	const id, rate = member.UpstreamID("app00"), ratelimit.Rate(6.5)
 	for name, c := range map[string]struct {
-		happens func(ctx context.Context, s *site, fleet *needyFleet)
+		happens func(ctx context.Context, s *site, fleet *limitingFleet)
 		// least is how much of the limit is used, from the contact bound on. While the
 		// host that gives it out is away, half of it is in the others' own turns.
 		least float64
 		// excused are hosts that don't count.
 		excused []member.HostID
 	}{
-		"hosts start again, one after the other": {func(ctx context.Context, s *site, fleet *needyFleet) {
+		"hosts start again, one after the other": {func(ctx context.Context, s *site, fleet *limitingFleet) {
 			time.Sleep(8 * time.Second)
 			for n := range 6 {
 				s.restart(ctx, fleet, s.nth(n))
 				time.Sleep(3 * time.Second)
 			}
 		}, 0.8, nil},
-		"all hosts start again at once": {func(ctx context.Context, s *site, fleet *needyFleet) {
+		"all hosts start again at once": {func(ctx context.Context, s *site, fleet *limitingFleet) {
 			time.Sleep(12 * time.Second)
 			for n := range 6 {
 				s.restart(ctx, fleet, s.nth(n))
 			}
 		}, 0.8, nil},
-		"the host that grants dies, again and again": {func(ctx context.Context, s *site, fleet *needyFleet) {
+		"the host that grants dies, again and again": {func(ctx context.Context, s *site, fleet *limitingFleet) {
 			for range 5 {
 				time.Sleep(5 * time.Second)
 				f := s.granter(id)
-				s.lose(f.settings.Self.PeerAddress)
+				s.makeUnreachable(f.settings.Self.PeerAddress)
 				time.Sleep(time.Second)
-				s.regain(f.settings.Self.PeerAddress)
+				s.reconnect(f.settings.Self.PeerAddress)
 				s.restart(ctx, fleet, f)
 			}
 		}, 0.8, nil},
-		"the host that grants stops": {func(_ context.Context, s *site, _ *needyFleet) {
+		"the host that grants stops": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(12 * time.Second)
 			f := s.granter(id)
 			stop, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 			defer cancel()
 			f.Stop(stop)
 		}, 0.8, nil},
-		"the host that grants doesn't answer for 5 s": {func(_ context.Context, s *site, _ *needyFleet) {
+		"the host that grants doesn't answer for 5 s": {func(_ context.Context, s *site, _ *limitingFleet) {
 			for range 3 {
 				time.Sleep(8 * time.Second)
 				address := s.granter(id).settings.Self.PeerAddress
 				s.freeze(address)
 				time.Sleep(5 * time.Second)
-				s.regain(address)
+				s.reconnect(address)
 			}
 		}, 0.6, nil},
-		"its zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *needyFleet) {
+		"its zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
-			s.cutOff(s.zone(1)...)
+			s.isolate(s.zone(1)...)
 			time.Sleep(10 * time.Second)
-			s.regain(s.zone(1)...)
+			s.reconnect(s.zone(1)...)
 		}, 0.6, nil},
 		// Each of the two takes itself for the only one of its zone and gives out the
 		// limit: of 53 requests in 4 s 26 and 23 were theirs. They count as cut off, which
 		// excuses them; the others' have to keep to the rule.
-		"its zone's hosts can't be reached, and reach the others": {func(_ context.Context, s *site, _ *needyFleet) {
+		"its zone's hosts can't be reached, and reach the others": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
-			s.lose(s.zone(1)...)
+			s.makeUnreachable(s.zone(1)...)
 			time.Sleep(10 * time.Second)
-			s.regain(s.zone(1)...)
+			s.reconnect(s.zone(1)...)
 		}, 0.6, []member.HostID{"z1-h01", "z1-h02"}},
-		"another zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *needyFleet) {
+		"another zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
-			s.cutOff(s.zone(2)...)
+			s.isolate(s.zone(2)...)
 			time.Sleep(10 * time.Second)
-			s.regain(s.zone(2)...)
+			s.reconnect(s.zone(2)...)
 		}, 0.8, nil},
-		"upstreams end again and again, also the one in need": {func(_ context.Context, _ *site, fleet *needyFleet) {
+		"upstreams end again and again, also the one in need": {func(_ context.Context, _ *site, fleet *limitingFleet) {
 			for n := range 10 {
 				time.Sleep(3 * time.Second)
-				fleet.end(member.UpstreamID(fmt.Sprintf("app%02d", n%3)))
+				fleet.endUpstream(member.UpstreamID(fmt.Sprintf("app%02d", n%3)))
 			}
 		}, 0.5, nil},
-		"another upstream leaves": {func(_ context.Context, s *site, _ *needyFleet) {
+		"another upstream leaves": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(12 * time.Second)
 			u, _ := s.first().fleet.Upstream("app02")
 			u.Leaving, u.Revision = true, rev(50)
 			s.origin.publish(Change{Upstream: u})
 		}, 0.8, nil},
-		"it starts again under its id, in need": {func(_ context.Context, s *site, _ *needyFleet) {
+		"it starts again under its id, in need": {func(_ context.Context, s *site, _ *limitingFleet) {
 			for n := range 5 {
 				time.Sleep(5 * time.Second)
 				u, _ := s.first().fleet.Upstream(id)
@@ -137,7 +137,7 @@
 				s.origin.publish(Change{Upstream: u})
 			}
 		}, 0.8, nil},
-		"all are cold at times": {func(_ context.Context, s *site, _ *needyFleet) {
+		"all are cold at times": {func(_ context.Context, s *site, _ *limitingFleet) {
 			for range 3 {
 				time.Sleep(8 * time.Second)
 				for _, f := range s.hosts {
@@ -147,27 +147,27 @@
 				}
 			}
 		}, 0.6, nil},
-		"all hosts are cut off from each other": {func(_ context.Context, s *site, _ *needyFleet) {
+		"all hosts are cut off from each other": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
 			for zone := range 3 {
-				s.cutOff(s.zone(zone + 1)...)
+				s.isolate(s.zone(zone + 1)...)
 			}
 			time.Sleep(10 * time.Second)
 			for zone := range 3 {
-				s.regain(s.zone(zone + 1)...)
+				s.reconnect(s.zone(zone + 1)...)
 			}
 		}, 0.6, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limitDay{
 				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, lasts: until,
-				needs: []need{needOf(id, rate, until)}, happens: c.happens, coldRate: 10,
-			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
-				rule, aim, used := fleet.rule(id, c.excused...), fleet.aim(id), fleet.used(id, settled+contactBound, until, rate)
+				needs: []limitPeriod{needOf(id, rate, until)}, happens: c.happens, coldRate: 10,
+			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
+				rule, aim, used := fleet.worstOverTolerance(id, c.excused...), fleet.worstOverLimit(id), fleet.usedFraction(id, settled+contactBound, until, rate)
 				t.Logf("%v; used %.2f; asked %d, served %d", aim, used, tally.asked, tally.good)
-				if rule.broken() {
+				if rule.exceeded() {
 					perHost := map[member.HostID]int{}
-					for _, r := range fleet.got[id] {
+					for _, r := range fleet.requests[id] {
 						if r.at <= rule.at && r.at > rule.at-limitWindow {
 							perHost[r.host]++
 						}
@@ -188,17 +188,17 @@
 func TestLimitsThatMove(t *testing.T) {
 	const until = 40 * time.Second
 	const id = member.UpstreamID("app00")
-	at := func(from, to time.Duration, rate ratelimit.Rate) need {
-		return need{upstream: id, from: from, until: to, rate: rate}
+	at := func(from, to time.Duration, rate ratelimit.Rate) limitPeriod {
+		return limitPeriod{upstream: id, from: from, until: to, rate: rate}
 	}
 	for name, c := range map[string]struct {
-		needs []need
+		needs []limitPeriod
 		hides func() func() bool
 	}{
-		"8, 2, 8":     {[]need{at(settled, 14*time.Second, 8), at(14*time.Second, 24*time.Second, 2), at(24*time.Second, until, 8)}, nil},
-		"0.2 to 20":   {[]need{at(settled, 14*time.Second, 0.2), at(14*time.Second, until, 20)}, nil},
-		"none at all": {[]need{at(settled, until, 0)}, nil},
-		"named in every other answer": {[]need{at(settled, until, 4)}, func() func() bool {
+		"8, 2, 8":     {[]limitPeriod{at(settled, 14*time.Second, 8), at(14*time.Second, 24*time.Second, 2), at(24*time.Second, until, 8)}, nil},
+		"0.2 to 20":   {[]limitPeriod{at(settled, 14*time.Second, 0.2), at(14*time.Second, until, 20)}, nil},
+		"none at all": {[]limitPeriod{at(settled, until, 0)}, nil},
+		"named in every other answer": {[]limitPeriod{at(settled, until, 4)}, func() func() bool {
 			var n atomic.Int64
 			return func() bool { return n.Add(1)%2 == 0 }
 		}},
@@ -206,10 +206,10 @@
 		t.Run(name, func(t *testing.T) {
 			limitDay{
 				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, lasts: until, needs: c.needs, hides: c.hides,
-			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
-				rule := fleet.rule(id)
-				t.Logf("%v; in all %d", fleet.aim(id), fleet.count(id, settled, until))
-				if rule.broken() {
+			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
+				rule := fleet.worstOverTolerance(id)
+				t.Logf("%v; in all %d", fleet.worstOverLimit(id), fleet.requestCount(id, settled, until))
+				if rule.exceeded() {
 					t.Errorf("%v", rule)
 				}
 			})
@@ -226,11 +226,11 @@
 			t.Run(name+", "+load, func(t *testing.T) {
 				limitDay{
 					zones: 3, hostsPerZone: 3, upstreams: 3, path: "/order/", perSecond: 90, lasts: until, atOneHost: atOneHost,
-					needs: []need{needOf("app01", rate, over)},
-				}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
+					needs: []limitPeriod{needOf("app01", rate, over)},
+				}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
 					// The third zone's is like it from both loads' hosts.
 					part := func(from, to time.Duration) float64 {
-						return float64(fleet.count("app01", from, to)) / float64(fleet.count("app02", from, to))
+						return float64(fleet.requestCount("app01", from, to)) / float64(fleet.requestCount("app02", from, to))
 					}
 					const step = time.Second
 					fit := time.Duration(0)
@@ -259,7 +259,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		fleet := newNeedyFleet(needOf("app00", 4, time.Hour), needOf("app01", 4, time.Hour), needOf("app02", 4, time.Hour))
+		fleet := newLimitingFleet(needOf("app00", 4, time.Hour), needOf("app01", 4, time.Hour), needOf("app02", 4, time.Hour))
 		s := newNeedySite(fleet, 3, 2, 3)
 		s.serveAll(ctx)
 		time.Sleep(settled)
@@ -279,7 +279,7 @@
 			send(s.nth(4), 1)
 			time.Sleep(20 * time.Millisecond)
 		}
-		s.regain(address)
+		s.reconnect(address)
 		send(s.first(), 250)
 		for range 300 {
 			send(s.first(), 1)
@@ -287,10 +287,10 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		for _, id := range []member.UpstreamID{"app00", "app01", "app02"} {
-			if rule := fleet.rule(id); rule.broken() {
+			if rule := fleet.worstOverTolerance(id); rule.exceeded() {
 				t.Errorf("%s got %v", id, rule)
 			}
-			t.Logf("%s: %v", id, fleet.aim(id))
+			t.Logf("%s: %v", id, fleet.worstOverLimit(id))
 		}
 		cancel()
 		synctest.Wait()
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -45,14 +45,14 @@
 	// perSecond is how many requests come, in all, at all hosts alike or at the first.
 	perSecond float64
 	atOneHost bool
-	needs     []need
+	needs     []limitPeriod
 	lasts     time.Duration
 	// hides makes needyFleet's.
 	hides func() func() bool
 	// coldRate is what a cold plain upstream bears; zero sets no bound.
 	coldRate float64
 	// happens is what befalls the site meanwhile.
-	happens func(ctx context.Context, s *site, fleet *needyFleet)
+	happens func(ctx context.Context, s *site, fleet *limitingFleet)
 	// permits is told how many questions for permits there were, if it is set.
 	permits func(n int64)
 }
@@ -103,14 +103,14 @@
 const settled = 4 * time.Second
 
 // play plays the day with some seed.
-func (d limitDay) play(t *testing.T, seed uint64, judge func(*testing.T, *needyFleet, *limitTally)) {
+func (d limitDay) play(t *testing.T, seed uint64, judge func(*testing.T, *limitingFleet, *limitTally)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		fleet, tally := newNeedyFleet(d.needs...), &limitTally{}
+		fleet, tally := newLimitingFleet(d.needs...), &limitTally{}
 		if d.hides != nil {
-			fleet.hides = d.hides()
+			fleet.hidesLimit = d.hides()
 		}
 		s := newNeedySite(fleet, d.zones, d.hostsPerZone, d.upstreams)
 		s.origin.config.Services[0].ColdRate = d.coldRate
@@ -138,7 +138,7 @@
 		}
 		under.Wait()
 		if d.permits != nil {
-			d.permits(s.permits.Load())
+			d.permits(s.permitCalls.Load())
 		}
 		judge(t, fleet, tally)
 		cancel()
@@ -147,10 +147,10 @@
 }
 
 // newNeedySite returns zones of hosts before upstreams that name limits.
-func newNeedySite(fleet *needyFleet, zones, hostsPerZone, upstreams int) *site {
+func newNeedySite(fleet *limitingFleet, zones, hostsPerZone, upstreams int) *site {
 	s := newCrashSiteOf(fleet.fakeFleet, zones, hostsPerZone, upstreams)
 	for _, f := range s.hosts {
-		f.transport = &fakeTransport{send: fleet.sendFrom(f.settings.Self.ID), reach: fleet.Reach}
+		f.transport = &fakeTransport{send: fleet.sendFrom(f.settings.Self.ID), checkReachable: fleet.checkReachable}
 	}
 	return s
 }
@@ -174,8 +174,8 @@
 }
 
 // needOf is a need from when the hosts know each other until a time.
-func needOf(id member.UpstreamID, rate ratelimit.Rate, until time.Duration) need {
-	return need{upstream: id, from: settled, until: until, rate: rate}
+func needOf(id member.UpstreamID, rate ratelimit.Rate, until time.Duration) limitPeriod {
+	return limitPeriod{upstream: id, from: settled, until: until, rate: rate}
 }
 
 // TestNamedLimits has upstreams that name a limit get no more from all hosts together than
@@ -183,10 +183,10 @@
 func TestNamedLimits(t *testing.T) {
 	limitDay{
 		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 36, lasts: 18 * time.Second,
-		needs: []need{needOf("app00", 4, 18*time.Second), needOf("app01", 2.8, 18*time.Second)},
-	}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
+		needs: []limitPeriod{needOf("app00", 4, 18*time.Second), needOf("app01", 2.8, 18*time.Second)},
+	}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
 		for _, id := range []member.UpstreamID{"app00", "app01"} {
-			if w := fleet.rule(id); w.broken() {
+			if w := fleet.worstOverTolerance(id); w.exceeded() {
 				t.Errorf("%s got %v", id, w)
 			}
 		}
@@ -211,28 +211,28 @@
 		if d.path == "/llm/" || d.path == "/resumable/" {
 			service, until = "llm", 18*time.Second
 		}
-		at := func(n int, rate ratelimit.Rate) need {
+		at := func(n int, rate ratelimit.Rate) limitPeriod {
 			return needOf(member.UpstreamID(fmt.Sprintf("%s%02d", service, n)), rate, until)
 		}
 		d.zones, d.hostsPerZone, d.upstreams, d.lasts = 3, 3, 5, until
-		for kind, needs := range map[string][]need{
+		for kind, needs := range map[string][]limitPeriod{
 			"one": {at(0, 2)},
 			"two": {at(0, 2.8), at(1, 1.2)},
 			"all": {at(0, 2), at(1, 0.4), at(2, 3.5), at(3, 2), at(4, 2.8)},
 		} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				d.needs = needs
-				d.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
+				d.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 					got, takes := 0, 0.0
 					for _, n := range needs {
-						got += fleet.count(n.upstream, from, until)
+						got += fleet.requestCount(n.upstream, from, until)
 						takes += float64(n.rate) * (until - from).Seconds()
-						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, from, until, n.rate)
+						rule, aim, used := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream), fleet.usedFraction(n.upstream, from, until, n.rate)
 						t.Logf("%s at %v a second: %v; used %.2f", n.upstream, float64(n.rate), aim, used)
-						if rule.broken() {
+						if rule.exceeded() {
 							t.Errorf("%s got %v", n.upstream, rule)
 						}
-						if aim.broken() {
+						if aim.exceeded() {
 							t.Errorf("%s was to get less: %v", n.upstream, aim)
 						}
 						// Which engine a stream goes to is decided by more than that, so
@@ -262,18 +262,18 @@
 			continue
 		}
 		t.Run(fmt.Sprintf("%d hosts", size.zones*size.hostsPerZone), func(t *testing.T) {
-			var needs []need
+			var needs []limitPeriod
 			for n := range 10 {
 				needs = append(needs, needOf(member.UpstreamID(fmt.Sprintf("llm%02d", n)), ratelimit.Rate(1+n%3), until))
 			}
 			limitDay{
 				zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 10, path: "/llm/", perSecond: 60, needs: needs, lasts: until,
-			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
+			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 				got, takes := 0, 0.0
 				for _, n := range needs {
-					got += fleet.count(n.upstream, settled+contactBound, until)
+					got += fleet.requestCount(n.upstream, settled+contactBound, until)
 					takes += float64(n.rate) * (until - settled - contactBound).Seconds()
-					if rule, aim := fleet.rule(n.upstream), fleet.aim(n.upstream); rule.broken() || aim.broken() {
+					if rule, aim := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream); rule.exceeded() || aim.exceeded() {
 						t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
 					}
 				}
@@ -296,16 +296,16 @@
 		}
 		for load, atOneHost := range map[string]bool{"all hosts": false, "one host": true} {
 			t.Run(fmt.Sprintf("%d hosts, %s", size.zones*size.hostsPerZone, load), func(t *testing.T) {
-				needs := []need{needOf("app00", 0.2, until), needOf("app01", 4, until), needOf("app02", 27, until)}
+				needs := []limitPeriod{needOf("app00", 0.2, until), needOf("app01", 4, until), needOf("app02", 27, until)}
 				var asks int64
 				limitDay{
 					zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 6, path: "/order/", perSecond: 300, atOneHost: atOneHost,
 					needs: needs, lasts: until, permits: func(n int64) { asks = n },
-				}.play(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
+				}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 					for _, n := range needs {
-						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, settled+contactBound, until, n.rate)
+						rule, aim, used := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream), fleet.usedFraction(n.upstream, settled+contactBound, until, n.rate)
 						t.Logf("%s at %v a second: %v; used %.2f", n.upstream, float64(n.rate), aim, used)
-						if rule.broken() || aim.broken() {
+						if rule.exceeded() || aim.exceeded() {
 							t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
 						}
 						if used < leastUsed && n.rate >= 1 {
--- a/forward/listtrust.go
+++ b/forward/listtrust.go
@@ -120,7 +120,7 @@
 			k.startLeaving(now, SourceList)
 			changed = append(changed, Change{Upstream: k.Upstream, Gone: true})
 		}
-		if k.gone && now.Sub(k.droppedAt) > goneRetention && (!k.leavingSelfReported || now.Sub(k.droppedAt) > forgetSaid) {
+		if k.gone && now.Sub(k.droppedAt) > goneRetention && (!k.leavingSelfReported || now.Sub(k.droppedAt) > selfReportRetention) {
 			f.forgottenUpTo = history.Latest(f.forgottenUpTo, k.Revision)
 			delete(f.upstreams, id)
 			f.index.remove(k)
--- a/forward/panic_test.go
+++ b/forward/panic_test.go
@@ -50,7 +50,7 @@
 			f.journal = journal
 			f.Serve(t.Context(), call(c.path), sink)
 			is.True(len(journal.linesWithPrefix("panicked")) > 0)
-			is.Equal(sink.cut, c.cut)
+			is.Equal(sink.truncated, c.cut)
 			if !c.cut {
 				is.Equal(*sink.refused, Refusal{Code: c.code, MayHaveRun: true})
 			}
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -210,7 +210,7 @@
 	count, age := f.peers.ownAnnouncement(now)
 	return Share{
 		From: f.peers.self, AnnouncementCount: count, AnnouncementAge: age, Version: f.versionInForce(), ConfigAge: f.ContactAge(now), OriginAge: f.OriginAge(now), Stopping: f.Stopping(),
-		Leaving: f.fleet.Marks(now),
+		Leaving: f.fleet.LeavingMarks(now),
 		Failing: f.fleet.FailingMarks(now), Cold: f.fleet.ColdMarks(now), List: f.fleet.Revision(), Zones: f.fleet.ZoneOrdersSince(history.Point{}, true), Epoch: f.peers.epoch,
 		Limits: f.limiter.Words.Marks(now), Backoffs: f.backoffs.Marks(now),
 	}
--- a/forward/probe_test.go
+++ b/forward/probe_test.go
@@ -22,7 +22,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var asked atomic.Int32
-		transport := &fakeTransport{healthy: func(u Upstream) (bool, error) {
+		transport := &fakeTransport{checkHealth: func(u Upstream) (bool, error) {
 			asked.Add(1)
 			return u.ID != "llm1", nil
 		}}
@@ -65,7 +65,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				transport := &fakeTransport{healthy: func(u Upstream) (bool, error) { return u.ID != "llm2", nil }}
+				transport := &fakeTransport{checkHealth: func(u Upstream) (bool, error) { return u.ID != "llm2", nil }}
 				var f *Forwarder
 				transport.send = func(_ context.Context, u Upstream, _ *UpstreamRequest) (*Response, error) {
 					if c.listed {
@@ -109,7 +109,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				var asked atomic.Int32
-				transport := &fakeTransport{healthy: func(Upstream) (bool, error) {
+				transport := &fakeTransport{checkHealth: func(Upstream) (bool, error) {
 					asked.Add(1)
 					return c.well, nil
 				}}
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -59,14 +59,14 @@
 		d.send(d.hostAt(n), path, body)
 		time.Sleep(100 * time.Millisecond)
 	}
-	if _, all := d.fleet.after(body, 3, 0); all != 3 {
+	if _, all := d.fleet.arrivalsAfter(body, 3, 0); all != 3 {
 		d.Fatalf("%d upstreams ended", all)
 	}
 }
 
 // lost reports whether a stream was lost with its engine.
 func lost(sink *fakeSink) bool {
-	return sink.cut || sink.refused != nil && sink.refused.MayHaveRun
+	return sink.truncated || sink.refused != nil && sink.refused.MayHaveRun
 }
 
 // heldAt reports whether a host refuses a request at once, and says why.
@@ -81,9 +81,9 @@
 func TestHeldAtEveryHost(t *testing.T) {
 	t.Run("at all that reach each other, at once", func(t *testing.T) {
 		playCrashDay(t, func(d *crashDay) {
-			d.crashThrice("/llm/", crashing)
+			d.crashThrice("/llm/", crashingPrefix)
 			for n := range 6 {
-				if !d.heldAt(d.hostAt(n), "/llm/", crashing) {
+				if !d.heldAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends it", n)
 				}
 			}
@@ -92,44 +92,44 @@
 	t.Run("at one that was cut off, when it is back", func(t *testing.T) {
 		playCrashDay(t, func(d *crashDay) {
 			cut := d.hostAt(5)
-			d.lose(cut.settings.Self.PeerAddress)
+			d.makeUnreachable(cut.settings.Self.PeerAddress)
 			d.freeze(cut.settings.Self.PeerAddress)
 			time.Sleep(100 * time.Millisecond)
-			d.crashThrice("/llm/", crashing)
+			d.crashThrice("/llm/", crashingPrefix)
 			time.Sleep(10 * time.Second)
-			d.regain(cut.settings.Self.PeerAddress)
+			d.reconnect(cut.settings.Self.PeerAddress)
 			time.Sleep(contactBound)
-			if !d.heldAt(cut, "/llm/", crashing) {
+			if !d.heldAt(cut, "/llm/", crashingPrefix) {
 				d.Errorf("the host that is back sends it")
 			}
 		})
 	})
 	t.Run("at one that starts, and under a name that is known", func(t *testing.T) {
 		playCrashDay(t, func(d *crashDay) {
-			d.crashThrice("/llm/", crashing)
+			d.crashThrice("/llm/", crashingPrefix)
 			time.Sleep(time.Second)
 			old := d.hostAt(5)
 			again := New(old.settings, old.transport, silentJournal{}, silentObserver{})
-			d.replace(again)
+			d.replaceHost(again)
 			d.start(d.ctx, again)
 			go again.Run(d.ctx)
 			time.Sleep(contactBound)
-			if !d.heldAt(again, "/llm/", crashing) {
+			if !d.heldAt(again, "/llm/", crashingPrefix) {
 				d.Errorf("the host that has started sends it")
 			}
 		})
 	})
 	t.Run("at all of them, when all have ended at once", func(t *testing.T) {
 		playCrashDay(t, func(d *crashDay) {
-			d.origin.lost.Store(true)
-			d.crashThrice("/llm/", crashing)
+			d.origin.unavailable.Store(true)
+			d.crashThrice("/llm/", crashingPrefix)
 			time.Sleep(time.Second)
-			d.origin.lost.Store(false)
+			d.origin.unavailable.Store(false)
 			time.Sleep(3 * time.Second)
 			d.restartAll()
 			time.Sleep(contactBound)
 			for n := range 6 {
-				if !d.heldAt(d.hostAt(n), "/llm/", crashing) {
+				if !d.heldAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends it", n)
 				}
 			}
@@ -137,7 +137,7 @@
 	})
 	t.Run("no more, when it was let through before all ended", func(t *testing.T) {
 		playCrashDay(t, func(d *crashDay) {
-			d.crashThrice("/llm/", crashing)
+			d.crashThrice("/llm/", crashingPrefix)
 			time.Sleep(time.Second)
 			print := d.hostAt(0).Quarantined()[0].Request
 			if _, released := d.hostAt(3).OnQuarantine(&print); !released {
@@ -146,19 +146,19 @@
 			time.Sleep(time.Second)
 			d.restartAll()
 			time.Sleep(contactBound)
-			if d.heldAt(d.hostAt(0), "/llm/", crashing) {
+			if d.heldAt(d.hostAt(0), "/llm/", crashingPrefix) {
 				d.Errorf("it is held again")
 			}
 		})
 	})
 	t.Run("when the hosts that saw it are gone", func(t *testing.T) {
 		playCrashDay(t, func(d *crashDay) {
-			d.crashThrice("/llm/", crashing)
+			d.crashThrice("/llm/", crashingPrefix)
 			for n := range 3 {
-				d.lose(d.hostAt(n).settings.Self.PeerAddress)
+				d.makeUnreachable(d.hostAt(n).settings.Self.PeerAddress)
 			}
 			for n := 3; n < 6; n++ {
-				if !d.heldAt(d.hostAt(n), "/llm/", crashing) {
+				if !d.heldAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends it", n)
 				}
 			}
@@ -198,7 +198,7 @@
 	for n := range 6 {
 		old := d.hostAt(n)
 		again := New(old.settings, old.transport, silentJournal{}, silentObserver{})
-		d.replace(again)
+		d.replaceHost(again)
 		fresh = append(fresh, again)
 	}
 	for _, f := range fresh {
@@ -213,18 +213,18 @@
 func TestHeldMeanwhile(t *testing.T) {
 	playCrashDay(t, func(d *crashDay) {
 		is := is.New(d.T)
-		d.send(d.hostAt(0), "/llm/", crashing)
-		d.send(d.hostAt(1), "/llm/", crashing)
+		d.send(d.hostAt(0), "/llm/", crashingPrefix)
+		d.send(d.hostAt(1), "/llm/", crashingPrefix)
 		// Four more come at once, to different hosts, 200 ms after one that ends the
 		// third upstream: that is 190 ms before they would end theirs.
 		third := make(chan *fakeSink, 1)
-		go func() { third <- d.send(d.hostAt(2), "/llm/", crashing) }()
+		go func() { third <- d.send(d.hostAt(2), "/llm/", crashingPrefix) }()
 		time.Sleep(200 * time.Millisecond)
 		sinks := make(chan *fakeSink, 4)
 		for n := range 4 {
 			go func() {
 				sink := &fakeSink{}
-				d.hostAt(n).Serve(d.ctx, crashCall("/llm/", crashing, 100+n), sink)
+				d.hostAt(n).Serve(d.ctx, crashCall("/llm/", crashingPrefix, 100+n), sink)
 				sinks <- sink
 			}()
 		}
@@ -232,7 +232,7 @@
 		for range 4 {
 			is.Equal((<-sinks).refused.Code, CodeQuarantined)
 		}
-		_, all := d.fleet.after(crashing, 3, 0)
+		_, all := d.fleet.arrivalsAfter(crashingPrefix, 3, 0)
 		is.Equal(all, 3)
 	})
 }
@@ -247,7 +247,7 @@
 			for n := range 3 {
 				only := fmt.Sprintf("llm%02d", n)
 				d.onlyEngine(only)
-				go d.send(d.hostAt(n), "/llm/", crashing)
+				go d.send(d.hostAt(n), "/llm/", crashingPrefix)
 				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
 			}
 			d.onlyEngine("llm05")
@@ -261,11 +261,11 @@
 			is := is.New(d.T)
 			for n := range 2 {
 				d.onlyEngine(fmt.Sprintf("llm%02d", n))
-				go d.send(d.hostAt(n), "/llm/", crashing)
+				go d.send(d.hostAt(n), "/llm/", crashingPrefix)
 				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
 			}
 			d.onlyEngine("llm05")
-			is.True(lost(d.send(d.hostAt(0), "/llm/", crashing)))
+			is.True(lost(d.send(d.hostAt(0), "/llm/", crashingPrefix)))
 			time.Sleep(100 * time.Millisecond)
 			for n := range 6 {
 				entries := d.hostAt(n).crashes.Entries(time.Now())
@@ -279,13 +279,13 @@
 			is := is.New(d.T)
 			for n := range 2 {
 				d.onlyEngine(fmt.Sprintf("llm%02d", n))
-				go d.send(d.hostAt(n), "/llm/", crashing)
+				go d.send(d.hostAt(n), "/llm/", crashingPrefix)
 				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
 			}
 			d.onlyEngine("llm05")
 			is.Equal(d.send(d.hostAt(3), "/llm/", "good").refused, nil)
 			d.onlyEngine("llm06")
-			go d.send(d.hostAt(0), "/llm/", crashing)
+			go d.send(d.hostAt(0), "/llm/", crashingPrefix)
 			is.True(lost(d.send(d.hostAt(0), "/llm/", "good")))
 			d.onlyEngine("llm07")
 			is.Equal(d.send(d.hostAt(4), "/llm/", "good").refused, nil)
@@ -296,8 +296,8 @@
 			is := is.New(d.T)
 			for n := range 5 {
 				go func() {
-					time.Sleep(fakeReads / 2)
-					d.fleet.reset()
+					time.Sleep(fakeFirstEventDelay / 2)
+					d.fleet.breakConnections()
 				}()
 				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
 			}
@@ -311,12 +311,12 @@
 				only := fmt.Sprintf("llm%02d", n)
 				d.onlyEngine(only)
 				go func() {
-					time.Sleep(fakeReads / 2)
+					time.Sleep(fakeFirstEventDelay / 2)
 					for _, f := range d.hosts {
 						f.fleet.MarkLeaving(time.Now(), member.UpstreamID(only), 0, false)
 					}
 					time.Sleep(noticeLeast)
-					d.fleet.end(member.UpstreamID(only))
+					d.fleet.endUpstream(member.UpstreamID(only))
 				}()
 				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
 			}
@@ -327,18 +327,18 @@
 	t.Run("long under way when its engines end", func(t *testing.T) {
 		playCrashDay(t, func(d *crashDay) {
 			is := is.New(d.T)
-			d.fleet.events = 100
+			d.fleet.eventCount = 100
 			for n := range 4 {
 				only := fmt.Sprintf("llm%02d", n)
 				d.onlyEngine(only)
 				go func() {
-					time.Sleep(fakeReads + beginsFor + time.Second)
-					d.fleet.end(member.UpstreamID(only))
+					time.Sleep(fakeFirstEventDelay + beginsFor + time.Second)
+					d.fleet.endUpstream(member.UpstreamID(only))
 				}()
-				is.True(d.send(d.hostAt(n), "/llm/", "good").cut)
+				is.True(d.send(d.hostAt(n), "/llm/", "good").truncated)
 			}
 			d.onlyEngine("llm08")
-			is.True(!d.send(d.hostAt(0), "/llm/", "good").cut)
+			is.True(!d.send(d.hostAt(0), "/llm/", "good").truncated)
 		})
 	})
 }
--- a/forward/remoteplacement_test.go
+++ b/forward/remoteplacement_test.go
@@ -32,7 +32,7 @@
 	}
 	grant := p.remote.OnAsk(request)
 	if p.dropReplies {
-		return PlacementGrant{}, errGone
+		return PlacementGrant{}, errConnectionLost
 	}
 	return grant, nil
 }
--- a/forward/restore.go
+++ b/forward/restore.go
@@ -86,7 +86,7 @@
 		if knownBeforeRestore {
 			k.Revision = c.Revision
 		} else {
-			f.tellPeers(k, now.Add(saidShared))
+			f.shareLeaving(k, now.Add(declaredLeavingShareTime))
 		}
 		return true
 	}
@@ -103,7 +103,7 @@
 	case k.missing:
 		return f.applyNewest(now, k, c)
 	case k.leavingDeclared && !c.Leaving:
-		f.tellPeers(k, now.Add(saidShared))
+		f.shareLeaving(k, now.Add(declaredLeavingShareTime))
 		f.restoreStats.update(func(r *restoreStats) { r.stillLeaving++ })
 	case !k.gone:
 		k.Revision = c.Revision
@@ -136,7 +136,7 @@
 	k.Revision, k.missing, k.missingSinceRestore = at, true, true
 	f.restoreStats.update(func(r *restoreStats) { r.notListed++ })
 	if k.leavingDeclared {
-		f.tellPeers(k, now.Add(saidShared))
+		f.shareLeaving(k, now.Add(declaredLeavingShareTime))
 	}
 	return true
 }
--- a/forward/restoremodel_test.go
+++ b/forward/restoremodel_test.go
@@ -158,9 +158,9 @@
 		return
 	}
 	h.fleet.ReceiveZoneOrders(m.now, from.fleet.ZoneOrdersSince(history.Point{}, true))
-	for _, mark := range from.fleet.Marks(m.now) {
-		if mark.Said {
-			h.fleet.SaidLeaving(m.now, mark.Engine, mark.Life, false)
+	for _, mark := range from.fleet.LeavingMarks(m.now) {
+		if mark.Declared {
+			h.fleet.RecordSelfReportedLeaving(m.now, mark.Upstream, mark.Incarnation, false)
 		}
 	}
 }
--- a/forward/resume_test.go
+++ b/forward/resume_test.go
@@ -95,7 +95,7 @@
 			is.True(len(sent) < 2 || sent[0] != sent[1]) // resumed at another engine
 			is.Equal(after, c.continuedAfter)
 			is.Equal(sink.body.String(), c.want)
-			is.Equal(sink.cut, c.cut)
+			is.Equal(sink.truncated, c.cut)
 			if c.refused != "" {
 				is.Equal(*sink.refused, Refusal{Code: c.refused, MayHaveRun: true})
 			}
--- a/forward/retrybudget_test.go
+++ b/forward/retrybudget_test.go
@@ -58,19 +58,19 @@
 		"cut off from each other": {func(s *site) {
 			time.Sleep(settleTime)
 			for zone := range zones {
-				s.cutOff(s.zone(zone + 1)...)
+				s.isolate(s.zone(zone + 1)...)
 			}
 			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"one zone is cut off": {func(s *site) {
 			time.Sleep(settleTime)
-			s.cutOff(s.zone(1)...)
+			s.isolate(s.zone(1)...)
 			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"cut off for longer than silent hosts are kept": {func(s *site) {
 			time.Sleep(settleTime)
 			for zone := range zones {
-				s.cutOff(s.zone(zone + 1)...)
+				s.isolate(s.zone(zone + 1)...)
 			}
 			time.Sleep(peerForgetTimeout + time.Second)
 		}, 0},
--- a/forward/rollouts_test.go
+++ b/forward/rollouts_test.go
@@ -31,8 +31,8 @@
 func (o *rolloutOrigin) Record(_ context.Context, s rollout.Status, over history.Point) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.lost.Load() {
-		return errGone
+	if o.unavailable.Load() {
+		return errConnectionLost
 	}
 	if o.records[s.Service].Recorded != over {
 		return ErrRecordChanged
@@ -61,8 +61,8 @@
 	o.siteOrigin.mu.Lock()
 	defer o.siteOrigin.mu.Unlock()
 	o.rollouts, o.rolloutRecords = append(o.rollouts, orders...), append(o.rolloutRecords, records...)
-	o.rolloutsAt = rev(int(o.next))
-	o.tell()
+	o.rolloutsRevision = rev(int(o.next))
+	o.wakeWatches()
 }
 
 // rolloutDay is a move of a service to another version, and what befalls the site meanwhile.
@@ -115,23 +115,23 @@
 		for range 3 {
 			time.Sleep(2 * time.Second)
 			first := s.first()
-			s.lose(first.settings.Self.PeerAddress)
+			s.makeUnreachable(first.settings.Self.PeerAddress)
 			time.Sleep(time.Second)
-			s.regain(first.settings.Self.PeerAddress)
+			s.reconnect(first.settings.Self.PeerAddress)
 			s.restartRollout(ctx, o, first)
 		}
 	}
 	cut.happens = func(_ context.Context, s *site, _ *rolloutOrigin) {
 		time.Sleep(2 * time.Second)
-		s.cutOff(s.zone(2)...)
+		s.isolate(s.zone(2)...)
 		time.Sleep(4 * time.Second)
-		s.regain(s.zone(2)...)
+		s.reconnect(s.zone(2)...)
 	}
 	storeAway.happens = func(_ context.Context, _ *site, o *rolloutOrigin) {
 		time.Sleep(time.Second)
-		o.lost.Store(true)
+		o.unavailable.Store(true)
 		time.Sleep(4 * time.Second)
-		o.lost.Store(false)
+		o.unavailable.Store(false)
 	}
 	later := bad(base)
 	later.failsFrom = 8 * time.Second
@@ -152,7 +152,7 @@
 func (s *site) restartRollout(ctx context.Context, o *rolloutOrigin, old *Forwarder) {
 	f := New(old.settings, old.transport, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
-	s.replace(f)
+	s.replaceHost(f)
 	s.start(ctx, f)
 	go f.Run(ctx)
 	go f.RunRollouts(ctx, o)
@@ -164,7 +164,7 @@
 	random, failures := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4))
 	var failuresMu sync.Mutex
 	fleet, tally := newFakeFleet(), &rolloutTally{}
-	fleet.events = 40 // runs that nothing moves end by themselves
+	fleet.eventCount = 40 // runs that nothing moves end by themselves
 	s := newCrashSiteOf(fleet, d.zones, d.hostsPerZone, 6)
 	o := &rolloutOrigin{siteOrigin: s.origin, records: map[ServiceName]rollout.Status{}, phases: map[rollout.Phase]time.Time{}, next: 100}
 	var given time.Time
@@ -191,13 +191,13 @@
 			tally.mu.Lock()
 			tally.bad = append(tally.bad, now)
 			tally.mu.Unlock()
-			time.Sleep(fakeCallTakes)
+			time.Sleep(fakeCallDuration)
 			return answer(500, "broken"), nil
 		}
 		return fleet.Send(ctx, u, out)
 	}
 	for _, f := range s.hosts {
-		f.transport = &fakeTransport{send: send, reach: fleet.Reach}
+		f.transport = &fakeTransport{send: send, checkReachable: fleet.checkReachable}
 		f.settings.RolloutLimits = rollout.Limits{Share: 0.1, Slack: 50}
 		go f.RunRollouts(ctx, o)
 	}
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -55,18 +55,18 @@
 
 // scalePort counts a host's calls.
 type scalePort struct {
-	sitePort
+	sitePeers
 	counts *scaleSite
 }
 
 func (p scalePort) Share(ctx context.Context, to Peer, share Share) (Share, error) {
 	p.counts.note(p.self, to.ID, false)
-	return p.sitePort.Share(ctx, to, share)
+	return p.sitePeers.Share(ctx, to, share)
 }
 
 func (p scalePort) Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error) {
 	p.counts.note(p.self, to.ID, true)
-	reply, err := p.sitePort.Follow(ctx, to, r)
+	reply, err := p.sitePeers.Follow(ctx, to, r)
 	if reply.Complete {
 		p.counts.mu.Lock()
 		p.counts.wholes[to.ID]++
@@ -121,9 +121,9 @@
 		f.peers.self, f.peers.roster = *self, roster.New(*self, f.peers.epoch)
 	}
 	for _, f := range s.hosts {
-		go f.RunPeers(ctx, scalePort{sitePort{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
+		go f.RunPeers(ctx, scalePort{sitePeers{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
 		go f.Follow(ctx, s.origin)
-		go f.RunDirectory(ctx, siteDirectory{s.entries[f.settings.Self.ID]})
+		go f.RunDirectory(ctx, siteDirectory{s.directoryWrites[f.settings.Self.ID]})
 		go f.Run(ctx)
 	}
 	return s
@@ -199,7 +199,7 @@
 				}
 				for _, f := range s.hosts {
 					known = max(known, f.peers.count(func(*peerState) bool { return true }))
-					entries += int(s.entries[f.settings.Self.ID].Load())
+					entries += int(s.directoryWrites[f.settings.Self.ID].Load())
 				}
 				t.Logf("%d hosts, %d up: in %.1f, %.1f at the busiest; out %.1f, %.1f; followers %d at most; whole lists %d at most; hosts known %d; readings of the origin %d, watches %.1f a second; entries %d; a change at all after %v",
 					hosts, up, in, inMost, out, outMost, followers, wholes, known, reads, float64(watches)/lasts.Seconds(), entries, reached)
@@ -259,7 +259,7 @@
 				var again []*Forwarder
 				origin := directoryOrigin{siteOrigin: s.origin, asked: &atomic.Int64{}}
 				for _, f := range s.hosts {
-					if s.entries[f.settings.Self.ID].Load() > 0 {
+					if s.directoryWrites[f.settings.Self.ID].Load() > 0 {
 						origin.hosts = append(origin.hosts, f.settings.Self)
 					}
 				}
@@ -268,17 +268,17 @@
 					settings := old.settings
 					settings.FirstStart = false
 					f := New(settings, old.transport, silentJournal{}, silentObserver{})
-					s.replace(f)
+					s.replaceHost(f)
 					if seedsGone && n < scaleZones(hosts) {
-						s.lose(settings.Self.PeerAddress)
+						s.makeUnreachable(settings.Self.PeerAddress)
 						continue
 					}
 					again = append(again, f)
 				}
 				for _, f := range again {
-					go f.RunPeers(ctx, scalePort{sitePort{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
+					go f.RunPeers(ctx, scalePort{sitePeers{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
 					go f.Follow(ctx, origin)
-					go f.RunDirectory(ctx, siteDirectory{s.entries[f.settings.Self.ID]})
+					go f.RunDirectory(ctx, siteDirectory{s.directoryWrites[f.settings.Self.ID]})
 					go f.Run(ctx)
 				}
 				began, up := time.Now(), 0
--- a/forward/signalday_test.go
+++ b/forward/signalday_test.go
@@ -28,22 +28,22 @@
 type signalDay struct {
 	zones, hostsPerZone, upstreams int
 	path                           string
-	perSecond                      float64
-	spells                         []spell
-	lasts                          time.Duration
+	requestsPerSecond              float64
+	periods                        []signalPeriod
+	duration                       time.Duration
 	// failEvery is the fleet's.
 	failEvery int
-	// storeLost is when the list can't be had; zero for never.
-	storeLost, storeBack time.Duration
-	// happens is what befalls the site meanwhile.
-	happens func(ctx context.Context, s *site, fleet *signalFleet)
-	// returns has refused callers come back when they are told to, to a host of their zone,
+	// storeLostAt is when the list can't be had; zero for never.
+	storeLostAt, storeBackAt time.Duration
+	// disturb is what befalls the site meanwhile.
+	disturb func(ctx context.Context, s *site, fleet *signalFleet)
+	// maxCallerRetries has refused callers come back when they are told to, to a host of their zone,
 	// so many times.
-	returns int
+	maxCallerRetries int
 }
 
-// otherOf is another host of a host's zone; after some tries each is one.
-func (s *site) otherOf(f *Forwarder, n int) *Forwarder {
+// otherHostInZone is another host of a host's zone; after some tries each is one.
+func (s *site) otherHostInZone(f *Forwarder, n int) *Forwarder {
 	zone := s.zoneHosts(f.settings.Self.Zone)
 	at := slices.Index(zone, f)
 	return zone[(at+1+n%max(len(zone)-1, 1))%len(zone)]
@@ -64,59 +64,59 @@
 
 // signalTally is what callers got.
 type signalTally struct {
-	mu                          sync.Mutex
-	asked, good, cut, mayHave   int
-	refused                     map[Code]int
-	slowest                     time.Duration
-	longestAfter, shortestAfter time.Duration
+	mu                                    sync.Mutex
+	calls, served, truncated, mayHaveRun  int
+	refused                               map[Code]int
+	slowest                               time.Duration
+	longestRetryAfter, shortestRetryAfter time.Duration
 	// tries counts the callers by how often they came.
 	tries map[int]int
 }
 
-func (t *signalTally) returned(tries int) {
+func (t *signalTally) recordTries(tries int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.tries[tries]++
 }
 
-func (t *signalTally) note(s *fakeSink, took time.Duration) {
+func (t *signalTally) record(s *fakeSink, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asked++
+	t.calls++
 	switch {
-	case s.cut:
-		t.cut++
+	case s.truncated:
+		t.truncated++
 	case s.refused != nil:
 		t.refused[s.refused.Code]++
 		if s.refused.MayHaveRun {
-			t.mayHave++
+			t.mayHaveRun++
 			return
 		}
 		t.slowest = max(t.slowest, took)
-		t.longestAfter = max(t.longestAfter, s.refused.RetryAfter)
-		if t.shortestAfter == 0 || s.refused.RetryAfter < t.shortestAfter {
-			t.shortestAfter = s.refused.RetryAfter
+		t.longestRetryAfter = max(t.longestRetryAfter, s.refused.RetryAfter)
+		if t.shortestRetryAfter == 0 || s.refused.RetryAfter < t.shortestRetryAfter {
+			t.shortestRetryAfter = s.refused.RetryAfter
 		}
 	case s.status < 500:
-		t.good++
+		t.served++
 	}
 }
 
 func (t *signalTally) String() string {
 	return fmt.Sprintf("asked %d, good %d, cut %d, refused %v (may have run %d), slowest refusal %v, come back %v to %v",
-		t.asked, t.good, t.cut, t.refused, t.mayHave, t.slowest, t.shortestAfter, t.longestAfter)
+		t.calls, t.served, t.truncated, t.refused, t.mayHaveRun, t.slowest, t.shortestRetryAfter, t.longestRetryAfter)
 }
 
-// bearable is how many requests a second one of three upstreams serves.
-func (d signalDay) bearable() float64 {
+// sustainableRate is how many requests a second one of three upstreams serves.
+func (d signalDay) sustainableRate() float64 {
 	if d.path == "/order/" || d.path == "/status/" {
 		return 30
 	}
 	return 7
 }
 
-// refusedWithin is how long it may take to refuse a request.
-func (d signalDay) refusedWithin() time.Duration { return limitDay{path: d.path}.refusedWithin() }
+// maxRefusalTime is how long it may take to refuse a request.
+func (d signalDay) maxRefusalTime() time.Duration { return limitDay{path: d.path}.refusedWithin() }
 
 // play plays the day.
 func (d signalDay) play(t *testing.T, seed uint64, judge func(*testing.T, *signalFleet, *signalTally)) {
@@ -124,7 +124,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		fleet := newSignalFleet(d.spells...)
+		fleet := newSignalFleet(d.periods...)
 		fleet.failEvery = d.failEvery
 		tally := &signalTally{refused: map[Code]int{}, tries: map[int]int{}}
 		s := newCrashSiteOf(fleet.fakeFleet, d.zones, d.hostsPerZone, d.upstreams)
@@ -134,21 +134,21 @@
 		}
 		s.serveAll(ctx)
 		var under sync.WaitGroup
-		if d.storeLost > 0 {
+		if d.storeLostAt > 0 {
 			under.Go(func() {
-				time.Sleep(d.storeLost)
-				s.origin.lost.Store(true)
-				time.Sleep(d.storeBack - d.storeLost)
-				s.origin.lost.Store(false)
+				time.Sleep(d.storeLostAt)
+				s.origin.unavailable.Store(true)
+				time.Sleep(d.storeBackAt - d.storeLostAt)
+				s.origin.unavailable.Store(false)
 			})
 		}
-		if d.happens != nil {
-			under.Go(func() { d.happens(ctx, s, fleet) })
+		if d.disturb != nil {
+			under.Go(func() { d.disturb(ctx, s, fleet) })
 		}
 		time.Sleep(settled / 2)
 		random := rand.New(rand.NewPCG(seed, 0))
-		pause := float64(time.Second) / d.perSecond
-		for n := 0; fleet.now() < d.lasts; n++ {
+		pause := float64(time.Second) / d.requestsPerSecond
+		for n := 0; fleet.elapsed() < d.duration; n++ {
 			host := s.nth(random.IntN(d.zones * d.hostsPerZone))
 			for !host.Ready() {
 				// Callers aren't led to a host that isn't.
@@ -157,18 +157,18 @@
 			under.Go(func() {
 				var sink *fakeSink
 				began, tries := time.Now(), 0
-				for ; tries <= d.returns && (sink == nil || sink.refused != nil); tries++ {
+				for ; tries <= d.maxCallerRetries && (sink == nil || sink.refused != nil); tries++ {
 					if sink != nil {
 						time.Sleep(sink.refused.RetryAfter)
-						host = s.otherOf(host, tries)
+						host = s.otherHostInZone(host, tries)
 					}
 					c := call(d.path)
 					c.ID, c.Prompt = RequestID(fmt.Sprint("r", n, "-", tries)), Prompt{Tokens: 500, MaxOutputTokens: 300}
 					sink = &fakeSink{}
 					host.Serve(ctx, c, sink)
 				}
-				tally.note(sink, time.Since(began))
-				tally.returned(tries)
+				tally.record(sink, time.Since(began))
+				tally.recordTries(tries)
 			})
 			time.Sleep(time.Duration(-math.Log(1-random.Float64()) * pause))
 		}
@@ -183,7 +183,7 @@
 // ready.
 func publishReady(id member.UpstreamID) func(context.Context, *site, *signalFleet) {
 	return func(_ context.Context, s *site, fleet *signalFleet) {
-		for n := 0; fleet.now() < 12*time.Second; n++ {
+		for n := 0; fleet.elapsed() < 12*time.Second; n++ {
 			time.Sleep(700 * time.Millisecond)
 			u, known := s.first().fleet.Upstream(id)
 			if !known {
@@ -195,8 +195,8 @@
 	}
 }
 
-// report fails a test for each of the first breaches.
-func report(t *testing.T, what string, breaches []breach) {
+// reportViolations fails a test for each of the first breaches.
+func reportViolations(t *testing.T, what string, breaches []violation) {
 	t.Helper()
 	for i, b := range breaches {
 		if i == 3 {
@@ -209,38 +209,38 @@
 	}
 }
 
-// TestUpstreamSaysItLeavesAndGetsRequests has a host send nothing to an upstream whose answer told it that it leaves.
-func TestUpstreamSaysItLeavesAndGetsRequests(t *testing.T) {
+// TestLeavingUpstreamGetsNoRequests has a host send nothing to an upstream whose answer told it that it leaves.
+func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	const from, until = 5 * time.Second, 14 * time.Second
 	for name, c := range map[string]struct {
 		day signalDay
 		// all says that no upstream is left, or that some fail of themselves.
 		all bool
 	}{
-		"the store is away":               {day: signalDay{path: "/order/", spells: []spell{{upstream: "app00"}}, storeLost: 4 * time.Second, storeBack: 18 * time.Second}},
-		"the list says that it is ready":  {day: signalDay{path: "/order/", spells: []spell{{upstream: "app00"}}, happens: publishReady("app00")}},
-		"only its failures tell":          {day: signalDay{path: "/order/", spells: []spell{{upstream: "app00", failuresOnly: true}}}, all: true},
-		"it tells one host":               {day: signalDay{path: "/order/", spells: []spell{{upstream: "app00", only: []member.HostID{"z1-h01"}}}}},
-		"calls that may be repeated":      {day: signalDay{path: "/status/", spells: []spell{{upstream: "app00"}, {upstream: "app01"}}}},
-		"all of a service":                {day: signalDay{path: "/order/", spells: []spell{{upstream: "app00"}, {upstream: "app01"}, {upstream: "app02"}}}, all: true},
-		"engines, the store is away":      {day: signalDay{path: "/llm/", spells: []spell{{upstream: "llm00"}}, storeLost: 4 * time.Second, storeBack: 18 * time.Second}},
-		"engines, the list says ready":    {day: signalDay{path: "/llm/", spells: []spell{{upstream: "llm00"}}, happens: publishReady("llm00")}},
-		"engines whose streams can go on": {day: signalDay{path: "/resumable/", spells: []spell{{upstream: "llm00"}}}},
+		"the store is away":               {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00"}}, storeLostAt: 4 * time.Second, storeBackAt: 18 * time.Second}},
+		"the list says that it is ready":  {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00"}}, disturb: publishReady("app00")}},
+		"only its failures tell":          {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00", failuresOnly: true}}}, all: true},
+		"it tells one host":               {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00", onlyHosts: []member.HostID{"z1-h01"}}}}},
+		"calls that may be repeated":      {day: signalDay{path: "/status/", periods: []signalPeriod{{upstream: "app00"}, {upstream: "app01"}}}},
+		"all of a service":                {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00"}, {upstream: "app01"}, {upstream: "app02"}}}, all: true},
+		"engines, the store is away":      {day: signalDay{path: "/llm/", periods: []signalPeriod{{upstream: "llm00"}}, storeLostAt: 4 * time.Second, storeBackAt: 18 * time.Second}},
+		"engines, the list says ready":    {day: signalDay{path: "/llm/", periods: []signalPeriod{{upstream: "llm00"}}, disturb: publishReady("llm00")}},
+		"engines whose streams can go on": {day: signalDay{path: "/resumable/", periods: []signalPeriod{{upstream: "llm00"}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := c.day
-			d.zones, d.hostsPerZone, d.upstreams, d.perSecond, d.lasts = 3, 2, 3, d.bearable(), until
-			for i := range d.spells {
-				d.spells[i].leaving, d.spells[i].from, d.spells[i].until = true, from, until
+			d.zones, d.hostsPerZone, d.upstreams, d.requestsPerSecond, d.duration = 3, 2, 3, d.sustainableRate(), until
+			for i := range d.periods {
+				d.periods[i].leaving, d.periods[i].from, d.periods[i].until = true, from, until
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
 				t.Log(tally)
-				report(t, "rule", fleet.drainRule())
-				report(t, "aim", fleet.drainAim())
-				if tally.slowest > d.refusedWithin() || tally.cut > 0 || tally.mayHave > 0 {
+				reportViolations(t, "rule", fleet.drainViolations())
+				reportViolations(t, "aim", fleet.strictDrainViolations())
+				if tally.slowest > d.maxRefusalTime() || tally.truncated > 0 || tally.mayHaveRun > 0 {
 					t.Errorf("callers: %v", tally)
 				}
-				if !c.all && tally.good < tally.asked {
+				if !c.all && tally.served < tally.calls {
 					t.Errorf("not all were served: %v", tally)
 				}
 			})
@@ -248,48 +248,48 @@
 	}
 }
 
-// TestUpstreamAsksForBackoffAndGetsRequests has a host send nothing to an upstream for as long as that asked it to.
-func TestUpstreamAsksForBackoffAndGetsRequests(t *testing.T) {
+// TestUpstreamInBackoffGetsNoRequests has a host send nothing to an upstream for as long as that asked it to.
+func TestUpstreamInBackoffGetsNoRequests(t *testing.T) {
 	const from, until = 5 * time.Second, 11 * time.Second
-	rest := func(ids ...member.UpstreamID) []spell {
-		var spells []spell
+	rest := func(ids ...member.UpstreamID) []signalPeriod {
+		var spells []signalPeriod
 		for _, id := range ids {
-			spells = append(spells, spell{upstream: id, backoff: 3 * time.Second})
+			spells = append(spells, signalPeriod{upstream: id, backoff: 3 * time.Second})
 		}
 		return spells
 	}
 	oneHost := rest("app00")
-	oneHost[0].only = []member.HostID{"z1-h01"}
+	oneHost[0].onlyHosts = []member.HostID{"z1-h01"}
 	for name, c := range map[string]struct {
 		day signalDay
 		// all says that no upstream is left at times.
 		all bool
 	}{
-		"calls":                          {day: signalDay{path: "/order/", spells: rest("app00")}},
-		"calls, a tenth fail":            {day: signalDay{path: "/order/", spells: rest("app00"), failEvery: 10}, all: true},
-		"calls that may be repeated":     {day: signalDay{path: "/status/", spells: rest("app00", "app01")}},
-		"one host is asked":              {day: signalDay{path: "/order/", spells: oneHost}},
-		"calls, all upstreams":           {day: signalDay{path: "/order/", spells: rest("app00", "app01", "app02")}, all: true},
-		"streams":                        {day: signalDay{path: "/llm/", spells: rest("llm00")}},
-		"streams, two of three":          {day: signalDay{path: "/llm/", spells: rest("llm00", "llm01")}},
-		"streams that can go on":         {day: signalDay{path: "/resumable/", spells: rest("llm00")}},
-		"streams, all upstreams":         {day: signalDay{path: "/llm/", spells: rest("llm00", "llm01", "llm02")}, all: true},
-		"calls, while the store is away": {day: signalDay{path: "/order/", spells: rest("app00"), storeLost: 4 * time.Second, storeBack: 16 * time.Second}},
+		"calls":                          {day: signalDay{path: "/order/", periods: rest("app00")}},
+		"calls, a tenth fail":            {day: signalDay{path: "/order/", periods: rest("app00"), failEvery: 10}, all: true},
+		"calls that may be repeated":     {day: signalDay{path: "/status/", periods: rest("app00", "app01")}},
+		"one host is asked":              {day: signalDay{path: "/order/", periods: oneHost}},
+		"calls, all upstreams":           {day: signalDay{path: "/order/", periods: rest("app00", "app01", "app02")}, all: true},
+		"streams":                        {day: signalDay{path: "/llm/", periods: rest("llm00")}},
+		"streams, two of three":          {day: signalDay{path: "/llm/", periods: rest("llm00", "llm01")}},
+		"streams that can go on":         {day: signalDay{path: "/resumable/", periods: rest("llm00")}},
+		"streams, all upstreams":         {day: signalDay{path: "/llm/", periods: rest("llm00", "llm01", "llm02")}, all: true},
+		"calls, while the store is away": {day: signalDay{path: "/order/", periods: rest("app00"), storeLostAt: 4 * time.Second, storeBackAt: 16 * time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := c.day
-			d.zones, d.hostsPerZone, d.upstreams, d.perSecond, d.lasts = 3, 2, 3, d.bearable(), 18*time.Second
-			for i := range d.spells {
-				d.spells[i].from, d.spells[i].until = from, until
+			d.zones, d.hostsPerZone, d.upstreams, d.requestsPerSecond, d.duration = 3, 2, 3, d.sustainableRate(), 18*time.Second
+			for i := range d.periods {
+				d.periods[i].from, d.periods[i].until = from, until
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-				t.Log(tally, "turned away", fleet.rejected)
-				report(t, "rule", fleet.restRule())
-				report(t, "aim", fleet.restAim())
-				if tally.slowest > d.refusedWithin() || tally.cut > 0 || tally.mayHave > 0 {
+				t.Log(tally, "turned away", fleet.rejections)
+				reportViolations(t, "rule", fleet.backoffViolations())
+				reportViolations(t, "aim", fleet.strictBackoffViolations())
+				if tally.slowest > d.maxRefusalTime() || tally.truncated > 0 || tally.mayHaveRun > 0 {
 					t.Errorf("callers: %v", tally)
 				}
-				if !c.all && tally.good < tally.asked {
+				if !c.all && tally.served < tally.calls {
 					t.Errorf("not all were served: %v", tally)
 				}
 			})
@@ -307,23 +307,23 @@
 		t.Run(fmt.Sprint(size.zones*size.hostsPerZone, " hosts"), func(t *testing.T) {
 			d := signalDay{
 				zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 2 * size.zones, path: "/order/",
-				perSecond: 40 * float64(size.zones), lasts: lasts,
-				spells: []spell{{upstream: "app00", backoff: 3 * time.Second, from: from, until: until}},
+				requestsPerSecond: 40 * float64(size.zones), duration: lasts,
+				periods: []signalPeriod{{upstream: "app00", backoff: 3 * time.Second, from: from, until: until}},
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-				t.Log(tally, "turned away", fleet.rejected)
-				report(t, "rule", fleet.restRule())
-				report(t, "aim", fleet.restAim())
-				if tally.good < tally.asked {
+				t.Log(tally, "turned away", fleet.rejections)
+				reportViolations(t, "rule", fleet.backoffViolations())
+				reportViolations(t, "aim", fleet.strictBackoffViolations())
+				if tally.served < tally.calls {
 					t.Errorf("not all were served: %v", tally)
 				}
 				// The other upstream of its zone is its like.
 				like := member.UpstreamID(fmt.Sprintf("app%02d", size.zones))
-				part := float64(fleet.got("app00", back, lasts)) / float64(fleet.got(like, back, lasts))
-				mean := float64(fleet.got(like, back, lasts)) / (lasts - back).Seconds()
+				part := float64(fleet.requestCount("app00", back, lasts)) / float64(fleet.requestCount(like, back, lasts))
+				mean := float64(fleet.requestCount(like, back, lasts)) / (lasts - back).Seconds()
 				most := 0
 				for at := from; at < lasts; at += time.Second {
-					most = max(most, fleet.got("app00", at, at+time.Second))
+					most = max(most, fleet.requestCount("app00", at, at+time.Second))
 				}
 				t.Logf("%.2f of its like's %.0f a second; %d in a second at most", part, mean, most)
 				if part < 0.8 || part > 1.2 || float64(most) > 2*mean {
@@ -334,23 +334,23 @@
 	}
 }
 
-// TestRefusedCallersComeBackAfterBackoff has refused callers be served when they return as told.
-func TestRefusedCallersComeBackAfterBackoff(t *testing.T) {
+// TestRefusedCallersServedAfterBackoff has refused callers be served when they return as told.
+func TestRefusedCallersServedAfterBackoff(t *testing.T) {
 	const from, until = 5 * time.Second, 6 * time.Second
 	for name, only := range map[string][]member.HostID{"all hosts": nil, "one host": {"z1-h01"}} {
 		for _, path := range []string{"/order/", "/llm/"} {
 			t.Run(name+path, func(t *testing.T) {
-				d := signalDay{zones: 3, hostsPerZone: 3, upstreams: 3, path: path, lasts: 12 * time.Second, returns: 4}
-				d.perSecond = d.bearable()
+				d := signalDay{zones: 3, hostsPerZone: 3, upstreams: 3, path: path, duration: 12 * time.Second, maxCallerRetries: 4}
+				d.requestsPerSecond = d.sustainableRate()
 				for n := range 3 {
 					id := member.UpstreamID(fmt.Sprintf("%s%02d", map[string]string{"/order/": "app", "/llm/": "llm"}[path], n))
-					d.spells = append(d.spells, spell{upstream: id, backoff: 3 * time.Second, from: from, until: until, only: only})
+					d.periods = append(d.periods, signalPeriod{upstream: id, backoff: 3 * time.Second, from: from, until: until, onlyHosts: only})
 				}
 				d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
 					t.Log(tally, "came so often", tally.tries)
-					report(t, "rule", fleet.restRule())
-					report(t, "aim", fleet.restAim())
-					if tally.good < tally.asked {
+					reportViolations(t, "rule", fleet.backoffViolations())
+					reportViolations(t, "aim", fleet.strictBackoffViolations())
+					if tally.served < tally.calls {
 						t.Errorf("not all were served: %v, came so often %v", tally, tally.tries)
 					}
 				})
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -20,17 +20,17 @@
 // Upstreams that tell about themselves, while hosts and upstreams start again, hosts are cut
 // off and entries of the list lapse.
 
-// startAgain has another process be in a host's place, which knows nothing.
-func (s *site) startAgain(ctx context.Context, fleet *signalFleet, old *Forwarder) {
+// replaceWithNewProcess has another process be in a host's place, which knows nothing.
+func (s *site) replaceWithNewProcess(ctx context.Context, fleet *signalFleet, old *Forwarder) {
 	f := New(old.settings, signalTransport{fleet, old.settings.Self.ID}, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 60, Window: 10 * time.Second})
-	s.replace(f)
+	s.replaceHost(f)
 	s.start(ctx, f)
 	go f.Run(ctx)
 }
 
-// TestLeavingIsBelievedUnderFaults has an upstream that leaves get nothing until it starts again.
-func TestLeavingIsBelievedUnderFaults(t *testing.T) {
+// TestLeavingHoldsUnderFaults has an upstream that leaves get nothing until it starts again.
+func TestLeavingHoldsUnderFaults(t *testing.T) {
 	const from, until = 5 * time.Second, 16 * time.Second
 	const id = member.UpstreamID("app00")
 	lapse := func(back time.Duration) func(context.Context, *site, *signalFleet) {
@@ -52,8 +52,8 @@
 			s.origin.publish(Change{Upstream: u})
 			time.Sleep(5 * time.Second)
 			fleet.mu.Lock()
-			fleet.spells = nil
-			fleet.told = map[member.UpstreamID]map[member.HostID][]toldSignal{}
+			fleet.periods = nil
+			fleet.received = map[member.UpstreamID]map[member.HostID][]receivedSignal{}
 			fleet.mu.Unlock()
 			u.Incarnation, u.Revision, u.Address = after, rev(50), address
 			s.origin.publish(Change{Upstream: u})
@@ -77,7 +77,7 @@
 			happens: func(ctx context.Context, s *site, fleet *signalFleet) {
 				time.Sleep(8 * time.Second)
 				for n := range 3 {
-					s.startAgain(ctx, fleet, s.nth(n))
+					s.replaceWithNewProcess(ctx, fleet, s.nth(n))
 					time.Sleep(time.Second)
 				}
 			},
@@ -87,7 +87,7 @@
 			happens: func(_ context.Context, s *site, _ *signalFleet) {
 				time.Sleep(4 * time.Second)
 				for zone := range 3 {
-					s.cutOff(s.zone(zone + 1)...)
+					s.isolate(s.zone(zone + 1)...)
 				}
 			},
 		},
@@ -96,20 +96,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := signalDay{
-				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 30, lasts: until,
-				spells:    []spell{{upstream: id, leaving: true, from: from, until: until}},
-				storeLost: c.storeLost, storeBack: c.storeBack, happens: c.happens,
+				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", requestsPerSecond: 30, duration: until,
+				periods:     []signalPeriod{{upstream: id, leaving: true, from: from, until: until}},
+				storeLostAt: c.storeLost, storeBackAt: c.storeBack, disturb: c.happens,
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
 				t.Log(tally)
-				report(t, "rule", fleet.drainRule())
-				if n := fleet.got(id, c.quietFrom, until); c.quietFrom > 0 && n > 0 {
+				reportViolations(t, "rule", fleet.drainViolations())
+				if n := fleet.requestCount(id, c.quietFrom, until); c.quietFrom > 0 && n > 0 {
 					t.Errorf("it got %d requests from %v on", n, c.quietFrom)
 				}
-				if n := fleet.got(id, until-4*time.Second, until); c.returns && n < 15 {
+				if n := fleet.requestCount(id, until-4*time.Second, until); c.returns && n < 15 {
 					t.Errorf("it got only %d requests after it had started again", n)
 				}
-				if tally.good < tally.asked {
+				if tally.served < tally.calls {
 					t.Errorf("not all were served: %v", tally)
 				}
 			})
@@ -117,22 +117,22 @@
 	}
 }
 
-// TestRunsLeaveAnEngineThatSaysItLeaves has no stream cut when the engine ends after the drain time.
-func TestRunsLeaveAnEngineThatSaysItLeaves(t *testing.T) {
+// TestRunsMoveOffLeavingEngine has no stream cut when the engine ends after the drain time.
+func TestRunsMoveOffLeavingEngine(t *testing.T) {
 	const from = 6 * time.Second
 	d := signalDay{
-		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/llm/", perSecond: 6, lasts: 12 * time.Second,
-		spells:    []spell{{upstream: "llm00", leaving: true, from: from, until: from + drainBound}},
-		storeLost: 4 * time.Second, storeBack: 14 * time.Second,
-		happens: func(_ context.Context, _ *site, fleet *signalFleet) {
-			time.Sleep(from + drainBound)
-			fleet.end("llm00")
+		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/llm/", requestsPerSecond: 6, duration: 12 * time.Second,
+		periods:     []signalPeriod{{upstream: "llm00", leaving: true, from: from, until: from + leavingDrainTime}},
+		storeLostAt: 4 * time.Second, storeBackAt: 14 * time.Second,
+		disturb: func(_ context.Context, _ *site, fleet *signalFleet) {
+			time.Sleep(from + leavingDrainTime)
+			fleet.endUpstream("llm00")
 		},
 	}
 	d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-		t.Log(tally, "calls about runs", len(fleet.arrivals["llm00"])-fleet.got("llm00", 0, d.lasts))
-		report(t, "rule", fleet.drainRule())
-		if tally.cut > 0 {
+		t.Log(tally, "calls about runs", len(fleet.arrivals["llm00"])-fleet.requestCount("llm00", 0, d.duration))
+		reportViolations(t, "rule", fleet.drainViolations())
+		if tally.truncated > 0 {
 			t.Errorf("callers: %v", tally)
 		}
 	})
@@ -148,17 +148,17 @@
 		t.Run(fmt.Sprint(size.zones*size.hostsPerZone, " hosts"), func(t *testing.T) {
 			d := signalDay{
 				zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 2 * size.zones, path: "/order/",
-				perSecond: 40 * float64(size.zones), lasts: until, storeLost: 4 * time.Second, storeBack: 14 * time.Second,
-				spells: []spell{{upstream: "app00", leaving: true, from: from, until: until}},
+				requestsPerSecond: 40 * float64(size.zones), duration: until, storeLostAt: 4 * time.Second, storeBackAt: 14 * time.Second,
+				periods: []signalPeriod{{upstream: "app00", leaving: true, from: from, until: until}},
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-				t.Logf("%v; it got %d requests after it had told the first host", tally, fleet.got("app00", from, until))
-				report(t, "rule", fleet.drainRule())
-				report(t, "aim", fleet.drainAim())
-				if n := fleet.got("app00", from+contactBound, until); n > 0 {
+				t.Logf("%v; it got %d requests after it had told the first host", tally, fleet.requestCount("app00", from, until))
+				reportViolations(t, "rule", fleet.drainViolations())
+				reportViolations(t, "aim", fleet.strictDrainViolations())
+				if n := fleet.requestCount("app00", from+contactBound, until); n > 0 {
 					t.Errorf("it got %d requests later than the contact bound", n)
 				}
-				if tally.good < tally.asked {
+				if tally.served < tally.calls {
 					t.Errorf("not all were served: %v", tally)
 				}
 			})
@@ -166,8 +166,8 @@
 	}
 }
 
-// TestMoveToAnEngineThatAsksForBackoff has a run go elsewhere, and not be cut.
-func TestMoveToAnEngineThatAsksForBackoff(t *testing.T) {
+// TestMoveAvoidsEngineInBackoff has a run go elsewhere, and not be cut.
+func TestMoveAvoidsEngineInBackoff(t *testing.T) {
 	for name, duringStop := range map[string]bool{"during the first copy": false, "during the last part": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -191,7 +191,7 @@
 					f.updatePlacementEngines(time.Now(), f.Table())
 				})
 				f.Serve(t.Context(), call("/llm/"), sink)
-				is.True(!sink.cut)
+				is.True(!sink.truncated)
 				is.True(resting != "")
 				is.True(!slices.Contains(transport.sentTo(), resting))
 				is.Equal(strings.Count(sink.body.String(), "data"), 60)
@@ -201,8 +201,8 @@
 	}
 }
 
-// TestFailingEngineInBackoffGetsCopies has a run stay on a failing engine that wants no more calls.
-func TestFailingEngineInBackoffGetsCopies(t *testing.T) {
+// TestFailingEngineInBackoffGetsNoMoves has a run stay on a failing engine that wants no more calls.
+func TestFailingEngineInBackoffGetsNoMoves(t *testing.T) {
 	for name, backoff := range map[string]time.Duration{"no backoff": 0, "backoff": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -223,7 +223,7 @@
 					}
 				})
 				f.Serve(t.Context(), call("/llm/"), sink)
-				is.True(!sink.cut)
+				is.True(!sink.truncated)
 				is.Equal(moves > 0, backoff == 0)
 				synctest.Wait()
 			})
--- a/forward/signalfleet_test.go
+++ b/forward/signalfleet_test.go
@@ -19,8 +19,8 @@
 // Upstreams in virtual time that say that they leave, or turn requests away and ask for
 // backoff, and what is checked of them.
 
-// spell is a time for which an upstream tells something about itself.
-type spell struct {
+// signalPeriod is a time for which an upstream tells something about itself.
+type signalPeriod struct {
 	upstream    member.UpstreamID
 	from, until time.Duration
 	// leaving has its answers say that it leaves.
@@ -29,16 +29,16 @@
 	backoff time.Duration
 	// failuresOnly has only its own failures tell; half of its answers are such then.
 	failuresOnly bool
-	// only are the hosts that it tells; none for all.
-	only []member.HostID
+	// onlyHosts are the hosts that it tells; none for all.
+	onlyHosts []member.HostID
 }
 
-func (s *spell) covers(id member.UpstreamID, host member.HostID, at time.Duration) bool {
-	return s.upstream == id && s.from <= at && at < s.until && (len(s.only) == 0 || slices.Contains(s.only, host))
+func (s *signalPeriod) covers(id member.UpstreamID, host member.HostID, at time.Duration) bool {
+	return s.upstream == id && s.from <= at && at < s.until && (len(s.onlyHosts) == 0 || slices.Contains(s.onlyHosts, host))
 }
 
-// toldSignal is an answer that a host had.
-type toldSignal struct {
+// receivedSignal is an answer that a host had.
+type receivedSignal struct {
 	at      time.Duration
 	leaving bool
 	backoff time.Duration
@@ -47,58 +47,58 @@
 // signalArrival is a request or another call that reached an upstream.
 type signalArrival struct {
 	host member.HostID
-	// at is when it came, and asked when its caller had sent the request.
-	at, asked time.Duration
-	// own says that it is one of the host's own calls: a move, a health check, a copy
+	// at is when it came, and sentAt when its caller had sent the request.
+	at, sentAt time.Duration
+	// hostCall says that it is one of the host's hostCall calls: a move, a health check, a copy
 	// that is freed. continued is a run that is taken up from a copy.
-	own, continued bool
-	request        RequestID
+	hostCall, continued bool
+	request             RequestID
 }
 
 // signalFleet plays upstreams that have spells.
 type signalFleet struct {
 	*fakeFleet
-	spells []spell
+	periods []signalPeriod
 
 	mu       sync.Mutex
 	start    time.Time
 	arrivals map[member.UpstreamID][]signalArrival
-	told     map[member.UpstreamID]map[member.HostID][]toldSignal
+	received map[member.UpstreamID]map[member.HostID][]receivedSignal
 	answers  int
 	// failEvery has every so many of all answers be an upstream's own failure; zero none.
 	failEvery int
-	// copied are the runs that were stopped to go on elsewhere.
-	copied map[RequestID]chan struct{}
-	// rejected counts the refusals of each upstream.
-	rejected map[member.UpstreamID]int
+	// stopRun are the runs that were stopped to go on elsewhere.
+	stopRun map[RequestID]chan struct{}
+	// rejections counts the refusals of each upstream.
+	rejections map[member.UpstreamID]int
 }
 
-func newSignalFleet(spells ...spell) *signalFleet {
+func newSignalFleet(spells ...signalPeriod) *signalFleet {
 	return &signalFleet{
-		fakeFleet: newFakeFleet(), spells: spells, start: time.Now(),
-		arrivals: map[member.UpstreamID][]signalArrival{}, told: map[member.UpstreamID]map[member.HostID][]toldSignal{},
-		copied: map[RequestID]chan struct{}{}, rejected: map[member.UpstreamID]int{},
+		fakeFleet: newFakeFleet(), periods: spells, start: time.Now(),
+		arrivals: map[member.UpstreamID][]signalArrival{}, received: map[member.UpstreamID]map[member.HostID][]receivedSignal{},
+		stopRun: map[RequestID]chan struct{}{}, rejections: map[member.UpstreamID]int{},
 	}
 }
 
-// now is how long the day has gone on.
-func (f *signalFleet) now() time.Duration { return time.Since(f.start) }
+// elapsed is how long the day has gone on.
+func (f *signalFleet) elapsed() time.Duration { return time.Since(f.start) }
 
-func (f *signalFleet) arrive(id member.UpstreamID, a signalArrival) {
+func (f *signalFleet) recordArrival(id member.UpstreamID, a signalArrival) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	a.at = f.now()
+	a.at = f.elapsed()
 	f.arrivals[id] = append(f.arrivals[id], a)
 }
 
-// tells is what an upstream tells a host now; fails says that it is in a failure of its own.
-func (f *signalFleet) tells(id member.UpstreamID, host member.HostID) (s Signals, fails bool) {
+// nextSignals is what an upstream nextSignals a host now; fails says that it is in a failure of its own.
+func (f *signalFleet) nextSignals(id member.UpstreamID, host member.HostID) (s Signals, fails bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answers++
 	fails = f.failEvery > 0 && f.answers%f.failEvery == 0
-	for _, spell := range f.spells {
-		if !spell.covers(id, host, f.now()) {
+	for _, spell := range f.periods {
+		if !spell.covers(id, host, f.elapsed()) {
 			continue
 		}
 		if spell.failuresOnly && f.answers%2 == 0 {
@@ -112,16 +112,16 @@
 }
 
 // hear notes what a host's answer tells, as it comes.
-func (f *signalFleet) receive(id member.UpstreamID, host member.HostID, s Signals) {
+func (f *signalFleet) recordSignals(id member.UpstreamID, host member.HostID, s Signals) {
 	if !s.Leaving && s.RetryAfter == 0 {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.told[id] == nil {
-		f.told[id] = map[member.HostID][]toldSignal{}
+	if f.received[id] == nil {
+		f.received[id] = map[member.HostID][]receivedSignal{}
 	}
-	f.told[id][host] = append(f.told[id][host], toldSignal{at: f.now(), leaving: s.Leaving, backoff: s.RetryAfter})
+	f.received[id][host] = append(f.received[id][host], receivedSignal{at: f.elapsed(), leaving: s.Leaving, backoff: s.RetryAfter})
 }
 
 // signalTransport is one host's way to the upstreams.
@@ -131,20 +131,20 @@
 }
 
 func (t signalTransport) Send(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
-	t.arrive(u.ID, signalArrival{host: t.host, asked: out.Call.Arrived.Sub(t.start), continued: out.Continue != nil, request: out.Call.ID})
-	s, fails := t.tells(u.ID, t.host)
+	t.recordArrival(u.ID, signalArrival{host: t.host, sentAt: out.Call.Arrived.Sub(t.start), continued: out.Continue != nil, request: out.Call.ID})
+	s, fails := t.nextSignals(u.ID, t.host)
 	if s.RetryAfter > 0 {
 		// A refusal comes back in two milliseconds.
 		time.Sleep(2 * time.Millisecond)
-		t.receive(u.ID, t.host, s)
+		t.recordSignals(u.ID, t.host, s)
 		t.mu.Lock()
-		t.rejected[u.ID]++
+		t.rejections[u.ID]++
 		t.mu.Unlock()
 		return &Response{Status: http.StatusServiceUnavailable, Header: http.Header{}, Framed: true, NotRun: true, Body: http.NoBody, Signals: s}, nil
 	}
 	if fails {
-		time.Sleep(fakeCallTakes)
-		t.receive(u.ID, t.host, s)
+		time.Sleep(fakeCallDuration)
+		t.recordSignals(u.ID, t.host, s)
 		a := answer(http.StatusInternalServerError, "sorry")
 		a.Signals = s
 		return a, nil
@@ -154,7 +154,7 @@
 		return nil, err
 	}
 	a.Signals = s
-	t.receive(u.ID, t.host, s)
+	t.recordSignals(u.ID, t.host, s)
 	return a, nil
 }
 
@@ -163,7 +163,7 @@
 	if u.Service != "llm" {
 		return t.fakeFleet.Send(ctx, u, out)
 	}
-	run, ok := t.begin(u.ID, string(out.Call.Body))
+	run, ok := t.startRun(u.ID, string(out.Call.Body))
 	if !ok {
 		return nil, ErrNotSent
 	}
@@ -173,11 +173,11 @@
 	}
 	stopped := make(chan struct{})
 	t.mu.Lock()
-	t.copied[out.Call.ID] = stopped
+	t.stopRun[out.Call.ID] = stopped
 	t.mu.Unlock()
 	read, write := io.Pipe()
 	go func() {
-		defer t.finish(u.ID, run)
+		defer t.finishRun(u.ID, run)
 		_ = write.CloseWithError(t.writeEvents(ctx, run, from, stopped, write))
 	}()
 	a := answer(http.StatusOK, "")
@@ -188,15 +188,15 @@
 // writeEvents writes a run's events after one, until it ends or is stopped to go on elsewhere.
 func (t signalTransport) writeEvents(ctx context.Context, run *fakeRun, after int, stopped <-chan struct{}, to io.Writer) error {
 	if after == 0 {
-		if err := run.work(ctx, fakeReads); err != nil {
+		if err := run.wait(ctx, fakeFirstEventDelay); err != nil {
 			return err
 		}
 	}
-	for n := after; n < t.events; n++ {
+	for n := after; n < t.eventCount; n++ {
 		if _, err := fmt.Fprintf(to, "id: %d\ndata: x\n\n", n+1); err != nil {
 			return err
 		}
-		if err := run.work(ctx, fakeGap); err != nil {
+		if err := run.wait(ctx, fakeEventGap); err != nil {
 			return err
 		}
 		select {
@@ -209,97 +209,99 @@
 }
 
 func (t signalTransport) Move(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
-	t.arrive(from.ID, signalArrival{host: t.host, own: true})
+	t.recordArrival(from.ID, signalArrival{host: t.host, hostCall: true})
 	time.Sleep(20 * time.Millisecond)
-	s, _ := t.tells(from.ID, t.host)
+	s, _ := t.nextSignals(from.ID, t.host)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if stopped := t.copied[r.ID]; r.StopSource && stopped != nil {
+	if stopped := t.stopRun[r.ID]; r.StopSource && stopped != nil {
 		close(stopped)
-		delete(t.copied, r.ID)
+		delete(t.stopRun, r.ID)
 	}
 	return MoveResult{Handle: "h" + string(r.ID), Signals: Signals{Leaving: s.Leaving}}, ctx.Err()
 }
 
 func (t signalTransport) Health(_ context.Context, u Upstream, _ string) (Health, error) {
-	t.arrive(u.ID, signalArrival{host: t.host, own: true})
+	t.recordArrival(u.ID, signalArrival{host: t.host, hostCall: true})
 	return Health{Healthy: true}, nil
 }
 
 func (t signalTransport) CheckReachable(_ context.Context, u Upstream) error {
-	return t.fakeFleet.Reach(u)
+	return t.fakeFleet.checkReachable(u)
 }
 
 func (t signalTransport) Discard(_ context.Context, u Upstream, _ string) (Signals, error) {
-	t.arrive(u.ID, signalArrival{host: t.host, own: true})
+	t.recordArrival(u.ID, signalArrival{host: t.host, hostCall: true})
 	return Signals{}, nil
 }
 
-// breach is a request that came although its host had been told.
-type breach struct {
-	upstream member.UpstreamID
-	host     member.HostID
-	at, told time.Duration
-	request  RequestID
+// violation is a request that came although its host had been told.
+type violation struct {
+	upstream   member.UpstreamID
+	host       member.HostID
+	at, toldAt time.Duration
+	request    RequestID
 }
 
-func (b breach) String() string {
-	return fmt.Sprintf("%s reached %s from %s at %v, told at %v", b.request, b.upstream, b.host, b.at, b.told)
+func (b violation) String() string {
+	return fmt.Sprintf("%s reached %s from %s at %v, told at %v", b.request, b.upstream, b.host, b.at, b.toldAt)
 }
 
-// drainBound is how long an upstream that leaves may still get requests, and restGrace the
-// same for one that asked for backoff; restAllowed is how many it bears in the rest of that
+// leavingDrainTime is how long an upstream that leaves may still get requests, and backoffGrace the
+// same for one that asked for backoff; backoffAllowance is how many it bears in the rest of that
 // time.
 const (
-	drainBound  = 2 * time.Second
-	restGrace   = 500 * time.Millisecond
-	restAllowed = 2
+	leavingDrainTime = 2 * time.Second
+	backoffGrace     = 500 * time.Millisecond
+	backoffAllowance = 2
 )
 
-// drainRule lists the requests that callers sent later than the drain time after a host had
+// drainViolations lists the requests that callers sent later than the drain time after a host had
 // been told that an upstream leaves, and that reached it from there.
-func (f *signalFleet) drainRule(excused ...member.HostID) []breach {
-	return f.afterLeaving(func(a signalArrival, told time.Duration) bool {
-		return a.asked > told+drainBound && !slices.Contains(excused, a.host)
+func (f *signalFleet) drainViolations(excused ...member.HostID) []violation {
+	return f.requestsAfterLeaving(func(a signalArrival, told time.Duration) bool {
+		return a.sentAt > told+leavingDrainTime && !slices.Contains(excused, a.host)
 	})
 }
 
-// drainAim lists the requests that were sent to an upstream after the host had been told
+// strictDrainViolations lists the requests that were sent to an upstream after the host had been told
 // that it leaves. A run goes on at its engine when no other takes its copy.
-func (f *signalFleet) drainAim() []breach {
-	return f.afterLeaving(func(a signalArrival, told time.Duration) bool { return a.at > told && !a.continued })
+func (f *signalFleet) strictDrainViolations() []violation {
+	return f.requestsAfterLeaving(func(a signalArrival, told time.Duration) bool { return a.at > told && !a.continued })
 }
 
-func (f *signalFleet) afterLeaving(counts func(a signalArrival, told time.Duration) bool) []breach {
+func (f *signalFleet) requestsAfterLeaving(counts func(a signalArrival, told time.Duration) bool) []violation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var breaches []breach
+	var breaches []violation
 	for id, arrivals := range f.arrivals {
 		for _, a := range arrivals {
-			i := slices.IndexFunc(f.told[id][a.host], func(s toldSignal) bool { return s.leaving })
-			if i < 0 || a.own {
+			i := slices.IndexFunc(f.received[id][a.host], func(s receivedSignal) bool { return s.leaving })
+			if i < 0 || a.hostCall {
 				continue
 			}
-			if told := f.told[id][a.host][i].at; counts(a, told) {
-				breaches = append(breaches, breach{id, a.host, a.at, told, a.request})
+			if told := f.received[id][a.host][i].at; counts(a, told) {
+				breaches = append(breaches, violation{id, a.host, a.at, told, a.request})
 			}
 		}
 	}
 	return breaches
 }
 
-// restRule lists, for each answer that asked a host for backoff, what came from there
+// backoffViolations lists, for each answer that asked a host for backoff, what came from there
 // beyond what is borne from the grace on.
-func (f *signalFleet) restRule() []breach { return f.duringRest(restGrace, restAllowed) }
+func (f *signalFleet) backoffViolations() []violation {
+	return f.requestsDuringBackoff(backoffGrace, backoffAllowance)
+}
 
-// restAim is restRule without a grace and with nothing borne.
-func (f *signalFleet) restAim() []breach { return f.duringRest(0, 0) }
+// strictBackoffViolations is restRule without a grace and with nothing borne.
+func (f *signalFleet) strictBackoffViolations() []violation { return f.requestsDuringBackoff(0, 0) }
 
-func (f *signalFleet) duringRest(grace time.Duration, allowed int) []breach {
+func (f *signalFleet) requestsDuringBackoff(grace time.Duration, allowed int) []violation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var breaches []breach
-	for id, hosts := range f.told {
+	var breaches []violation
+	for id, hosts := range f.received {
 		for host, signals := range hosts {
 			for _, s := range signals {
 				n := 0
@@ -308,7 +310,7 @@
 						continue
 					}
 					if n++; n > allowed {
-						breaches = append(breaches, breach{id, host, a.at, s.at, a.request})
+						breaches = append(breaches, violation{id, host, a.at, s.at, a.request})
 					}
 				}
 			}
@@ -317,13 +319,13 @@
 	return breaches
 }
 
-// got counts the requests that reached an upstream in a time.
-func (f *signalFleet) got(id member.UpstreamID, from, until time.Duration) int {
+// requestCount counts the requests that reached an upstream in a time.
+func (f *signalFleet) requestCount(id member.UpstreamID, from, until time.Duration) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for _, a := range f.arrivals[id] {
-		if !a.own && a.at >= from && a.at < until {
+		if !a.hostCall && a.at >= from && a.at < until {
 			n++
 		}
 	}
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -57,7 +57,7 @@
 	}
 	if s.Leaving {
 		f.observer.Signal(SignalLeaving)
-		if f.fleet.SaidLeaving(now, u.ID, u.Incarnation, true) {
+		if f.fleet.RecordSelfReportedLeaving(now, u.ID, u.Incarnation, true) {
 			f.journal.HostEvent("upstream says that it leaves", "upstream", u.ID, "life", u.Incarnation, "answer_to", to, "asked_ago", now.Sub(sent))
 			f.peers.notifyAll()
 		}
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -65,9 +65,9 @@
 		s.serveAll(ctx)
 		time.Sleep(settled)
 		callsIn := func(play func()) (shares, follows int64) {
-			beforeShares, beforeFollows := s.shares.Load(), s.follows.Load()
+			beforeShares, beforeFollows := s.shareCalls.Load(), s.followCalls.Load()
 			play()
-			return s.shares.Load() - beforeShares, s.follows.Load() - beforeFollows
+			return s.shareCalls.Load() - beforeShares, s.followCalls.Load() - beforeFollows
 		}
 		quiet, quietFollows := callsIn(func() { time.Sleep(3 * time.Second) })
 		busy, busyFollows := callsIn(func() {
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -25,98 +25,98 @@
 type siteOrigin struct {
 	config         Config
 	list           []Upstream
-	lost           atomic.Bool
+	unavailable    atomic.Bool
 	reads, watches atomic.Int32
 
 	mu sync.Mutex
-	// news and orders are what was published since the start, and configAt when the
+	// changes and orders are what was published since the start, and configAt when the
 	// configuration was.
-	news     []Change
-	orders   []ZoneOrder
-	configAt history.Point
+	changes        []Change
+	zoneOrders     []ZoneOrder
+	configRevision history.Point
 	// rollouts and rolloutRecords are the orders and records of rollouts, up to rolloutsAt.
 	rollouts, rolloutRecords []rollout.Status
-	rolloutsAt               history.Point
+	rolloutsRevision         history.Point
 	// published closes at the next news and is made anew.
 	published chan struct{}
-	// kept are the requests that are held, each as it was kept last.
-	kept map[quarantine.Fingerprint]quarantine.Mark
+	// savedMarks are the requests that are held, each as it was savedMarks last.
+	savedMarks map[quarantine.Fingerprint]quarantine.Mark
 }
 
 // Keep keeps a request that is held, while the origin isn't lost.
 func (o *siteOrigin) Keep(_ context.Context, m quarantine.Mark) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.lost.Load() {
-		return errGone
+	if o.unavailable.Load() {
+		return errConnectionLost
 	}
-	if o.kept == nil {
-		o.kept = map[quarantine.Fingerprint]quarantine.Mark{}
+	if o.savedMarks == nil {
+		o.savedMarks = map[quarantine.Fingerprint]quarantine.Mark{}
 	}
 	for i := range m.Crashes {
 		m.Crashes[i].Ago = 0
 	}
-	o.kept[m.Request] = m
+	o.savedMarks[m.Request] = m
 	return nil
 }
 
-// originAt is the revision of the origin before any news.
-var originAt = rev(10)
+// originRevision is the revision of the origin before any news.
+var originRevision = rev(10)
 
 // publish changes the list; the revisions of changes rise.
 func (o *siteOrigin) publish(c Change) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.news = append(o.news, c)
-	o.tell()
+	o.changes = append(o.changes, c)
+	o.wakeWatches()
 }
 
-// order gives orders about zones, or takes them back; their revisions rise.
-func (o *siteOrigin) order(orders ...ZoneOrder) {
+// orderZones gives orders about zones, or takes them back; their revisions rise.
+func (o *siteOrigin) orderZones(orders ...ZoneOrder) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.orders = append(o.orders, orders...)
-	o.tell()
+	o.zoneOrders = append(o.zoneOrders, orders...)
+	o.wakeWatches()
 }
 
 // configure changes the configuration.
 func (o *siteOrigin) configure(v Version, at history.Point) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.config, o.configAt = testConfig(v), at
-	o.tell()
+	o.config, o.configRevision = testConfig(v), at
+	o.wakeWatches()
 }
 
-// tell wakes the watches. The mutex is held.
-func (o *siteOrigin) tell() {
+// wakeWatches wakes the watches. The mutex is held.
+func (o *siteOrigin) wakeWatches() {
 	if o.published != nil {
 		close(o.published)
 		o.published = nil
 	}
 }
 
-// since returns what was published after a revision, and a channel that closes when
+// updateSince returns what was published after a revision, and a channel that closes when
 // there is more.
-func (o *siteOrigin) since(after history.Point) (OriginUpdate, <-chan struct{}) {
+func (o *siteOrigin) updateSince(after history.Point) (OriginUpdate, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	news := OriginUpdate{Revision: history.Latest(originAt, o.configAt)}
-	if c := o.config; o.configAt.After(after) {
+	news := OriginUpdate{Revision: history.Latest(originRevision, o.configRevision)}
+	if c := o.config; o.configRevision.After(after) {
 		news.Config = &c
 	}
-	for _, c := range o.news {
+	for _, c := range o.changes {
 		news.Revision = history.Latest(news.Revision, c.Revision)
 		if c.Revision.After(after) {
 			news.Changes = append(news.Changes, c)
 		}
 	}
-	for _, order := range o.orders {
+	for _, order := range o.zoneOrders {
 		news.Revision = history.Latest(news.Revision, order.Revision)
 		if order.Revision.After(after) {
 			news.ZoneOrders = append(news.ZoneOrders, order)
 		}
 	}
-	news.Revision = history.Latest(news.Revision, o.rolloutsAt)
+	news.Revision = history.Latest(news.Revision, o.rolloutsRevision)
 	for _, s := range o.rollouts {
 		if s.Given.After(after) {
 			news.Rollouts = append(news.Rollouts, s)
@@ -135,17 +135,17 @@
 
 func (o *siteOrigin) Read(context.Context, history.Era) (OriginUpdate, error) {
 	o.reads.Add(1)
-	if o.lost.Load() {
-		return OriginUpdate{}, errGone
+	if o.unavailable.Load() {
+		return OriginUpdate{}, errConnectionLost
 	}
-	news, _ := o.since(history.Point{})
+	news, _ := o.updateSince(history.Point{})
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	config := o.config
-	whole := OriginUpdate{Config: &config, Revision: news.Revision, Rollouts: news.Rollouts, RolloutRecords: news.RolloutRecords, HeldRequests: slices.Collect(maps.Values(o.kept))}
+	whole := OriginUpdate{Config: &config, Revision: news.Revision, Rollouts: news.Rollouts, RolloutRecords: news.RolloutRecords, HeldRequests: slices.Collect(maps.Values(o.savedMarks))}
 	for _, zone := range []member.Zone{"z1", "z2", "z3"} {
 		var newest ZoneOrder
-		for _, order := range o.orders {
+		for _, order := range o.zoneOrders {
 			if order.Zone == zone {
 				newest = order
 			}
@@ -172,7 +172,7 @@
 
 func (o *siteOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
 	o.watches.Add(1)
-	news, more := o.since(after)
+	news, more := o.updateSince(after)
 	if len(news.Changes) == 0 && len(news.ZoneOrders) == 0 && news.Config == nil && len(news.Rollouts)+len(news.RolloutRecords) == 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
@@ -180,11 +180,11 @@
 		case <-ctx.Done():
 		case <-timer.C:
 		case <-more:
-			news, _ = o.since(after)
+			news, _ = o.updateSince(after)
 		}
 	}
-	if o.lost.Load() {
-		return OriginUpdate{}, errGone
+	if o.unavailable.Load() {
+		return OriginUpdate{}, errConnectionLost
 	}
 	news.Revision = history.Latest(news.Revision, after)
 	return news, nil
@@ -195,70 +195,70 @@
 	origin *siteOrigin
 	hosts  map[string]*Forwarder
 	// gone are the addresses that can't be reached, frozen those that don't answer.
-	mu           sync.Mutex
-	gone, frozen map[string]bool
-	// cut are the addresses of hosts that can't reach others either.
-	cut map[string]bool
-	// entries counts what each host wrote to the directory.
-	entries map[member.HostID]*atomic.Int32
-	// configTakes is how long a configuration takes to a host; links holds what
+	mu                  sync.Mutex
+	unreachable, frozen map[string]bool
+	// isolated are the addresses of hosts that can't reach others either.
+	isolated map[string]bool
+	// directoryWrites counts what each host wrote to the directory.
+	directoryWrites map[member.HostID]*atomic.Int32
+	// configTransferTime is how long a configuration takes to a host; links holds what
 	// each host's link has to carry still, by when that will be done.
-	configTakes time.Duration
-	// permits counts the questions for permits, shares and follows those calls.
-	permits, shares, follows atomic.Int64
-	links                    map[member.HostID]time.Time
+	configTransferTime time.Duration
+	// permitCalls counts the questions for permitCalls, shareCalls and followCalls those calls.
+	permitCalls, shareCalls, followCalls atomic.Int64
+	linkBusyUntil                        map[member.HostID]time.Time
 }
 
-// narrow has each configuration take a while from now on.
-func (s *site) narrow(configTakes time.Duration) {
+// setConfigTransferTime has each configuration take a while from now on.
+func (s *site) setConfigTransferTime(configTakes time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.configTakes = configTakes
+	s.configTransferTime = configTakes
 }
 
-// transfer carries a configuration to a host, behind what its link carries already.
+// transferConfig carries a configuration to a host, behind what its link carries already.
 // What was begun is carried to its end, whether or not the host still waits for it.
-func (s *site) transfer(ctx context.Context, to member.HostID) error {
+func (s *site) transferConfig(ctx context.Context, to member.HostID) error {
 	s.mu.Lock()
 	now := time.Now()
-	free := s.links[to]
+	free := s.linkBusyUntil[to]
 	if free.Before(now) {
 		free = now
 	}
-	done := free.Add(s.configTakes)
-	s.links[to] = done
+	done := free.Add(s.configTransferTime)
+	s.linkBusyUntil[to] = done
 	s.mu.Unlock()
 	PauseFor(ctx, done.Sub(now))
 	return ctx.Err()
 }
 
-// lose makes hosts unreachable.
-func (s *site) lose(addresses ...string) {
+// makeUnreachable makes hosts unreachable.
+func (s *site) makeUnreachable(addresses ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, address := range addresses {
-		s.gone[address] = true
+		s.unreachable[address] = true
 	}
 }
 
-// cutOff makes hosts unreachable, and others for them.
-func (s *site) cutOff(addresses ...string) {
-	s.lose(addresses...)
+// isolate makes hosts unreachable, and others for them.
+func (s *site) isolate(addresses ...string) {
+	s.makeUnreachable(addresses...)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, address := range addresses {
-		s.cut[address] = true
+		s.isolated[address] = true
 	}
 }
 
-// regain makes hosts reachable, and has them answer, again.
-func (s *site) regain(addresses ...string) {
+// reconnect makes hosts reachable, and has them answer, again.
+func (s *site) reconnect(addresses ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, address := range addresses {
-		delete(s.gone, address)
+		delete(s.unreachable, address)
 		delete(s.frozen, address)
-		delete(s.cut, address)
+		delete(s.isolated, address)
 	}
 }
 
@@ -271,12 +271,12 @@
 	}
 }
 
-// reached is the host at an address; nil when it can't be reached. It waits for a
+// reachHost is the host at an address; nil when it can't be reachHost. It waits for a
 // frozen one until the context ends.
-func (s *site) reached(ctx context.Context, from string, to Peer) *Forwarder {
+func (s *site) reachHost(ctx context.Context, from string, to Peer) *Forwarder {
 	s.mu.Lock()
-	gone, frozen, f := s.gone[to.PeerAddress], s.frozen[to.PeerAddress], s.hosts[to.PeerAddress]
-	gone = gone || s.cut[from]
+	gone, frozen, f := s.unreachable[to.PeerAddress], s.frozen[to.PeerAddress], s.hosts[to.PeerAddress]
+	gone = gone || s.isolated[from]
 	s.mu.Unlock()
 	if frozen {
 		<-ctx.Done()
@@ -287,8 +287,8 @@
 	return f
 }
 
-// replace has another process be at a host's address from now on.
-func (s *site) replace(f *Forwarder) {
+// replaceHost has another process be at a host's address from now on.
+func (s *site) replaceHost(f *Forwarder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts[f.settings.Self.PeerAddress] = f
@@ -300,85 +300,85 @@
 	return s.frozen[host.PeerAddress]
 }
 
-// others are the addresses of all hosts but one.
-func (s *site) others(but string) []string {
+// otherAddresses are the addresses of all hosts but one.
+func (s *site) otherAddresses(but string) []string {
 	return slices.DeleteFunc(slices.Collect(maps.Keys(s.hosts)), func(address string) bool { return address == but })
 }
 
-// sitePort is one host's interface to the others.
-type sitePort struct {
+// sitePeers is one host's interface to the others.
+type sitePeers struct {
 	*site
 	self    member.HostID
 	address string
 }
 
-func (s sitePort) Share(ctx context.Context, to Peer, share Share) (Share, error) {
-	s.shares.Add(1)
+func (s sitePeers) Share(ctx context.Context, to Peer, share Share) (Share, error) {
+	s.shareCalls.Add(1)
 	if s.isFrozen(share.From) {
 		<-ctx.Done()
-		return Share{}, errGone
+		return Share{}, errConnectionLost
 	}
-	if f := s.reached(ctx, s.address, to); f != nil {
+	if f := s.reachHost(ctx, s.address, to); f != nil {
 		return f.OnShare(share), nil
 	}
-	return Share{}, errGone
+	return Share{}, errConnectionLost
 }
 
-func (s sitePort) Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error) {
-	s.follows.Add(1)
-	if f := s.reached(ctx, s.address, to); f != nil {
+func (s sitePeers) Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error) {
+	s.followCalls.Add(1)
+	if f := s.reachHost(ctx, s.address, to); f != nil {
 		reply := f.OnFollow(ctx, r)
 		if s.isFrozen(to) {
 			<-ctx.Done()
-			return FollowReply{}, errGone
+			return FollowReply{}, errConnectionLost
 		}
 		return reply, nil
 	}
-	return FollowReply{}, errGone
+	return FollowReply{}, errConnectionLost
 }
 
-func (s sitePort) Config(ctx context.Context, to Peer, have Version) (ConfigReply, error) {
-	f := s.reached(ctx, s.address, to)
+func (s sitePeers) Config(ctx context.Context, to Peer, have Version) (ConfigReply, error) {
+	f := s.reachHost(ctx, s.address, to)
 	if f == nil {
-		return ConfigReply{}, errGone
+		return ConfigReply{}, errConnectionLost
 	}
 	reply := f.OnConfig(have)
 	if reply.Config == nil {
 		return reply, nil
 	}
-	return reply, s.transfer(ctx, s.self)
+	return reply, s.transferConfig(ctx, s.self)
 }
 
-func (s sitePort) Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error) {
-	if f := s.reached(ctx, s.address, to); f != nil {
+func (s sitePeers) Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error) {
+	if f := s.reachHost(ctx, s.address, to); f != nil {
 		return f.OnAsk(a), nil
 	}
-	return PlacementGrant{}, errGone
+	return PlacementGrant{}, errConnectionLost
 }
 
-func (s sitePort) Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
-	s.permits.Add(1)
-	if f := s.reached(ctx, s.address, to); f != nil {
+func (s sitePeers) Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
+	s.permitCalls.Add(1)
+	if f := s.reachHost(ctx, s.address, to); f != nil {
 		return f.OnPermit(a), nil
 	}
-	return permit.Reply{}, errGone
+	return permit.Reply{}, errConnectionLost
 }
 
-func (s sitePort) Rollout(ctx context.Context, to Peer, r rollout.Report) (rollout.Status, error) {
-	if f := s.reached(ctx, s.address, to); f != nil {
+func (s sitePeers) Rollout(ctx context.Context, to Peer, r rollout.Report) (rollout.Status, error) {
+	if f := s.reachHost(ctx, s.address, to); f != nil {
 		return f.OnRollout(r), nil
 	}
-	return rollout.Status{}, errGone
+	return rollout.Status{}, errConnectionLost
 }
 
-func (s sitePort) Turn(context.Context, Peer, TurnRequest) error    { return nil }
-func (s sitePort) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
+func (s sitePeers) Turn(context.Context, Peer, TurnRequest) error    { return nil }
+func (s sitePeers) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
 
 // siteDirectory counts one host's calls.
-type siteDirectory struct{ entries *atomic.Int32 }
+type siteDirectory struct{ writes *atomic.Int32 }
 
 func (d siteDirectory) Announce(context.Context, Peer, time.Duration) error {
-	d.entries.Add(1)
+	d.writes.Add(1)
 	return nil
 }
 func (d siteDirectory) Withdraw(context.Context) error { return nil }
@@ -387,7 +387,7 @@
 func newSite(zones, hostsPerZone int, first bool) *site {
 	s := &site{
 		origin: &siteOrigin{config: testConfig(1), list: []Upstream{llmUpstream("llm1", 3, false), llmUpstream("llm2", 10, false)}},
-		hosts:  map[string]*Forwarder{}, gone: map[string]bool{}, frozen: map[string]bool{}, cut: map[string]bool{}, links: map[member.HostID]time.Time{}, entries: map[member.HostID]*atomic.Int32{},
+		hosts:  map[string]*Forwarder{}, unreachable: map[string]bool{}, frozen: map[string]bool{}, isolated: map[string]bool{}, linkBusyUntil: map[member.HostID]time.Time{}, directoryWrites: map[member.HostID]*atomic.Int32{},
 	}
 	address := func(zone, host int) string { return fmt.Sprintf("10.%d.0.%d:1", zone, host) }
 	seeds := []string{address(1, 1), address(2, 1), address(3, 1)}
@@ -397,7 +397,7 @@
 				ID: member.HostID(fmt.Sprintf("z%d-h%02d", zone, host)), Zone: member.Zone(fmt.Sprint("z", zone)),
 				PeerAddress: address(zone, host),
 			}
-			s.entries[self.ID] = &atomic.Int32{}
+			s.directoryWrites[self.ID] = &atomic.Int32{}
 			s.hosts[self.PeerAddress] = New(
 				Settings{Self: self, Seeds: seeds, FirstStart: first, MaxContactAge: 3 * time.Second}, &fakeTransport{}, silentJournal{}, silentObserver{},
 			)
@@ -414,7 +414,7 @@
 }
 
 // start runs a host's duties.
-func (s *site) start(ctx context.Context, f *Forwarder) { s.startBy(ctx, f, s.origin) }
+func (s *site) start(ctx context.Context, f *Forwarder) { s.startWithOrigin(ctx, f, s.origin) }
 
 // hostOrigin is the origin as one host reaches it.
 type hostOrigin interface {
@@ -422,10 +422,10 @@
 	QuarantineStore
 }
 
-// startBy runs a host's duties, by the origin as it reaches that.
-func (s *site) startBy(ctx context.Context, f *Forwarder, o hostOrigin) {
-	go f.RunPeers(ctx, sitePort{s, f.settings.Self.ID, f.settings.Self.PeerAddress})
+// startWithOrigin runs a host's duties, by the origin as it reaches that.
+func (s *site) startWithOrigin(ctx context.Context, f *Forwarder, o hostOrigin) {
+	go f.RunPeers(ctx, sitePeers{s, f.settings.Self.ID, f.settings.Self.PeerAddress})
 	go f.Follow(ctx, o)
-	go f.RunDirectory(ctx, siteDirectory{s.entries[f.settings.Self.ID]})
+	go f.RunDirectory(ctx, siteDirectory{s.directoryWrites[f.settings.Self.ID]})
 	go f.RunQuarantineSaver(ctx, o)
 }
--- a/forward/slowreaders_test.go
+++ b/forward/slowreaders_test.go
@@ -37,7 +37,7 @@
 	case <-timer.C:
 		return s.fakeSink.Write(p)
 	case <-s.aborted:
-		return errGone
+		return errConnectionLost
 	}
 }
 
@@ -139,10 +139,10 @@
 				whole := engines.eventCount * (engines.eventBytes + len("id: 1\ndata: \n\n"))
 				t.Logf("at most %d bytes held; engines cut off %d answers", peak, engines.cutOff.Load())
 				for _, s := range fast {
-					is.True(s.body.Len() >= whole && !s.cut) // a fast reader gets everything
+					is.True(s.body.Len() >= whole && !s.truncated) // a fast reader gets everything
 				}
 				for _, s := range slow {
-					is.True(!c.whole || s.body.Len() >= whole && !s.cut)
+					is.True(!c.whole || s.body.Len() >= whole && !s.truncated)
 				}
 				eventSize := int64(engines.eventBytes + 32)
 				is.True(peak <= f.answerBudget.Most+eventSize*int64(c.slow+c.stalled+len(fast))) // one event per caller beyond the bound
@@ -163,7 +163,7 @@
 		sink := newSlowSink(time.Hour)
 		start := time.Now()
 		f.Serve(t.Context(), call("/llm/"), sink)
-		is.True(sink.cut)
+		is.True(sink.truncated)
 		is.True(time.Since(start) < 10*time.Second)
 		time.Sleep(time.Second)
 		is.Equal(f.engines.otherRuns("llm", "llm1", "")+f.engines.otherRuns("llm", "llm2", "")+f.engines.otherRuns("llm", "llm3", ""), 0)
--- a/forward/stopping.go
+++ b/forward/stopping.go
@@ -22,8 +22,8 @@
 	return f.stopping
 }
 
-// interruptLasts is how long requests that are ended get to write their final answer.
-const interruptLasts = 50 * time.Millisecond
+// interruptTimeout is how long requests that are ended get to write their final answer.
+const interruptTimeout = 50 * time.Millisecond
 
 // Stop refuses new streams from now on, but for those that should have ended
 // when the context does, and waits until nothing is in flight or
@@ -60,14 +60,14 @@
 // what is in flight gets its final answer. A request that came between the end of a wait
 // and that of the process would be passed on and its answer lost.
 func (f *Forwarder) Close(ctx context.Context) {
-	for !f.closeIdle(ctx.Err() != nil) {
+	for !f.closeIfIdle(ctx.Err() != nil) {
 		f.Stop(ctx)
 	}
 	f.Stop(ctx)
 }
 
-// closeIdle closes if nothing is in flight, or if it must.
-func (f *Forwarder) closeIdle(must bool) bool {
+// closeIfIdle closes if nothing is in flight, or if it must.
+func (f *Forwarder) closeIfIdle(must bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.closed = must || len(f.inFlight) == 0
@@ -86,7 +86,7 @@
 		end(errStopped)
 	}
 	f.mu.Unlock()
-	answered := time.NewTimer(interruptLasts)
+	answered := time.NewTimer(interruptTimeout)
 	defer answered.Stop()
 	select {
 	case <-idle:
@@ -94,8 +94,8 @@
 	}
 }
 
-// enter counts a request as in flight; false says that it comes too late.
-func (f *Forwarder) enter(x *exchange, end context.CancelCauseFunc) bool {
+// addInFlight counts a request as in flight; false says that it comes too late.
+func (f *Forwarder) addInFlight(x *exchange, end context.CancelCauseFunc) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
@@ -105,7 +105,7 @@
 	return true
 }
 
-func (f *Forwarder) leave(x *exchange) {
+func (f *Forwarder) removeInFlight(x *exchange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.inFlight, x)
@@ -120,15 +120,15 @@
 
 // Margins of a stream that a stopping host still takes.
 const (
-	// guessFor is how long after the stop began a stream is taken on the caller's
+	// hintTrustPeriod is how long after the stop began a stream is taken on the caller's
 	// guess of its length, which is often far off. A stream that is cut at the
 	// end of the grace is excused when it came in the first three seconds.
-	guessFor   = 2500 * time.Millisecond
-	stopTimes  = 2
-	stopMargin = time.Second
-	// callLasts is longer than plain calls last, but for one in some thousands; a
+	hintTrustPeriod          = 2500 * time.Millisecond
+	streamDurationMultiplier = 2
+	streamStopMargin         = time.Second
+	// maxExpectedCallDuration is longer than plain calls last, but for one in some thousands; a
 	// caller that waits less shortens it.
-	callLasts = time.Second
+	maxExpectedCallDuration = time.Second
 )
 
 // endsBeforeStop reports whether a request will have ended when this host stops.
@@ -140,60 +140,60 @@
 	case !stopping:
 		return true
 	case x.route.Kind != KindStream:
-		return by.IsZero() || now.Add(x.callLasts(now)).Before(by)
+		return by.IsZero() || now.Add(x.expectedCallDuration(now)).Before(by)
 	default:
-		return x.streamEnds(now, since, by)
+		return x.streamEndsBefore(now, since, by)
 	}
 }
 
-// callLasts is how long a plain call may last.
-func (x *exchange) callLasts(now time.Time) time.Duration {
+// expectedCallDuration is how long a plain call may last.
+func (x *exchange) expectedCallDuration(now time.Time) time.Duration {
 	if left := x.timeLeft(now); left > 0 {
-		return min(left, callLasts)
+		return min(left, maxExpectedCallDuration)
 	}
-	return callLasts
+	return maxExpectedCallDuration
 }
 
-// streamEnds reports whether a stream will have ended by a time, by the bound of its
+// streamEndsBefore reports whether a stream will have ended by a time, by the bound of its
 // length, or soon after the stop began by the caller's guess; without either, none
 // will.
-func (x *exchange) streamEnds(now, since, by time.Time) bool {
+func (x *exchange) streamEndsBefore(now, since, by time.Time) bool {
 	p := x.call.Prompt
 	out := p.MaxOutputTokens
-	if p.ExpectedOutputTokens > 0 && now.Sub(since) <= guessFor && (out <= 0 || p.ExpectedOutputTokens < out) {
+	if p.ExpectedOutputTokens > 0 && now.Sub(since) <= hintTrustPeriod && (out <= 0 || p.ExpectedOutputTokens < out) {
 		out = p.ExpectedOutputTokens
 	}
 	if out <= 0 {
 		return false
 	}
 	takes := x.engines.expectedDuration(x.service.Name, p.Tokens, out)
-	return now.Add(stopTimes*takes + stopMargin).Before(by)
+	return now.Add(streamDurationMultiplier*takes + streamStopMargin).Before(by)
 }
 
-// stopBegan is when this host was first told to stop.
-func (f *Forwarder) stopBegan() time.Time {
+// stopStartedAt is when this host was first told to stop.
+func (f *Forwarder) stopStartedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stoppingSince
 }
 
 const (
-	// retryElsewhere sends a caller on at once, for another host of the zone takes
+	// otherHostRetryAfter sends a caller on at once, for another host of the zone takes
 	// it.
-	retryElsewhere = 10 * time.Millisecond
-	// stopNoticed is how long callers still reach a host after it has said that it
+	otherHostRetryAfter = 10 * time.Millisecond
+	// notReadyDetectionTime is how long callers still reach a host after it has said that it
 	// isn't ready: it is asked once a second, and twice before it is believed.
-	stopNoticed = 2100 * time.Millisecond
-	// stopSpread is over how long callers return that wait for that.
-	stopSpread = 150 * time.Millisecond
+	notReadyDetectionTime = 2100 * time.Millisecond
+	// stopRetryJitter is over how long callers return that wait for that.
+	stopRetryJitter = 150 * time.Millisecond
 )
 
-// retryStopping is when a caller refused by a stopping host should come back: at
+// stoppingRetryAfter is when a caller refused by a stopping host should come back: at
 // once if its zone has another host, else when it won't meet this one again.
 // Callers that come back at once to a zone's only host use up their returns there.
-func (x *exchange) retryStopping(now time.Time) time.Duration {
+func (x *exchange) stoppingRetryAfter(now time.Time) time.Duration {
 	if x.peers.hasPeerInZone(now) {
-		return retryElsewhere
+		return otherHostRetryAfter
 	}
-	return max(x.stopBegan().Add(stopNoticed).Sub(now), retryElsewhere) + rand.N(stopSpread)
+	return max(x.stopStartedAt().Add(notReadyDetectionTime).Sub(now), otherHostRetryAfter) + rand.N(stopRetryJitter)
 }
--- a/forward/stopping_test.go
+++ b/forward/stopping_test.go
@@ -20,7 +20,7 @@
 func TestStopping(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		transport := &fakeTransport{send: sendLate}
+		transport := &fakeTransport{send: sendAfterDelay}
 		f, sink := newForwarder(t, transport), &fakeSink{}
 		go f.Serve(t.Context(), call("/order/"), sink)
 		synctest.Wait()
@@ -73,12 +73,12 @@
 		after       time.Duration
 		least, most time.Duration
 	}{
-		"another host":                {[]Share{{From: Peer{ID: "h2", Zone: "z1"}}}, 0, retryElsewhere, retryElsewhere},
-		"alone in the site":           {nil, 0, stopNoticed, stopNoticed + stopSpread},
-		"alone in the zone":           {[]Share{{From: Peer{ID: "h2", Zone: "z2"}}}, 0, stopNoticed, stopNoticed + stopSpread},
-		"the other stops, too":        {[]Share{{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true}}, 0, stopNoticed, stopNoticed + stopSpread},
-		"alone, a second later":       {nil, time.Second, stopNoticed - time.Second, stopNoticed - time.Second + stopSpread},
-		"alone, long after the start": {nil, 5 * time.Second, retryElsewhere, retryElsewhere + stopSpread},
+		"another host":                {[]Share{{From: Peer{ID: "h2", Zone: "z1"}}}, 0, otherHostRetryAfter, otherHostRetryAfter},
+		"alone in the site":           {nil, 0, notReadyDetectionTime, notReadyDetectionTime + stopRetryJitter},
+		"alone in the zone":           {[]Share{{From: Peer{ID: "h2", Zone: "z2"}}}, 0, notReadyDetectionTime, notReadyDetectionTime + stopRetryJitter},
+		"the other stops, too":        {[]Share{{From: Peer{ID: "h2", Zone: "z1"}, Stopping: true}}, 0, notReadyDetectionTime, notReadyDetectionTime + stopRetryJitter},
+		"alone, a second later":       {nil, time.Second, notReadyDetectionTime - time.Second, notReadyDetectionTime - time.Second + stopRetryJitter},
+		"alone, long after the start": {nil, 5 * time.Second, otherHostRetryAfter, otherHostRetryAfter + stopRetryJitter},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/forward/storerejects_test.go
+++ b/forward/storerejects_test.go
@@ -111,7 +111,7 @@
 					ctx, cancel := context.WithCancel(t.Context())
 					rejected := map[string]bool{}
 					for host, f := range s.hosts {
-						s.startBy(ctx, f, rejectingOrigin{s.origin, func() bool {
+						s.startWithOrigin(ctx, f, rejectingOrigin{s.origin, func() bool {
 							s.mu.Lock()
 							defer s.mu.Unlock()
 							return rejected[host]
@@ -135,7 +135,7 @@
 							order = backInService("z1", revision.Revision()+1)
 						}
 						s.origin.configure(version, revision)
-						s.origin.order(order)
+						s.origin.orderZones(order)
 						published := time.Now()
 						for waiting := true; waiting && time.Since(published) <= inForceTimeout; {
 							time.Sleep(20 * time.Millisecond)
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -225,7 +225,7 @@
 	case endCallerLeft:
 		return Refusal{Code: CodeCallerLeft}
 	case endHostStopped:
-		return Refusal{Code: cause.code(), RetryAfter: s.retryStopping(s.now())}
+		return Refusal{Code: cause.code(), RetryAfter: s.stoppingRetryAfter(s.now())}
 	case endQuarantined:
 		return heldRefusal
 	}
--- a/forward/stream_test.go
+++ b/forward/stream_test.go
@@ -47,7 +47,7 @@
 			f, sink := newForwarder(t, transport), &fakeSink{}
 			f.Serve(t.Context(), call("/llm/"), sink)
 			is.Equal(sink.body.String(), c.want)
-			is.Equal(sink.cut, c.cut)
+			is.Equal(sink.truncated, c.cut)
 			is.Equal(len(transport.sentTo()), 1) // a stream is sent once
 			if c.code != "" {
 				is.Equal(*sink.refused, Refusal{Code: c.code, MayHaveRun: true})
@@ -164,7 +164,7 @@
 			a.Body = read
 			return a, nil
 		}}
-		f, sink := newForwarder(t, transport), &fakeSink{gone: true}
+		f, sink := newForwarder(t, transport), &fakeSink{callerGone: true}
 		go f.Serve(t.Context(), call("/llm/"), sink)
 		_, _ = io.WriteString(write, "id: 1\n\n")
 		synctest.Wait()
@@ -301,7 +301,7 @@
 					f.updatePlacementEngines(time.Now(), f.Table())
 				})
 				f.Serve(t.Context(), call("/llm/"), sink)
-				is.Equal(sink.cut, c.cut)
+				is.Equal(sink.truncated, c.cut)
 				is.Equal(len(transport.sentTo()), c.upstreams)
 				if !c.cut {
 					is.Equal(sink.body.String(), whole(e.eventCount))
@@ -338,7 +338,7 @@
 		f.Serve(t.Context(), call("/llm/"), sink)
 		is.Equal(strings.Count(sink.body.String(), "data"), 14)
 		is.Equal(len(transport.sentTo()), 1)
-		is.True(!sink.cut)
+		is.True(!sink.truncated)
 		synctest.Wait()
 	})
 }
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -141,8 +141,8 @@
 				func(f *Forwarder) bool { return f.backoffs.Remaining(f.now(), engine) > 0 }, 10 * time.Second,
 			},
 			"an upstream that leaves is told of": {
-				func(f *Forwarder) { f.fleet.SaidLeaving(f.now(), engine, 0, true) },
-				func(f *Forwarder) bool { return len(f.fleet.Marks(f.now())) > 0 }, saidShared,
+				func(f *Forwarder) { f.fleet.RecordSelfReportedLeaving(f.now(), engine, 0, true) },
+				func(f *Forwarder) bool { return len(f.fleet.LeavingMarks(f.now())) > 0 }, declaredLeavingShareTime,
 			},
 			"a request is held": {
 				func(f *Forwarder) {
@@ -255,7 +255,7 @@
 					request.Arrived, request.CallerTimeout = f.now(), patience
 					f.Serve(context.Background(), request, sink)
 					if patience <= slept {
-						is.Equal(*sink.refused, Refusal{Code: CodeLate, RetryAfter: retryElsewhere})
+						is.Equal(*sink.refused, Refusal{Code: CodeLate, RetryAfter: otherHostRetryAfter})
 					} else {
 						// The request may wait until the state of the engines is refreshed.
 						is.True(patience-slept-left <= poolRefreshInterval && left <= patience-slept)
--- a/forward/unary_test.go
+++ b/forward/unary_test.go
@@ -220,7 +220,7 @@
 	sink := &fakeSink{}
 	f.Serve(t.Context(), call("/order/"), sink)
 	is.Equal(sink.status, 200)
-	is.Equal(len(f.fleet.Marks(time.Now())), 0) // peers must not be notified that it leaves
+	is.Equal(len(f.fleet.LeavingMarks(time.Now())), 0) // peers must not be notified that it leaves
 }
 
 // TestSlowUpstream checks that a request that is safe to repeat is also sent to a second upstream when
--- a/forward/unserved.go
+++ b/forward/unserved.go
@@ -31,7 +31,7 @@
 		return x.backoffs.Alone(now, u.ID) && x.backoffs.Remaining(now, u.ID) > retryKeptSpread
 	}
 	if slices.ContainsFunc(takers, alone) && x.peers.hasPeerInZone(now) {
-		r.RetryAfter = retryElsewhere
+		r.RetryAfter = otherHostRetryAfter
 	}
 	return r
 }
@@ -64,7 +64,7 @@
 		r = x.noUpstream(now, takers, x.shortestWait(now, takers, nil))
 	case kept > 0:
 		// Others take requests, and a caller that comes back draws on no budget of ours.
-		r.RetryAfter = retryElsewhere
+		r.RetryAfter = otherHostRetryAfter
 	}
 	return r
 }
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -263,7 +263,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				s.startAll(ctx)
 				time.Sleep(4 * time.Second)
-				s.lose(gone...)
+				s.makeUnreachable(gone...)
 				want := func(ids ...member.UpstreamID) {
 					t.Helper()
 					expected := map[member.UpstreamID]bool{}
@@ -271,21 +271,21 @@
 						expected[id] = true
 					}
 					for address, f := range s.hosts {
-						if !s.gone[address] {
+						if !s.unreachable[address] {
 							is.Equal(availableIDs(f.fleet, time.Now()), expected)
 						}
 					}
 				}
-				s.origin.order(outOfService("z1", 20))
+				s.origin.orderZones(outOfService("z1", 20))
 				time.Sleep(bound)
 				want("llm2")
-				s.origin.order(backInService("z1", 21))
+				s.origin.orderZones(backInService("z1", 21))
 				time.Sleep(bound)
 				want("llm1", "llm2")
-				s.origin.order(outOfService("z1", 22), outOfService("z2", 23), backInService("z1", 24))
+				s.origin.orderZones(outOfService("z1", 22), outOfService("z2", 23), backInService("z1", 24))
 				time.Sleep(bound)
 				want("llm1")
-				s.origin.lost.Store(true)
+				s.origin.unavailable.Store(true)
 				time.Sleep(bound)
 				want("llm1")
 				cancel()
--- a/internal/peer/share.go
+++ b/internal/peer/share.go
@@ -150,7 +150,7 @@
 		w.Ended = append(w.Ended, wireEndedRun{Run: string(r.Run), Made: int(r.Made)})
 	}
 	for _, mark := range s.Leaving {
-		w.Leaving = append(w.Leaving, wireLeaving{Engine: string(mark.Engine), Life: int64(mark.Life), In: mark.In.Milliseconds(), Said: mark.Said})
+		w.Leaving = append(w.Leaving, wireLeaving{Engine: string(mark.Upstream), Life: int64(mark.Incarnation), In: mark.Remaining.Milliseconds(), Said: mark.Declared})
 	}
 	for _, mark := range s.Backoffs {
 		w.Backoffs = append(w.Backoffs, wireBackoff{Upstream: string(mark.Upstream), Life: mark.Life, For: mark.For.Milliseconds()})
@@ -186,7 +186,7 @@
 	}
 	for _, mark := range w.Leaving {
 		s.Leaving = append(s.Leaving, forward.LeavingMark{
-			Engine: member.UpstreamID(mark.Engine), Life: forward.Incarnation(mark.Life), In: time.Duration(mark.In) * time.Millisecond, Said: mark.Said,
+			Upstream: member.UpstreamID(mark.Engine), Incarnation: forward.Incarnation(mark.Life), Remaining: time.Duration(mark.In) * time.Millisecond, Declared: mark.Said,
 		})
 	}
 	for _, mark := range w.Backoffs {
