--- a/forward/fake_test.go
+++ b/forward/fake_test.go
@@ -19,19 +19,20 @@
 	"github.com/shedpath/shedpath/permit"
 )
 
-// fakeTransport plays upstreams by what each test says.
+// fakeTransport simulates upstreams by the functions that a test sets.
 type fakeTransport struct {
 	mu sync.Mutex
-	// send answers a request; nil refuses every one.
+	// send answers a request; nil fails each with ErrNotSent.
 	send func(ctx context.Context, u Upstream, r *UpstreamRequest) (*Response, error)
+	// move answers a request to move a run; nil fails each with ErrRunNotFound.
 	move func(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error)
-	// checkHealth answers health questions; nil says well.
+	// checkHealth answers health checks; nil reports healthy.
 	checkHealth func(u Upstream) (bool, error)
-	// checkReachable answers looks at an upstream; nil says that it is there.
+	// checkReachable answers reachability checks; nil reports reachable.
 	checkReachable func(u Upstream) error
-	// sent are the upstreams that got the request, in order.
+	// sent are the upstreams that requests were sent to, in order.
 	sent []member.UpstreamID
-	// discarded are the handles that were freed.
+	// discarded are the handles of copies that were discarded.
 	discarded []string
 }
 
@@ -80,16 +81,16 @@
 	return append([]member.UpstreamID(nil), f.sent...)
 }
 
-// fakeSink keeps what the caller gets.
+// fakeSink records what the caller receives.
 type fakeSink struct {
 	mu        sync.Mutex
 	status    int
 	body      strings.Builder
 	refused   *Refusal
 	truncated bool
-	// callerGone has the caller's connection fail.
+	// callerGone makes writes to the caller fail.
 	callerGone bool
-	// onWrite, when set, is told of each write.
+	// onWrite, if set, is called on each write.
 	onWrite func(p []byte)
 }
 
@@ -128,7 +129,7 @@
 
 func (s *fakeSink) Truncate() { s.truncated = true }
 
-// silentJournal and silentObserver keep nothing.
+// silentJournal and silentObserver discard everything.
 type (
 	silentJournal  struct{}
 	silentObserver struct{}
@@ -148,7 +149,7 @@
 func (silentObserver) Signal(SignalKind)                    {}
 func (silentObserver) Moved(string, time.Duration)          {}
 
-// testConfig has a route of each kind; "/llm/" leads to engines.
+// testConfig returns a configuration with a route of each kind; "/llm/" leads to engines.
 func testConfig(version Version) Config {
 	engine := &Engine{
 		Batch: 24, Memory: 34000, TokenBytes: 327680, LinkBitsPerSecond: 47e9, Moves: true, EventTokens: 4,
@@ -174,15 +175,14 @@
 	}
 }
 
-// newForwarder returns a forwarder with testConfig and three upstreams of each
-// service.
+// newForwarder returns a forwarder with testConfig and three upstreams of each service.
 func newForwarder(t *testing.T, transport Transport) *Forwarder {
 	t.Helper()
 	f := New(Settings{
 		Self: Peer{ID: "h1", Zone: "z1", PeerAddress: "10.0.0.1:1"}, DrainTime: 2 * time.Second, MaxContactAge: 3 * time.Second,
 		RetryLimit: RetryLimit{Ratio: 0.2, Slack: 100, Window: 10 * time.Second},
 	}, transport, silentJournal{}, silentObserver{})
-	f.retries.setHosts(1) // it has looked for others
+	f.retries.setHosts(1) // as after peer discovery
 	now := time.Now()
 	var list []Upstream
 	for _, service := range []ServiceName{"app", "llm"} {
@@ -200,6 +200,7 @@
 	return f
 }
 
+// call returns a caller's request for a path.
 func call(path string) *Call {
 	return &Call{
 		ID: "r1", Method: http.MethodPost, Host: "shop.example:80", Path: path + "x", Target: path + "x",
@@ -208,13 +209,13 @@
 	}
 }
 
-// sendAfterDelay is a send whose good answer comes after 100 ms of virtual time.
+// sendAfterDelay answers with status 200 after 100 ms of virtual time.
 func sendAfterDelay(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 	time.Sleep(100 * time.Millisecond)
 	return answer(http.StatusOK, "late"), nil
 }
 
-// answer is an upstream's good answer.
+// answer returns a complete, signed response of an upstream.
 func answer(status int, body string) *Response {
 	return &Response{
 		Status: status, Header: http.Header{}, ContentLength: int64(len(body)), Framed: true, Signed: true,
--- a/forward/fakefleet_test.go
+++ b/forward/fakefleet_test.go
@@ -15,50 +15,50 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Upstreams in virtual time that can end, for tests of what hosts learn from that.
+// Simulated upstreams that can end, in virtual time, for tests of what hosts learn from that.
 
 const (
-	// fakeFirstEventDelay is how long an upstream takes to its first event, and fakeGap is between
-	// two.
+	// fakeFirstEventDelay is the time until an upstream writes the first event of a stream,
+	// and fakeEventGap the time between two events.
 	fakeFirstEventDelay = 300 * time.Millisecond
 	fakeEventGap        = 50 * time.Millisecond
-	// fakeCrashDelay is how long after its first token a request of which an upstream ends
-	// brings that about.
+	// fakeCrashDelay is how long after the first token a crashing request ends its upstream.
 	fakeCrashDelay = 90 * time.Millisecond
 	// fakeCallDuration is how long a plain call takes.
 	fakeCallDuration = 20 * time.Millisecond
-	// fakeDowntime is how long an upstream that has ended is away.
+	// fakeDowntime is how long an upstream that has ended is down.
 	fakeDowntime = 2500 * time.Millisecond
 )
 
-// crashingPrefix begins the body of a request that every upstream ends of.
+// crashingPrefix begins the body of a request that ends every upstream it reaches.
 const crashingPrefix = "crashing"
 
-// fakeFleet plays all upstreams of a site.
+// fakeFleet simulates all upstreams of a site.
 type fakeFleet struct {
 	mu        sync.Mutex
 	upstreams map[member.UpstreamID]*fakeUpstream
-	// arrivals are the crashing requests that reached an upstream, by body.
+	// arrivals are the arrivals of crashing requests at upstreams, by body.
 	arrivals map[string][]arrival
-	// crashes are when an upstream ended under each of them.
+	// crashes are the times at which an upstream ended because of a crashing request, by body.
 	crashes map[string][]time.Time
-	// eventCount bounds a stream.
+	// eventCount is the number of events of a stream.
 	eventCount int
 }
 
-// arrival is a request's at an upstream.
+// arrival records that a request reached an upstream.
 type arrival struct {
 	at       time.Time
 	upstream member.UpstreamID
 }
 
-// fakeUpstream is one of them.
+// fakeUpstream is the state of one upstream.
 type fakeUpstream struct {
 	downUntil time.Time
 	runs      map[*fakeRun]bool
 }
 
-// fakeRun is what an upstream is at work on. lost closes when it ends.
+// fakeRun is a request that an upstream works on. lost is closed when the upstream ends or the
+// connection breaks.
 type fakeRun struct{ lost chan struct{} }
 
 func newFakeFleet() *fakeFleet {
@@ -67,6 +67,7 @@
 	}
 }
 
+// upstream returns an upstream's state, which it creates if needed. The mutex must be held.
 func (f *fakeFleet) upstream(id member.UpstreamID) *fakeUpstream {
 	u := f.upstreams[id]
 	if u == nil {
@@ -76,7 +77,7 @@
 	return u
 }
 
-// endUpstream has an upstream endUpstream now, with all that runs there.
+// endUpstream ends an upstream and all its runs.
 func (f *fakeFleet) endUpstream(id member.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,7 +89,8 @@
 	clear(u.runs)
 }
 
-// startRun notes that a request has reached an upstream; false says that it is down.
+// startRun records that a request reached an upstream. It reports false if the upstream is
+// down.
 func (f *fakeFleet) startRun(id member.UpstreamID, body string) (*fakeRun, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,7 +112,7 @@
 	delete(f.upstream(id).runs, run)
 }
 
-// wait waits; the error says that the upstream or the request has ended meanwhile.
+// wait waits for d; it returns an error if the run is lost or ctx is done before.
 func (r *fakeRun) wait(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -124,7 +126,7 @@
 	}
 }
 
-// crash has an upstream end under a request.
+// crash ends an upstream because of a crashing request.
 func (f *fakeFleet) crash(id member.UpstreamID, body string) {
 	f.mu.Lock()
 	f.crashes[body] = append(f.crashes[body], time.Now())
@@ -132,7 +134,7 @@
 	f.endUpstream(id)
 }
 
-// Send plays an upstream's answer: a stream for the service of engines, else a short body.
+// Send simulates an upstream's answer: a stream for the service "llm", otherwise a short body.
 func (f *fakeFleet) Send(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 	body := string(out.Call.Body)
 	run, ok := f.startRun(u.ID, body)
@@ -156,7 +158,7 @@
 	return answer(200, "fine"), nil
 }
 
-// stream writes a run's events.
+// stream writes a run's events and returns the error that ends its body.
 func (f *fakeFleet) stream(ctx context.Context, id member.UpstreamID, run *fakeRun, body string, to io.Writer) error {
 	defer f.finishRun(id, run)
 	if err := run.wait(ctx, fakeFirstEventDelay); err != nil {
@@ -180,7 +182,7 @@
 	return io.EOF
 }
 
-// checkReachable tells whether an upstream listens.
+// checkReachable returns ErrPortClosed if an upstream is down.
 func (f *fakeFleet) checkReachable(u Upstream) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -190,8 +192,9 @@
 	return nil
 }
 
-// arrivalsAfter counts the arrivals of a crashing request later than a while arrivalsAfter upstreams
-// ended under it for the nth time; all is how many ended.
+// arrivalsAfter returns how many arrivals of a crashing request came later than slack after it
+// ended upstreams for the nth time, and how many upstreams it ended in all. If it ended fewer
+// than nth upstreams, none is late.
 func (f *fakeFleet) arrivalsAfter(body string, nth int, slack time.Duration) (late, all int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -207,7 +210,7 @@
 	return late, len(ends)
 }
 
-// breakConnections breaks every connection; the upstreams go on.
+// breakConnections breaks every connection; the upstreams stay up.
 func (f *fakeFleet) breakConnections() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/leaving.go
+++ b/forward/leaving.go
@@ -9,52 +9,60 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// LeavingSource says who told that an upstream leaves.
+// LeavingSource is the source that first reported that an upstream leaves.
 type LeavingSource string
 
-// The sources.
+// The sources of a report that an upstream leaves.
 const (
+	// SourceList is the list of upstreams.
 	SourceList LeavingSource = "list"
-	// SourceUpstream is its own, in an answer.
+	// SourceUpstream is the upstream itself, in an answer.
 	SourceUpstream LeavingSource = "upstream"
-	// SourceHost is this host's finding, such as a failed health check.
+	// SourceHost is this host's own observation, such as a failed health check.
 	SourceHost LeavingSource = "host"
+	// SourcePeer is another host.
 	SourcePeer LeavingSource = "peer"
-	// SourceRollout is that its version is not in service any more.
+	// SourceRollout is a rollout that has taken the upstream's version out of service.
 	SourceRollout LeavingSource = "rollout"
 )
 
-// LeavingMark is a host's word that an upstream leaves, for its peers.
+// LeavingMark is a host's report to its peers that an upstream leaves.
 type LeavingMark struct {
 	Upstream    member.UpstreamID
 	Incarnation Incarnation
-	// Remaining is how long it will still serve; zero when that isn't known.
+	// Remaining is how long the upstream will still serve; zero if unknown.
 	Remaining time.Duration
-	// Declared says that the upstream told so itself.
+	// Declared says that the upstream itself or the list reported that it leaves, rather than
+	// that a host observed a sign of it.
 	Declared bool
 }
 
 const (
-	// observedLeavingShareTime is how long a finding is told to peers.
+	// observedLeavingShareTime is how long a host shares its own observation that an upstream
+	// leaves, or passes on a peer's report.
 	observedLeavingShareTime = 3 * time.Second
-	// declaredLeavingShareTime is how long an upstream's own word is, while the list doesn't have it.
+	// declaredLeavingShareTime is how long a host shares a declared leaving that other hosts
+	// may not have from the list.
 	declaredLeavingShareTime = 30 * time.Second
-	// selfReportRetention is how long an upstream that said that it leaves is remembered after the
-	// list dropped it: its entry may lapse and come back while it still serves.
+	// selfReportRetention is how long an upstream that reported that it leaves is remembered
+	// after the list dropped it. Its entry may lapse and be listed again while the upstream
+	// still serves.
 	selfReportRetention = 5 * time.Minute
 )
 
-// RecordSelfReportedLeaving takes in an upstream's own word, to this host or with own unset to a peer,
-// that it leaves. The list doesn't take that back. It reports whether it is new.
-func (f *Fleet) RecordSelfReportedLeaving(now time.Time, id member.UpstreamID, life Incarnation, own bool) bool {
+// RecordSelfReportedLeaving records that an upstream itself reported that it leaves: to this
+// host with toThisHost, otherwise to a peer. A report from another incarnation is ignored. The
+// list can't take the report back. RecordSelfReportedLeaving reports whether the report is
+// new.
+func (f *Fleet) RecordSelfReportedLeaving(now time.Time, id member.UpstreamID, incarnation Incarnation, toThisHost bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.upstreams[id]
-	if k == nil || k.leavingSelfReported || life != 0 && k.Incarnation != life {
+	if k == nil || k.leavingSelfReported || incarnation != 0 && k.Incarnation != incarnation {
 		return false
 	}
 	k.leavingSelfReported, k.leavingDeclared, k.leavingUnconfirmed = true, true, false
-	if own && !k.gone {
+	if toThisHost && !k.gone {
 		f.shareLeaving(k, now.Add(declaredLeavingShareTime))
 	}
 	k.startLeaving(now, SourceUpstream)
@@ -62,13 +70,15 @@
 	return true
 }
 
-// shareLeaving has peers be told for a while that an upstream leaves. The mutex is held.
+// shareLeaving has this host tell its peers until the given time that an upstream leaves. The
+// mutex must be held.
 func (f *Fleet) shareLeaving(k *knownUpstream, until time.Time) {
 	k.shareLeavingUntil = until
 	f.shareLeavingUntil = laterOf(f.shareLeavingUntil, until)
 }
 
-// LeavingMarks returns this host's own words that upstreams leave.
+// LeavingMarks returns the reports about upstreams that leave that this host shares with its
+// peers now.
 func (f *Fleet) LeavingMarks(now time.Time) []LeavingMark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,7 +99,7 @@
 	return marks
 }
 
-// receiveLeaving takes in a peer's word that an upstream leaves.
+// receiveLeaving records a peer's report that an upstream leaves.
 func (f *Forwarder) receiveLeaving(now time.Time, from member.HostID, mark LeavingMark) {
 	if !f.fleet.ReceiveIncarnation(mark.Upstream, mark.Incarnation) {
 		return
@@ -101,7 +111,7 @@
 		isNew = f.fleet.MarkLeaving(now, mark.Upstream, mark.Remaining, false)
 	}
 	if isNew && f.peers.inOtherCell(from) {
-		// The others of this cell hear it from this host.
+		// The other hosts of this cell receive the report from this host.
 		f.fleet.relayLeaving(now, mark.Upstream)
 		f.peers.notifyOwnCell()
 	}
@@ -110,7 +120,7 @@
 	}
 }
 
-// relayLeaving has a peer's word that an upstream leaves be told on.
+// relayLeaving passes a peer's report that an upstream leaves on to other peers.
 func (f *Fleet) relayLeaving(now time.Time, id member.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -119,7 +129,8 @@
 	}
 }
 
-// LeavingUpstreamCounts counts the upstreams that leave, by who told first.
+// LeavingUpstreamCounts returns the number of upstreams that leave by the source that reported
+// it first.
 func (f *Fleet) LeavingUpstreamCounts() map[LeavingSource]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/leaving_test.go
+++ b/forward/leaving_test.go
@@ -16,34 +16,29 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// What happened: on a site of 66 hosts, requests still reached upstreams that had said
-// that they leave, from hosts that had no trouble of their own. Many routes had been
-// added to the configuration, and configurations came in quick succession.
+// Guards against requests that reach upstreams after these have reported that they leave, from
+// hosts that have no fault of their own.
 //
-// The cause: what is new on the list came in one message with the configuration, half
-// a megabyte of it, on one link. A host whose link is narrow got each of them later
-// than the call may take, gave up, and asked the next peer, which sent it again; what
-// had been given up was still on its way. Until the series was over, such a host heard
-// of no upstream that leaves.
-//
-// Evidence: with 1,500 routes and a configuration every 0.1 s, hosts behind 10 Mbit/s
-// had their "upstream listed ... leaving=true" lines up to 8.2 s after the others, with
-// "leader not followed" and "configuration not fetched" between; with 400 routes up to
-// 2.8 s. Without configurations in series, none was later than 0.8 s.
+// The list's changes used to come in one message with the configuration, half a megabyte on
+// one link. While configurations came in quick succession, a host on a narrow link received
+// each message later than the call's timeout, gave up and asked the next peer, which sent it
+// again, while the abandoned message still occupied the link. Until the series ended, such a
+// host learned of no upstream that leaves.
 
-// TestLeavingNotDelayedByConfigurations has every host hear within half of the drain time
-// that an upstream leaves, while configurations come faster than they can be carried.
+// TestLeavingNotDelayedByConfigurations checks that every host learns within half of the drain
+// time that an upstream leaves, while configurations come faster than the links can carry
+// them.
 func TestLeavingNotDelayedByConfigurations(t *testing.T) {
 	const drain = 2 * time.Second
-	for _, takes := range []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond, 1500 * time.Millisecond} {
-		t.Run(takes.String(), func(t *testing.T) {
+	for _, transferTime := range []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond, 1500 * time.Millisecond} {
+		t.Run(transferTime.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				s := newSite(3, 4, true)
 				ctx, cancel := context.WithCancel(t.Context())
 				s.startAll(ctx)
 				time.Sleep(4 * time.Second)
-				s.setConfigTransferTime(takes)
+				s.setConfigTransferTime(transferTime)
 				for n := range 60 {
 					s.origin.configure(Version(2+n), rev(20+n))
 					if n == 30 {
@@ -51,14 +46,14 @@
 					}
 					if n == 30+int(drain/2/(100*time.Millisecond)) {
 						for _, f := range s.hosts {
-							is.Equal(availableIDs(f.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true}) // it may be sent nothing any more
+							is.Equal(availableIDs(f.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true}) // llm1 leaves and may get no requests
 						}
 					}
 					time.Sleep(100 * time.Millisecond)
 				}
-				time.Sleep(3*takes + time.Second)
+				time.Sleep(3*transferTime + time.Second)
 				for _, f := range s.hosts {
-					is.Equal(f.versionInForce(), Version(61)) // the newest arrives soon, however many there were
+					is.Equal(f.versionInForce(), Version(61)) // the newest version arrives soon after a long series
 				}
 				cancel()
 				synctest.Wait()
@@ -67,25 +62,25 @@
 	}
 }
 
-// TestLeavingNotDelayedByFrozenHosts has every host that runs hear within three
-// quarters of the drain time that an upstream leaves, whichever hosts stand still.
+// TestLeavingNotDelayedByFrozenHosts checks that every running host learns within three
+// quarters of the drain time that an upstream leaves, whichever hosts are frozen.
 func TestLeavingNotDelayedByFrozenHosts(t *testing.T) {
 	const drain = 2 * time.Second
-	for _, still := range [][]string{
+	for _, frozen := range [][]string{
 		{},
 		{"10.1.0.1:1"},
 		{"10.1.0.1:1", "10.1.0.2:1"},
 		{"10.1.0.1:1", "10.2.0.1:1", "10.3.0.1:1"},
 		{"10.1.0.1:1", "10.1.0.2:1", "10.2.0.1:1", "10.2.0.2:1"},
 	} {
-		t.Run(fmt.Sprint(still), func(t *testing.T) {
+		t.Run(fmt.Sprint(frozen), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				s := newSite(3, 4, true)
 				ctx, cancel := context.WithCancel(t.Context())
 				s.startAll(ctx)
 				time.Sleep(4 * time.Second)
-				s.freeze(still...)
+				s.freeze(frozen...)
 				time.Sleep(time.Millisecond)
 				s.origin.publish(Change{Upstream: llmUpstream("llm1", 20, true)})
 				time.Sleep(drain * 3 / 4)
@@ -101,14 +96,13 @@
 	}
 }
 
-// TestListReadInPages has those who follow a host that read the list in several pages
-// get every change: what changed in an earlier page while a later one was read is below
-// the newest revision that the reading brought.
+// TestListReadInPages checks that the followers of a host that read the list in several pages
+// get every change. A change to an item of an earlier page, made while a later page is read,
+// has a lower revision than the newest item that was read.
 //
-// The reader took the newest revision of any item for the one up to which it knew
-// everything, and its followers asked for what came after that. An upstream that had
-// said that it leaves, or was dropped, between two pages stayed in their lists. Found by
-// reading the code for this incident; no run has shown it.
+// The reader used to take the newest revision of any item for the one up to which it knew
+// everything, and its followers asked for changes after that. An upstream that reported that
+// it leaves, or was dropped, between two pages stayed in their lists.
 func TestListReadInPages(t *testing.T) {
 	now := time.Now()
 	list := []Upstream{llmUpstream("a", 1, false), llmUpstream("b", 2, false), llmUpstream("c", 3, false)}
@@ -116,11 +110,11 @@
 		return Change{Upstream: Upstream{ID: id, Revision: rev(at)}, Gone: true}
 	}
 	for name, c := range map[string]struct {
-		// read is what the reading brought, whose first page is of revision 10, and
-		// watched what a watch from there on told.
-		read    []Upstream
-		watched []Change
-		// followedTo is up to where the follower knew the list before the reading.
+		// readItems are the items that the read returned, whose first page is of revision 10.
+		// watchChanges are the changes that a watch from that revision returned.
+		readItems    []Upstream
+		watchChanges []Change
+		// followedTo is the revision up to which the follower knew the list before the read.
 		followedTo history.Point
 		want       map[member.UpstreamID]bool
 	}{
@@ -156,9 +150,9 @@
 				}
 				follower.Apply(now, changes, at)
 			}
-			reader.Replace(now, c.read, rev(10))
+			reader.Replace(now, c.readItems, rev(10))
 			catchUp()
-			reader.Apply(now, c.watched, c.watched[len(c.watched)-1].Revision)
+			reader.Apply(now, c.watchChanges, c.watchChanges[len(c.watchChanges)-1].Revision)
 			catchUp()
 			is.Equal(availableIDs(&follower, now), c.want)
 			is.Equal(follower.Revision(), reader.Revision())
--- a/forward/limitingfleet_test.go
+++ b/forward/limitingfleet_test.go
@@ -15,33 +15,34 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// Upstreams in virtual time that name limits, and what is checked of them.
+// Simulated upstreams that name request limits, in virtual time, and the checks of what they
+// receive.
 
-// limitPeriod is a time for which an upstream names a limit.
+// limitPeriod is a period in which an upstream names a limit.
 type limitPeriod struct {
 	upstream    member.UpstreamID
 	from, until time.Duration
 	rate        ratelimit.Rate
 }
 
-// request is an arrival at an upstream.
+// request is the arrival of a request at an upstream.
 type request struct {
 	at   time.Duration
 	host member.HostID
 }
 
-// limitingFleet plays upstreams that name limits in their answers.
+// limitingFleet simulates upstreams that name limits in their answers.
 type limitingFleet struct {
 	*fakeFleet
 	limitPeriods []limitPeriod
-	// hidesLimit has a part of the answers name nothing although the upstream is in need; nil
-	// has none.
+	// hidesLimit reports for each answer in a limit period whether it leaves out the limit;
+	// nil leaves it out of none.
 	hidesLimit func() bool
 
 	mu       sync.Mutex
 	start    time.Time
 	requests map[member.UpstreamID][]request
-	// firstLimitAt is when each host first had an answer that named a limit.
+	// firstLimitAt is when each host first received an answer that named a limit.
 	firstLimitAt map[member.UpstreamID]map[member.HostID]time.Duration
 }
 
@@ -52,7 +53,7 @@
 	}
 }
 
-// limit is what an upstream names at a time.
+// limit returns the limit that an upstream names at a time.
 func (f *limitingFleet) limit(id member.UpstreamID, at time.Duration) (ratelimit.Rate, bool) {
 	for _, n := range f.limitPeriods {
 		if n.upstream == id && n.from <= at && at < n.until {
@@ -62,7 +63,7 @@
 	return 0, false
 }
 
-// sendFrom plays an upstream's answer to one host.
+// sendFrom returns a send function that simulates the upstreams' answers to one host.
 func (f *limitingFleet) sendFrom(host member.HostID) func(context.Context, Upstream, *UpstreamRequest) (*Response, error) {
 	return func(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 		f.mu.Lock()
@@ -90,29 +91,29 @@
 	}
 }
 
-// limitWindow is the span in which an upstream's requests are counted against its limit.
+// limitWindow is the length of the sliding window in which an upstream's requests are counted.
 const limitWindow = 4 * time.Second
 
-// worstWindow is the highest excess of requests in any window over what is allowed there.
+// worstWindow is the window in which the requests exceed the allowed number by most.
 type worstWindow struct {
 	received, allowed int
 	at                time.Duration
 }
 
 func (w worstWindow) String() string {
-	return fmt.Sprintf("%d in the 4 s up to %v, %d allowed", w.received, w.at, w.allowed)
+	return fmt.Sprintf("%d requests in the 4 s up to %v, %d allowed", w.received, w.at, w.allowed)
 }
 
-// exceeded says that more came than is allowed.
+// exceeded reports whether more requests came than are allowed.
 func (w worstWindow) exceeded() bool { return w.received > w.allowed }
 
-// findWorstWindow counts an upstream's requests in each window that ends later than the contact bound
-// after its need began, and returns the window that is furthest over what is
-// allowed at its highest limit. Requests that don't count are passed over.
+// findWorstWindow counts an upstream's requests in each window that ends at least contactBound
+// after the start of a limit period, and returns the window that is furthest over what is
+// allowed at its highest limit. Requests for which counts is false are ignored.
 func (f *limitingFleet) findWorstWindow(id member.UpstreamID, allowed func(ratelimit.Rate) float64, counts func(request) bool) worstWindow {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	most := worstWindow{allowed: math.MaxInt}
+	worst := worstWindow{allowed: math.MaxInt}
 	var window []request
 	for _, r := range f.requests[id] {
 		if !counts(r) {
@@ -124,16 +125,17 @@
 		if !covered {
 			continue
 		}
-		here := worstWindow{received: len(window), allowed: int(allowed(rate)), at: r.at}
-		if most.allowed == math.MaxInt || here.received-here.allowed > most.received-most.allowed {
-			most = here
+		current := worstWindow{received: len(window), allowed: int(allowed(rate)), at: r.at}
+		if worst.allowed == math.MaxInt || current.received-current.allowed > worst.received-worst.allowed {
+			worst = current
 		}
 	}
-	return most
+	return worst
 }
 
-// highestLimit is the highestLimit limit that an upstream names in the window up to a time, if it has
-// named one since the contact bound before that.
+// highestLimit returns the highest limit that an upstream names in the window up to a time. It
+// reports false unless the upstream has named a limit throughout the contact bound before that
+// time.
 func (f *limitingFleet) highestLimit(id member.UpstreamID, at time.Duration) (ratelimit.Rate, bool) {
 	if _, named := f.limit(id, at-contactBound); !named {
 		return 0, false
@@ -150,34 +152,35 @@
 	return max(highest, before), true
 }
 
-// worstOverTolerance is the window furthest over what an upstream is to bear at most: half as much again
-// as its limit, and 5, from the hosts that had heard of it for half a second.
+// worstOverTolerance returns the window furthest over what an upstream has to tolerate, 1.5
+// times its limit and 5 requests, from hosts that have known of the limit for half a second.
 func (f *limitingFleet) worstOverTolerance(id member.UpstreamID, excused ...member.HostID) worstWindow {
 	allowed := func(r ratelimit.Rate) float64 { return 1.5*float64(r)*limitWindow.Seconds() + 5 }
 	return f.findWorstWindow(id, allowed, func(r request) bool {
-		at, told := f.firstLimitAt[id][r.host]
-		return told && r.at >= at+500*time.Millisecond && !slices.Contains(excused, r.host)
+		at, known := f.firstLimitAt[id][r.host]
+		return known && r.at >= at+500*time.Millisecond && !slices.Contains(excused, r.host)
 	})
 }
 
-// worstOverLimit is the window furthest over the limit itself, counted in whole requests, from all
-// hosts, as soon as they have had time to hear of it.
+// worstOverLimit returns the window furthest over the limit itself, rounded up to whole
+// requests, from all hosts, once they have had time to learn of the limit.
 func (f *limitingFleet) worstOverLimit(id member.UpstreamID) worstWindow {
 	allowed := func(r ratelimit.Rate) float64 {
 		return math.Ceil(float64(max(r, ratelimit.LeastRate)) * limitWindow.Seconds())
 	}
 	return f.findWorstWindow(id, allowed, func(r request) bool {
-		_, heard := f.limit(id, r.at-contactBound)
-		return heard
+		_, known := f.limit(id, r.at-contactBound)
+		return known
 	})
 }
 
-// usedFraction is how many requests an upstream got between two times, as a part of what its limit
-// allows in that time.
+// usedFraction returns the number of requests that an upstream got between two times, as a
+// fraction of what its limit allows in that time.
 func (f *limitingFleet) usedFraction(id member.UpstreamID, from, until time.Duration, rate ratelimit.Rate) float64 {
 	return float64(f.requestCount(id, from, until)) / (float64(rate) * (until - from).Seconds())
 }
 
+// requestCount returns the number of requests that an upstream got between two times.
 func (f *limitingFleet) requestCount(id member.UpstreamID, from, until time.Duration) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/signalday_test.go
+++ b/forward/signalday_test.go
@@ -20,36 +20,38 @@
 )
 
 var (
-	signalSeedFlag  = flag.Uint64("signal.seed", 1, "seed of the callers of upstreams that tell about themselves")
-	signalSizesFlag = flag.Bool("signal.sizes", false, "play days of upstreams that tell about themselves on up to 300 hosts")
+	signalSeedFlag  = flag.Uint64("signal.seed", 1, "seed of the callers in the simulations of upstream signals")
+	signalSizesFlag = flag.Bool("signal.sizes", false, "simulate upstream signals on up to 300 hosts")
 )
 
-// signalDay is a load on upstreams that tell about themselves.
+// signalDay is a simulated load on upstreams that signal that they leave or ask for backoff.
 type signalDay struct {
 	zones, hostsPerZone, upstreams int
 	path                           string
 	requestsPerSecond              float64
 	periods                        []signalPeriod
 	duration                       time.Duration
-	// failEvery is the fleet's.
+	// failEvery is signalFleet.failEvery.
 	failEvery int
-	// storeLostAt is when the list can't be had; zero for never.
+	// storeLostAt and storeBackAt bound the time in which the store is unavailable; zero for
+	// never.
 	storeLostAt, storeBackAt time.Duration
-	// disturb is what befalls the site meanwhile.
+	// disturb, if set, disturbs the site while the load runs.
 	disturb func(ctx context.Context, s *site, fleet *signalFleet)
-	// maxCallerRetries has refused callers come back when they are told to, to a host of their zone,
-	// so many times.
+	// maxCallerRetries is how often a refused caller retries, after the delay that it is
+	// given, at another host of the zone.
 	maxCallerRetries int
 }
 
-// otherHostInZone is another host of a host's zone; after some tries each is one.
+// otherHostInZone returns another host of a host's zone. Successive values of n go through all
+// of them. A zone's only host is returned itself.
 func (s *site) otherHostInZone(f *Forwarder, n int) *Forwarder {
 	zone := s.zoneHosts(f.settings.Self.Zone)
 	at := slices.Index(zone, f)
 	return zone[(at+1+n%max(len(zone)-1, 1))%len(zone)]
 }
 
-// zoneHosts are a zone's hosts in the order of their addresses.
+// zoneHosts returns a zone's hosts in the order of their addresses.
 func (s *site) zoneHosts(zone member.Zone) []*Forwarder {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,23 +64,25 @@
 	return hosts
 }
 
-// signalTally is what callers got.
+// signalTally counts what callers received.
 type signalTally struct {
 	mu                                    sync.Mutex
 	calls, served, truncated, mayHaveRun  int
 	refused                               map[Code]int
 	slowest                               time.Duration
 	longestRetryAfter, shortestRetryAfter time.Duration
-	// tries counts the callers by how often they came.
+	// tries counts the callers by the number of their requests.
 	tries map[int]int
 }
 
+// recordTries counts a caller by the number of its requests.
 func (t *signalTally) recordTries(tries int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.tries[tries]++
 }
 
+// record counts a caller's final answer.
 func (t *signalTally) record(s *fakeSink, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,11 +107,12 @@
 }
 
 func (t *signalTally) String() string {
-	return fmt.Sprintf("asked %d, good %d, cut %d, refused %v (may have run %d), slowest refusal %v, come back %v to %v",
+	return fmt.Sprintf("calls %d, served %d, cut %d, refused %v (may have run %d), slowest refusal %v, retry after %v to %v",
 		t.calls, t.served, t.truncated, t.refused, t.mayHaveRun, t.slowest, t.shortestRetryAfter, t.longestRetryAfter)
 }
 
-// sustainableRate is how many requests a second one of three upstreams serves.
+// sustainableRate is the number of requests per second that one of three upstreams can serve
+// alone.
 func (d signalDay) sustainableRate() float64 {
 	if d.path == "/order/" || d.path == "/status/" {
 		return 30
@@ -118,8 +123,8 @@
 // maxRefusalTime is how long it may take to refuse a request.
 func (d signalDay) maxRefusalTime() time.Duration { return limitDay{path: d.path}.refusedWithin() }
 
-// play plays the day.
-func (d signalDay) play(t *testing.T, seed uint64, judge func(*testing.T, *signalFleet, *signalTally)) {
+// play simulates the day and calls verify with the results.
+func (d signalDay) play(t *testing.T, seed uint64, verify func(*testing.T, *signalFleet, *signalTally)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -133,9 +138,9 @@
 			f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: max(60, 2.2*float64(len(s.hosts))), Window: 10 * time.Second})
 		}
 		s.serveAll(ctx)
-		var under sync.WaitGroup
+		var running sync.WaitGroup
 		if d.storeLostAt > 0 {
-			under.Go(func() {
+			running.Go(func() {
 				time.Sleep(d.storeLostAt)
 				s.origin.unavailable.Store(true)
 				time.Sleep(d.storeBackAt - d.storeLostAt)
@@ -143,7 +148,7 @@
 			})
 		}
 		if d.disturb != nil {
-			under.Go(func() { d.disturb(ctx, s, fleet) })
+			running.Go(func() { d.disturb(ctx, s, fleet) })
 		}
 		time.Sleep(settled / 2)
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -151,10 +156,10 @@
 		for n := 0; fleet.elapsed() < d.duration; n++ {
 			host := s.nth(random.IntN(d.zones * d.hostsPerZone))
 			for !host.Ready() {
-				// Callers aren't led to a host that isn't.
+				// Callers aren't directed to a host that isn't ready.
 				host = s.nth(random.IntN(d.zones * d.hostsPerZone))
 			}
-			under.Go(func() {
+			running.Go(func() {
 				var sink *fakeSink
 				began, tries := time.Now(), 0
 				for ; tries <= d.maxCallerRetries && (sink == nil || sink.refused != nil); tries++ {
@@ -172,15 +177,15 @@
 			})
 			time.Sleep(time.Duration(-math.Log(1-random.Float64()) * pause))
 		}
-		under.Wait()
-		judge(t, fleet, tally)
+		running.Wait()
+		verify(t, fleet, tally)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// publishReady has the list say again and again, at newer revisions, that an upstream is
-// ready.
+// publishReady returns a disturbance that lists an upstream as ready repeatedly, at newer
+// revisions.
 func publishReady(id member.UpstreamID) func(context.Context, *site, *signalFleet) {
 	return func(_ context.Context, s *site, fleet *signalFleet) {
 		for n := 0; fleet.elapsed() < 12*time.Second; n++ {
@@ -195,34 +200,37 @@
 	}
 }
 
-// reportViolations fails a test for each of the first breaches.
-func reportViolations(t *testing.T, what string, breaches []violation) {
+// reportViolations fails the test if there are violations, and prints the first three and the
+// total.
+func reportViolations(t *testing.T, what string, violations []violation) {
 	t.Helper()
-	for i, b := range breaches {
+	for i, b := range violations {
 		if i == 3 {
 			break
 		}
-		t.Errorf("%s: %v", what, b)
+		t.Errorf("arrival %s: %v", what, b)
 	}
-	if len(breaches) > 3 {
-		t.Errorf("%s: %d in all", what, len(breaches))
+	if len(violations) > 3 {
+		t.Errorf("arrivals %s: %d in all", what, len(violations))
 	}
 }
 
-// TestLeavingUpstreamGetsNoRequests has a host send nothing to an upstream whose answer told it that it leaves.
+// TestLeavingUpstreamGetsNoRequests checks that a host sends nothing to an upstream after an
+// answer signaled that the upstream leaves.
 func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	const from, until = 5 * time.Second, 14 * time.Second
 	for name, c := range map[string]struct {
 		day signalDay
-		// all says that no upstream is left, or that some fail of themselves.
-		all bool
+		// mayRefuse says that callers need not all be served, because no upstream is available
+		// or some requests fail.
+		mayRefuse bool
 	}{
 		"the store is away":               {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00"}}, storeLostAt: 4 * time.Second, storeBackAt: 18 * time.Second}},
 		"the list says that it is ready":  {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00"}}, disturb: publishReady("app00")}},
-		"only its failures tell":          {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00", failuresOnly: true}}}, all: true},
+		"only its failures tell":          {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00", failuresOnly: true}}}, mayRefuse: true},
 		"it tells one host":               {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00", onlyHosts: []member.HostID{"z1-h01"}}}}},
 		"calls that may be repeated":      {day: signalDay{path: "/status/", periods: []signalPeriod{{upstream: "app00"}, {upstream: "app01"}}}},
-		"all of a service":                {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00"}, {upstream: "app01"}, {upstream: "app02"}}}, all: true},
+		"all of a service":                {day: signalDay{path: "/order/", periods: []signalPeriod{{upstream: "app00"}, {upstream: "app01"}, {upstream: "app02"}}}, mayRefuse: true},
 		"engines, the store is away":      {day: signalDay{path: "/llm/", periods: []signalPeriod{{upstream: "llm00"}}, storeLostAt: 4 * time.Second, storeBackAt: 18 * time.Second}},
 		"engines, the list says ready":    {day: signalDay{path: "/llm/", periods: []signalPeriod{{upstream: "llm00"}}, disturb: publishReady("llm00")}},
 		"engines whose streams can go on": {day: signalDay{path: "/resumable/", periods: []signalPeriod{{upstream: "llm00"}}}},
@@ -235,46 +243,49 @@
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
 				t.Log(tally)
-				reportViolations(t, "rule", fleet.drainViolations())
-				reportViolations(t, "aim", fleet.strictDrainViolations())
+				reportViolations(t, "after the drain time", fleet.drainViolations())
+				reportViolations(t, "after the signal", fleet.strictDrainViolations())
 				if tally.slowest > d.maxRefusalTime() || tally.truncated > 0 || tally.mayHaveRun > 0 {
-					t.Errorf("callers: %v", tally)
+					t.Errorf("refusals took up to %v (at most %v allowed), %d streams were cut, %d refused requests may have run, expected none (%v)",
+						tally.slowest, d.maxRefusalTime(), tally.truncated, tally.mayHaveRun, tally)
 				}
-				if !c.all && tally.served < tally.calls {
-					t.Errorf("not all were served: %v", tally)
+				if !c.mayRefuse && tally.served < tally.calls {
+					t.Errorf("callers served: %d of %d (%v)", tally.served, tally.calls, tally)
 				}
 			})
 		})
 	}
 }
 
-// TestUpstreamInBackoffGetsNoRequests has a host send nothing to an upstream for as long as that asked it to.
+// TestUpstreamInBackoffGetsNoRequests checks that a host sends nothing to an upstream for as
+// long as the upstream asked it to back off.
 func TestUpstreamInBackoffGetsNoRequests(t *testing.T) {
 	const from, until = 5 * time.Second, 11 * time.Second
-	rest := func(ids ...member.UpstreamID) []signalPeriod {
+	backoffPeriods := func(ids ...member.UpstreamID) []signalPeriod {
 		var spells []signalPeriod
 		for _, id := range ids {
 			spells = append(spells, signalPeriod{upstream: id, backoff: 3 * time.Second})
 		}
 		return spells
 	}
-	oneHost := rest("app00")
+	oneHost := backoffPeriods("app00")
 	oneHost[0].onlyHosts = []member.HostID{"z1-h01"}
 	for name, c := range map[string]struct {
 		day signalDay
-		// all says that no upstream is left at times.
-		all bool
+		// mayRefuse says that callers need not all be served, because no upstream is available
+		// at times or some requests fail.
+		mayRefuse bool
 	}{
-		"calls":                          {day: signalDay{path: "/order/", periods: rest("app00")}},
-		"calls, a tenth fail":            {day: signalDay{path: "/order/", periods: rest("app00"), failEvery: 10}, all: true},
-		"calls that may be repeated":     {day: signalDay{path: "/status/", periods: rest("app00", "app01")}},
+		"calls":                          {day: signalDay{path: "/order/", periods: backoffPeriods("app00")}},
+		"calls, a tenth fail":            {day: signalDay{path: "/order/", periods: backoffPeriods("app00"), failEvery: 10}, mayRefuse: true},
+		"calls that may be repeated":     {day: signalDay{path: "/status/", periods: backoffPeriods("app00", "app01")}},
 		"one host is asked":              {day: signalDay{path: "/order/", periods: oneHost}},
-		"calls, all upstreams":           {day: signalDay{path: "/order/", periods: rest("app00", "app01", "app02")}, all: true},
-		"streams":                        {day: signalDay{path: "/llm/", periods: rest("llm00")}},
-		"streams, two of three":          {day: signalDay{path: "/llm/", periods: rest("llm00", "llm01")}},
-		"streams that can go on":         {day: signalDay{path: "/resumable/", periods: rest("llm00")}},
-		"streams, all upstreams":         {day: signalDay{path: "/llm/", periods: rest("llm00", "llm01", "llm02")}, all: true},
-		"calls, while the store is away": {day: signalDay{path: "/order/", periods: rest("app00"), storeLostAt: 4 * time.Second, storeBackAt: 16 * time.Second}},
+		"calls, all upstreams":           {day: signalDay{path: "/order/", periods: backoffPeriods("app00", "app01", "app02")}, mayRefuse: true},
+		"streams":                        {day: signalDay{path: "/llm/", periods: backoffPeriods("llm00")}},
+		"streams, two of three":          {day: signalDay{path: "/llm/", periods: backoffPeriods("llm00", "llm01")}},
+		"streams that can go on":         {day: signalDay{path: "/resumable/", periods: backoffPeriods("llm00")}},
+		"streams, all upstreams":         {day: signalDay{path: "/llm/", periods: backoffPeriods("llm00", "llm01", "llm02")}, mayRefuse: true},
+		"calls, while the store is away": {day: signalDay{path: "/order/", periods: backoffPeriods("app00"), storeLostAt: 4 * time.Second, storeBackAt: 16 * time.Second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := c.day
@@ -283,23 +294,25 @@
 				d.periods[i].from, d.periods[i].until = from, until
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-				t.Log(tally, "turned away", fleet.rejections)
-				reportViolations(t, "rule", fleet.backoffViolations())
-				reportViolations(t, "aim", fleet.strictBackoffViolations())
+				t.Log(tally, "rejections", fleet.rejections)
+				reportViolations(t, "during backoff, over the allowance", fleet.backoffViolations())
+				reportViolations(t, "during backoff", fleet.strictBackoffViolations())
 				if tally.slowest > d.maxRefusalTime() || tally.truncated > 0 || tally.mayHaveRun > 0 {
-					t.Errorf("callers: %v", tally)
+					t.Errorf("refusals took up to %v (at most %v allowed), %d streams were cut, %d refused requests may have run, expected none (%v)",
+						tally.slowest, d.maxRefusalTime(), tally.truncated, tally.mayHaveRun, tally)
 				}
-				if !c.all && tally.served < tally.calls {
-					t.Errorf("not all were served: %v", tally)
+				if !c.mayRefuse && tally.served < tally.calls {
+					t.Errorf("callers served: %d of %d (%v)", tally.served, tally.calls, tally)
 				}
 			})
 		})
 	}
 }
 
-// TestBackoffOfAllHostsEnds has the upstream's calls return to within a fifth of its like's, without a peak.
+// TestBackoffOfAllHostsEnds checks that after a backoff an upstream's request rate returns to
+// within a fifth of that of a comparable upstream, without a peak.
 func TestBackoffOfAllHostsEnds(t *testing.T) {
-	const from, until, back, lasts = 6 * time.Second, 9 * time.Second, 14 * time.Second, 34 * time.Second
+	const from, until, checkedFrom, lasts = 6 * time.Second, 9 * time.Second, 14 * time.Second, 34 * time.Second
 	for _, size := range []struct{ zones, hostsPerZone int }{{3, 3}, {3, 20}, {5, 60}} {
 		if size.hostsPerZone > 3 && !*signalSizesFlag {
 			continue
@@ -311,30 +324,31 @@
 				periods: []signalPeriod{{upstream: "app00", backoff: 3 * time.Second, from: from, until: until}},
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-				t.Log(tally, "turned away", fleet.rejections)
-				reportViolations(t, "rule", fleet.backoffViolations())
-				reportViolations(t, "aim", fleet.strictBackoffViolations())
+				t.Log(tally, "rejections", fleet.rejections)
+				reportViolations(t, "during backoff, over the allowance", fleet.backoffViolations())
+				reportViolations(t, "during backoff", fleet.strictBackoffViolations())
 				if tally.served < tally.calls {
-					t.Errorf("not all were served: %v", tally)
+					t.Errorf("callers served: %d of %d (%v)", tally.served, tally.calls, tally)
 				}
-				// The other upstream of its zone is its like.
-				like := member.UpstreamID(fmt.Sprintf("app%02d", size.zones))
-				part := float64(fleet.requestCount("app00", back, lasts)) / float64(fleet.requestCount(like, back, lasts))
-				mean := float64(fleet.requestCount(like, back, lasts)) / (lasts - back).Seconds()
-				most := 0
+				// app00 is compared to the other upstream of its zone.
+				comparedTo := member.UpstreamID(fmt.Sprintf("app%02d", size.zones))
+				ratio := float64(fleet.requestCount("app00", checkedFrom, lasts)) / float64(fleet.requestCount(comparedTo, checkedFrom, lasts))
+				mean := float64(fleet.requestCount(comparedTo, checkedFrom, lasts)) / (lasts - checkedFrom).Seconds()
+				peak := 0
 				for at := from; at < lasts; at += time.Second {
-					most = max(most, fleet.requestCount("app00", at, at+time.Second))
+					peak = max(peak, fleet.requestCount("app00", at, at+time.Second))
 				}
-				t.Logf("%.2f of its like's %.0f a second; %d in a second at most", part, mean, most)
-				if part < 0.8 || part > 1.2 || float64(most) > 2*mean {
-					t.Errorf("it got %.2f of its like's %.0f a second, and %d in one", part, mean, most)
+				t.Logf("app00 got %.2f of the %.0f requests per second of a comparable upstream; at most %d in one second", ratio, mean, peak)
+				if ratio < 0.8 || ratio > 1.2 || float64(peak) > 2*mean {
+					t.Errorf("app00 got %.2f of the %.0f requests per second of a comparable upstream, expected 0.8 to 1.2; at most %d in one second, expected at most twice the mean", ratio, mean, peak)
 				}
 			})
 		})
 	}
 }
 
-// TestRefusedCallersServedAfterBackoff has refused callers be served when they return as told.
+// TestRefusedCallersServedAfterBackoff checks that refused callers are served when they retry
+// after the delay that they were given.
 func TestRefusedCallersServedAfterBackoff(t *testing.T) {
 	const from, until = 5 * time.Second, 6 * time.Second
 	for name, only := range map[string][]member.HostID{"all hosts": nil, "one host": {"z1-h01"}} {
@@ -347,11 +361,11 @@
 					d.periods = append(d.periods, signalPeriod{upstream: id, backoff: 3 * time.Second, from: from, until: until, onlyHosts: only})
 				}
 				d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-					t.Log(tally, "came so often", tally.tries)
-					reportViolations(t, "rule", fleet.backoffViolations())
-					reportViolations(t, "aim", fleet.strictBackoffViolations())
+					t.Log(tally, "callers by requests sent", tally.tries)
+					reportViolations(t, "during backoff, over the allowance", fleet.backoffViolations())
+					reportViolations(t, "during backoff", fleet.strictBackoffViolations())
 					if tally.served < tally.calls {
-						t.Errorf("not all were served: %v, came so often %v", tally, tally.tries)
+						t.Errorf("callers served: %d of %d (%v), callers by requests sent %v", tally.served, tally.calls, tally, tally.tries)
 					}
 				})
 			})
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -17,23 +17,24 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Upstreams that tell about themselves, while hosts and upstreams start again, hosts are cut
-// off and entries of the list lapse.
+// Tests of upstreams that signal that they leave or ask for backoff, while hosts and upstreams
+// restart, hosts are cut off and entries of the list lapse.
 
-// replaceWithNewProcess has another process be in a host's place, which knows nothing.
-func (s *site) replaceWithNewProcess(ctx context.Context, fleet *signalFleet, old *Forwarder) {
-	f := New(old.settings, signalTransport{fleet, old.settings.Self.ID}, silentJournal{}, silentObserver{})
+// replaceWithNewProcess replaces a host by a new process that knows nothing.
+func (s *site) replaceWithNewProcess(ctx context.Context, fleet *signalFleet, replaced *Forwarder) {
+	f := New(replaced.settings, signalTransport{fleet, replaced.settings.Self.ID}, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 60, Window: 10 * time.Second})
 	s.replaceHost(f)
 	s.start(ctx, f)
 	go f.Run(ctx)
 }
 
-// TestLeavingHoldsUnderFaults has an upstream that leaves get nothing until it starts again.
+// TestLeavingHoldsUnderFaults checks that an upstream that leaves gets no requests until it
+// restarts.
 func TestLeavingHoldsUnderFaults(t *testing.T) {
 	const from, until = 5 * time.Second, 16 * time.Second
 	const id = member.UpstreamID("app00")
-	lapse := func(back time.Duration) func(context.Context, *site, *signalFleet) {
+	lapseFor := func(back time.Duration) func(context.Context, *site, *signalFleet) {
 		return func(_ context.Context, s *site, _ *signalFleet) {
 			time.Sleep(6 * time.Second)
 			u, _ := s.first().fleet.Upstream(id)
@@ -44,7 +45,7 @@
 			s.origin.publish(Change{Upstream: u})
 		}
 	}
-	again := func(before, after Incarnation, address string) func(context.Context, *site, *signalFleet) {
+	restart := func(before, after Incarnation, address string) func(context.Context, *site, *signalFleet) {
 		return func(_ context.Context, s *site, fleet *signalFleet) {
 			time.Sleep(3 * time.Second)
 			u, _ := s.first().fleet.Upstream(id)
@@ -60,21 +61,21 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		happens              func(context.Context, *site, *signalFleet)
-		storeLost, storeBack time.Duration
-		// quietFrom is from when no host sends anything to the upstream, told or not; zero
-		// doesn't ask that.
+		disturb                  func(context.Context, *site, *signalFleet)
+		storeLostAt, storeBackAt time.Duration
+		// quietFrom is from when no host may send requests to the upstream, whether it
+		// received the signal or not; zero skips the check.
 		quietFrom time.Duration
-		// returns says that the upstream has to get requests at the end.
-		returns bool
+		// servesAgain says that the upstream has to get requests at the end.
+		servesAgain bool
 	}{
 		"hosts hear it from each other":             {quietFrom: from + contactBound},
-		"its entry lapses for 1 s":                  {happens: lapse(time.Second)},
-		"its entry lapses for 5 s":                  {happens: lapse(5 * time.Second)},
-		"the store is away until it has long ended": {storeLost: 3 * time.Second, storeBack: 15 * time.Second, quietFrom: from + contactBound},
+		"its entry lapses for 1 s":                  {disturb: lapseFor(time.Second)},
+		"its entry lapses for 5 s":                  {disturb: lapseFor(5 * time.Second)},
+		"the store is away until it has long ended": {storeLostAt: 3 * time.Second, storeBackAt: 15 * time.Second, quietFrom: from + contactBound},
 		"hosts start again while the store is away": {
-			storeLost: 3 * time.Second, storeBack: 15 * time.Second, quietFrom: 12 * time.Second,
-			happens: func(ctx context.Context, s *site, fleet *signalFleet) {
+			storeLostAt: 3 * time.Second, storeBackAt: 15 * time.Second, quietFrom: 12 * time.Second,
+			disturb: func(ctx context.Context, s *site, fleet *signalFleet) {
 				time.Sleep(8 * time.Second)
 				for n := range 3 {
 					s.replaceWithNewProcess(ctx, fleet, s.nth(n))
@@ -83,41 +84,42 @@
 			},
 		},
 		"hosts are cut off from each other and the store": {
-			storeLost: 3 * time.Second, storeBack: 15 * time.Second,
-			happens: func(_ context.Context, s *site, _ *signalFleet) {
+			storeLostAt: 3 * time.Second, storeBackAt: 15 * time.Second,
+			disturb: func(_ context.Context, s *site, _ *signalFleet) {
 				time.Sleep(4 * time.Second)
 				for zone := range 3 {
 					s.isolate(s.zone(zone + 1)...)
 				}
 			},
 		},
-		"it starts again under its id":   {returns: true, happens: again(1, 2, "10.9.9.1:80")},
-		"it starts again at its address": {returns: true, happens: again(1, 2, "10.9.0.1:80")},
+		"it starts again under its id":   {servesAgain: true, disturb: restart(1, 2, "10.9.9.1:80")},
+		"it starts again at its address": {servesAgain: true, disturb: restart(1, 2, "10.9.0.1:80")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := signalDay{
 				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", requestsPerSecond: 30, duration: until,
 				periods:     []signalPeriod{{upstream: id, leaving: true, from: from, until: until}},
-				storeLostAt: c.storeLost, storeBackAt: c.storeBack, disturb: c.happens,
+				storeLostAt: c.storeLostAt, storeBackAt: c.storeBackAt, disturb: c.disturb,
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
 				t.Log(tally)
-				reportViolations(t, "rule", fleet.drainViolations())
+				reportViolations(t, "after the drain time", fleet.drainViolations())
 				if n := fleet.requestCount(id, c.quietFrom, until); c.quietFrom > 0 && n > 0 {
-					t.Errorf("it got %d requests from %v on", n, c.quietFrom)
+					t.Errorf("upstream %s got %d requests from %v on, expected none", id, n, c.quietFrom)
 				}
-				if n := fleet.requestCount(id, until-4*time.Second, until); c.returns && n < 15 {
-					t.Errorf("it got only %d requests after it had started again", n)
+				if n := fleet.requestCount(id, until-4*time.Second, until); c.servesAgain && n < 15 {
+					t.Errorf("upstream %s got %d requests in the last 4 s, after its restart, expected at least 15", id, n)
 				}
 				if tally.served < tally.calls {
-					t.Errorf("not all were served: %v", tally)
+					t.Errorf("callers served: %d of %d (%v)", tally.served, tally.calls, tally)
 				}
 			})
 		})
 	}
 }
 
-// TestRunsMoveOffLeavingEngine has no stream cut when the engine ends after the drain time.
+// TestRunsMoveOffLeavingEngine checks that no stream is cut when an engine that reported that
+// it leaves ends after the drain time.
 func TestRunsMoveOffLeavingEngine(t *testing.T) {
 	const from = 6 * time.Second
 	d := signalDay{
@@ -130,15 +132,16 @@
 		},
 	}
 	d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-		t.Log(tally, "calls about runs", len(fleet.arrivals["llm00"])-fleet.requestCount("llm00", 0, d.duration))
-		reportViolations(t, "rule", fleet.drainViolations())
+		t.Log(tally, "calls of the hosts themselves to llm00", len(fleet.arrivals["llm00"])-fleet.requestCount("llm00", 0, d.duration))
+		reportViolations(t, "after the drain time", fleet.drainViolations())
 		if tally.truncated > 0 {
-			t.Errorf("callers: %v", tally)
+			t.Errorf("%d streams were cut, expected none (%v)", tally.truncated, tally)
 		}
 	})
 }
 
-// TestLeavingReachesEveryHost has all hosts stop sending within the contact bound, with the store away.
+// TestLeavingReachesEveryHost checks that all hosts stop sending to an upstream that leaves
+// within the contact bound while the store is unavailable.
 func TestLeavingReachesEveryHost(t *testing.T) {
 	const from, until = 5 * time.Second, 12 * time.Second
 	for _, size := range []struct{ zones, hostsPerZone int }{{3, 3}, {3, 20}, {5, 60}} {
@@ -152,21 +155,22 @@
 				periods: []signalPeriod{{upstream: "app00", leaving: true, from: from, until: until}},
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-				t.Logf("%v; it got %d requests after it had told the first host", tally, fleet.requestCount("app00", from, until))
-				reportViolations(t, "rule", fleet.drainViolations())
-				reportViolations(t, "aim", fleet.strictDrainViolations())
+				t.Logf("%v; app00 got %d requests from the start of its signal on", tally, fleet.requestCount("app00", from, until))
+				reportViolations(t, "after the drain time", fleet.drainViolations())
+				reportViolations(t, "after the signal", fleet.strictDrainViolations())
 				if n := fleet.requestCount("app00", from+contactBound, until); n > 0 {
-					t.Errorf("it got %d requests later than the contact bound", n)
+					t.Errorf("app00 got %d requests later than the contact bound after the start of its signal, expected none", n)
 				}
 				if tally.served < tally.calls {
-					t.Errorf("not all were served: %v", tally)
+					t.Errorf("callers served: %d of %d (%v)", tally.served, tally.calls, tally)
 				}
 			})
 		})
 	}
 }
 
-// TestMoveAvoidsEngineInBackoff has a run go elsewhere, and not be cut.
+// TestMoveAvoidsEngineInBackoff checks that a run moves to another engine, and is not cut, if
+// the target of the move asks for backoff.
 func TestMoveAvoidsEngineInBackoff(t *testing.T) {
 	for name, duringStop := range map[string]bool{"during the first copy": false, "during the last part": true} {
 		t.Run(name, func(t *testing.T) {
@@ -201,7 +205,8 @@
 	}
 }
 
-// TestFailingEngineInBackoffGetsNoMoves has a run stay on a failing engine that wants no more calls.
+// TestFailingEngineInBackoffGetsNoMoves checks that a run stays on a failing engine that asks
+// for backoff, and that the engine gets no move calls.
 func TestFailingEngineInBackoffGetsNoMoves(t *testing.T) {
 	for name, backoff := range map[string]time.Duration{"no backoff": 0, "backoff": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
--- a/forward/signalfleet_test.go
+++ b/forward/signalfleet_test.go
@@ -16,20 +16,22 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Upstreams in virtual time that say that they leave, or turn requests away and ask for
-// backoff, and what is checked of them.
+// Simulated upstreams that signal that they leave, or reject requests and ask for backoff, in
+// virtual time, and the checks of what they receive.
 
-// signalPeriod is a time for which an upstream tells something about itself.
+// signalPeriod is a period in which an upstream signals something about itself.
 type signalPeriod struct {
 	upstream    member.UpstreamID
 	from, until time.Duration
-	// leaving has its answers say that it leaves.
+	// leaving makes its answers signal that it leaves.
 	leaving bool
-	// backoff has it turn requests away and ask for so long; zero turns none away.
+	// backoff makes it reject requests and ask for a backoff of that duration; zero rejects
+	// none.
 	backoff time.Duration
-	// failuresOnly has only its own failures tell; half of its answers are such then.
+	// failuresOnly makes it signal only in its own failures, which are half of its answers
+	// then.
 	failuresOnly bool
-	// onlyHosts are the hosts that it tells; none for all.
+	// onlyHosts are the hosts that get the signal; empty for all.
 	onlyHosts []member.HostID
 }
 
@@ -37,7 +39,7 @@
 	return s.upstream == id && s.from <= at && at < s.until && (len(s.onlyHosts) == 0 || slices.Contains(s.onlyHosts, host))
 }
 
-// receivedSignal is an answer that a host had.
+// receivedSignal is a signal that a host received in an answer.
 type receivedSignal struct {
 	at      time.Duration
 	leaving bool
@@ -47,15 +49,15 @@
 // signalArrival is a request or another call that reached an upstream.
 type signalArrival struct {
 	host member.HostID
-	// at is when it came, and sentAt when its caller had sent the request.
+	// at is when it arrived, sentAt when the caller sent the request to the host.
 	at, sentAt time.Duration
-	// hostCall says that it is one of the host's hostCall calls: a move, a health check, a copy
-	// that is freed. continued is a run that is taken up from a copy.
+	// hostCall says that it is a call of the host itself: a move, a health check, or the
+	// discarding of a copy. continued says that it continues a run from a copy.
 	hostCall, continued bool
 	request             RequestID
 }
 
-// signalFleet plays upstreams that have spells.
+// signalFleet simulates upstreams that send signals in signal periods.
 type signalFleet struct {
 	*fakeFleet
 	periods []signalPeriod
@@ -65,11 +67,13 @@
 	arrivals map[member.UpstreamID][]signalArrival
 	received map[member.UpstreamID]map[member.HostID][]receivedSignal
 	answers  int
-	// failEvery has every so many of all answers be an upstream's own failure; zero none.
+	// failEvery makes every nth answer of the fleet a failure of the upstream; zero makes
+	// none.
 	failEvery int
-	// stopRun are the runs that were stopped to go on elsewhere.
-	stopRun map[RequestID]chan struct{}
-	// rejections counts the refusals of each upstream.
+	// stopChannels has a channel for each run, which is closed to stop the run when it continues at
+	// another engine.
+	stopChannels map[RequestID]chan struct{}
+	// rejections counts the requests that each upstream rejected.
 	rejections map[member.UpstreamID]int
 }
 
@@ -77,13 +81,14 @@
 	return &signalFleet{
 		fakeFleet: newFakeFleet(), periods: spells, start: time.Now(),
 		arrivals: map[member.UpstreamID][]signalArrival{}, received: map[member.UpstreamID]map[member.HostID][]receivedSignal{},
-		stopRun: map[RequestID]chan struct{}{}, rejections: map[member.UpstreamID]int{},
+		stopChannels: map[RequestID]chan struct{}{}, rejections: map[member.UpstreamID]int{},
 	}
 }
 
-// elapsed is how long the day has gone on.
+// elapsed returns the time since the start of the simulation.
 func (f *signalFleet) elapsed() time.Duration { return time.Since(f.start) }
 
+// recordArrival records that a request or another call reached an upstream now.
 func (f *signalFleet) recordArrival(id member.UpstreamID, a signalArrival) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,27 +96,28 @@
 	f.arrivals[id] = append(f.arrivals[id], a)
 }
 
-// nextSignals is what an upstream nextSignals a host now; fails says that it is in a failure of its own.
+// nextSignals returns the signals of an upstream's next answer to a host, and whether that
+// answer is a failure of the upstream.
 func (f *signalFleet) nextSignals(id member.UpstreamID, host member.HostID) (s Signals, fails bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.answers++
 	fails = f.failEvery > 0 && f.answers%f.failEvery == 0
-	for _, spell := range f.periods {
-		if !spell.covers(id, host, f.elapsed()) {
+	for _, period := range f.periods {
+		if !period.covers(id, host, f.elapsed()) {
 			continue
 		}
-		if spell.failuresOnly && f.answers%2 == 0 {
+		if period.failuresOnly && f.answers%2 == 0 {
 			continue
 		}
-		fails = fails || spell.failuresOnly
-		s.Leaving = s.Leaving || spell.leaving
-		s.RetryAfter = max(s.RetryAfter, spell.backoff)
+		fails = fails || period.failuresOnly
+		s.Leaving = s.Leaving || period.leaving
+		s.RetryAfter = max(s.RetryAfter, period.backoff)
 	}
 	return s, fails
 }
 
-// hear notes what a host's answer tells, as it comes.
+// recordSignals records the signals that a host receives now.
 func (f *signalFleet) recordSignals(id member.UpstreamID, host member.HostID, s Signals) {
 	if !s.Leaving && s.RetryAfter == 0 {
 		return
@@ -124,7 +130,7 @@
 	f.received[id][host] = append(f.received[id][host], receivedSignal{at: f.elapsed(), leaving: s.Leaving, backoff: s.RetryAfter})
 }
 
-// signalTransport is one host's way to the upstreams.
+// signalTransport is one host's transport to the upstreams.
 type signalTransport struct {
 	*signalFleet
 	host member.HostID
@@ -134,7 +140,7 @@
 	t.recordArrival(u.ID, signalArrival{host: t.host, sentAt: out.Call.Arrived.Sub(t.start), continued: out.Continue != nil, request: out.Call.ID})
 	s, fails := t.nextSignals(u.ID, t.host)
 	if s.RetryAfter > 0 {
-		// A refusal comes back in two milliseconds.
+		// A rejection takes two milliseconds.
 		time.Sleep(2 * time.Millisecond)
 		t.recordSignals(u.ID, t.host, s)
 		t.mu.Lock()
@@ -158,7 +164,8 @@
 	return a, nil
 }
 
-// answer is a good answer: a short body, or a stream that goes on from a copy.
+// answer returns a successful answer: a short body, or a stream, which may continue from a
+// copy.
 func (t signalTransport) answer(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 	if u.Service != "llm" {
 		return t.fakeFleet.Send(ctx, u, out)
@@ -173,7 +180,7 @@
 	}
 	stopped := make(chan struct{})
 	t.mu.Lock()
-	t.stopRun[out.Call.ID] = stopped
+	t.stopChannels[out.Call.ID] = stopped
 	t.mu.Unlock()
 	read, write := io.Pipe()
 	go func() {
@@ -185,7 +192,8 @@
 	return a, nil
 }
 
-// writeEvents writes a run's events after one, until it ends or is stopped to go on elsewhere.
+// writeEvents writes a run's events after the given one, until the run ends or is stopped to
+// continue at another engine.
 func (t signalTransport) writeEvents(ctx context.Context, run *fakeRun, after int, stopped <-chan struct{}, to io.Writer) error {
 	if after == 0 {
 		if err := run.wait(ctx, fakeFirstEventDelay); err != nil {
@@ -214,9 +222,9 @@
 	s, _ := t.nextSignals(from.ID, t.host)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if stopped := t.stopRun[r.ID]; r.StopSource && stopped != nil {
+	if stopped := t.stopChannels[r.ID]; r.StopSource && stopped != nil {
 		close(stopped)
-		delete(t.stopRun, r.ID)
+		delete(t.stopChannels, r.ID)
 	}
 	return MoveResult{Handle: "h" + string(r.ID), Signals: Signals{Leaving: s.Leaving}}, ctx.Err()
 }
@@ -235,7 +243,7 @@
 	return Signals{}, nil
 }
 
-// violation is a request that came although its host had been told.
+// violation is a request that came although its host had received a signal against it.
 type violation struct {
 	upstream   member.UpstreamID
 	host       member.HostID
@@ -244,36 +252,39 @@
 }
 
 func (b violation) String() string {
-	return fmt.Sprintf("%s reached %s from %s at %v, told at %v", b.request, b.upstream, b.host, b.at, b.toldAt)
+	return fmt.Sprintf("request %q reached upstream %s from host %s at %v; the host received the signal at %v", b.request, b.upstream, b.host, b.at, b.toldAt)
 }
 
-// leavingDrainTime is how long an upstream that leaves may still get requests, and backoffGrace the
-// same for one that asked for backoff; backoffAllowance is how many it bears in the rest of that
-// time.
+// leavingDrainTime is how long an upstream that leaves may still get requests, and
+// backoffGrace how long one that asked for backoff. backoffAllowance is how many requests the
+// latter has to tolerate in the rest of the backoff.
 const (
 	leavingDrainTime = 2 * time.Second
 	backoffGrace     = 500 * time.Millisecond
 	backoffAllowance = 2
 )
 
-// drainViolations lists the requests that callers sent later than the drain time after a host had
-// been told that an upstream leaves, and that reached it from there.
+// drainViolations returns the requests that callers sent later than the drain time after the
+// host had learned from the upstream that it leaves, and that reached it from that host.
 func (f *signalFleet) drainViolations(excused ...member.HostID) []violation {
-	return f.requestsAfterLeaving(func(a signalArrival, told time.Duration) bool {
-		return a.sentAt > told+leavingDrainTime && !slices.Contains(excused, a.host)
+	return f.requestsAfterLeaving(func(a signalArrival, toldAt time.Duration) bool {
+		return a.sentAt > toldAt+leavingDrainTime && !slices.Contains(excused, a.host)
 	})
 }
 
-// strictDrainViolations lists the requests that were sent to an upstream after the host had been told
-// that it leaves. A run goes on at its engine when no other takes its copy.
+// strictDrainViolations returns the requests that reached an upstream after the host had
+// learned from the upstream that it leaves. Continued runs are exempt: a run continues at its
+// engine when no other accepts its copy.
 func (f *signalFleet) strictDrainViolations() []violation {
-	return f.requestsAfterLeaving(func(a signalArrival, told time.Duration) bool { return a.at > told && !a.continued })
+	return f.requestsAfterLeaving(func(a signalArrival, toldAt time.Duration) bool { return a.at > toldAt && !a.continued })
 }
 
-func (f *signalFleet) requestsAfterLeaving(counts func(a signalArrival, told time.Duration) bool) []violation {
+// requestsAfterLeaving returns the requests from hosts that had learned from the upstream that it
+// leaves, at toldAt, and for which counts is true.
+func (f *signalFleet) requestsAfterLeaving(counts func(a signalArrival, toldAt time.Duration) bool) []violation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var breaches []violation
+	var violations []violation
 	for id, arrivals := range f.arrivals {
 		for _, a := range arrivals {
 			i := slices.IndexFunc(f.received[id][a.host], func(s receivedSignal) bool { return s.leaving })
@@ -281,26 +292,28 @@
 				continue
 			}
 			if told := f.received[id][a.host][i].at; counts(a, told) {
-				breaches = append(breaches, violation{id, a.host, a.at, told, a.request})
+				violations = append(violations, violation{id, a.host, a.at, told, a.request})
 			}
 		}
 	}
-	return breaches
+	return violations
 }
 
-// backoffViolations lists, for each answer that asked a host for backoff, what came from there
-// beyond what is borne from the grace on.
+// backoffViolations returns, for each answer that asked a host for backoff, the requests and
+// other calls from that host after the grace time and beyond the allowance.
 func (f *signalFleet) backoffViolations() []violation {
 	return f.requestsDuringBackoff(backoffGrace, backoffAllowance)
 }
 
-// strictBackoffViolations is restRule without a grace and with nothing borne.
+// strictBackoffViolations is backoffViolations without grace time and allowance.
 func (f *signalFleet) strictBackoffViolations() []violation { return f.requestsDuringBackoff(0, 0) }
 
+// requestsDuringBackoff returns, for each answer that asked a host for backoff, what came from that
+// host from the grace time to the end of the backoff, beyond the allowed number.
 func (f *signalFleet) requestsDuringBackoff(grace time.Duration, allowed int) []violation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var breaches []violation
+	var violations []violation
 	for id, hosts := range f.received {
 		for host, signals := range hosts {
 			for _, s := range signals {
@@ -310,16 +323,16 @@
 						continue
 					}
 					if n++; n > allowed {
-						breaches = append(breaches, violation{id, host, a.at, s.at, a.request})
+						violations = append(violations, violation{id, host, a.at, s.at, a.request})
 					}
 				}
 			}
 		}
 	}
-	return breaches
+	return violations
 }
 
-// requestCount counts the requests that reached an upstream in a time.
+// requestCount returns the number of requests that reached an upstream between two times.
 func (f *signalFleet) requestCount(id member.UpstreamID, from, until time.Duration) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -19,9 +19,10 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// A site of hosts in virtual time, which the tests of what hosts tell each other share.
+// A simulated site of hosts in virtual time, shared by the tests of what hosts tell each
+// other.
 
-// siteOrigin can be read and watched, while it isn't lost, and counts both.
+// siteOrigin is an origin that can be made unavailable. It counts reads and watches.
 type siteOrigin struct {
 	config         Config
 	list           []Upstream
@@ -29,21 +30,22 @@
 	reads, watches atomic.Int32
 
 	mu sync.Mutex
-	// changes and orders are what was published since the start, and configAt when the
-	// configuration was.
+	// changes and zoneOrders are what was published since the start. configRevision is the
+	// revision of a configuration that was published since.
 	changes        []Change
 	zoneOrders     []ZoneOrder
 	configRevision history.Point
-	// rollouts and rolloutRecords are the orders and records of rollouts, up to rolloutsAt.
+	// rollouts and rolloutRecords are the orders and records of rollouts, up to
+	// rolloutsRevision.
 	rollouts, rolloutRecords []rollout.Status
 	rolloutsRevision         history.Point
-	// published closes at the next news and is made anew.
+	// published is closed when something is published; updateSince then makes a new one.
 	published chan struct{}
-	// savedMarks are the requests that are held, each as it was savedMarks last.
+	// savedMarks are the marks of requests in quarantine, as last saved.
 	savedMarks map[quarantine.Fingerprint]quarantine.Mark
 }
 
-// Keep keeps a request that is held, while the origin isn't lost.
+// Keep saves the mark of a request in quarantine, unless the origin is unavailable.
 func (o *siteOrigin) Keep(_ context.Context, m quarantine.Mark) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,10 +62,10 @@
 	return nil
 }
 
-// originRevision is the revision of the origin before any news.
+// originRevision is the revision of the origin before anything is published.
 var originRevision = rev(10)
 
-// publish changes the list; the revisions of changes rise.
+// publish adds a change to the list. Each change needs a higher revision than the one before.
 func (o *siteOrigin) publish(c Change) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -71,7 +73,8 @@
 	o.wakeWatches()
 }
 
-// orderZones gives orders about zones, or takes them back; their revisions rise.
+// orderZones adds zone orders, or withdraws them by newer ones. Each needs a higher revision
+// than the one before.
 func (o *siteOrigin) orderZones(orders ...ZoneOrder) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -79,7 +82,7 @@
 	o.wakeWatches()
 }
 
-// configure changes the configuration.
+// configure replaces the configuration.
 func (o *siteOrigin) configure(v Version, at history.Point) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -87,7 +90,7 @@
 	o.wakeWatches()
 }
 
-// wakeWatches wakes the watches. The mutex is held.
+// wakeWatches wakes the watches. The mutex must be held.
 func (o *siteOrigin) wakeWatches() {
 	if o.published != nil {
 		close(o.published)
@@ -95,42 +98,42 @@
 	}
 }
 
-// updateSince returns what was published after a revision, and a channel that closes when
-// there is more.
+// updateSince returns what was published after a revision, and a channel that is closed when
+// more is published.
 func (o *siteOrigin) updateSince(after history.Point) (OriginUpdate, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	news := OriginUpdate{Revision: history.Latest(originRevision, o.configRevision)}
+	update := OriginUpdate{Revision: history.Latest(originRevision, o.configRevision)}
 	if c := o.config; o.configRevision.After(after) {
-		news.Config = &c
+		update.Config = &c
 	}
 	for _, c := range o.changes {
-		news.Revision = history.Latest(news.Revision, c.Revision)
+		update.Revision = history.Latest(update.Revision, c.Revision)
 		if c.Revision.After(after) {
-			news.Changes = append(news.Changes, c)
+			update.Changes = append(update.Changes, c)
 		}
 	}
 	for _, order := range o.zoneOrders {
-		news.Revision = history.Latest(news.Revision, order.Revision)
+		update.Revision = history.Latest(update.Revision, order.Revision)
 		if order.Revision.After(after) {
-			news.ZoneOrders = append(news.ZoneOrders, order)
+			update.ZoneOrders = append(update.ZoneOrders, order)
 		}
 	}
-	news.Revision = history.Latest(news.Revision, o.rolloutsRevision)
+	update.Revision = history.Latest(update.Revision, o.rolloutsRevision)
 	for _, s := range o.rollouts {
 		if s.Given.After(after) {
-			news.Rollouts = append(news.Rollouts, s)
+			update.Rollouts = append(update.Rollouts, s)
 		}
 	}
 	for _, s := range o.rolloutRecords {
 		if s.Recorded.After(after) {
-			news.RolloutRecords = append(news.RolloutRecords, s)
+			update.RolloutRecords = append(update.RolloutRecords, s)
 		}
 	}
 	if o.published == nil {
 		o.published = make(chan struct{})
 	}
-	return news, o.published
+	return update, o.published
 }
 
 func (o *siteOrigin) Read(context.Context, history.Era) (OriginUpdate, error) {
@@ -138,11 +141,11 @@
 	if o.unavailable.Load() {
 		return OriginUpdate{}, errConnectionLost
 	}
-	news, _ := o.updateSince(history.Point{})
+	update, _ := o.updateSince(history.Point{})
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	config := o.config
-	whole := OriginUpdate{Config: &config, Revision: news.Revision, Rollouts: news.Rollouts, RolloutRecords: news.RolloutRecords, HeldRequests: slices.Collect(maps.Values(o.savedMarks))}
+	whole := OriginUpdate{Config: &config, Revision: update.Revision, Rollouts: update.Rollouts, RolloutRecords: update.RolloutRecords, HeldRequests: slices.Collect(maps.Values(o.savedMarks))}
 	for _, zone := range []member.Zone{"z1", "z2", "z3"} {
 		var newest ZoneOrder
 		for _, order := range o.zoneOrders {
@@ -159,7 +162,7 @@
 		listed[u.ID] = len(whole.Changes)
 		whole.Changes = append(whole.Changes, Change{Upstream: u})
 	}
-	for _, c := range news.Changes {
+	for _, c := range update.Changes {
 		if at, known := listed[c.ID]; known {
 			whole.Changes[at] = c
 			continue
@@ -172,52 +175,53 @@
 
 func (o *siteOrigin) Watch(ctx context.Context, after history.Point, wait time.Duration) (OriginUpdate, error) {
 	o.watches.Add(1)
-	news, more := o.updateSince(after)
-	if len(news.Changes) == 0 && len(news.ZoneOrders) == 0 && news.Config == nil && len(news.Rollouts)+len(news.RolloutRecords) == 0 {
+	update, more := o.updateSince(after)
+	if len(update.Changes) == 0 && len(update.ZoneOrders) == 0 && update.Config == nil && len(update.Rollouts)+len(update.RolloutRecords) == 0 {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
 		case <-more:
-			news, _ = o.updateSince(after)
+			update, _ = o.updateSince(after)
 		}
 	}
 	if o.unavailable.Load() {
 		return OriginUpdate{}, errConnectionLost
 	}
-	news.Revision = history.Latest(news.Revision, after)
-	return news, nil
+	update.Revision = history.Latest(update.Revision, after)
+	return update, nil
 }
 
-// site is hosts that reach each other and one origin.
+// site is a set of hosts that reach each other and one origin.
 type site struct {
 	origin *siteOrigin
 	hosts  map[string]*Forwarder
-	// gone are the addresses that can't be reached, frozen those that don't answer.
+	// unreachable are the addresses of hosts that can't be reached, frozen those of hosts that
+	// can be reached but don't answer.
 	mu                  sync.Mutex
 	unreachable, frozen map[string]bool
-	// isolated are the addresses of hosts that can't reach others either.
+	// isolated are the addresses of hosts that can't reach others.
 	isolated map[string]bool
-	// directoryWrites counts what each host wrote to the directory.
+	// directoryWrites counts the entries that each host wrote to the directory.
 	directoryWrites map[member.HostID]*atomic.Int32
-	// configTransferTime is how long a configuration takes to a host; links holds what
-	// each host's link has to carry still, by when that will be done.
+	// configTransferTime is how long the transfer of a configuration to a host takes.
+	// linkBusyUntil is when the transfers on each host's link will be done.
 	configTransferTime time.Duration
-	// permitCalls counts the questions for permitCalls, shareCalls and followCalls those calls.
+	// permitCalls, shareCalls and followCalls count the calls of each kind between hosts.
 	permitCalls, shareCalls, followCalls atomic.Int64
 	linkBusyUntil                        map[member.HostID]time.Time
 }
 
-// setConfigTransferTime has each configuration take a while from now on.
-func (s *site) setConfigTransferTime(configTakes time.Duration) {
+// setConfigTransferTime sets how long the transfer of each configuration takes from now on.
+func (s *site) setConfigTransferTime(transferTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.configTransferTime = configTakes
+	s.configTransferTime = transferTime
 }
 
-// transferConfig carries a configuration to a host, behind what its link carries already.
-// What was begun is carried to its end, whether or not the host still waits for it.
+// transferConfig simulates the transfer of a configuration to a host, after the transfers that
+// are queued on its link. A transfer occupies the link to its end, even if the host gives up.
 func (s *site) transferConfig(ctx context.Context, to member.HostID) error {
 	s.mu.Lock()
 	now := time.Now()
@@ -232,7 +236,7 @@
 	return ctx.Err()
 }
 
-// makeUnreachable makes hosts unreachable.
+// makeUnreachable makes hosts unreachable for others.
 func (s *site) makeUnreachable(addresses ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -241,7 +245,7 @@
 	}
 }
 
-// isolate makes hosts unreachable, and others for them.
+// isolate makes hosts unreachable for others, and others unreachable for them.
 func (s *site) isolate(addresses ...string) {
 	s.makeUnreachable(addresses...)
 	s.mu.Lock()
@@ -251,7 +255,7 @@
 	}
 }
 
-// reconnect makes hosts reachable, and has them answer, again.
+// reconnect undoes makeUnreachable, isolate and freeze.
 func (s *site) reconnect(addresses ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -262,7 +266,7 @@
 	}
 }
 
-// freeze has hosts answer nobody, until their callers give up.
+// freeze makes hosts stop answering: calls to them last until the callers give up.
 func (s *site) freeze(addresses ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,8 +275,8 @@
 	}
 }
 
-// reachHost is the host at an address; nil when it can't be reachHost. It waits for a
-// frozen one until the context ends.
+// reachHost returns the host at an address, or nil if it can't be reached. For a frozen host
+// it waits until ctx is done.
 func (s *site) reachHost(ctx context.Context, from string, to Peer) *Forwarder {
 	s.mu.Lock()
 	gone, frozen, f := s.unreachable[to.PeerAddress], s.frozen[to.PeerAddress], s.hosts[to.PeerAddress]
@@ -287,7 +291,7 @@
 	return f
 }
 
-// replaceHost has another process be at a host's address from now on.
+// replaceHost puts another process in place of the one at its address.
 func (s *site) replaceHost(f *Forwarder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -300,12 +304,12 @@
 	return s.frozen[host.PeerAddress]
 }
 
-// otherAddresses are the addresses of all hosts but one.
-func (s *site) otherAddresses(but string) []string {
-	return slices.DeleteFunc(slices.Collect(maps.Keys(s.hosts)), func(address string) bool { return address == but })
+// otherAddresses returns the addresses of all hosts but the excluded one.
+func (s *site) otherAddresses(excluded string) []string {
+	return slices.DeleteFunc(slices.Collect(maps.Keys(s.hosts)), func(address string) bool { return address == excluded })
 }
 
-// sitePeers is one host's interface to the others.
+// sitePeers is one host's connection to the others.
 type sitePeers struct {
 	*site
 	self    member.HostID
@@ -374,7 +378,7 @@
 func (s sitePeers) Turn(context.Context, Peer, TurnRequest) error    { return nil }
 func (s sitePeers) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
 
-// siteDirectory counts one host's calls.
+// siteDirectory is a directory that counts one host's writes.
 type siteDirectory struct{ writes *atomic.Int32 }
 
 func (d siteDirectory) Announce(context.Context, Peer, time.Duration) error {
@@ -383,7 +387,7 @@
 }
 func (d siteDirectory) Withdraw(context.Context) error { return nil }
 
-// newSite returns zones of some hosts each, none of them started.
+// newSite returns a site of zones with hostsPerZone hosts each, none of them started.
 func newSite(zones, hostsPerZone int, first bool) *site {
 	s := &site{
 		origin: &siteOrigin{config: testConfig(1), list: []Upstream{llmUpstream("llm1", 3, false), llmUpstream("llm2", 10, false)}},
@@ -413,16 +417,16 @@
 	}
 }
 
-// start runs a host's duties.
+// start runs a host's background tasks with the site's origin.
 func (s *site) start(ctx context.Context, f *Forwarder) { s.startWithOrigin(ctx, f, s.origin) }
 
-// hostOrigin is the origin as one host reaches it.
+// hostOrigin is the origin as one host sees it.
 type hostOrigin interface {
 	Origin
 	QuarantineStore
 }
 
-// startWithOrigin runs a host's duties, by the origin as it reaches that.
+// startWithOrigin runs a host's background tasks with the given origin.
 func (s *site) startWithOrigin(ctx context.Context, f *Forwarder, o hostOrigin) {
 	go f.RunPeers(ctx, sitePeers{s, f.settings.Self.ID, f.settings.Self.PeerAddress})
 	go f.Follow(ctx, o)
--- a/forward/stopping.go
+++ b/forward/stopping.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// Ready reports whether this host should get new connections: not before it knows a
-// configuration and upstreams to send to.
+// Ready reports whether this host should get new connections: it has a configuration and a
+// list of upstreams, and is not stopping.
 func (f *Forwarder) Ready() bool {
 	return f.table.Load() != nil && !f.fleet.Revision().IsZero() && !f.Stopping()
 }
 
-// Stopping reports whether the host is about to stop.
+// Stopping reports whether Stop has been called.
 func (f *Forwarder) Stopping() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.stopping
 }
 
-// interruptTimeout is how long requests that are ended get to write their final answer.
+// interruptTimeout is how long requests that are interrupted have to write their final answer.
 const interruptTimeout = 50 * time.Millisecond
 
-// Stop refuses new streams from now on, but for those that should have ended
-// when the context does, and waits until nothing is in flight or
-// the context ends; what is in flight then gets its final answer. It may be called
-// again to wait again.
+// Stop refuses requests from now on that are not expected to end before the deadline of ctx;
+// if ctx has none, it refuses streams only. It waits until no request is in flight or ctx is
+// done; it then interrupts the requests that are still in flight, so that they write their
+// final answer. Stop may be called again to wait again.
 func (f *Forwarder) Stop(ctx context.Context) {
 	f.mu.Lock()
 	running := len(f.inFlight)
@@ -38,7 +38,7 @@
 	}
 	f.stopping = true
 	f.peers.markStopping()
-	// Without a deadline stopBy is zero, and no stream surely ends before it.
+	// Without a deadline stopDeadline is zero, and no stream is expected to end before it.
 	f.stopDeadline = time.Time{}
 	if by, set := ctx.Deadline(); set {
 		f.stopDeadline = f.now().Add(time.Until(by))
@@ -56,9 +56,10 @@
 	}
 }
 
-// Close takes nothing any more once nothing is in flight, or when the context ends; then
-// what is in flight gets its final answer. A request that came between the end of a wait
-// and that of the process would be passed on and its answer lost.
+// Close waits until no request is in flight or ctx is done, and refuses every request from
+// then on. Requests still in flight when ctx is done are interrupted and write their final
+// answer. A request accepted between the last wait and the end of the process would be
+// forwarded and its answer lost.
 func (f *Forwarder) Close(ctx context.Context) {
 	for !f.closeIfIdle(ctx.Err() != nil) {
 		f.Stop(ctx)
@@ -66,17 +67,18 @@
 	f.Stop(ctx)
 }
 
-// closeIfIdle closes if nothing is in flight, or if it must.
-func (f *Forwarder) closeIfIdle(must bool) bool {
+// closeIfIdle closes the forwarder if no request is in flight, or if force is set. It reports
+// whether the forwarder is closed.
+func (f *Forwarder) closeIfIdle(force bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closed = must || len(f.inFlight) == 0
+	f.closed = force || len(f.inFlight) == 0
 	return f.closed
 }
 
-// interrupt has every request in flight end now. What a stopping host takes is taken on
-// an estimate, and an estimate can be wrong: whoever it was wrong about is told, instead
-// of finding its connection closed.
+// interrupt ends every request in flight and waits up to interruptTimeout for the final
+// answers. A stopping host accepts requests by an estimate of their length. Callers whose
+// request outlasts its estimate get an answer instead of a closed connection.
 func (f *Forwarder) interrupt(idle <-chan struct{}) {
 	f.mu.Lock()
 	if len(f.inFlight) > 0 {
@@ -86,15 +88,15 @@
 		end(errStopped)
 	}
 	f.mu.Unlock()
-	answered := time.NewTimer(interruptTimeout)
-	defer answered.Stop()
+	timeout := time.NewTimer(interruptTimeout)
+	defer timeout.Stop()
 	select {
 	case <-idle:
-	case <-answered.C:
+	case <-timeout.C:
 	}
 }
 
-// addInFlight counts a request as in flight; false says that it comes too late.
+// addInFlight registers a request as in flight. It reports false if the forwarder is closed.
 func (f *Forwarder) addInFlight(x *exchange, end context.CancelCauseFunc) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,6 +107,7 @@
 	return true
 }
 
+// removeInFlight removes a request that has ended, and wakes Stop if it was the last one.
 func (f *Forwarder) removeInFlight(x *exchange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,20 +121,23 @@
 	}
 }
 
-// Margins of a stream that a stopping host still takes.
+// Bounds of the requests that a stopping host still accepts.
 const (
-	// hintTrustPeriod is how long after the stop began a stream is taken on the caller's
-	// guess of its length, which is often far off. A stream that is cut at the
-	// end of the grace is excused when it came in the first three seconds.
-	hintTrustPeriod          = 2500 * time.Millisecond
+	// hintTrustPeriod is how long after the start of the stop a stream is accepted by the
+	// caller's estimate of its output, which is often far off. A stream that is cut at the end
+	// of the grace period is acceptable only if it arrived in the first three seconds of the
+	// stop.
+	hintTrustPeriod = 2500 * time.Millisecond
+	// A stream is accepted if streamDurationMultiplier times its expected duration and
+	// streamStopMargin fit in before the stop deadline.
 	streamDurationMultiplier = 2
 	streamStopMargin         = time.Second
-	// maxExpectedCallDuration is longer than plain calls last, but for one in some thousands; a
-	// caller that waits less shortens it.
+	// maxExpectedCallDuration is longer than all but one in some thousands of plain calls
+	// take. A shorter timeout of the caller replaces it.
 	maxExpectedCallDuration = time.Second
 )
 
-// endsBeforeStop reports whether a request will have ended when this host stops.
+// endsBeforeStop reports whether a request is expected to end before this host stops.
 func (x *exchange) endsBeforeStop(now time.Time) bool {
 	x.mu.Lock()
 	stopping, since, by := x.stopping, x.stoppingSince, x.stopDeadline
@@ -146,7 +152,8 @@
 	}
 }
 
-// expectedCallDuration is how long a plain call may last.
+// expectedCallDuration returns how long a plain call takes at most, by the caller's timeout
+// and maxExpectedCallDuration.
 func (x *exchange) expectedCallDuration(now time.Time) time.Duration {
 	if left := x.timeLeft(now); left > 0 {
 		return min(left, maxExpectedCallDuration)
@@ -154,23 +161,23 @@
 	return maxExpectedCallDuration
 }
 
-// streamEndsBefore reports whether a stream will have ended by a time, by the bound of its
-// length, or soon after the stop began by the caller's guess; without either, none
-// will.
+// streamEndsBefore reports whether a stream is expected to end before deadline by. The length
+// of its output is bounded by the request's maximum or, soon after the start of the stop, by
+// the caller's estimate; a stream with neither is not expected to end.
 func (x *exchange) streamEndsBefore(now, since, by time.Time) bool {
 	p := x.call.Prompt
-	out := p.MaxOutputTokens
-	if p.ExpectedOutputTokens > 0 && now.Sub(since) <= hintTrustPeriod && (out <= 0 || p.ExpectedOutputTokens < out) {
-		out = p.ExpectedOutputTokens
+	outputTokens := p.MaxOutputTokens
+	if p.ExpectedOutputTokens > 0 && now.Sub(since) <= hintTrustPeriod && (outputTokens <= 0 || p.ExpectedOutputTokens < outputTokens) {
+		outputTokens = p.ExpectedOutputTokens
 	}
-	if out <= 0 {
+	if outputTokens <= 0 {
 		return false
 	}
-	takes := x.engines.expectedDuration(x.service.Name, p.Tokens, out)
-	return now.Add(streamDurationMultiplier*takes + streamStopMargin).Before(by)
+	duration := x.engines.expectedDuration(x.service.Name, p.Tokens, outputTokens)
+	return now.Add(streamDurationMultiplier*duration + streamStopMargin).Before(by)
 }
 
-// stopStartedAt is when this host was first told to stop.
+// stopStartedAt returns when Stop was first called; zero if it was not.
 func (f *Forwarder) stopStartedAt() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,19 +185,21 @@
 }
 
 const (
-	// otherHostRetryAfter sends a caller on at once, for another host of the zone takes
-	// it.
+	// otherHostRetryAfter sends a caller to another host at once.
 	otherHostRetryAfter = 10 * time.Millisecond
-	// notReadyDetectionTime is how long callers still reach a host after it has said that it
-	// isn't ready: it is asked once a second, and twice before it is believed.
+	// notReadyDetectionTime is how long callers still reach a host after it reports that it is
+	// not ready. Readiness is checked once a second, and only the second negative check
+	// counts.
 	notReadyDetectionTime = 2100 * time.Millisecond
-	// stopRetryJitter is over how long callers return that wait for that.
+	// stopRetryJitter spreads the return of callers that wait for notReadyDetectionTime to
+	// pass.
 	stopRetryJitter = 150 * time.Millisecond
 )
 
-// stoppingRetryAfter is when a caller refused by a stopping host should come back: at
-// once if its zone has another host, else when it won't meet this one again.
-// Callers that come back at once to a zone's only host use up their returns there.
+// stoppingRetryAfter returns after what delay a caller refused by this stopping host should
+// retry: at once if the zone has another host, otherwise when callers no longer reach this
+// host. Callers that retry at once in a zone with a single host use up their retries on that
+// host.
 func (x *exchange) stoppingRetryAfter(now time.Time) time.Duration {
 	if x.peers.hasPeerInZone(now) {
 		return otherHostRetryAfter
--- a/forward/stopping_test.go
+++ b/forward/stopping_test.go
@@ -15,8 +15,8 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// TestStopping has new streams refused at once while calls go on, and Stop wait
-// for what runs.
+// TestStopping checks that Stop waits for requests in flight, and that a stopping host still
+// accepts calls and refuses streams at once that are not expected to end in time.
 func TestStopping(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,37 +41,37 @@
 		f.Stop(ctx)
 		is.True(!errors.Is(ctx.Err(), context.DeadlineExceeded)) // nothing was running
 		for _, c := range []struct {
-			since        time.Duration
-			likely, most policy.Tokens
-			refuses      bool
+			since                     time.Duration
+			expectedOutput, maxOutput policy.Tokens
+			refuses                   bool
 		}{
 			{0, 0, 2000, true},
-			{0, 20, 2000, false}, // a short stream still ends in time
+			{0, 20, 2000, false}, // a short stream ends in time
 			{0, 400, 2000, true},
-			{0, 0, 40, false}, // it can't be long
+			{0, 0, 40, false}, // the maximum output is short
 			{0, 400, 40, false},
-			{2600 * time.Millisecond, 20, 2000, true}, // a guess is often far off
+			{2600 * time.Millisecond, 20, 2000, true}, // too late to trust the caller's estimate
 			{2600 * time.Millisecond, 0, 40, false},
 			{6 * time.Second, 0, 40, true}, // no time is left
 		} {
 			time.Sleep(time.Until(began.Add(100*time.Millisecond + c.since)))
 			call, sink := call("/llm/"), &fakeSink{}
-			call.Prompt.ExpectedOutputTokens, call.Prompt.MaxOutputTokens, call.Prompt.Tokens = c.likely, c.most, 1000
+			call.Prompt.ExpectedOutputTokens, call.Prompt.MaxOutputTokens, call.Prompt.Tokens = c.expectedOutput, c.maxOutput, 1000
 			f.Serve(t.Context(), call, sink)
 			is.Equal(sink.refused != nil && sink.refused.Code == CodeStopping, c.refuses)
 		}
 	})
 }
 
-// TestStoppingRetryAfter has callers that a stopping host refuses come back at
-// once where another host of the zone takes them, and else when they won't meet
-// the same host again, not all together.
+// TestStoppingRetryAfter checks when callers that a stopping host refuses are to retry: at
+// once if another host of the zone accepts requests, otherwise when they no longer reach the
+// same host, spread over time.
 func TestStoppingRetryAfter(t *testing.T) {
 	for name, c := range map[string]struct {
 		peers []Share
-		// after the stop began the caller comes.
-		after       time.Duration
-		least, most time.Duration
+		// after is the time from the start of the stop to the request.
+		after                        time.Duration
+		minRetryAfter, maxRetryAfter time.Duration
 	}{
 		"another host":                {[]Share{{From: Peer{ID: "h2", Zone: "z1"}}}, 0, otherHostRetryAfter, otherHostRetryAfter},
 		"alone in the site":           {nil, 0, notReadyDetectionTime, notReadyDetectionTime + stopRetryJitter},
@@ -91,27 +91,27 @@
 				for _, s := range c.peers {
 					f.peers.recordShare(time.Now(), s)
 				}
-				told := map[time.Duration]bool{}
+				seen := map[time.Duration]bool{}
 				for range 20 {
 					sink := &fakeSink{}
 					f.Serve(t.Context(), call("/llm/"), sink)
 					is.Equal(sink.refused.Code, CodeStopping)
-					is.True(sink.refused.RetryAfter >= c.least && sink.refused.RetryAfter <= c.most)
-					told[sink.refused.RetryAfter] = true
+					is.True(sink.refused.RetryAfter >= c.minRetryAfter && sink.refused.RetryAfter <= c.maxRetryAfter)
+					seen[sink.refused.RetryAfter] = true
 				}
-				is.True(c.least == c.most || len(told) > 10)
+				is.True(c.minRetryAfter == c.maxRetryAfter || len(seen) > 10)
 			})
 		})
 	}
 }
 
-// TestStoppingCalls has a stopping host take plain calls as long as these will have
-// ended, and refuse them at once after that.
+// TestStoppingCalls checks that a stopping host accepts plain calls that are expected to end
+// in time and refuses the others at once.
 func TestStoppingCalls(t *testing.T) {
 	for name, c := range map[string]struct {
-		after    time.Duration
-		patience time.Duration
-		refused  bool
+		after         time.Duration
+		callerTimeout time.Duration
+		refused       bool
 	}{
 		"at once":                          {0, 39 * time.Second, false},
 		"two seconds before the end":       {5 * time.Second, 39 * time.Second, false},
@@ -132,7 +132,7 @@
 				time.Sleep(c.after)
 				for _, path := range []string{"/order/", "/status/"} {
 					request, sink := call(path), &fakeSink{}
-					request.CallerTimeout = c.patience
+					request.CallerTimeout = c.callerTimeout
 					f.Serve(t.Context(), request, sink)
 					is.Equal(sink.refused != nil, c.refused)
 					is.True(!c.refused || *sink.refused == Refusal{Code: CodeStopping, RetryAfter: sink.refused.RetryAfter})
