--- a/backoff/parse.go
+++ b/backoff/parse.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Longest is the longest time that is kept to; an upstream that wants more is asked again
+// MaxDuration is the longest time that is kept to; an upstream that wants more is asked again
 // after it.
-const Longest = time.Hour
+const MaxDuration = time.Hour
 
 // Parse reads the value of a Retry-After header in seconds, which may have a fraction. A
 // date is refused: the times of day of two machines may differ by more than the time asked
@@ -29,5 +29,5 @@
 	if math.IsNaN(seconds) || seconds < 0 {
 		return 0, fmt.Errorf("%q isn't a duration", text)
 	}
-	return time.Duration(min(seconds, Longest.Seconds()) * float64(time.Second)), nil
+	return time.Duration(min(seconds, MaxDuration.Seconds()) * float64(time.Second)), nil
 }
--- a/backoff/parse_test.go
+++ b/backoff/parse_test.go
@@ -19,8 +19,8 @@
 		"0.25":                          {250 * time.Millisecond, false},
 		"0":                             {0, false},
 		"3600":                          {time.Hour, false},
-		"1e12":                          {Longest, false},
-		"Inf":                           {Longest, false},
+		"1e12":                          {MaxDuration, false},
+		"Inf":                           {MaxDuration, false},
 		"-1":                            {0, true},
 		"NaN":                           {0, true},
 		"":                              {0, true},
@@ -42,7 +42,7 @@
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		if d, err := Parse(text); err != nil && d != 0 || d < 0 || d > Longest {
+		if d, err := Parse(text); err != nil && d != 0 || d < 0 || d > MaxDuration {
 			t.Errorf("%q: %v, %v", text, d, err)
 		}
 	})
--- a/entry/ask.go
+++ b/entry/ask.go
@@ -119,7 +119,7 @@
 	if d.Verdict != policy.Refused || d.Reason == policy.ReasonTooLong {
 		return d
 	}
-	for _, to := range p.entry.members.OtherCoordinators(p.entry.now(), pool, r.Prompt) {
+	for _, to := range p.entry.members.OtherCoordinators(p.entry.now(), pool, r.PromptTokens) {
 		quick, cancel := context.WithTimeout(ctx, otherZoneWait)
 		decisions, err := p.entry.peers.Place(quick, to, pool, []policy.Request{r})
 		cancel()
@@ -214,7 +214,7 @@
 		}
 		for engine, events := range cache {
 			for _, event := range events {
-				s.pool.Cache(now, engine, event)
+				s.pool.ApplyCacheEvent(now, engine, event)
 			}
 		}
 	})
@@ -236,5 +236,5 @@
 
 // withhold keeps new work from the engines that are to be emptied.
 func (p *placement) withhold(ctx context.Context, pool resource.Name, ids []member.UpstreamID) {
-	_ = p.do(ctx, func(time.Time) { p.state(pool).pool.Withhold(ids) })
+	_ = p.do(ctx, func(time.Time) { p.state(pool).pool.SetCordoned(ids) })
 }
--- a/entry/backoff.go
+++ b/entry/backoff.go
@@ -16,7 +16,7 @@
 	if d <= 0 {
 		return
 	}
-	if again := e.backoffs.Ask(e.now(), id, 0, d, 0); !again {
+	if again := e.backoffs.Record(e.now(), id, 0, d, 0); !again {
 		// The line says why the upstream gets nothing; a logger that fails has no other place.
 		_ = e.logger.Log("msg", "upstream asks for backoff", "upstream", id, "for", d)
 	}
@@ -34,7 +34,7 @@
 // backingOff lists the engines of a pool that want nothing from this entry now. If these
 // are all, it returns how long it is until one of them does.
 func (e *Entry) backingOff(pool resource.Name) (resting []member.UpstreamID, all time.Duration) {
-	if !e.backoffs.Any() {
+	if !e.backoffs.HasUpstreams() {
 		return nil, 0
 	}
 	now := e.now()
--- a/entry/fakesite_test.go
+++ b/entry/fakesite_test.go
@@ -210,7 +210,7 @@
 // addEngine lists an engine that reports plenty of room.
 func (s *fakeSite) addEngine(id member.UpstreamID, zone member.Zone) {
 	s.engines.mu.Lock()
-	s.engines.loads[id] = EngineLoad{Report: policy.Report{Memory: 100_000, Step: 20 * time.Millisecond}}
+	s.engines.loads[id] = EngineLoad{Report: policy.Report{TotalMemory: 100_000, StepTime: 20 * time.Millisecond}}
 	s.engines.mu.Unlock()
 	s.hosts.change(func(list *member.HostList) {
 		list.Upstreams = append(list.Upstreams, member.Upstream{
--- a/entry/generation.go
+++ b/entry/generation.go
@@ -195,8 +195,8 @@
 	account, _ := g.entry.config.Catalog().Account(g.request.Account)
 	r := policy.Request{
 		Run: run, Route: g.request.Route, Account: g.request.Account, Priority: account.Priority,
-		Prompt: g.request.Prompt, Limit: g.request.Limit, Bytes: len(g.request.Body),
-		Prefix: g.request.Prefix, PrefixTokens: g.request.PrefixTokens, Deadline: deadline, Avoid: avoid, AvoidAlso: resting,
+		PromptTokens: g.request.Prompt, MaxOutputTokens: g.request.Limit, QueueBytes: len(g.request.Body),
+		Prefix: g.request.Prefix, PrefixTokens: g.request.PrefixTokens, Deadline: deadline, PreviousEngine: avoid, ExcludedEngines: resting,
 	}
 	decision, err := g.entry.placement.place(ctx, g.pool, r)
 	if err != nil {
@@ -258,8 +258,8 @@
 	if failure == nil {
 		g.entry.survived(&g.asking)
 	}
-	finish.Made = policy.Tokens(relay.sequence.delivered)
-	finish.Whole = failure == nil
+	finish.GeneratedTokens = policy.Tokens(relay.sequence.delivered)
+	finish.Complete = failure == nil
 	span.SetAttributes(attribute.Int("tokens", relay.sequence.delivered))
 	return ending, failure
 }
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -178,15 +178,15 @@
 func (p *placement) settings(name resource.Name) policy.Settings {
 	declared, _ := p.entry.config.Catalog().Pool(name)
 	return policy.Settings{
-		Objective: declared.Objective, BetweenTokens: time.Duration(declared.BetweenTokens),
-		QueueLimit: declared.QueueLimit, QueueBytes: declared.QueueBytes,
+		Objective: declared.Objective, MaxStepTime: time.Duration(declared.BetweenTokens),
+		MaxQueueLength: declared.QueueLimit, MaxQueueBytes: declared.QueueBytes,
 	}
 }
 
 // followMembers brings every pool up to date with the members and the
 // configuration.
 func (p *placement) followMembers(now time.Time) {
-	p.entry.backoffs.Forget(now)
+	p.entry.backoffs.RemoveExpired(now)
 	for _, name := range p.entry.config.Catalog().PoolNames() {
 		p.followPool(now, p.state(name))
 	}
@@ -202,9 +202,9 @@
 		s.owner, s.distrusted = owner, time.Time{}
 		p.announceRuns(s)
 	}
-	s.pool.SetShare(len(live))
+	s.pool.SetDeciderCount(len(live))
 	if p.coordinates(s) && !p.entry.settings.Alone {
-		s.pool.SetShare(1)
+		s.pool.SetDeciderCount(1)
 	}
 	p.dropLostGuests(now, s)
 	for run, at := range s.ended {
@@ -365,8 +365,8 @@
 			s.pool.Finish(now, f)
 			return
 		}
-		if own != nil && f.Whole {
-			s.pool.Learn(&own.request, f.Made)
+		if own != nil && f.Complete {
+			s.pool.LearnLength(&own.request, f.GeneratedTokens)
 		}
 		s.finished[coordinator.ID] = append(s.finished[coordinator.ID], f)
 	})
--- a/entry/placement_test.go
+++ b/entry/placement_test.go
@@ -109,7 +109,7 @@
 	inPair(t, func(t *testing.T, s *fakeSite, coordinator, other *Entry) {
 		is := is.New(t)
 		is.NoErr(coordinator.OnFinished(s.ctx, "desk", []policy.Finish{{Run: "r"}}))
-		decisions, err := coordinator.OnPlace(s.ctx, other.self.ID, "desk", []policy.Request{{Run: "r", Prompt: 1, Deadline: time.Now().Add(time.Minute)}})
+		decisions, err := coordinator.OnPlace(s.ctx, other.self.ID, "desk", []policy.Request{{Run: "r", PromptTokens: 1, Deadline: time.Now().Add(time.Minute)}})
 		is.NoErr(err)
 		is.Equal(decisions[0].Verdict, policy.Refused)
 		is.Equal(placedAt(coordinator), 0)
--- a/forward/callerleft_test.go
+++ b/forward/callerleft_test.go
@@ -104,7 +104,7 @@
 		"while it waits for a place": {path: "/llm/", send: stream, before: func(s *fixture) {
 			now := time.Now()
 			for _, id := range []policy.RunID{"a", "b", "c"} {
-				s.f.engines.place(t.Context(), now, "llm", policy.Request{Run: id, Prompt: 33_000, Limit: 1000, Deadline: now.Add(time.Minute)})
+				s.f.engines.place(t.Context(), now, "llm", policy.Request{Run: id, PromptTokens: 33_000, MaxOutputTokens: 1000, Deadline: now.Add(time.Minute)})
 			}
 		}, wantCalls: 0},
 		"while its run is moved": {path: "/llm/", send: stream, during: func(s *fixture) {
--- a/forward/engineplacer.go
+++ b/forward/engineplacer.go
@@ -149,7 +149,7 @@
 		}
 		p.spec = *s.Engine
 		settings := poolSettings(p.spec, t.ShortestGapObjective(name))
-		settings.Decider = string(e.self)
+		settings.DeciderID = string(e.self)
 		p.pool.SetSettings(settings)
 	}
 }
@@ -166,12 +166,12 @@
 // poolSettings returns the settings of an engine's pool. shortestPause is the shortest pause
 // that any route to the service allows between two events; zero if no route limits it.
 func poolSettings(e Engine, shortestPause time.Duration) policy.Settings {
-	s := policy.Settings{BetweenTokens: defaultMaxStep, MaxBatch: e.Batch, ReadRate: assumedReadRate, Stagger: queueStagger}
+	s := policy.Settings{MaxStepTime: defaultMaxStep, MaxBatchSize: e.Batch, InitialPrefillRate: assumedReadRate, MaxQueueStagger: queueStagger}
 	if shortestPause > 0 {
-		s.BetweenTokens = time.Duration(stepShareOfPause * float64(shortestPause) / float64(max(e.EventTokens, 1)))
+		s.MaxStepTime = time.Duration(stepShareOfPause * float64(shortestPause) / float64(max(e.EventTokens, 1)))
 	}
 	if e.Moves && e.TokenBytes > 0 {
-		s.Movable = policy.Tokens(e.LinkBitsPerSecond / 8 / e.TokenBytes * minMoveWindow.Seconds())
+		s.MovableTokens = policy.Tokens(e.LinkBitsPerSecond / 8 / e.TokenBytes * minMoveWindow.Seconds())
 	}
 	return s
 }
@@ -214,7 +214,7 @@
 	p.pool.SetEngines(ids)
 	// Hosts of other cells place runs on these engines; this host does not know their load, so
 	// it must not place new runs there.
-	p.pool.Withhold(remote)
+	p.pool.SetCordoned(remote)
 	for _, u := range p.poolEngines {
 		p.pool.SetZone(u.ID, u.Zone)
 		p.pool.SetGroup(u.ID, string(u.Version))
@@ -249,7 +249,7 @@
 	}
 	p.remote[u.ID] = u
 	p.updatePoolEngines()
-	p.pool.Report(e.now(), policy.Report{Engine: u.ID, Memory: p.spec.Memory, Step: p.expectedStep()})
+	p.pool.Report(e.now(), policy.Report{Engine: u.ID, TotalMemory: p.spec.Memory, StepTime: p.expectedStep()})
 }
 
 // refresh passes the state of the engines and runs to the policy pool, and delivers decisions
@@ -258,10 +258,10 @@
 	p.revokeUnused(now)
 	for id, run := range p.ownRuns {
 		p.pool.Progress(now, id, policy.Tokens(run.generatedTokens.Load()))
-		p.pool.Reading(now, id, run.firstTokenAt)
+		p.pool.UpdatePrefill(now, id, run.firstTokenAt)
 	}
 	for id := range p.poolEngines {
-		p.pool.Report(now, policy.Report{Engine: id, Memory: p.spec.Memory, Step: p.expectedStep()})
+		p.pool.Report(now, policy.Report{Engine: id, TotalMemory: p.spec.Memory, StepTime: p.expectedStep()})
 	}
 	p.advance(now)
 }
@@ -300,7 +300,7 @@
 		e.mu.Unlock()
 		return Upstream{}, nil, policy.Decision{Verdict: policy.Refused, Reason: policy.ReasonNoEngine, RetryAfter: maxRetryAfter}
 	}
-	r.Zone, r.FarCost = e.zone, crossZoneStartCost
+	r.Zone, r.CrossZoneCost = e.zone, crossZoneStartCost
 	d := p.pool.Submit(now, r)
 	if d.Verdict == policy.Queued {
 		decision := make(chan policy.Decision, 1)
@@ -344,7 +344,7 @@
 	}
 	generated := policy.Tokens(run.generatedTokens.Load())
 	delete(p.ownRuns, run.request.Run)
-	p.pool.Finish(now, policy.Finish{Run: run.request.Run, Made: generated, Whole: complete})
+	p.pool.Finish(now, policy.Finish{Run: run.request.Run, GeneratedTokens: generated, Complete: complete})
 	if complete {
 		e.recentlyEnded = append(e.recentlyEnded, EndedRun{Run: run.request.Run, Made: generated, endedAt: now})
 	}
@@ -380,7 +380,7 @@
 	if p == nil {
 		return 0
 	}
-	memory := int(run.request.Prompt) + int(run.generatedTokens.Load())
+	memory := int(run.request.PromptTokens) + int(run.generatedTokens.Load())
 	if p.pool.MeanLength(&run.request) < p.shortAnswerLength() {
 		memory += int(p.spec.Memory)
 	}
@@ -393,7 +393,7 @@
 	defer e.mu.Unlock()
 	if p := e.pools[service]; p != nil {
 		run.firstTokenAt = now
-		p.pool.Begun(now, run.request.Run)
+		p.pool.RecordFirstToken(now, run.request.Run)
 		p.lastObserved = now
 	}
 }
@@ -406,7 +406,7 @@
 	if p == nil {
 		return 0
 	}
-	n := p.pool.RunsOn(id)
+	n := p.pool.RunCount(id)
 	if p.pool.EngineOf(except) == id {
 		n--
 	}
@@ -419,7 +419,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
-	return p != nil && now.Sub(p.pool.Progressed(id)) <= engineProgressTimeout
+	return p != nil && now.Sub(p.pool.LastProgress(id)) <= engineProgressTimeout
 }
 
 // observeStep updates the average step with the time that an engine took per token.
@@ -447,14 +447,14 @@
 	if p == nil {
 		return time.Duration(output) * assumedStep
 	}
-	return p.pool.TakesToRead(prompt) + time.Duration(output)*p.expectedStep()
+	return p.pool.IdlePrefillTime(prompt) + time.Duration(output)*p.expectedStep()
 }
 
 // returnToEngine counts a run on its engine again after a move that did not take place.
 func (e *enginePlacer) returnToEngine(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if p := e.pools[service]; p != nil && p.pool.Return(now, run.request.Run, engine) {
+	if p := e.pools[service]; p != nil && p.pool.CancelRelocation(now, run.request.Run, engine) {
 		run.engine, run.incarnation = engine, p.poolEngines[engine].Incarnation
 	}
 }
@@ -465,7 +465,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.pools {
-		for _, run := range p.pool.Renew(id) {
+		for _, run := range p.pool.ResetEngine(id) {
 			delete(p.peerRuns, run)
 		}
 	}
--- a/forward/engineplacer_test.go
+++ b/forward/engineplacer_test.go
@@ -60,9 +60,9 @@
 	table := NewTable(c)
 	is.Equal(table.ShortestGapObjective("llm"), 120*time.Millisecond)
 	is.Equal(table.ShortestGapObjective("app"), time.Duration(0))
-	is.Equal(poolSettings(*c.Services[1].Engine, 0).BetweenTokens, defaultMaxStep)
+	is.Equal(poolSettings(*c.Services[1].Engine, 0).MaxStepTime, defaultMaxStep)
 	// 120 ms for four tokens are 30 ms per step, of which a tenth is kept in reserve.
-	is.Equal(poolSettings(*c.Services[1].Engine, 120*time.Millisecond).BetweenTokens, 27*time.Millisecond)
+	is.Equal(poolSettings(*c.Services[1].Engine, 120*time.Millisecond).MaxStepTime, 27*time.Millisecond)
 }
 
 // TestKnownZones checks that placement knows which share of a zone's hosts reported their runs:
@@ -78,7 +78,7 @@
 	for _, id := range []member.HostID{"a", "b"} {
 		f.peers.recordShare(now, Share{From: Peer{ID: id, Zone: "z2"}})
 	}
-	busy := policy.Request{Run: "busy", Route: "/llm/", Prompt: 6000, Objective: 1800 * time.Millisecond, Arrived: now}
+	busy := policy.Request{Run: "busy", Route: "/llm/", PromptTokens: 6000, Objective: 1800 * time.Millisecond, ArrivedAt: now}
 	_, first, _ := f.engines.place(t.Context(), now, "llm", busy)
 	is.Equal(first.engine, member.UpstreamID("near"))
 	pool := f.engines.pools["llm"].pool
@@ -97,7 +97,7 @@
 			f.engines.replacePeerRuns(now, id, nil, nil)
 		}
 		f.engines.updateKnownParts(c.at, f.peers.zoneByHost())
-		if got := pool.KnownPart("z2"); got != c.want {
+		if got := pool.ZoneCoverage("z2"); got != c.want {
 			t.Errorf("%s: known share of zone z2 is %v, expected %v", name, got, c.want)
 		}
 	}
@@ -116,7 +116,7 @@
 		s := sender.newShare(now)
 		receiver.engines.replacePeerRuns(now, "h9", s.Runs, s.EndedRuns)
 	}
-	request := policy.Request{Route: "/llm/", Account: "counter", Prompt: 100}
+	request := policy.Request{Route: "/llm/", Account: "counter", PromptTokens: 100}
 	mean := func() policy.Tokens { return receiver.engines.pools["llm"].pool.MeanLength(&request) }
 	before := mean()
 	for i := range 200 {
@@ -147,14 +147,14 @@
 		second := Upstream{ID: "llm2", Service: "llm", Zone: "z1"}
 		now := time.Now()
 		e.setAvailable(now, "llm", []Upstream{first})
-		_, filling, _ := e.place(t.Context(), now, "llm", policy.Request{Run: "filling", Prompt: 33000})
+		_, filling, _ := e.place(t.Context(), now, "llm", policy.Request{Run: "filling", PromptTokens: 33000})
 		type placing struct {
 			upstream Upstream
 			run      *ownRun
 		}
 		placed := make(chan placing, 1)
 		go func() {
-			u, run, _ := e.place(t.Context(), now, "llm", policy.Request{Run: "waiting", Prompt: 3000, Deadline: now.Add(time.Minute)})
+			u, run, _ := e.place(t.Context(), now, "llm", policy.Request{Run: "waiting", PromptTokens: 3000, Deadline: now.Add(time.Minute)})
 			placed <- placing{u, run}
 		}()
 		time.Sleep(queueStagger) // from now on llm1 takes queued requests
--- a/forward/estimates.go
+++ b/forward/estimates.go
@@ -34,7 +34,7 @@
 	var all []EngineEstimate
 	for name, p := range e.pools {
 		l := EngineEstimate{Service: name, StepTime: p.expectedStep(), StepSamples: p.stepSamples, Age: noProofAge}
-		l.PrefillRate, l.PrefillSamples = p.pool.ReadRate()
+		l.PrefillRate, l.PrefillSamples = p.pool.PrefillRate()
 		if !p.lastObserved.IsZero() {
 			l.Age = min(now.Sub(p.lastObserved), noProofAge)
 		}
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -254,7 +254,7 @@
 		case <-tick.C:
 			f.crashes.Forget(f.now(), f.peers.isKnown)
 			f.forgetLimits(f.now())
-			f.backoffs.Forget(f.now())
+			f.backoffs.RemoveExpired(f.now())
 			for _, c := range f.fleet.Settle(f.now()) {
 				if !c.Gone {
 					f.journal.HostEvent("upstream back", "upstream", c.ID, "why", "still on the restored list")
@@ -308,7 +308,7 @@
 		return f.candidates(now, service)
 	}
 	takers := f.fleet.AvailableInCell(now, service, own)
-	if f.backoffs.Any() {
+	if f.backoffs.HasUpstreams() {
 		takers = slices.DeleteFunc(takers, func(u Upstream) bool { return f.backoffs.Remaining(now, u.ID) > 0 })
 	}
 	if len(takers) == 0 {
--- a/forward/granting.go
+++ b/forward/granting.go
@@ -42,7 +42,7 @@
 	if p == nil {
 		return Upstream{}, nil, policy.Decision{}, false
 	}
-	r.Zone, r.OnlyZone = e.zone, true
+	r.Zone, r.SameZoneOnly = e.zone, true
 	d, ok := p.pool.TryPlace(now, r)
 	if !ok {
 		return Upstream{}, nil, d, false
@@ -59,7 +59,7 @@
 		return Upstream{}, nil, policy.Decision{}, false
 	}
 	r.Zone = e.zone
-	d, ok := p.pool.PlaceAt(now, r, g.Engine, g.TimeToFirstToken)
+	d, ok := p.pool.PlaceOn(now, r, g.Engine, g.TimeToFirstToken)
 	if !ok {
 		return Upstream{}, nil, d, false
 	}
@@ -92,11 +92,11 @@
 // is to move, and stays counted where it is if there is no room.
 func (p *enginePool) placePeers(now time.Time, a PlacementRequest, zone member.Zone) (policy.Decision, bool) {
 	if _, known := p.peerRuns[a.Run]; known {
-		id, ok := p.pool.Relocate(now, a.Run, policy.Target{Avoid: a.ExcludedEngines, OnlyZone: true, Zone: zone, OnlyGroup: a.OnlyGroup, ButGroup: a.ExcludedGroup})
+		id, ok := p.pool.Relocate(now, a.Run, policy.Target{ExcludedEngines: a.ExcludedEngines, SameZoneOnly: true, Zone: zone, OnlyGroup: a.OnlyGroup, ExcludedGroup: a.ExcludedGroup})
 		return policy.Decision{Run: a.Run, Verdict: policy.Granted, Engine: id}, ok
 	}
 	r := a.policyRequest(now)
-	r.Zone, r.OnlyZone = zone, true
+	r.Zone, r.SameZoneOnly = zone, true
 	return p.pool.TryPlace(now, r)
 }
 
@@ -119,8 +119,8 @@
 	if p == nil {
 		return policy.Request{}, false
 	}
-	r, ok := p.pool.Grown(run.request.Run)
-	r.AvoidAlso = append(slices.Clone(avoid), run.engine)
+	r, ok := p.pool.RelocationRequest(run.request.Run)
+	r.ExcludedEngines = append(slices.Clone(avoid), run.engine)
 	return r, ok
 }
 
@@ -129,7 +129,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
-	if p == nil || p.poolEngines[engine].ID == "" || !p.pool.Return(now, run.request.Run, engine) {
+	if p == nil || p.poolEngines[engine].ID == "" || !p.pool.CancelRelocation(now, run.request.Run, engine) {
 		return Upstream{}, false
 	}
 	run.engine, run.incarnation = engine, p.poolEngines[engine].Incarnation
--- a/forward/incarnation.go
+++ b/forward/incarnation.go
@@ -93,6 +93,6 @@
 		f.engines.resetEngine(id)
 		f.plainChooser.reset(id)
 		f.limiter.Renew(id)
-		f.backoffs.Renew(id)
+		f.backoffs.Remove(id)
 	}
 }
--- a/forward/incarnation_test.go
+++ b/forward/incarnation_test.go
@@ -97,7 +97,7 @@
 	f.handleListChanges(f.fleet.Apply(now, []Change{incarnationEntry("llm1", 100, 2, false)}, rev(2)))
 	f.updatePlacementEngines(now, f.Table())
 	place := func(run policy.RunID) (Upstream, *ownRun, policy.Decision) {
-		r := policy.Request{Run: run, Prompt: 15000, Arrived: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
+		r := policy.Request{Run: run, PromptTokens: 15000, ArrivedAt: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 		defer cancel()
 		return f.engines.place(ctx, now, "llm", r)
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -235,7 +235,7 @@
 		sender.updatePlacementEngines(time.Now(), sender.Table())
 		receiver.updatePlacementEngines(time.Now(), receiver.Table())
 		now := time.Now()
-		u, run, _ := sender.engines.place(ctx, now, "llm", policy.Request{Run: "r", Prompt: 100})
+		u, run, _ := sender.engines.place(ctx, now, "llm", policy.Request{Run: "r", PromptTokens: 100})
 		sender.shareRunChange(u)
 		synctest.Wait()
 		is.Equal(time.Now(), now)
@@ -260,7 +260,7 @@
 			f.updatePlacementEngines(time.Now(), f.Table())
 		}
 		far, _ := sender.fleet.Upstream("llm2")
-		_, run, _, ok := sender.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", Prompt: 100}, PlacementGrant{Engine: far.ID})
+		_, run, _, ok := sender.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", PromptTokens: 100}, PlacementGrant{Engine: far.ID})
 		is.True(ok)
 		busy := func() bool {
 			return len(s.hosts["10.2.0.1:1"].engines.enginesWithRuns())+len(s.hosts["10.2.0.2:1"].engines.enginesWithRuns()) == 2
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -93,7 +93,7 @@
 	if d.path != "/llm/" && d.path != "/resumable/" {
 		return refusedAtOnce
 	}
-	return refusedAtOnce + time.Duration(policy.DefaultWaitPart*float64(1800*time.Millisecond)) + poolRefreshInterval
+	return refusedAtOnce + time.Duration(policy.DefaultMaxWaitFraction*float64(1800*time.Millisecond)) + poolRefreshInterval
 }
 
 // leastUsed is how much of a limit is to be used while more is wanted.
--- a/forward/move.go
+++ b/forward/move.go
@@ -313,7 +313,7 @@
 	if e.LinkBitsPerSecond <= 0 {
 		return 0
 	}
-	bits := 8 * e.TokenBytes * (float64(run.request.Prompt) + float64(run.generatedTokens.Load()))
+	bits := 8 * e.TokenBytes * (float64(run.request.PromptTokens) + float64(run.generatedTokens.Load()))
 	copyTime := time.Duration(bits / e.LinkBitsPerSecond * float64(time.Second))
 	if to.Zone != m.source.Zone {
 		copyTime *= 2
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -31,7 +31,7 @@
 
 // anyBound reports whether some upstream of a service may be bounded.
 func (f *Forwarder) anyBound(now time.Time, s *Service) bool {
-	return f.backoffs.Any() || f.limiter.Words.Any() || s.ColdRate > 0 && f.fleet.AnyCold(now)
+	return f.backoffs.HasUpstreams() || f.limiter.Words.Any() || s.ColdRate > 0 && f.fleet.AnyCold(now)
 }
 
 // permitRequest is something to be sent to an upstream.
@@ -70,7 +70,7 @@
 // keptBack is how long it is until this host may send to an upstream, or may ask for leave
 // to; zero when it may now.
 func (f *Forwarder) keptBack(now time.Time, s *Service, u Upstream) time.Duration {
-	wait := f.backoffs.Wait(now, u.ID)
+	wait := f.backoffs.Delay(now, u.ID)
 	if _, bounded := f.bound(now, s, u); bounded {
 		wait = max(wait, f.limiter.Wait(now, u.ID))
 	}
--- a/forward/probe_test.go
+++ b/forward/probe_test.go
@@ -33,7 +33,7 @@
 		go f.RunProbes(ctx)
 		synctest.Wait() // the list is read
 		f.updatePlacementEngines(time.Now(), f.Table())
-		_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", Prompt: 100})
+		_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", PromptTokens: 100})
 		is.Equal(run.engine, member.UpstreamID("llm1"))
 		time.Sleep(4 * time.Second)
 		is.Equal(asked.Load(), int32(0)) // answers have a price
@@ -80,7 +80,7 @@
 				f.updatePlacementEngines(time.Now(), f.Table())
 				f.Serve(ctx, call("/llm/"), &fakeSink{}) // placed on llm1
 				f.engines.setAvailable(time.Now(), "llm", []Upstream{{ID: "llm2", Service: "llm", Zone: "z1"}})
-				_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", Prompt: 100})
+				_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", PromptTokens: 100})
 				is.Equal(run.engine, member.UpstreamID("llm2"))
 				time.Sleep(2 * probeEvery)
 				u, _ := f.fleet.Upstream("llm2")
--- a/forward/remoteplacement.go
+++ b/forward/remoteplacement.go
@@ -64,11 +64,11 @@
 func newPlacementRequest(self member.HostID, service ServiceName, now time.Time, r policy.Request) PlacementRequest {
 	a := PlacementRequest{
 		From: self, Service: service, Run: r.Run, Route: r.Route, Account: r.Account, Priority: r.Priority,
-		PromptTokens: r.Prompt, MaxOutputTokens: r.Limit, ExcludedEngines: r.AvoidAlso,
-		OnlyGroup: r.OnlyGroup, ExcludedGroup: r.ButGroup,
+		PromptTokens: r.PromptTokens, MaxOutputTokens: r.MaxOutputTokens, ExcludedEngines: r.ExcludedEngines,
+		OnlyGroup: r.OnlyGroup, ExcludedGroup: r.ExcludedGroup,
 	}
-	if !r.Arrived.IsZero() {
-		a.Objective, a.Elapsed = r.Objective, now.Sub(r.Arrived)
+	if !r.ArrivedAt.IsZero() {
+		a.Objective, a.Elapsed = r.Objective, now.Sub(r.ArrivedAt)
 	}
 	return a
 }
@@ -76,12 +76,12 @@
 // policyRequest returns the request for the placement policy, with its times relative to now.
 func (a PlacementRequest) policyRequest(now time.Time) policy.Request {
 	request := policy.Request{
-		Run: a.Run, Route: a.Route, Account: a.Account, Priority: a.Priority, Prompt: a.PromptTokens, Limit: a.MaxOutputTokens,
-		Objective: a.Objective, AvoidAlso: a.ExcludedEngines, OnlyGroup: a.OnlyGroup, ButGroup: a.ExcludedGroup,
+		Run: a.Run, Route: a.Route, Account: a.Account, Priority: a.Priority, PromptTokens: a.PromptTokens, MaxOutputTokens: a.MaxOutputTokens,
+		Objective: a.Objective, ExcludedEngines: a.ExcludedEngines, OnlyGroup: a.OnlyGroup, ExcludedGroup: a.ExcludedGroup,
 	}
 	if a.Objective > 0 {
-		request.Arrived = now.Add(-a.Elapsed)
-		request.Deadline = request.Arrived.Add(a.Objective)
+		request.ArrivedAt = now.Add(-a.Elapsed)
+		request.Deadline = request.ArrivedAt.Add(a.Objective)
 	}
 	return request
 }
@@ -102,8 +102,8 @@
 	if !ok {
 		return PlacementGrant{}
 	}
-	f.journal.Request(RequestID(request.Run), "place given", "peer", request.From, "upstream", decision.Engine, "first_foreseen", decision.FirstAfter, "memory_foreseen", decision.Memory, "runs", decision.Batch)
-	return PlacementGrant{Engine: decision.Engine, TimeToFirstToken: decision.FirstAfter}
+	f.journal.Request(RequestID(request.Run), "place given", "peer", request.From, "upstream", decision.Engine, "first_foreseen", decision.TimeToFirstToken, "memory_foreseen", decision.PeakMemory, "runs", decision.BatchSize)
+	return PlacementGrant{Engine: decision.Engine, TimeToFirstToken: decision.TimeToFirstToken}
 }
 
 // requestPlacement asks one host of each zone in turn until one grants a place.
@@ -157,7 +157,7 @@
 		var grant PlacementGrant
 		var found bool
 		remote := r
-		remote.AvoidAlso = slices.Concat(r.AvoidAlso, throttled.otherZones)
+		remote.ExcludedEngines = slices.Concat(r.ExcludedEngines, throttled.otherZones)
 		if grant, found, useLocalView = s.requestPlacement(ctx, otherZones, service, remote); found {
 			s.registerGrantedEngine(service, grant.Engine)
 			if u, run, d, ok := s.engines.placeAt(s.now(), service, r, grant); ok {
@@ -167,12 +167,12 @@
 			useLocalView = true
 		}
 	}
-	r.AvoidAlso, r.OnlyZone = slices.Concat(r.AvoidAlso, throttled.otherZones), !useLocalView
+	r.ExcludedEngines, r.SameZoneOnly = slices.Concat(r.ExcludedEngines, throttled.otherZones), !useLocalView
 	zone := member.Zone("")
-	if r.OnlyZone {
+	if r.SameZoneOnly {
 		zone = s.peers.self.Zone
 	}
-	if throttled.allExcluded(r.AvoidAlso, zone) {
+	if throttled.allExcluded(r.ExcludedEngines, zone) {
 		return placementResult{decision: policy.Decision{Run: r.Run, Verdict: policy.Refused, Reason: policy.ReasonQueueFull, RetryAfter: throttled.shortestWait}}
 	}
 	u, run, d := s.engines.place(ctx, s.now(), service, r)
@@ -199,11 +199,11 @@
 	if !known {
 		return Upstream{}, false
 	}
-	r.OnlyGroup, r.ButGroup = string(x.versions.get().Only), string(x.versions.get().But)
+	r.OnlyGroup, r.ExcludedGroup = string(x.versions.get().Only), string(x.versions.get().But)
 	anyUnreachable := false
 	for _, zone := range zones {
 		if zone == ownZone {
-			if u, ok := x.engines.relocate(now, service, run, policy.Target{Avoid: avoid, OnlyZone: true, Zone: ownZone, OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup}); ok {
+			if u, ok := x.engines.relocate(now, service, run, policy.Target{ExcludedEngines: avoid, SameZoneOnly: true, Zone: ownZone, OnlyGroup: r.OnlyGroup, ExcludedGroup: r.ExcludedGroup}); ok {
 				return u, true
 			}
 			if !x.peers.zonesDivided() {
@@ -223,7 +223,7 @@
 	if !anyUnreachable {
 		return Upstream{}, false
 	}
-	u, found = x.engines.relocate(x.now(), service, run, policy.Target{FarCost: crossZoneMoveCost, Avoid: slices.Concat(avoid, throttled), OnlyGroup: r.OnlyGroup, ButGroup: r.ButGroup})
+	u, found = x.engines.relocate(x.now(), service, run, policy.Target{CrossZoneCost: crossZoneMoveCost, ExcludedEngines: slices.Concat(avoid, throttled), OnlyGroup: r.OnlyGroup, ExcludedGroup: r.ExcludedGroup})
 	return u, found
 }
 
--- a/forward/remoteplacement_test.go
+++ b/forward/remoteplacement_test.go
@@ -65,7 +65,7 @@
 // fillEngine places a run on an engine that leaves no room for another.
 func fillEngine(t *testing.T, f *Forwarder, engine member.UpstreamID) {
 	t.Helper()
-	request := policy.Request{Run: policy.RunID("fill-" + engine), Prompt: 32500, Limit: 100, Zone: f.engines.zone}
+	request := policy.Request{Run: policy.RunID("fill-" + engine), PromptTokens: 32500, MaxOutputTokens: 100, Zone: f.engines.zone}
 	if _, _, _, ok := f.engines.placeAt(time.Now(), "llm", request, PlacementGrant{Engine: engine}); !ok {
 		t.Fatalf("filling run not placed on engine %s: want a place", engine)
 	}
@@ -83,7 +83,7 @@
 	s := &streamExchange{exchange: &exchange{Forwarder: f, call: call("/llm/")}}
 	s.service, _ = f.Table().Service("llm")
 	return s.findPlacement(ctx, now, policy.Request{
-		Run: run, Route: "/llm/", Prompt: 3000, Limit: 500, Objective: 1800 * time.Millisecond, Arrived: now, Deadline: now.Add(1800 * time.Millisecond),
+		Run: run, Route: "/llm/", PromptTokens: 3000, MaxOutputTokens: 500, Objective: 1800 * time.Millisecond, ArrivedAt: now, Deadline: now.Add(1800 * time.Millisecond),
 	}, s.throttledEngines(now))
 }
 
--- a/forward/runs.go
+++ b/forward/runs.go
@@ -70,7 +70,7 @@
 		for id, run := range p.ownRuns {
 			state := RunState{
 				Run: id, Service: service, Engine: run.engine, Life: run.incarnation, Route: run.request.Route, Account: run.request.Account,
-				Prompt: run.request.Prompt, Made: policy.Tokens(run.generatedTokens.Load()), Limit: run.request.Limit,
+				Prompt: run.request.PromptTokens, Made: policy.Tokens(run.generatedTokens.Load()), Limit: run.request.MaxOutputTokens,
 			}
 			if !run.firstTokenAt.IsZero() {
 				state.FirstTokenAge = max(now.Sub(run.firstTokenAt), 1)
@@ -118,7 +118,7 @@
 	}
 	for _, p := range e.pools {
 		for zone, n := range hosts {
-			p.pool.SetKnownPart(zone, float64(reported[zone])/float64(n))
+			p.pool.SetZoneCoverage(zone, float64(reported[zone])/float64(n))
 		}
 	}
 }
@@ -153,7 +153,7 @@
 			}
 			delete(p.peerRuns, id)
 			made, whole := lengths[id]
-			p.pool.Finish(now, policy.Finish{Run: id, Made: made, Whole: whole})
+			p.pool.Finish(now, policy.Finish{Run: id, GeneratedTokens: made, Complete: whole})
 		}
 	}
 	for id, s := range listed {
@@ -164,10 +164,10 @@
 		}
 		if _, known := p.peerRuns[id]; known {
 			p.pool.Progress(now, id, s.Made)
-			p.pool.Reading(now, id, s.firstTokenAt(now))
+			p.pool.UpdatePrefill(now, id, s.firstTokenAt(now))
 			continue
 		}
 		p.peerRuns[id] = host
-		p.pool.Adopt(now, policy.Request{Run: id, Route: s.Route, Account: s.Account, Prompt: s.Prompt, Limit: s.Limit}, s.Engine, s.Made)
+		p.pool.Adopt(now, policy.Request{Run: id, Route: s.Route, Account: s.Account, PromptTokens: s.Prompt, MaxOutputTokens: s.Limit}, s.Engine, s.Made)
 	}
 }
--- a/forward/send.go
+++ b/forward/send.go
@@ -56,7 +56,7 @@
 // except for rate limits, which a permit covers.
 func (f *Forwarder) eligibilityState(now time.Time, u Upstream) eligibility.State {
 	s := f.fleet.EligibilityState(now, u.ID)
-	s.Backoff = f.backoffs.Wait(now, u.ID)
+	s.Backoff = f.backoffs.Delay(now, u.ID)
 	return s
 }
 
@@ -191,7 +191,7 @@
 // recordBackoff records that an upstream asked this host for a backoff of d. It reports whether the
 // host wasn't already in a backoff from the upstream.
 func (f *Forwarder) recordBackoff(now time.Time, u Upstream, d time.Duration) bool {
-	if f.backoffs.Ask(now, u.ID, int64(u.Incarnation), d, backoffJitter(d)) {
+	if f.backoffs.Record(now, u.ID, int64(u.Incarnation), d, backoffJitter(d)) {
 		return false
 	}
 	f.requestRelist()
@@ -205,12 +205,12 @@
 
 // receivePeerBackoff records that an upstream asked a peer for backoff.
 func (f *Forwarder) receivePeerBackoff(now time.Time, from member.HostID, mark backoff.Mark) {
-	if !f.fleet.ReceiveIncarnation(mark.Upstream, Incarnation(mark.Life)) || !f.backoffs.Receive(now, from, mark, backoffJitter(mark.For)) {
+	if !f.fleet.ReceiveIncarnation(mark.Upstream, Incarnation(mark.Incarnation)) || !f.backoffs.RecordPeer(now, from, mark, backoffJitter(mark.Remaining)) {
 		return
 	}
 	f.requestRelist()
 	if f.signalLogLimiter.allow(now, mark.Upstream) {
-		f.journal.HostEvent("upstream asks several hosts for backoff", "upstream", mark.Upstream, "peer", from, "for", mark.For)
+		f.journal.HostEvent("upstream asks several hosts for backoff", "upstream", mark.Upstream, "peer", from, "for", mark.Remaining)
 	}
 }
 
@@ -235,11 +235,11 @@
 // candidates returns the service's upstreams that accept work and aren't in a backoff. It checks
 // neither rate limits nor how many requests an upstream may get right after its backoff.
 func (f *Forwarder) candidates(now time.Time, service ServiceName) []Upstream {
-	if !f.backoffs.Any() {
+	if !f.backoffs.HasUpstreams() {
 		return f.fleet.Available(now, service)
 	}
 	return f.fleet.AvailableExcept(now, service, func(id member.UpstreamID) bool { return f.backoffs.Remaining(now, id) > 0 })
 }
 
 // BackoffEntries lists the upstreams that are in a backoff or returning from one.
-func (f *Forwarder) BackoffEntries() []backoff.Entry { return f.backoffs.Entries(f.now()) }
+func (f *Forwarder) BackoffEntries() []backoff.Status { return f.backoffs.Statuses(f.now()) }
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -183,7 +183,7 @@
 				transport.move = func(ctx context.Context, from Upstream, r MoveRequest) (MoveResult, error) {
 					if resting == "" && r.StopSource == duringStop {
 						resting = member.UpstreamID(r.TargetAddress[len("10.1.0.1:"):])
-						f.backoffs.Ask(f.now(), resting, 0, 10*time.Second, 0)
+						f.backoffs.Record(f.now(), resting, 0, 10*time.Second, 0)
 					}
 					return e.move(ctx, from, r)
 				}
@@ -224,7 +224,7 @@
 					at := transport.sentTo()[0]
 					f.fleet.RecordFailure(f.now(), at)
 					if backoff > 0 {
-						f.backoffs.Ask(f.now(), at, 0, backoff, 0)
+						f.backoffs.Record(f.now(), at, 0, backoff, 0)
 					}
 				})
 				f.Serve(t.Context(), call("/llm/"), sink)
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -30,11 +30,11 @@
 	f.takeSignals(time.Now(), old, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, Own: true})
 	u, _ := f.fleet.Upstream("app1")
 	is.True(!u.Leaving)
-	is.Equal(f.backoffs.Wait(time.Now(), "app1"), time.Duration(0))
+	is.Equal(f.backoffs.Delay(time.Now(), "app1"), time.Duration(0))
 	f.takeSignals(time.Now(), next, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, Own: true})
 	u, _ = f.fleet.Upstream("app1")
 	is.True(u.Leaving)
-	is.True(f.backoffs.Wait(time.Now(), "app1") > 0)
+	is.True(f.backoffs.Delay(time.Now(), "app1") > 0)
 }
 
 // TestRequestJudgedBySeveralSends has a trial of a quarantined request go out, whichever send is judged first.
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -176,7 +176,7 @@
 		takers := s.acceptingUpstreams(now)
 		return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 	}
-	if s.backoffs.Any() {
+	if s.backoffs.HasUpstreams() {
 		candidates := s.Forwarder.candidates(now, s.service.Name)
 		if takers := s.acceptingUpstreams(now); len(takers) > 0 && len(candidates) == 0 {
 			return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
@@ -189,11 +189,11 @@
 	r := policy.Request{
 		Run: s.runID(), Route: policyRoute(s.route), Account: s.account.Name,
 		// A more urgent request has a lower urgency, but a higher priority in the policy.
-		Priority: int(LeastUrgent - s.urgency),
-		Prompt:   max(p.Tokens, 1), Limit: p.MaxOutputTokens, Prefix: p.PrefixHash, PrefixTokens: p.PrefixTokens,
-		Bytes: len(s.call.Body), Objective: s.route.Objective, AvoidAlso: s.excluded, Zones: s.zones,
-		OnlyGroup: string(s.versions.get().Only), ButGroup: string(s.versions.get().But),
-		Arrived: s.call.Arrived, Deadline: s.call.Arrived.Add(s.route.Objective),
+		Priority:     int(LeastUrgent - s.urgency),
+		PromptTokens: max(p.Tokens, 1), MaxOutputTokens: p.MaxOutputTokens, Prefix: p.PrefixHash, PrefixTokens: p.PrefixTokens,
+		QueueBytes: len(s.call.Body), Objective: s.route.Objective, ExcludedEngines: s.excluded, AllowedZones: s.zones,
+		OnlyGroup: string(s.versions.get().Only), ExcludedGroup: string(s.versions.get().But),
+		ArrivedAt: s.call.Arrived, Deadline: s.call.Arrived.Add(s.route.Objective),
 	}
 	if s.service.Engine == nil {
 		return s.placePlain(ctx)
@@ -205,7 +205,7 @@
 	s.run = run.ownRun
 	d := run.decision
 	s.shareRunChange(u)
-	s.journal.Request(s.call.ID, "placed", "upstream", u.ID, "waited", d.Waited, "first_foreseen", d.FirstAfter, "memory_foreseen", d.Memory, "runs", d.Batch, "zone", u.Zone, "skipped", s.skippedUpstreams, "prompt", p.Tokens, "limit", p.MaxOutputTokens, "hint", p.ExpectedOutputTokens, "list_revision", s.fleet.Revision(), "contact_age", s.ContactAge(now))
+	s.journal.Request(s.call.ID, "placed", "upstream", u.ID, "waited", d.Waited, "first_foreseen", d.TimeToFirstToken, "memory_foreseen", d.PeakMemory, "runs", d.BatchSize, "zone", u.Zone, "skipped", s.skippedUpstreams, "prompt", p.Tokens, "limit", p.MaxOutputTokens, "hint", p.ExpectedOutputTokens, "list_revision", s.fleet.Revision(), "contact_age", s.ContactAge(now))
 	return u, Refusal{}, true
 }
 
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -129,13 +129,13 @@
 				func(f *Forwarder) bool { return !f.turns.try(f.now(), TurnRequest{Engine: engine, Run: "r8"}) }, turnLasts,
 			},
 			"an upstream wants nothing": {
-				func(f *Forwarder) { f.backoffs.Ask(f.now(), engine, 0, 10*time.Second, 0) },
+				func(f *Forwarder) { f.backoffs.Record(f.now(), engine, 0, 10*time.Second, 0) },
 				func(f *Forwarder) bool { return f.backoffs.Remaining(f.now(), engine) > 0 }, 10 * time.Second,
 			},
 			"an upstream wants nothing from two others": {
 				func(f *Forwarder) {
 					for _, peer := range []member.HostID{"h2", "h3"} {
-						f.backoffs.Receive(f.now(), peer, backoff.Mark{Upstream: engine, For: 10 * time.Second}, 0)
+						f.backoffs.RecordPeer(f.now(), peer, backoff.Mark{Upstream: engine, Remaining: 10 * time.Second}, 0)
 					}
 				},
 				func(f *Forwarder) bool { return f.backoffs.Remaining(f.now(), engine) > 0 }, 10 * time.Second,
--- a/forward/throttledselection.go
+++ b/forward/throttledselection.go
@@ -72,7 +72,7 @@
 		throttled := s.throttledEngines(now)
 		s.skippedUpstreams = len(throttled.sameZone) + len(throttled.otherZones)
 		throttled.merge(&refused)
-		r.AvoidAlso = slices.Concat(s.excluded, throttled.sameZone)
+		r.ExcludedEngines = slices.Concat(s.excluded, throttled.sameZone)
 		p := s.findPlacement(ctx, now, r, throttled)
 		if p.decision.Verdict != policy.Granted {
 			return p.upstream, placedRun{}, s.placementRefusal(ctx, p.decision), false
--- a/forward/unserved.go
+++ b/forward/unserved.go
@@ -28,7 +28,7 @@
 	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), retryKeptMost) + rand.N(min(wait, retryKeptSpread)+1)}
 	// Near its end every host may be alone with some upstream's.
 	alone := func(u Upstream) bool {
-		return x.backoffs.Alone(now, u.ID) && x.backoffs.Remaining(now, u.ID) > retryKeptSpread
+		return x.backoffs.OnlyThisHost(now, u.ID) && x.backoffs.Remaining(now, u.ID) > retryKeptSpread
 	}
 	if slices.ContainsFunc(takers, alone) && x.peers.hasPeerInZone(now) {
 		r.RetryAfter = otherHostRetryAfter
@@ -42,7 +42,7 @@
 func (x *exchange) pickReturnTime(now time.Time, takers []Upstream) time.Duration {
 	var ends []time.Duration
 	for _, u := range takers {
-		if end := x.backoffs.Everywhere(now, u.ID); end > 0 {
+		if end := x.backoffs.RemainingOnAnyHost(now, u.ID); end > 0 {
 			ends = append(ends, end)
 		}
 	}
--- a/forward/zones_test.go
+++ b/forward/zones_test.go
@@ -192,12 +192,12 @@
 		now := time.Now()
 		f.applyZoneOrders(outOfService("z2", 3))
 		// A run that leaves no room for another occupies the engine of z1.
-		big := policy.Request{Run: "big", Prompt: 33000, Deadline: now.Add(time.Second), Arrived: now}
+		big := policy.Request{Run: "big", PromptTokens: 33000, Deadline: now.Add(time.Second), ArrivedAt: now}
 		u, run, _ := f.engines.place(t.Context(), now, "llm", big)
 		is.Equal(u.ID, member.UpstreamID("llm1"))
 		granted := make(chan Upstream, 1)
 		go func() {
-			next := policy.Request{Run: "next", Prompt: 3000, Arrived: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
+			next := policy.Request{Run: "next", PromptTokens: 3000, ArrivedAt: now, Deadline: now.Add(time.Minute), Objective: time.Minute}
 			u, _, _ := f.engines.place(t.Context(), now, "llm", next)
 			granted <- u
 		}()
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -34,7 +34,7 @@
 type builder func(seed uint64, s *simulation) decider
 
 func settingsWith(change func(*policy.Settings)) policy.Settings {
-	s := policy.Settings{QueueLimit: 512, BetweenTokens: betweenTokens}
+	s := policy.Settings{MaxQueueLength: 512, MaxStepTime: betweenTokens}
 	if change != nil {
 		change(&s)
 	}
@@ -43,13 +43,13 @@
 
 func withDeviations(z float64) builder {
 	return func(uint64, *simulation) decider {
-		return newPooled(engineIDs(), settingsWith(func(s *policy.Settings) { s.Deviations = z }))
+		return newPooled(engineIDs(), settingsWith(func(s *policy.Settings) { s.HeadroomDeviations = z }))
 	}
 }
 
 func withMark(mark float64) builder {
 	return func(uint64, *simulation) decider {
-		return newPooled(engineIDs(), settingsWith(func(s *policy.Settings) { s.FullMark = mark }))
+		return newPooled(engineIDs(), settingsWith(func(s *policy.Settings) { s.MaxMemoryFraction = mark }))
 	}
 }
 
@@ -65,7 +65,7 @@
 	"ours-local": func(uint64, *simulation) decider {
 		return newAlone(entryCount, func() decider {
 			d := newPooled(engineIDs(), settingsWith(nil))
-			d.pool.SetShare(entryCount)
+			d.pool.SetDeciderCount(entryCount)
 			return d
 		})
 	},
--- a/internal/bench/deciders.go
+++ b/internal/bench/deciders.go
@@ -77,11 +77,11 @@
 func (d *leastLoaded) least(r policy.Request) (member.UpstreamID, bool) {
 	var best []policy.Report
 	for _, report := range d.reports {
-		load := report.Used + 1000*policy.Tokens(report.Waiting)
+		load := report.UsedMemory + 1000*policy.Tokens(report.Waiting)
 		switch {
-		case len(best) == 0 || load < best[0].Used+1000*policy.Tokens(best[0].Waiting):
+		case len(best) == 0 || load < best[0].UsedMemory+1000*policy.Tokens(best[0].Waiting):
 			best = []policy.Report{report}
-		case load == best[0].Used+1000*policy.Tokens(best[0].Waiting):
+		case load == best[0].UsedMemory+1000*policy.Tokens(best[0].Waiting):
 			best = append(best, report)
 		}
 	}
@@ -96,7 +96,7 @@
 	})
 	chosen := best[d.source.IntN(len(best))]
 	if d.reserve > 0 {
-		return chosen.Engine, float64(chosen.Used+r.Prompt) <= (1-d.reserve)*float64(chosen.Memory) && chosen.Waiting == 0
+		return chosen.Engine, float64(chosen.UsedMemory+r.PromptTokens) <= (1-d.reserve)*float64(chosen.TotalMemory) && chosen.Waiting == 0
 	}
 	return chosen.Engine, true
 }
@@ -175,14 +175,14 @@
 // meanLengths is the plain-mean length model, to be compared with the tail: an
 // answer goes on until the mean of its route.
 type meanLengths struct {
-	learned policy.Lengths
+	learned policy.LearnedLengths
 }
 
 // meanCurve ends every answer at its mean.
 type meanCurve policy.Tokens
 
-// Alive tells whether the mean answer would still be going.
-func (m meanCurve) Alive(made policy.Tokens) policy.Survival {
+// SurvivalAfter tells whether the mean answer would still be going.
+func (m meanCurve) SurvivalAfter(made policy.Tokens) policy.Survival {
 	var alive policy.Survival
 	for k, ahead := range policy.Horizons() {
 		if made+ahead < max(policy.Tokens(m), made+1) {
@@ -192,11 +192,13 @@
 	return alive
 }
 
-// Of returns the mean as a curve.
-func (m *meanLengths) Of(r *policy.Request) policy.Curve { return meanCurve(m.learned.Mean(r)) }
+// SurvivalCurve returns the mean as a curve.
+func (m *meanLengths) SurvivalCurve(r *policy.Request) policy.SurvivalCurve {
+	return meanCurve(m.learned.MeanLength(r))
+}
 
-// Mean is the learned mean.
-func (m *meanLengths) Mean(r *policy.Request) policy.Tokens { return m.learned.Mean(r) }
+// MeanLength is the learned mean.
+func (m *meanLengths) MeanLength(r *policy.Request) policy.Tokens { return m.learned.MeanLength(r) }
 
 // Observe learns.
 func (m *meanLengths) Observe(account resource.Account, route resource.Name, n policy.Tokens) {
--- a/internal/bench/oracle.go
+++ b/internal/bench/oracle.go
@@ -82,10 +82,10 @@
 // peak is the most memory that an engine will need with one more run, and the
 // size of its batch.
 func (o *oracle) peak(h *host, candidate *track) (peak, batch int) {
-	runs := []growing{{held: int(candidate.request.Prompt) + 1, left: candidate.length}}
+	runs := []growing{{held: int(candidate.request.PromptTokens) + 1, left: candidate.length}}
 	for _, t := range h.running {
 		if !t.done {
-			runs = append(runs, growing{held: int(t.request.Prompt) + t.made + 1, left: t.length - t.made})
+			runs = append(runs, growing{held: int(t.request.PromptTokens) + t.made + 1, left: t.length - t.made})
 		}
 	}
 	slices.SortFunc(runs, func(a, b growing) int { return cmp.Compare(a.left, b.left) })
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -133,8 +133,8 @@
 func (s *simulation) reportOf(h *host) policy.Report {
 	load := h.model.Load()
 	return policy.Report{
-		Engine: h.id, Memory: policy.Tokens(load.MemoryTokens), Used: policy.Tokens(load.UsedTokens),
-		Running: load.Running, Waiting: load.Waiting, Step: load.Step * time.Duration(h.slow),
+		Engine: h.id, TotalMemory: policy.Tokens(load.MemoryTokens), UsedMemory: policy.Tokens(load.UsedTokens),
+		Running: load.Running, Waiting: load.Waiting, StepTime: load.Step * time.Duration(h.slow),
 	}
 }
 
@@ -248,7 +248,7 @@
 		if t.host != h || t.done {
 			continue
 		}
-		s.decider.finish(s.now, policy.Finish{Run: t.request.Run, Made: policy.Tokens(t.made)})
+		s.decider.finish(s.now, policy.Finish{Run: t.request.Run, GeneratedTokens: policy.Tokens(t.made)})
 		t.host, t.granted = nil, false
 		if t.made > 0 {
 			t.lost = true
@@ -335,7 +335,7 @@
 		return
 	}
 	work := engine.Work{
-		ID: engine.RunID(d.Run), Prompt: int(t.request.Prompt), Length: t.length, Priority: d.Priority,
+		ID: engine.RunID(d.Run), Prompt: int(t.request.PromptTokens), Length: t.length, Priority: d.Priority,
 		Prefix: prefixOf(t), PrefixTokens: int(t.request.PrefixTokens),
 	}
 	t.host.model.Submit(work)
@@ -395,7 +395,7 @@
 			t.preempted++
 		case engine.Ended:
 			t.done = true
-			s.decider.finish(s.now, policy.Finish{Run: t.request.Run, Made: policy.Tokens(event.Index), Whole: true})
+			s.decider.finish(s.now, policy.Finish{Run: t.request.Run, GeneratedTokens: policy.Tokens(event.Index), Complete: true})
 		case engine.Admitted:
 		}
 	}
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -163,11 +163,11 @@
 	a := arrival{at: at, length: k.length(r)}
 	a.request = policy.Request{
 		Run: policy.RunID(fmt.Sprintf("r%d", n)), Route: k.route, Account: resource.Account(fmt.Sprintf("a%d", account)),
-		Prompt: policy.Tokens(k.prompt(r)), Limit: maxAnswer,
+		PromptTokens: policy.Tokens(k.prompt(r)), MaxOutputTokens: maxAnswer,
 	}
 	if k.prefixes > 0 {
 		a.request.Prefix = uint64(r.IntN(k.prefixes) + 1)
-		a.request.PrefixTokens = policy.Tokens(min(k.prefixTokens, int(a.request.Prompt)))
+		a.request.PrefixTokens = policy.Tokens(min(k.prefixTokens, int(a.request.PromptTokens)))
 	}
 	return a
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -156,8 +156,8 @@
 	}
 	return entry.EngineLoad{
 		Report: policy.Report{
-			Engine: u.ID, Memory: policy.Tokens(answer.MemoryTokens), Used: policy.Tokens(answer.UsedTokens),
-			Running: answer.Running, Waiting: answer.Waiting, Step: answer.Step,
+			Engine: u.ID, TotalMemory: policy.Tokens(answer.MemoryTokens), UsedMemory: policy.Tokens(answer.UsedTokens),
+			Running: answer.Running, Waiting: answer.Waiting, StepTime: answer.Step,
 		},
 		Preemptions: answer.Preemptions, Leaving: answer.Leaving, Models: answer.Models,
 	}, nil
--- a/internal/engine/contract_test.go
+++ b/internal/engine/contract_test.go
@@ -127,7 +127,7 @@
 	model.Leave()
 	load, err := c.Load(t.Context(), u)
 	is.NoErr(err)
-	is.Equal(load.Memory, policy.Tokens(standin.DefaultSettings().MemoryTokens))
+	is.Equal(load.TotalMemory, policy.Tokens(standin.DefaultSettings().MemoryTokens))
 	is.Equal(load.Models, map[string]string{"m": "2"})
 	is.True(load.Leaving)
 }
--- a/internal/peer/bytes_bench_test.go
+++ b/internal/peer/bytes_bench_test.go
@@ -22,7 +22,7 @@
 		status := entry.PoolStatus{Pool: "pool-01", Zone: "zone-01", Free: 100_000, Waiting: 10}
 		for e := range engines {
 			status.Reports = append(status.Reports, policy.Report{
-				Engine: member.UpstreamID(fmt.Sprintf("engine-%d-%d", p, e)), Memory: 400_000, Used: 300_000, Running: 200, Step: 30 * time.Millisecond,
+				Engine: member.UpstreamID(fmt.Sprintf("engine-%d-%d", p, e)), TotalMemory: 400_000, UsedMemory: 300_000, Running: 200, StepTime: 30 * time.Millisecond,
 			})
 		}
 		h.Pools = append(h.Pools, status)
@@ -68,8 +68,8 @@
 // request, its decision and the end, each in a message of its own.
 func BenchmarkGrantCall(b *testing.B) {
 	asked := policy.Request{
-		Run: "abcdefghijklmnop", Route: "route-12", Account: "account-1234", Priority: 3, Prompt: 3000,
-		Limit: 8000, Prefix: 1 << 60, PrefixTokens: 1024, Bytes: 12_000, Deadline: time.Now().Add(20 * time.Second),
+		Run: "abcdefghijklmnop", Route: "route-12", Account: "account-1234", Priority: 3, PromptTokens: 3000,
+		MaxOutputTokens: 8000, Prefix: 1 << 60, PrefixTokens: 1024, QueueBytes: 12_000, Deadline: time.Now().Add(20 * time.Second),
 	}
 	size := 0
 	for b.Loop() {
--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -51,7 +51,7 @@
 func (m *Mesh) Finished(ctx context.Context, to member.Entry, pool resource.Name, finished []policy.Finish) error {
 	request := wireFinished{Pool: string(pool)}
 	for _, f := range finished {
-		request.Finished = append(request.Finished, wireFinish{Run: string(f.Run), Made: int(f.Made), Whole: f.Whole})
+		request.Finished = append(request.Finished, wireFinish{Run: string(f.Run), Made: int(f.GeneratedTokens), Whole: f.Complete})
 	}
 	var answer bool
 	return m.call(ctx, to.PeerAddress, kindFinished, request, &answer)
@@ -154,7 +154,7 @@
 	}
 	finished := make([]policy.Finish, 0, len(w.Finished))
 	for _, f := range w.Finished {
-		finished = append(finished, policy.Finish{Run: policy.RunID(f.Run), Made: policy.Tokens(f.Made), Whole: f.Whole})
+		finished = append(finished, policy.Finish{Run: policy.RunID(f.Run), GeneratedTokens: policy.Tokens(f.Made), Complete: f.Whole})
 	}
 	return true, h.OnFinished(ctx, resource.Name(w.Pool), finished)
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -137,7 +137,7 @@
 		LeavingUpstreams: []member.UpstreamID{"g1"},
 		Zones:            []entry.ZoneStatus{{Zone: "az2", Revision: 6, Entries: 3, Age: time.Second}},
 		Pools: []entry.PoolStatus{{Pool: "desk", Zone: "az1", Free: 5, Waiting: 2, Reports: []policy.Report{
-			{Engine: "g1", Memory: 100, Used: 50, Running: 4, Waiting: 1, Step: 20 * time.Millisecond},
+			{Engine: "g1", TotalMemory: 100, UsedMemory: 50, Running: 4, Waiting: 1, StepTime: 20 * time.Millisecond},
 		}}},
 	}
 	answer, err := m.Heartbeat(ctx, to, beat)
@@ -146,8 +146,8 @@
 	is.Equal(h.heard, beat)
 
 	asked := policy.Request{
-		Run: "r", Route: "quote", Account: "c", Priority: -3, Prompt: 10, Limit: 20, Prefix: 1 << 63, PrefixTokens: 4,
-		Bytes: 9, Deadline: time.Now().Add(time.Minute), Avoid: "g2",
+		Run: "r", Route: "quote", Account: "c", Priority: -3, PromptTokens: 10, MaxOutputTokens: 20, Prefix: 1 << 63, PrefixTokens: 4,
+		QueueBytes: 9, Deadline: time.Now().Add(time.Minute), PreviousEngine: "g2",
 	}
 	decisions, err := m.Place(ctx, to, "desk", []policy.Request{asked})
 	is.NoErr(err)
@@ -163,8 +163,8 @@
 	is.True(errors.As(err, &refused)) // the link stays up
 	is.NoErr(m.Decided(ctx, to, "desk", []policy.Decision{{Run: "r", Verdict: policy.Granted, Engine: "g", Priority: 2}}))
 	is.Equal(h.told[0].Engine, member.UpstreamID("g"))
-	is.NoErr(m.Finished(ctx, to, "desk", []policy.Finish{{Run: "r", Made: 4, Whole: true}}))
-	is.Equal(h.done, []policy.Finish{{Run: "r", Made: 4, Whole: true}})
+	is.NoErr(m.Finished(ctx, to, "desk", []policy.Finish{{Run: "r", GeneratedTokens: 4, Complete: true}}))
+	is.Equal(h.done, []policy.Finish{{Run: "r", GeneratedTokens: 4, Complete: true}})
 	is.NoErr(m.Running(ctx, to, "desk", []entry.PlacedRun{{Request: asked, Engine: "g", Made: 3}}))
 	is.Equal(h.runs[0].Made, policy.Tokens(3))
 
--- a/internal/peer/share.go
+++ b/internal/peer/share.go
@@ -153,7 +153,7 @@
 		w.Leaving = append(w.Leaving, wireLeaving{Engine: string(mark.Upstream), Life: int64(mark.Incarnation), In: mark.Remaining.Milliseconds(), Said: mark.Declared})
 	}
 	for _, mark := range s.Backoffs {
-		w.Backoffs = append(w.Backoffs, wireBackoff{Upstream: string(mark.Upstream), Life: mark.Life, For: mark.For.Milliseconds()})
+		w.Backoffs = append(w.Backoffs, wireBackoff{Upstream: string(mark.Upstream), Life: mark.Incarnation, For: mark.Remaining.Milliseconds()})
 	}
 	for _, mark := range s.Cold {
 		w.Cold = append(w.Cold, wireCold{Upstream: string(mark.Upstream), Life: int64(mark.Incarnation), For: mark.Remaining.Milliseconds()})
@@ -191,7 +191,7 @@
 	}
 	for _, mark := range w.Backoffs {
 		s.Backoffs = append(s.Backoffs, backoff.Mark{
-			Upstream: member.UpstreamID(mark.Upstream), Life: mark.Life, For: time.Duration(mark.For) * time.Millisecond,
+			Upstream: member.UpstreamID(mark.Upstream), Incarnation: mark.Life, Remaining: time.Duration(mark.For) * time.Millisecond,
 		})
 	}
 	for _, mark := range w.Cold {
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -96,8 +96,8 @@
 	w := wirePool{Pool: string(p.Pool), Zone: string(p.Zone), Free: int(p.Free), Waiting: p.Waiting}
 	for _, r := range p.Reports {
 		w.Reports = append(w.Reports, wireReport{
-			Engine: string(r.Engine), Memory: int(r.Memory), Used: int(r.Used),
-			Running: r.Running, Waiting: r.Waiting, StepMicros: r.Step.Microseconds(),
+			Engine: string(r.Engine), Memory: int(r.TotalMemory), Used: int(r.UsedMemory),
+			Running: r.Running, Waiting: r.Waiting, StepMicros: r.StepTime.Microseconds(),
 		})
 	}
 	return w
@@ -128,8 +128,8 @@
 	}
 	for _, r := range w.Reports {
 		p.Reports = append(p.Reports, policy.Report{
-			Engine: member.UpstreamID(r.Engine), Memory: policy.Tokens(r.Memory), Used: policy.Tokens(r.Used),
-			Running: r.Running, Waiting: r.Waiting, Step: time.Duration(r.StepMicros) * time.Microsecond,
+			Engine: member.UpstreamID(r.Engine), TotalMemory: policy.Tokens(r.Memory), UsedMemory: policy.Tokens(r.Used),
+			Running: r.Running, Waiting: r.Waiting, StepTime: time.Duration(r.StepMicros) * time.Microsecond,
 		})
 	}
 	return p
@@ -153,10 +153,10 @@
 func toWireRequest(now time.Time, r policy.Request) wireRequest {
 	w := wireRequest{
 		Run: string(r.Run), Route: string(r.Route), Account: string(r.Account), Priority: r.Priority,
-		Prompt: int(r.Prompt), Limit: int(r.Limit), Prefix: r.Prefix, PrefixTokens: int(r.PrefixTokens),
-		Bytes: r.Bytes, Left: r.Deadline.Sub(now), Avoid: string(r.Avoid),
+		Prompt: int(r.PromptTokens), Limit: int(r.MaxOutputTokens), Prefix: r.Prefix, PrefixTokens: int(r.PrefixTokens),
+		Bytes: r.QueueBytes, Left: r.Deadline.Sub(now), Avoid: string(r.PreviousEngine),
 	}
-	for _, id := range r.AvoidAlso {
+	for _, id := range r.ExcludedEngines {
 		w.AvoidAlso = append(w.AvoidAlso, string(id))
 	}
 	return w
@@ -165,12 +165,12 @@
 func (w wireRequest) request(now time.Time) policy.Request {
 	r := policy.Request{
 		Run: policy.RunID(w.Run), Route: resource.Name(w.Route), Account: resource.Account(w.Account),
-		Priority: w.Priority, Prompt: policy.Tokens(w.Prompt), Limit: policy.Tokens(w.Limit),
-		Prefix: w.Prefix, PrefixTokens: policy.Tokens(w.PrefixTokens), Bytes: w.Bytes,
-		Deadline: now.Add(w.Left), Avoid: member.UpstreamID(w.Avoid),
+		Priority: w.Priority, PromptTokens: policy.Tokens(w.Prompt), MaxOutputTokens: policy.Tokens(w.Limit),
+		Prefix: w.Prefix, PrefixTokens: policy.Tokens(w.PrefixTokens), QueueBytes: w.Bytes,
+		Deadline: now.Add(w.Left), PreviousEngine: member.UpstreamID(w.Avoid),
 	}
 	for _, id := range w.AvoidAlso {
-		r.AvoidAlso = append(r.AvoidAlso, member.UpstreamID(id))
+		r.ExcludedEngines = append(r.ExcludedEngines, member.UpstreamID(id))
 	}
 	return r
 }
--- a/internal/telemetry/forward.go
+++ b/internal/telemetry/forward.go
@@ -156,13 +156,13 @@
 
 // WatchSignals has the metrics tell which upstreams leave, by who told first, and how many want
 // no requests from this host.
-func (f *Forward) WatchSignals(leaving func() map[forward.LeavingSource]int, backoffs func() []backoff.Entry) {
+func (f *Forward) WatchSignals(leaving func() map[forward.LeavingSource]int, backoffs func() []backoff.Status) {
 	desc := prometheus.NewDesc(prometheus.BuildFQName(namespace, "", "upstreams_leaving"), "Upstreams that leave, by who told first.", []string{"source"}, nil)
 	f.all.MustRegister(&leavingCollector{desc, leaving})
 	f.Gauge("upstreams_backing_off", "Upstreams that want no requests from this host at present.", func() float64 {
 		n := 0
 		for _, e := range backoffs() {
-			if e.Left > 0 {
+			if e.Remaining > 0 {
 				n++
 			}
 		}
@@ -171,7 +171,7 @@
 	f.Gauge("upstreams_returning", "Upstreams to which traffic returns in steps after a backoff.", func() float64 {
 		n := 0
 		for _, e := range backoffs() {
-			if e.Left == 0 {
+			if e.Remaining == 0 {
 				n++
 			}
 		}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -99,7 +99,7 @@
 // EngineLoad records an engine's last report.
 func (m *Metrics) EngineLoad(pool resource.Name, load entry.EngineLoad) {
 	m.preemptions.WithLabelValues(string(pool), string(load.Engine)).Set(float64(load.Preemptions))
-	m.engineUsed.WithLabelValues(string(pool), string(load.Engine)).Set(float64(load.Used))
+	m.engineUsed.WithLabelValues(string(pool), string(load.Engine)).Set(float64(load.UsedMemory))
 	m.engineRunning.WithLabelValues(string(pool), string(load.Engine)).Set(float64(load.Running))
 }
 
--- a/policy/cost_bench_test.go
+++ b/policy/cost_bench_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// busyPool has that many engines with 40 runs each.
-func busyPool(engines int) *Pool {
+// newBusyPool has that many engines with 40 runs each.
+func newBusyPool(engines int) *Pool {
 	p := NewPool(Settings{})
 	var ids []EngineID
 	for i := range engines {
@@ -18,12 +18,12 @@
 	}
 	p.SetEngines(ids)
 	for _, id := range ids {
-		p.Report(start, Report{Engine: id, Memory: 100_000, Step: step})
+		p.Report(testStart, Report{Engine: id, TotalMemory: 100_000, StepTime: testStepTime})
 	}
-	teach(p, "r", 50, 500)
+	learnLengths(p, "r", 50, 500)
 	for i, id := range ids {
 		for n := range 40 {
-			p.Adopt(start, ask(fmt.Sprintf("%d-%d", i, n), 500), id, 10)
+			p.Adopt(testStart, newRequest(fmt.Sprintf("%d-%d", i, n), 500), id, 10)
 		}
 	}
 	return p
@@ -35,11 +35,11 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			p := busyPool(engines)
-			r := ask("new", 500)
+			p := newBusyPool(engines)
+			r := newRequest("new", 500)
 			b.ReportAllocs()
 			for b.Loop() {
-				if p.choose(start, &r) == nil {
+				if p.choose(testStart, &r) == nil {
 					b.Fatal("no room")
 				}
 			}
@@ -51,14 +51,14 @@
 func BenchmarkGrant(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			p := busyPool(engines)
-			r := ask("new", 500)
+			p := newBusyPool(engines)
+			r := newRequest("new", 500)
 			b.ReportAllocs()
 			for b.Loop() {
-				if p.Submit(start, r).Verdict != Granted {
+				if p.Submit(testStart, r).Verdict != Granted {
 					b.Fatal("no room")
 				}
-				p.Finish(start, Finish{Run: r.Run, Made: 50})
+				p.Finish(testStart, Finish{Run: r.Run, GeneratedTokens: 50})
 			}
 		})
 	}
@@ -68,21 +68,21 @@
 func BenchmarkRefresh(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			p := busyPool(engines)
-			now := start
+			p := newBusyPool(engines)
+			now := testStart
 			b.ReportAllocs()
 			for b.Loop() {
-				now = now.Add(refreshEvery)
+				now = now.Add(forecastRefreshInterval)
 				p.Advance(now)
 			}
 		})
 	}
 }
 
-// BenchmarkLook is a host telling its pool which engines there are, where, and how each
+// BenchmarkUpdateEngines is a host telling its pool which engines there are, where, and how each
 // stands, as it does ten times a second: at 10, 200 and 3,000 engines 1.5 µs, 377 µs and
 // 60 ms with a search for each, 0.4 µs, 12 µs and 0.27 ms with an index.
-func BenchmarkLook(b *testing.B) {
+func BenchmarkUpdateEngines(b *testing.B) {
 	for _, engines := range engineCounts {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			p := NewPool(Settings{})
@@ -95,7 +95,7 @@
 				p.SetEngines(ids)
 				for _, id := range ids {
 					p.SetZone(id, "z")
-					p.Report(start, Report{Engine: id, Memory: 100_000, Step: step})
+					p.Report(testStart, Report{Engine: id, TotalMemory: 100_000, StepTime: testStepTime})
 				}
 			}
 		})
@@ -104,9 +104,9 @@
 
 // BenchmarkReport is one engine's report.
 func BenchmarkReport(b *testing.B) {
-	p := busyPool(200)
+	p := newBusyPool(200)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Report(start.Add(time.Second), Report{Engine: "g7", Memory: 100_000, Used: 20_000, Running: 40, Step: step})
+		p.Report(testStart.Add(time.Second), Report{Engine: "g7", TotalMemory: 100_000, UsedMemory: 20_000, Running: 40, StepTime: testStepTime})
 	}
 }
--- a/policy/engine.go
+++ b/policy/engine.go
@@ -21,36 +21,36 @@
 // Horizons are the distances ahead that a Curve is asked about, in tokens.
 func Horizons() [len(horizons)]Tokens { return horizons }
 
-// foresight is the memory in use at each horizon: its mean and variance, and
+// memoryForecast is the memory in use at each horizon: its mean and variance, and
 // what it would be if no run ended before.
-type foresight struct {
-	mean, variance, most [len(horizons)]float64
+type memoryForecast struct {
+	mean, variance, upperBound [len(horizons)]float64
 }
 
-// placed is a run that holds a place on an engine.
-type placed struct {
+// placedRun is a run that holds a place on an engine.
+type placedRun struct {
 	Request
 	engine *engine
 	// curve foresees the run's length.
-	curve Curve
-	// began is when the run is taken to have started making tokens.
-	began time.Time
-	// made is the estimate of its tokens as of the engine's last refresh, and told what was
-	// last told of them.
-	made, told Tokens
-	// priority is what the engine was told the run is worth.
-	priority int
+	curve SurvivalCurve
+	// startedAt is when the run is taken to have started making tokens.
+	startedAt time.Time
+	// generatedTokens is the estimate of its tokens as of the engine's last refresh, and reportedTokens what was
+	// last reportedTokens of them.
+	generatedTokens, reportedTokens Tokens
+	// preemptionPriority is what the engine was told the run is worth.
+	preemptionPriority int
 	// placedAt and firstAfter are when the run was placed here and after how
 	// long its first token was foreseen; placedAt is zero once that has come,
 	// and for the runs of others.
-	placedAt   time.Time
-	firstAfter time.Duration
-	// unread says that the run's prompt is believed to be still unread on its engine,
+	placedAt         time.Time
+	timeToFirstToken time.Duration
+	// prefillPending says that the run's prompt is believed to be still prefillPending on its engine,
 	// and readTakes how long reading it takes there; zero where it was read before.
-	unread    bool
-	readTakes time.Duration
-	// toldAt is when this pool heard of the run.
-	toldAt time.Time
+	prefillPending bool
+	prefillTime    time.Duration
+	// knownSince is when this pool heard of the run.
+	knownSince time.Time
 }
 
 // engine is what a Pool knows of one engine.
@@ -59,148 +59,148 @@
 	zone   member.Zone
 	group  string
 	report Report
-	// reported is when the report came; zero means never.
-	reported time.Time
+	// reportedAt is when the report came; zero means never.
+	reportedAt time.Time
 	// isNew says that it has begun to take work since the queue was last looked at, and
 	// queueFrom is when what waits may be placed there.
-	isNew     bool
-	queueFrom time.Time
-	// progressed is when a run there was last known to have made a token.
-	progressed time.Time
-	// withheld keeps new work away, for the engine is to be emptied.
-	withheld bool
-	runs     map[RunID]*placed
-	// order is runs in the order of their placing, so that decisions don't
-	// depend on the order of a map.
-	order []*placed
-	// ahead is foreseen from runs at refreshed, and kept up by additions
+	isNew           bool
+	queueServedFrom time.Time
+	// progressedAt is when a run there was last known to have made a token.
+	progressedAt time.Time
+	// cordoned keeps new work away, for the engine is to be emptied.
+	cordoned bool
+	runs     map[RunID]*placedRun
+	// orderedRuns is runs in the orderedRuns of their placing, so that decisions don't
+	// depend on the orderedRuns of a map.
+	orderedRuns []*placedRun
+	// forecast is foreseen from runs at refreshed, and kept up by additions
 	// since.
-	ahead     foresight
-	refreshed time.Time
-	// others is the memory in use that no run of ours explains, and
+	forecast    memoryForecast
+	refreshedAt time.Time
+	// unattributedMemory is the memory in use that no run of ours explains, and
 	// othersRunning the runs that hold it.
-	others        Tokens
-	othersRunning int
+	unattributedMemory Tokens
+	unattributedRuns   int
 	// cache holds the prefixes that the engine is believed to have.
 	cache prefixCache
-	// readUntil is when the prompts placed so far are expected to be read.
-	readUntil time.Time
-	// lastRead is when the last prompt was read that is known of.
-	lastRead time.Time
-	// logSlow is the logarithm of how slowly the engine reads, on the same scale as the
+	// prefillUntil is when the prompts placed so far are expected to be read.
+	prefillUntil time.Time
+	// lastPrefillAt is when the last prompt was read that is known of.
+	lastPrefillAt time.Time
+	// logSlowness is the logarithm of how slowly the engine reads, on the same scale as the
 	// pool's meanLogSlow. slowLearnt says that it has been learnt.
-	logSlow    float64
-	slowLearnt bool
+	logSlowness     float64
+	slownessLearned bool
 }
 
 func newEngine(id EngineID) *engine {
-	return &engine{id: id, runs: map[RunID]*placed{}}
+	return &engine{id: id, runs: map[RunID]*placedRun{}}
 }
 
-// known reports whether the engine has said how large it is.
-func (e *engine) known() bool { return e.report.Memory > 0 }
+// capacityKnown reports whether the engine has said how large it is.
+func (e *engine) capacityKnown() bool { return e.report.TotalMemory > 0 }
 
-func (e *engine) step() time.Duration {
-	if e.report.Step > 0 {
-		return e.report.Step
+func (e *engine) expectedStepTime() time.Duration {
+	if e.report.StepTime > 0 {
+		return e.report.StepTime
 	}
-	return defaultStep
+	return defaultStepTime
 }
 
-// defaultStep is assumed of an engine that hasn't reported a step yet.
-const defaultStep = 30 * time.Millisecond
+// defaultStepTime is assumed of an engine that hasn't reported a step yet.
+const defaultStepTime = 30 * time.Millisecond
 
-func (e *engine) add(now time.Time, p *placed) {
-	p.engine, p.began = e, now
+func (e *engine) add(now time.Time, p *placedRun) {
+	p.engine, p.startedAt = e, now
 	e.runs[p.Run] = p
-	e.order = append(e.order, p)
-	e.ahead.add(&p.Request, p.made, p.curve)
+	e.orderedRuns = append(e.orderedRuns, p)
+	e.forecast.addRun(&p.Request, p.generatedTokens, p.curve)
 }
 
-// batch is how many runs the engine is believed to decode.
-func (e *engine) batch() int { return len(e.order) + e.othersRunning }
+// batchSize is how many runs the engine is believed to decode.
+func (e *engine) batchSize() int { return len(e.orderedRuns) + e.unattributedRuns }
 
-func (e *engine) remove(p *placed) {
+func (e *engine) remove(p *placedRun) {
 	delete(e.runs, p.Run)
-	if i := slices.Index(e.order, p); i >= 0 {
-		e.order = slices.Delete(e.order, i, i+1)
+	if i := slices.Index(e.orderedRuns, p); i >= 0 {
+		e.orderedRuns = slices.Delete(e.orderedRuns, i, i+1)
 	}
 	// The foresight is made anew at the next refresh; until then the run's
 	// memory counts as taken, which errs on the safe side.
 }
 
-// refresh foresees the engine's memory anew from its runs.
-func (e *engine) refresh(now time.Time) {
-	e.ahead = foresight{}
-	e.refreshed = now
-	step := e.step()
-	for _, p := range e.order {
-		p.made = max(p.made, Tokens(now.Sub(p.began)/step))
-		if p.Limit > 0 {
-			p.made = min(p.made, p.Limit-1)
+// refreshForecast foresees the engine's memory anew from its runs.
+func (e *engine) refreshForecast(now time.Time) {
+	e.forecast = memoryForecast{}
+	e.refreshedAt = now
+	step := e.expectedStepTime()
+	for _, p := range e.orderedRuns {
+		p.generatedTokens = max(p.generatedTokens, Tokens(now.Sub(p.startedAt)/step))
+		if p.MaxOutputTokens > 0 {
+			p.generatedTokens = min(p.generatedTokens, p.MaxOutputTokens-1)
 		}
-		e.ahead.add(&p.Request, p.made, p.curve)
+		e.forecast.addRun(&p.Request, p.generatedTokens, p.curve)
 	}
 }
 
-// add counts one run's memory at each horizon.
-func (f *foresight) add(r *Request, made Tokens, c Curve) {
-	alive := c.Alive(made)
+// addRun counts one run's memory at each horizon.
+func (f *memoryForecast) addRun(r *Request, made Tokens, c SurvivalCurve) {
+	alive := c.SurvivalAfter(made)
 	for k, ahead := range horizons {
-		if alive[k] <= 0 || r.Limit > 0 && made+ahead >= r.Limit {
+		if alive[k] <= 0 || r.MaxOutputTokens > 0 && made+ahead >= r.MaxOutputTokens {
 			return
 		}
-		size := float64(r.Prompt + made + ahead)
+		size := float64(r.PromptTokens + made + ahead)
 		f.mean[k] += alive[k] * size
 		f.variance[k] += alive[k] * (1 - alive[k]) * size * size
-		f.most[k] += size
+		f.upperBound[k] += size
 	}
 }
 
-// foresee returns the highest mean of the engine's memory with the candidate on
+// forecastWith returns the highest mean of the engine's memory with the candidate on
 // it, and whether it stays within the room: deviations above the mean, or no
 // more than if no run ended. It takes no square roots, for it is asked of every
 // engine.
-func (e *engine) foresee(candidate *foresight, deviations, room float64) (peak float64, fits bool) {
-	room -= float64(e.others)
+func (e *engine) forecastWith(candidate *memoryForecast, deviations, room float64) (peak float64, fits bool) {
+	room -= float64(e.unattributedMemory)
 	fits = true
 	for k := range horizons {
-		mean := e.ahead.mean[k] + candidate.mean[k]
+		mean := e.forecast.mean[k] + candidate.mean[k]
 		// The built-in max minds NaNs, which costs half of the whole decision.
 		if mean > peak {
 			peak = mean
 		}
-		if e.ahead.most[k]+candidate.most[k] <= room {
+		if e.forecast.upperBound[k]+candidate.upperBound[k] <= room {
 			continue
 		}
 		left := room - mean
-		variance := e.ahead.variance[k] + candidate.variance[k]
+		variance := e.forecast.variance[k] + candidate.variance[k]
 		if left < 0 || left*left < deviations*deviations*variance {
 			fits = false
 		}
 	}
-	return peak + float64(e.others), fits
+	return peak + float64(e.unattributedMemory), fits
 }
 
-// foreseenPeak is the highest mean of the engine's memory that is foreseen.
-func (e *engine) foreseenPeak() Tokens {
-	peak, _ := e.foresee(&foresight{}, 0, float64(e.report.Memory))
+// forecastPeak is the highest mean of the engine's memory that is foreseen.
+func (e *engine) forecastPeak() Tokens {
+	peak, _ := e.forecastWith(&memoryForecast{}, 0, float64(e.report.TotalMemory))
 	return Tokens(peak)
 }
 
-// take takes a report in. What it shows beyond the runs we know of is others'.
-func (e *engine) take(now time.Time, r Report) {
-	e.report, e.reported = r, now
-	e.others, e.othersRunning = 0, 0
-	if r.Running <= len(e.order) && len(e.order) > 0 {
+// applyReport takes a report in. What it shows beyond the runs we know of is others'.
+func (e *engine) applyReport(now time.Time, r Report) {
+	e.report, e.reportedAt = r, now
+	e.unattributedMemory, e.unattributedRuns = 0, 0
+	if r.Running <= len(e.orderedRuns) && len(e.orderedRuns) > 0 {
 		// Every run of the engine is among ours: a difference is the error of
 		// our estimates, and no memory of others.
 		return
 	}
 	known := Tokens(0)
-	for _, p := range e.order {
-		known += p.Prompt + p.made
+	for _, p := range e.orderedRuns {
+		known += p.PromptTokens + p.generatedTokens
 	}
-	e.others = max(r.Used-known, 0)
-	e.othersRunning = r.Running - len(e.order)
+	e.unattributedMemory = max(r.UsedMemory-known, 0)
+	e.unattributedRuns = r.Running - len(e.orderedRuns)
 }
--- a/policy/lengths.go
+++ b/policy/lengths.go
@@ -15,7 +15,7 @@
 	subBucketBits = 3
 	subBuckets    = 1 << subBucketBits
 	maxTokenBits  = 17
-	buckets       = (maxTokenBits-subBucketBits+1)*subBuckets + 1
+	bucketCount   = (maxTokenBits-subBucketBits+1)*subBuckets + 1
 )
 
 // bucketOf returns the bucket of a length; lengths past the last share it.
@@ -24,7 +24,7 @@
 		return max(int(n), 0)
 	}
 	shift := bits.Len(uint(n)) - 1 - subBucketBits
-	return min(shift*subBuckets+int(n)>>shift, buckets-1)
+	return min(shift*subBuckets+int(n)>>shift, bucketCount-1)
 }
 
 // bucketStart returns the least length in a bucket.
@@ -41,11 +41,11 @@
 // seen here is still expected. The zero value is empty and has no parent.
 type histogram struct {
 	parent  *histogram
-	weights [buckets]float32
-	// above[b] is the weight at or above bucket b, the parent's part included;
+	weights [bucketCount]float32
+	// tailWeights[b] is the weight at or tailWeights bucket b, the parent's part included;
 	// it is kept when fresh.
-	above [buckets + 1]float32
-	fresh bool
+	tailWeights  [bucketCount + 1]float32
+	tailsCurrent bool
 	// samples counts the observations with the same decay as the weights.
 	samples float32
 	// sum is the decayed sum of the lengths.
@@ -53,75 +53,75 @@
 }
 
 const (
-	// memorySamples is how many observations a histogram remembers, as the
+	// decaySamples is how many observations a histogram remembers, as the
 	// inverse of its decay.
-	memorySamples = 2000
+	decaySamples = 2000
 	// parentSamples is how many observations the parent's shape counts for.
 	parentSamples = 40
 )
 
 func (h *histogram) observe(n Tokens) {
-	const keep = 1 - 1.0/memorySamples
+	const keep = 1 - 1.0/decaySamples
 	for i := range h.weights {
 		h.weights[i] *= keep
 	}
 	h.samples = h.samples*keep + 1
 	h.sum = h.sum*keep + float32(n)
 	h.weights[bucketOf(n)]++
-	h.fresh = false
+	h.tailsCurrent = false
 }
 
-func (h *histogram) refresh() {
-	for b := buckets - 1; b >= 0; b-- {
-		h.above[b] = h.above[b+1] + h.weights[b]
+func (h *histogram) refreshTails() {
+	for b := bucketCount - 1; b >= 0; b-- {
+		h.tailWeights[b] = h.tailWeights[b+1] + h.weights[b]
 	}
-	h.fresh = true
+	h.tailsCurrent = true
 	if h.parent == nil {
 		return
 	}
-	if !h.parent.fresh {
-		h.parent.refresh()
+	if !h.parent.tailsCurrent {
+		h.parent.refreshTails()
 	}
-	part := parentSamples / h.parent.above[0]
-	for b := range h.above {
-		h.above[b] += part * h.parent.above[b]
+	part := parentSamples / h.parent.tailWeights[0]
+	for b := range h.tailWeights {
+		h.tailWeights[b] += part * h.parent.tailWeights[b]
 	}
 }
 
-// beyond is the weight of the lengths above n, taking lengths to be spread
+// weightAbove is the weight of the lengths above n, taking lengths to be spread
 // evenly within a bucket.
-func (h *histogram) beyond(n Tokens) float64 {
-	if !h.fresh {
-		h.refresh()
+func (h *histogram) weightAbove(n Tokens) float64 {
+	if !h.tailsCurrent {
+		h.refreshTails()
 	}
 	b := bucketOf(n)
-	if b == buckets-1 {
-		return float64(h.above[b])
+	if b == bucketCount-1 {
+		return float64(h.tailWeights[b])
 	}
 	start, end := bucketStart(b), bucketStart(b+1)
 	part := float32(n+1-start) / float32(end-start)
-	return float64(h.above[b] - part*(h.above[b]-h.above[b+1]))
+	return float64(h.tailWeights[b] - part*(h.tailWeights[b]-h.tailWeights[b+1]))
 }
 
-// Alive gives, for each horizon, the chance that an answer of more than made
+// SurvivalAfter gives, for each horizon, the chance that an answer of more than made
 // tokens is still going there.
-func (h *histogram) Alive(made Tokens) Survival {
+func (h *histogram) SurvivalAfter(made Tokens) Survival {
 	var alive Survival
-	now := h.beyond(made)
+	now := h.weightAbove(made)
 	for k, ahead := range horizons {
-		if now <= leastTail {
+		if now <= minTailWeight {
 			// Past everything seen: such answers go on as long again as they
 			// already did.
 			alive[k] = float64(made+1) / float64(made+1+ahead)
 			continue
 		}
-		alive[k] = h.beyond(made+ahead) / now
+		alive[k] = h.weightAbove(made+ahead) / now
 	}
 	return alive
 }
 
-// leastTail is the weight below which a tail says nothing.
-const leastTail = 0.01
+// minTailWeight is the weight below which a tail says nothing.
+const minTailWeight = 0.01
 
 func (h *histogram) mean() float32 {
 	if h.parent == nil {
@@ -130,10 +130,10 @@
 	return (h.sum + parentSamples*h.parent.mean()) / (h.samples + parentSamples)
 }
 
-// Lengths learns how long answers get, by route and client account, and tells
+// LearnedLengths learns how long answers get, by route and client account, and tells
 // how likely a running answer is to go on. The zero value knows nothing and
 // works. It isn't safe for use by several goroutines.
-type Lengths struct {
+type LearnedLengths struct {
 	pool     histogram
 	routes   map[resource.Name]*histogram
 	accounts map[accountRoute]*histogram
@@ -149,9 +149,9 @@
 const maxAccountHistograms = 8192
 
 // Observe learns from an answer that ended by itself.
-func (l *Lengths) Observe(account resource.Account, route resource.Name, n Tokens) {
+func (l *LearnedLengths) Observe(account resource.Account, route resource.Name, n Tokens) {
 	if l.routes == nil {
-		l.pool.parent = &unknownLengths
+		l.pool.parent = &priorLengths
 		l.routes = map[resource.Name]*histogram{}
 		l.accounts = map[accountRoute]*histogram{}
 	}
@@ -170,8 +170,8 @@
 	l.accounts[key].observe(n)
 }
 
-// of returns the narrowest histogram that there is.
-func (l *Lengths) of(account resource.Account, route resource.Name) *histogram {
+// narrowest returns the narrowest histogram that there is.
+func (l *LearnedLengths) narrowest(account resource.Account, route resource.Name) *histogram {
 	if h := l.accounts[accountRoute{account, route}]; h != nil {
 		return h
 	}
@@ -181,30 +181,32 @@
 	if l.pool.parent != nil {
 		return &l.pool
 	}
-	return &unknownLengths
+	return &priorLengths
 }
 
-// unknownLengths stands in until anything is known: a few answers spread
+// priorLengths stands in until anything is known: a few answers spread
 // evenly over the doublings from 16 to 2,048 tokens. It is never observed.
-var unknownLengths = func() histogram {
+var priorLengths = func() histogram {
 	var h histogram
 	for n := Tokens(16); n <= 2048; n *= 2 {
 		h.weights[bucketOf(n)]++
 		h.samples++
 		h.sum += float32(n)
 	}
-	h.refresh()
+	h.refreshTails()
 	return h
 }()
 
-// Of returns the curve to foresee a request's answer by.
-func (l *Lengths) Of(r *Request) Curve { return l.of(r.Account, r.Route) }
+// SurvivalCurve returns the curve to foresee a request's answer by.
+func (l *LearnedLengths) SurvivalCurve(r *Request) SurvivalCurve {
+	return l.narrowest(r.Account, r.Route)
+}
 
-// Mean is the expected length of an answer not yet begun.
-func (l *Lengths) Mean(r *Request) Tokens {
-	mean := Tokens(l.of(r.Account, r.Route).mean())
-	if r.Limit > 0 {
-		mean = min(mean, r.Limit)
+// MeanLength is the expected length of an answer not yet begun.
+func (l *LearnedLengths) MeanLength(r *Request) Tokens {
+	mean := Tokens(l.narrowest(r.Account, r.Route).mean())
+	if r.MaxOutputTokens > 0 {
+		mean = min(mean, r.MaxOutputTokens)
 	}
 	return max(mean, 1)
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -34,38 +34,38 @@
 	Route   resource.Name
 	Account resource.Account
 	// Priority is the account's; a higher one goes first.
-	Priority int
-	Prompt   Tokens
-	// Limit bounds the answer; zero means that only the model does.
-	Limit Tokens
+	Priority     int
+	PromptTokens Tokens
+	// MaxOutputTokens bounds the answer; zero means that only the model does.
+	MaxOutputTokens Tokens
 	// Prefix is a hash of the first PrefixTokens of the prompt; zero means
 	// that nothing of it can be reused.
 	Prefix       uint64
 	PrefixTokens Tokens
-	// Bytes is what the request holds in memory while it waits.
-	Bytes int
+	// QueueBytes is what the request holds in memory while it waits.
+	QueueBytes int
 	// Deadline is when the wait for a place has been too long.
 	Deadline time.Time
-	// Avoid is an engine that just failed this generation.
-	Avoid EngineID
-	// AvoidAlso are further engines that won't do.
-	AvoidAlso []EngineID
+	// PreviousEngine is an engine that just failed this generation.
+	PreviousEngine EngineID
+	// ExcludedEngines are further engines that won't do.
+	ExcludedEngines []EngineID
 	// Zone is where the request came in, and FarCost what an engine of another
 	// zone costs more, as a share of an engine's memory. Zero minds no zones.
-	Zone    member.Zone
-	FarCost float64
-	// OnlyZone has no engine of another zone than Zone considered.
-	OnlyZone bool
-	// Zones are those whose engines may take the request; nil sets no bound.
-	Zones []member.Zone
-	// OnlyGroup has engines of that group alone considered, and ButGroup none of that one;
+	Zone          member.Zone
+	CrossZoneCost float64
+	// SameZoneOnly has no engine of another zone than Zone considered.
+	SameZoneOnly bool
+	// AllowedZones are those whose engines may take the request; nil sets no bound.
+	AllowedZones []member.Zone
+	// OnlyGroup has engines of that group alone considered, and ExcludedGroup none of that one;
 	// empty sets no bound.
-	OnlyGroup, ButGroup string
+	OnlyGroup, ExcludedGroup string
 	// Objective is the aimed time to the first token; zero sets none.
 	Objective time.Duration
-	// Arrived is when the objective counts from. With both, a request that no
+	// ArrivedAt is when the objective counts from. With both, a request that no
 	// engine is expected to begin in time is refused at once.
-	Arrived time.Time
+	ArrivedAt time.Time
 }
 
 // Verdict says what became of a request.
@@ -99,13 +99,13 @@
 	// it is worth there when memory runs out.
 	Engine   EngineID
 	Priority int
-	// FirstAfter is after how long the run's first token is expected; set with
+	// TimeToFirstToken is after how long the run's first token is expected; set with
 	// Granted, zero where that isn't known.
-	FirstAfter time.Duration
-	// Memory is the most that the engine's memory is foreseen to hold with the run on it,
+	TimeToFirstToken time.Duration
+	// PeakMemory is the most that the engine's memory is foreseen to hold with the run on it,
 	// and Batch how many runs it has then; set with Granted.
-	Memory Tokens
-	Batch  int
+	PeakMemory Tokens
+	BatchSize  int
 	// Reason and RetryAfter are set with Refused.
 	Reason     Reason
 	RetryAfter time.Duration
@@ -115,82 +115,82 @@
 
 // Report is what an engine last said of itself.
 type Report struct {
-	Engine  EngineID
-	Memory  Tokens
-	Used    Tokens
-	Running int
-	Waiting int
-	Step    time.Duration
+	Engine      EngineID
+	TotalMemory Tokens
+	UsedMemory  Tokens
+	Running     int
+	Waiting     int
+	StepTime    time.Duration
 }
 
 // Finish tells that a run has left its engine.
 type Finish struct {
 	Run RunID
-	// Made is the answer's length as far as it came.
-	Made Tokens
-	// Whole says that the answer ended by itself, so that its length is known.
-	Whole bool
+	// GeneratedTokens is the answer's length as far as it came.
+	GeneratedTokens Tokens
+	// Complete says that the answer ended by itself, so that its length is known.
+	Complete bool
 }
 
 // Settings steer a Pool. The zero value works; fill puts the defaults in.
 type Settings struct {
 	Objective resource.Objective
-	// BetweenTokens is the longest step that admission aims at.
-	BetweenTokens time.Duration
-	QueueLimit    int
-	QueueBytes    int
-	// Deviations is how many standard deviations of growth are kept free.
-	Deviations float64
-	// FullMark is the part of an engine's memory that admission fills.
-	FullMark float64
-	// MaxBatch bounds the runs of one engine; zero means no bound.
-	MaxBatch int
-	// ReadRate is how many prompt tokens an engine is taken to read in a second
+	// MaxStepTime is the longest step that admission aims at.
+	MaxStepTime    time.Duration
+	MaxQueueLength int
+	MaxQueueBytes  int
+	// HeadroomDeviations is how many standard deviations of growth are kept free.
+	HeadroomDeviations float64
+	// MaxMemoryFraction is the part of an engine's memory that admission fills.
+	MaxMemoryFraction float64
+	// MaxBatchSize bounds the runs of one engine; zero means no bound.
+	MaxBatchSize int
+	// InitialPrefillRate is how many prompt tokens an engine is taken to read in a second
 	// beside its decoding until that has been learnt. Zero leaves the prompts
 	// that wait to be read out of account.
-	ReadRate float64
-	// WaitPart is the part of its objective that a request waits for a place at most;
+	InitialPrefillRate float64
+	// MaxWaitFraction is the part of its objective that a request waits for a place at most;
 	// above 1 it is only refused when it will be late.
-	WaitPart float64
-	// Stagger is the longest time for which an engine that has just begun to take work
+	MaxWaitFraction float64
+	// MaxQueueStagger is the longest time for which an engine that has just begun to take work
 	// gets none of what waits here, and Decider names who decides: each has a time of its
 	// own. Zero has engines take it at once.
-	Stagger time.Duration
-	Decider string
-	// Movable is how many tokens of memory can be moved off an engine between
+	MaxQueueStagger time.Duration
+	DeciderID       string
+	// MovableTokens is how many tokens of memory can be moved off an engine between
 	// the notice that it leaves and its end. Zero leaves that out of account.
-	Movable Tokens
+	MovableTokens Tokens
 }
 
 // Defaults for the fields of Settings.
 const (
-	DefaultDeviations = 2.0
-	DefaultFullMark   = 0.96
-	// DefaultWaitPart is short: refused soon, a caller can come back soon, and what is let
+	DefaultHeadroomDeviations = 2.0
+	DefaultMaxMemoryFraction  = 0.96
+	// DefaultMaxWaitFraction is short: refused soon, a caller can come back soon, and what is let
 	// in is less late.
-	DefaultWaitPart = 0.15
+	DefaultMaxWaitFraction = 0.15
 )
 
-func (s *Settings) fill() {
+func (s *Settings) applyDefaults() {
 	if s.Objective == "" {
 		s.Objective = resource.ObjectiveStall
 	}
-	if s.BetweenTokens == 0 {
-		s.BetweenTokens = time.Duration(resource.DefaultBetweenTokens)
+	if s.MaxStepTime == 0 {
+		s.MaxStepTime = time.Duration(resource.DefaultBetweenTokens)
 	}
-	if s.QueueLimit == 0 {
-		s.QueueLimit = resource.DefaultQueueLimit
+	if s.MaxQueueLength == 0 {
+		s.MaxQueueLength = resource.DefaultQueueLimit
 	}
-	if s.QueueBytes == 0 {
-		s.QueueBytes = resource.DefaultQueueBytes
+	if s.MaxQueueBytes == 0 {
+		s.MaxQueueBytes = resource.DefaultQueueBytes
 	}
-	if s.Deviations == 0 {
-		s.Deviations = DefaultDeviations
+	if s.HeadroomDeviations == 0 {
+		s.HeadroomDeviations = DefaultHeadroomDeviations
 	}
-	if s.WaitPart == 0 {
-		s.WaitPart = DefaultWaitPart
+	if s.MaxWaitFraction == 0 {
+		s.MaxWaitFraction = DefaultMaxWaitFraction
 	}
-	if s.FullMark == 0 {
-		s.FullMark = DefaultFullMark
+	if s.MaxMemoryFraction == 0 {
+		s.MaxMemoryFraction = DefaultMaxMemoryFraction
 	}
 }
--- a/policy/pool_test.go
+++ b/policy/pool_test.go
@@ -15,40 +15,40 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-var start = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-const step = 20 * time.Millisecond
+const testStepTime = 20 * time.Millisecond
 
 // newTestPool has engines of 10,000 tokens that have just reported.
 func newTestPool(s Settings, engines ...EngineID) *Pool {
 	p := NewPool(s)
 	p.SetEngines(engines)
 	for _, id := range engines {
-		p.Report(start, Report{Engine: id, Memory: 10_000, Step: step})
+		p.Report(testStart, Report{Engine: id, TotalMemory: 10_000, StepTime: testStepTime})
 	}
 	return p
 }
 
-// teach makes a route's answers as long as the pool is to expect.
-func teach(p *Pool, route resource.Name, lengths ...Tokens) {
+// learnLengths makes a route's answers as long as the pool is to expect.
+func learnLengths(p *Pool, route resource.Name, lengths ...Tokens) {
 	for range 300 {
 		for _, n := range lengths {
-			p.Learn(&Request{Route: route, Account: "a"}, n)
+			p.LearnLength(&Request{Route: route, Account: "a"}, n)
 		}
 	}
 }
 
-func ask(run string, prompt Tokens) Request {
-	return Request{Run: RunID(run), Route: "r", Account: "a", Prompt: prompt, Bytes: 1, Deadline: start.Add(10 * time.Second)}
+func newRequest(run string, prompt Tokens) Request {
+	return Request{Run: RunID(run), Route: "r", Account: "a", PromptTokens: prompt, QueueBytes: 1, Deadline: testStart.Add(10 * time.Second)}
 }
 
 func TestAdmissionByForeseenMemory(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
-	teach(p, "r", 1000)
+	learnLengths(p, "r", 1000)
 	admitted := 0
 	for i := range 20 {
-		if p.Submit(start, ask(fmt.Sprint(i), 500)).Verdict == Granted {
+		if p.Submit(testStart, newRequest(fmt.Sprint(i), 500)).Verdict == Granted {
 			admitted++
 		}
 	}
@@ -61,25 +61,25 @@
 func TestIdleEngineTakesAnything(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
-	teach(p, "r", 9000)
-	is.Equal(p.Submit(start, ask("1", 9900)).Verdict, Granted)
-	is.Equal(p.Submit(start, ask("2", 1)).Verdict, Refused) // no end in sight
-	refused := p.Submit(start, ask("3", 10_000))
+	learnLengths(p, "r", 9000)
+	is.Equal(p.Submit(testStart, newRequest("1", 9900)).Verdict, Granted)
+	is.Equal(p.Submit(testStart, newRequest("2", 1)).Verdict, Refused) // no end in sight
+	refused := p.Submit(testStart, newRequest("3", 10_000))
 	is.Equal(refused.Reason, ReasonTooLong)
 }
 
-func TestStepKeepsToTheTarget(t *testing.T) {
+func TestStepTimeStaysWithinTarget(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{BetweenTokens: 40 * time.Millisecond}, "g1")
-	teach(p, "r", 20)
+	p := newTestPool(Settings{MaxStepTime: 40 * time.Millisecond}, "g1")
+	learnLengths(p, "r", 20)
 	for running := 1; running <= 40; running++ {
 		took := 10*time.Millisecond + time.Duration(running)*time.Millisecond
-		p.Report(start, Report{Engine: "g1", Memory: 1_000_000, Running: running, Step: took})
+		p.Report(testStart, Report{Engine: "g1", TotalMemory: 1_000_000, Running: running, StepTime: took})
 	}
-	p.Report(start, Report{Engine: "g1", Memory: 1_000_000})
+	p.Report(testStart, Report{Engine: "g1", TotalMemory: 1_000_000})
 	admitted := 0
 	for i := range 60 {
-		if p.Submit(start, ask(fmt.Sprint(i), 10)).Verdict == Granted {
+		if p.Submit(testStart, newRequest(fmt.Sprint(i), 10)).Verdict == Granted {
 			admitted++
 		}
 	}
@@ -89,67 +89,67 @@
 func TestUnreportedAndSuspectEnginesTakeNothing(t *testing.T) {
 	is := is.New(t)
 	p := NewPool(Settings{})
-	teach(p, "r", 50)
-	is.Equal(p.Submit(start, ask("0", 10)).Reason, ReasonNoEngine)
+	learnLengths(p, "r", 50)
+	is.Equal(p.Submit(testStart, newRequest("0", 10)).Reason, ReasonNoEngine)
 	p.SetEngines([]EngineID{"g1", "g2"})
-	p.Report(start, Report{Engine: "g1", Memory: 1000, Step: step})
-	is.Equal(p.Submit(start, ask("1", 10)).Engine, EngineID("g1"))
+	p.Report(testStart, Report{Engine: "g1", TotalMemory: 1000, StepTime: testStepTime})
+	is.Equal(p.Submit(testStart, newRequest("1", 10)).Engine, EngineID("g1"))
 	p.Suspect("g1")
-	is.Equal(p.Submit(start, ask("2", 10)).Verdict, Queued)
-	p.Report(start, Report{Engine: "g2", Memory: 1000, Step: step})
-	decided := p.Advance(start)
+	is.Equal(p.Submit(testStart, newRequest("2", 10)).Verdict, Queued)
+	p.Report(testStart, Report{Engine: "g2", TotalMemory: 1000, StepTime: testStepTime})
+	decided := p.Advance(testStart)
 	is.Equal(len(decided), 1)
 	is.Equal(decided[0].Engine, EngineID("g2"))
-	late := start.Add(staleAfter + time.Second)
-	is.Equal(p.Submit(late, ask("3", 10)).Verdict, Queued) // its report is old
+	late := testStart.Add(maxReportAge + time.Second)
+	is.Equal(p.Submit(late, newRequest("3", 10)).Verdict, Queued) // its report is old
 }
 
 func TestAvoidsTheEngineThatFailed(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1", "g2")
 	for i := range 10 {
-		r := ask(fmt.Sprint(i), 10)
-		r.Avoid = "g1"
-		is.Equal(p.Submit(start, r).Engine, EngineID("g2"))
+		r := newRequest(fmt.Sprint(i), 10)
+		r.PreviousEngine = "g1"
+		is.Equal(p.Submit(testStart, r).Engine, EngineID("g2"))
 	}
 }
 
 func TestSubmitTwiceIsOnce(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
-	first := p.Submit(start, ask("1", 10))
-	is.Equal(p.Submit(start, ask("1", 10)), first)
+	first := p.Submit(testStart, newRequest("1", 10))
+	is.Equal(p.Submit(testStart, newRequest("1", 10)), first)
 	is.Equal(p.Running(), 1)
-	p.Finish(start, Finish{Run: "1"})
+	p.Finish(testStart, Finish{Run: "1"})
 	is.Equal(p.Running(), 0)
-	p.Finish(start, Finish{Run: "1"}) // told twice
+	p.Finish(testStart, Finish{Run: "1"}) // told twice
 }
 
-// fill takes all of the engine's memory, so that requests wait.
-func fill(p *Pool) {
-	p.Submit(start, Request{Run: "big", Route: "big", Account: "b", Prompt: 9500, Deadline: start.Add(time.Minute)})
+// fillMemory takes all of the engine's memory, so that requests wait.
+func fillMemory(p *Pool) {
+	p.Submit(testStart, Request{Run: "big", Route: "big", Account: "b", PromptTokens: 9500, Deadline: testStart.Add(time.Minute)})
 }
 
 func TestPriorityThenFairness(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
-	teach(p, "r", 50)
-	teach(p, "big", 50)
-	fill(p)
+	learnLengths(p, "r", 50)
+	learnLengths(p, "big", 50)
+	fillMemory(p)
 	for i := range 5 {
-		flood := ask(fmt.Sprint("flood", i), 100)
+		flood := newRequest(fmt.Sprint("flood", i), 100)
 		flood.Account = "large"
-		is.Equal(p.Submit(start, flood).Verdict, Queued)
+		is.Equal(p.Submit(testStart, flood).Verdict, Queued)
 	}
-	small := ask("small", 100)
+	small := newRequest("small", 100)
 	small.Account = "small"
-	is.Equal(p.Submit(start, small).Verdict, Queued)
-	urgent := ask("urgent", 100)
+	is.Equal(p.Submit(testStart, small).Verdict, Queued)
+	urgent := newRequest("urgent", 100)
 	urgent.Account, urgent.Priority = "large", 5
-	is.Equal(p.Submit(start, urgent).Verdict, Queued)
-	p.Finish(start, Finish{Run: "big", Made: 50})
+	is.Equal(p.Submit(testStart, urgent).Verdict, Queued)
+	p.Finish(testStart, Finish{Run: "big", GeneratedTokens: 50})
 	var order []RunID
-	for _, d := range p.Advance(start.Add(time.Second)) {
+	for _, d := range p.Advance(testStart.Add(time.Second)) {
 		order = append(order, d.Run)
 	}
 	is.Equal(order[0], RunID("urgent"))
@@ -160,28 +160,28 @@
 
 func TestQueueBounds(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{QueueLimit: 3, QueueBytes: 100}, "g1")
-	teach(p, "r", 50)
-	teach(p, "big", 50)
-	fill(p)
-	large := ask("large", 100)
-	large.Bytes = 101
-	refused := p.Submit(start, large)
+	p := newTestPool(Settings{MaxQueueLength: 3, MaxQueueBytes: 100}, "g1")
+	learnLengths(p, "r", 50)
+	learnLengths(p, "big", 50)
+	fillMemory(p)
+	large := newRequest("large", 100)
+	large.QueueBytes = 101
+	refused := p.Submit(testStart, large)
 	is.Equal(refused.Reason, ReasonQueueFull)
 	is.True(refused.RetryAfter > 0)
 	for i := range 3 {
-		is.Equal(p.Submit(start, ask(fmt.Sprint(i), 100)).Verdict, Queued)
+		is.Equal(p.Submit(testStart, newRequest(fmt.Sprint(i), 100)).Verdict, Queued)
 	}
-	is.Equal(p.Submit(start, ask("4", 100)).Reason, ReasonQueueFull)
+	is.Equal(p.Submit(testStart, newRequest("4", 100)).Reason, ReasonQueueFull)
 }
 
 func TestRefusesAtOnceWhatWouldWaitTooLong(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
-	teach(p, "r", 50)
-	teach(p, "big", 5000) // 100 s at 20 ms a step
-	fill(p)
-	refused := p.Submit(start, ask("1", 100))
+	learnLengths(p, "r", 50)
+	learnLengths(p, "big", 5000) // 100 s at 20 ms a step
+	fillMemory(p)
+	refused := p.Submit(testStart, newRequest("1", 100))
 	is.Equal(refused.Verdict, Refused)
 	is.Equal(refused.Reason, ReasonDeadline)
 	is.True(refused.RetryAfter >= 10*time.Second)
@@ -190,29 +190,29 @@
 func TestDeadlineWhileWaiting(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
-	teach(p, "r", 50)
-	teach(p, "big", 50)
-	fill(p)
-	is.Equal(p.Submit(start, ask("1", 100)).Verdict, Queued)
-	is.Equal(len(p.Advance(start.Add(9*time.Second))), 0)
-	late := p.Advance(start.Add(11 * time.Second))
+	learnLengths(p, "r", 50)
+	learnLengths(p, "big", 50)
+	fillMemory(p)
+	is.Equal(p.Submit(testStart, newRequest("1", 100)).Verdict, Queued)
+	is.Equal(len(p.Advance(testStart.Add(9*time.Second))), 0)
+	late := p.Advance(testStart.Add(11 * time.Second))
 	is.Equal(len(late), 1)
 	is.Equal(late[0].Reason, ReasonDeadline)
 	is.Equal(p.Waiting(), 0)
 }
 
-// TestLargeRequestIsNotPassedForEver keeps an engine for a large request that
+// TestLargeRequestIsNotStarved keeps an engine for a large request that
 // small ones would always pass.
-func TestLargeRequestIsNotPassedForEver(t *testing.T) {
+func TestLargeRequestIsNotStarved(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1", "g2")
-	teach(p, "r", 100)
-	now := start
+	learnLengths(p, "r", 100)
+	now := testStart
 	n := 0
 	running := map[RunID]time.Time{}
 	submit := func() {
 		n++
-		r := ask(fmt.Sprint("small", n), 400)
+		r := newRequest(fmt.Sprint("small", n), 400)
 		r.Deadline = now.Add(10 * time.Second)
 		if p.Submit(now, r).Verdict == Granted {
 			running[r.Run] = now
@@ -221,7 +221,7 @@
 	for range 60 {
 		submit()
 	}
-	large := ask("large", 9000)
+	large := newRequest("large", 9000)
 	large.Account = "b"
 	is.Equal(p.Submit(now, large).Verdict, Queued)
 	placed := false
@@ -229,12 +229,12 @@
 		now = now.Add(100 * time.Millisecond)
 		for run, since := range running {
 			if now.Sub(since) > 2*time.Second {
-				p.Finish(now, Finish{Run: run, Made: 100, Whole: true})
+				p.Finish(now, Finish{Run: run, GeneratedTokens: 100, Complete: true})
 				delete(running, run)
 			}
 		}
 		for _, id := range p.Engines() {
-			p.Report(now, Report{Engine: id, Memory: 10_000, Step: step})
+			p.Report(now, Report{Engine: id, TotalMemory: 10_000, StepTime: testStepTime})
 		}
 		submit()
 		for _, d := range p.Advance(now) {
@@ -251,11 +251,11 @@
 	is := is.New(t)
 	count := func(share int) int {
 		p := newTestPool(Settings{}, "g1")
-		p.SetShare(share)
-		teach(p, "r", 10)
+		p.SetDeciderCount(share)
+		learnLengths(p, "r", 10)
 		admitted := 0
 		for i := range 100 {
-			if p.Submit(start, ask(fmt.Sprint(i), 500)).Verdict == Granted {
+			if p.Submit(testStart, newRequest(fmt.Sprint(i), 500)).Verdict == Granted {
 				admitted++
 			}
 		}
@@ -269,68 +269,68 @@
 func TestAdoptedRunsCount(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
-	teach(p, "r", 1000)
+	learnLengths(p, "r", 1000)
 	for i := range 8 {
-		p.Adopt(start, ask(fmt.Sprint(i), 500), "g1", 0)
+		p.Adopt(testStart, newRequest(fmt.Sprint(i), 500), "g1", 0)
 	}
-	is.Equal(p.Submit(start, ask("new", 500)).Verdict != Granted, true)
+	is.Equal(p.Submit(testStart, newRequest("new", 500)).Verdict != Granted, true)
 }
 
-func TestOthersMemoryCounts(t *testing.T) {
+func TestMemoryOfUnknownRunsCounts(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1")
-	teach(p, "r", 100)
-	p.Report(start, Report{Engine: "g1", Memory: 10_000, Used: 9000, Running: 20, Step: step})
-	is.Equal(p.Submit(start, ask("1", 1000)).Verdict != Granted, true)
+	learnLengths(p, "r", 100)
+	p.Report(testStart, Report{Engine: "g1", TotalMemory: 10_000, UsedMemory: 9000, Running: 20, StepTime: testStepTime})
+	is.Equal(p.Submit(testStart, newRequest("1", 1000)).Verdict != Granted, true)
 }
 
-func TestTailPoolKeepsLongReadings(t *testing.T) {
+func TestTailObjectiveFavorsLongPrompts(t *testing.T) {
 	is := is.New(t)
 	worth := func(o resource.Objective, prompt Tokens, priority int) int {
 		p := newTestPool(Settings{Objective: o}, "g1")
-		r := ask("1", prompt)
+		r := newRequest("1", prompt)
 		r.Priority = priority
-		return p.Submit(start, r).Priority
+		return p.Submit(testStart, r).Priority
 	}
 	is.True(worth(resource.ObjectiveTail, 8000, 0) > worth(resource.ObjectiveTail, 100, 0))
 	is.True(worth(resource.ObjectiveTail, 100, 1) > worth(resource.ObjectiveTail, 8000, 0))
 	is.Equal(worth(resource.ObjectiveStall, 8000, 0), worth(resource.ObjectiveStall, 100, 0))
 }
 
-func TestPrefixDrawsRuns(t *testing.T) {
+func TestRunsPreferEngineWithCachedPrefix(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1", "g2")
-	teach(p, "r", 10)
+	learnLengths(p, "r", 10)
 	prompt := func(run string) Request {
-		r := ask(run, 2000)
+		r := newRequest(run, 2000)
 		r.Prefix, r.PrefixTokens = 7, 1900
 		return r
 	}
-	first := p.Submit(start, prompt("1")).Engine
-	p.Finish(start, Finish{Run: "1"})
-	is.Equal(p.Submit(start, prompt("2")).Engine, first)
-	p.Finish(start, Finish{Run: "2"})
-	p.Cache(start, first, CacheEvent{Seq: 1, Prefix: 7, Added: false})
+	first := p.Submit(testStart, prompt("1")).Engine
+	p.Finish(testStart, Finish{Run: "1"})
+	is.Equal(p.Submit(testStart, prompt("2")).Engine, first)
+	p.Finish(testStart, Finish{Run: "2"})
+	p.ApplyCacheEvent(testStart, first, CacheEvent{Seq: 1, Prefix: 7, Added: false})
 	other := EngineID("g1")
 	if first == other {
 		other = "g2"
 	}
-	p.Cache(start, other, CacheEvent{Seq: 1, Prefix: 7, Tokens: 1900, Added: true})
-	is.Equal(p.Submit(start, prompt("3")).Engine, other)
+	p.ApplyCacheEvent(testStart, other, CacheEvent{Seq: 1, Prefix: 7, Tokens: 1900, Added: true})
+	is.Equal(p.Submit(testStart, prompt("3")).Engine, other)
 }
 
-func TestCacheHintsFadeAndGapsDropThem(t *testing.T) {
+func TestCacheHintsExpireAndGapsDropThem(t *testing.T) {
 	is := is.New(t)
-	r := ask("1", 100)
+	r := newRequest("1", 100)
 	r.Prefix = 7
 	var c prefixCache
-	c.take(start, CacheEvent{Seq: 1, Prefix: 7, Tokens: 50, Added: true})
-	is.Equal(c.reusable(start, &r), Tokens(50))
-	is.Equal(c.reusable(start.Add(prefixFades+1), &r), Tokens(0))
-	c.take(start, CacheEvent{Seq: 1, Prefix: 7, Added: false}) // an old one again
-	is.Equal(c.reusable(start, &r), Tokens(50))
-	c.take(start, CacheEvent{Seq: 3, Prefix: 8, Tokens: 10, Added: true})
-	is.Equal(c.reusable(start, &r), Tokens(0)) // event 2 is missing: it may have gone
+	c.applyEvent(testStart, CacheEvent{Seq: 1, Prefix: 7, Tokens: 50, Added: true})
+	is.Equal(c.reusableTokens(testStart, &r), Tokens(50))
+	is.Equal(c.reusableTokens(testStart.Add(prefixTTL+1), &r), Tokens(0))
+	c.applyEvent(testStart, CacheEvent{Seq: 1, Prefix: 7, Added: false}) // an old one again
+	is.Equal(c.reusableTokens(testStart, &r), Tokens(50))
+	c.applyEvent(testStart, CacheEvent{Seq: 3, Prefix: 8, Tokens: 10, Added: true})
+	is.Equal(c.reusableTokens(testStart, &r), Tokens(0)) // event 2 is missing: it may have gone
 }
 
 // TestEveryRequestIsDecidedOnce drives a pool at random: each request gets one
@@ -338,8 +338,8 @@
 // leaves nothing behind.
 func TestEveryRequestIsDecidedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newTestPool(Settings{QueueLimit: 8}, "g1", "g2")
-		now := start
+		p := newTestPool(Settings{MaxQueueLength: 8}, "g1", "g2")
+		now := testStart
 		final := map[RunID]Verdict{}
 		open := map[RunID]bool{}
 		decide := func(d Decision) {
@@ -353,7 +353,7 @@
 			if d.Verdict == Granted {
 				open[d.Run] = true
 			}
-			if d.Verdict == Granted && p.engine(d.Engine) == nil {
+			if d.Verdict == Granted && p.activeEngine(d.Engine) == nil {
 				t.Fatalf("%s goes to %s, which takes no work", d.Run, d.Engine)
 			}
 		}
@@ -361,12 +361,12 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
-				r := ask(fmt.Sprint(n), Tokens(rapid.IntRange(1, 9000).Draw(t, "prompt")))
+				r := newRequest(fmt.Sprint(n), Tokens(rapid.IntRange(1, 9000).Draw(t, "prompt")))
 				r.Deadline = now.Add(5 * time.Second)
 				decide(p.Submit(now, r))
 			case 2:
 				for run := range open {
-					p.Finish(now, Finish{Run: run, Made: 10, Whole: true})
+					p.Finish(now, Finish{Run: run, GeneratedTokens: 10, Complete: true})
 					delete(open, run)
 					break
 				}
@@ -374,7 +374,7 @@
 				p.SetEngines(rapid.SampledFrom([][]EngineID{{"g1"}, {"g1", "g2"}, {}}).Draw(t, "engines"))
 			case 4:
 				for _, id := range p.Engines() {
-					p.Report(now, Report{Engine: id, Memory: 10_000, Step: step})
+					p.Report(now, Report{Engine: id, TotalMemory: 10_000, StepTime: testStepTime})
 				}
 			}
 			for _, d := range p.Advance(now) {
@@ -395,42 +395,42 @@
 
 // An engine that is kept from new work for a while comes back with its runs, and a
 // run that wasn't moved off it after all is counted there again.
-func TestAwayEngineKeepsItsRuns(t *testing.T) {
+func TestUnlistedEngineKeepsItsRuns(t *testing.T) {
 	is := is.New(t)
 	p := newTestPool(Settings{}, "g1", "g2")
-	first := p.Submit(start, ask("1", 6000)).Engine
+	first := p.Submit(testStart, newRequest("1", 6000)).Engine
 	other := EngineID("g1")
 	if first == other {
 		other = "g2"
 	}
 	p.SetEngines([]EngineID{other})
-	id, found := p.Relocate(start, "1", Target{FarCost: 0})
+	id, found := p.Relocate(testStart, "1", Target{CrossZoneCost: 0})
 	is.True(found)
 	is.Equal(id, other)
-	is.True(!p.Return(start, "1", "unknown"))
+	is.True(!p.CancelRelocation(testStart, "1", "unknown"))
 	p.SetEngines([]EngineID{other})
-	is.True(p.Return(start, "1", first)) // although it has been away
+	is.True(p.CancelRelocation(testStart, "1", first)) // although it has been away
 	is.Equal(p.EngineOf("1"), first)
-	for n := range 2 * mostAway {
+	for n := range 2 * maxRemovedEngines {
 		p.SetEngines([]EngineID{EngineID(fmt.Sprint("e", n))})
 	}
-	is.True(len(p.away) <= mostAway+1) // engines come and go
+	is.True(len(p.removedEngines) <= maxRemovedEngines+1) // engines come and go
 	is.Equal(p.EngineOf("1"), first)
 
 	p = newTestPool(Settings{}, "g1", "g2")
-	first = p.Submit(start, ask("1", 6000)).Engine
+	first = p.Submit(testStart, newRequest("1", 6000)).Engine
 	p.SetEngines([]EngineID{other})
-	p.Adopt(start, ask("2", 3000), first, 0) // a peer's run there
+	p.Adopt(testStart, newRequest("2", 3000), first, 0) // a peer's run there
 	p.SetEngines([]EngineID{first})
-	p.Report(start, Report{Engine: first, Memory: 10_000, Step: step})
+	p.Report(testStart, Report{Engine: first, TotalMemory: 10_000, StepTime: testStepTime})
 	is.Equal(p.EngineOf("1"), first)
 	is.Equal(p.EngineOf("2"), first)
-	is.Equal(p.Submit(start, ask("3", 5000)).Verdict, Queued) // its memory is still taken
+	is.Equal(p.Submit(testStart, newRequest("3", 5000)).Verdict, Queued) // its memory is still taken
 }
 
-// TestLittleKnownZone has engines of a zone that little is heard of taken for no emptier
+// TestZoneWithUnknownRuns has engines of a zone that little is heard of taken for no emptier
 // than those of the own zone, and used when these won't do.
-func TestLittleKnownZone(t *testing.T) {
+func TestZoneWithUnknownRuns(t *testing.T) {
 	for name, c := range map[string]struct {
 		known float64
 		// busy is how many prompts each engine of the own zone has to read.
@@ -444,20 +444,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newTestPool(Settings{ReadRate: 1000}, "g1", "g2", "g3", "g4")
+			p := newTestPool(Settings{InitialPrefillRate: 1000}, "g1", "g2", "g3", "g4")
 			zones := map[EngineID]member.Zone{"g1": "near", "g2": "near", "g3": "far", "g4": "far"}
 			for id, zone := range zones {
 				p.SetZone(id, zone)
 			}
-			p.SetKnownPart("far", c.known)
+			p.SetZoneCoverage("far", c.known)
 			for i := range 2 * c.busy {
-				r := ask(fmt.Sprint("busy", i), 900)
-				r.Zone, r.FarCost = "near", 100
-				is.Equal(zones[p.Submit(start, r).Engine], member.Zone("near"))
+				r := newRequest(fmt.Sprint("busy", i), 900)
+				r.Zone, r.CrossZoneCost = "near", 100
+				is.Equal(zones[p.Submit(testStart, r).Engine], member.Zone("near"))
 			}
-			r := askInTime("r", start, 500)
-			r.Zone, r.FarCost = "near", 0.2
-			is.Equal(zones[p.Submit(start, r).Engine], c.want)
+			r := newRequestWithObjective("r", testStart, 500)
+			r.Zone, r.CrossZoneCost = "near", 0.2
+			is.Equal(zones[p.Submit(testStart, r).Engine], c.want)
 		})
 	}
 }
--- a/policy/prefix.go
+++ b/policy/prefix.go
@@ -9,19 +9,19 @@
 // come late and with gaps, so an entry fades with time, and a gap drops all.
 // The zero value is empty and works.
 type prefixCache struct {
-	seen map[uint64]prefixSeen
-	// seq is the number of the last event taken in.
-	seq uint64
+	entries map[uint64]prefixEntry
+	// lastSeq is the number of the last event taken in.
+	lastSeq uint64
 }
 
-type prefixSeen struct {
+type prefixEntry struct {
 	tokens Tokens
-	at     time.Time
+	seenAt time.Time
 }
 
 const (
-	// prefixFades is how long a hint is believed without being renewed.
-	prefixFades = 2 * time.Minute
+	// prefixTTL is how long a hint is believed without being renewed.
+	prefixTTL = 2 * time.Minute
 	// maxPrefixes bounds the hints kept for one engine.
 	maxPrefixes = 1024
 )
@@ -34,16 +34,16 @@
 	Added  bool
 }
 
-func (c *prefixCache) take(now time.Time, e CacheEvent) {
-	if c.seq != 0 && e.Seq <= c.seq {
+func (c *prefixCache) applyEvent(now time.Time, e CacheEvent) {
+	if c.lastSeq != 0 && e.Seq <= c.lastSeq {
 		return
 	}
-	if c.seq != 0 && e.Seq != c.seq+1 {
-		clear(c.seen)
+	if c.lastSeq != 0 && e.Seq != c.lastSeq+1 {
+		clear(c.entries)
 	}
-	c.seq = e.Seq
+	c.lastSeq = e.Seq
 	if !e.Added {
-		delete(c.seen, e.Prefix)
+		delete(c.entries, e.Prefix)
 		return
 	}
 	c.put(now, e.Prefix, e.Tokens)
@@ -53,33 +53,33 @@
 	if prefix == 0 {
 		return
 	}
-	if c.seen == nil {
-		c.seen = map[uint64]prefixSeen{}
+	if c.entries == nil {
+		c.entries = map[uint64]prefixEntry{}
 	}
-	if len(c.seen) >= maxPrefixes {
-		c.dropFaded(now)
+	if len(c.entries) >= maxPrefixes {
+		c.dropExpired(now)
 	}
-	if len(c.seen) < maxPrefixes {
-		c.seen[prefix] = prefixSeen{tokens: tokens, at: now}
+	if len(c.entries) < maxPrefixes {
+		c.entries[prefix] = prefixEntry{tokens: tokens, seenAt: now}
 	}
 }
 
-func (c *prefixCache) dropFaded(now time.Time) {
-	for prefix, seen := range c.seen {
-		if now.Sub(seen.at) > prefixFades {
-			delete(c.seen, prefix)
+func (c *prefixCache) dropExpired(now time.Time) {
+	for prefix, seen := range c.entries {
+		if now.Sub(seen.seenAt) > prefixTTL {
+			delete(c.entries, prefix)
 		}
 	}
 }
 
-// reusable is how many tokens of the prompt the engine is believed to hold.
-func (c *prefixCache) reusable(now time.Time, r *Request) Tokens {
-	if r.Prefix == 0 || len(c.seen) == 0 {
+// reusableTokens is how many tokens of the prompt the engine is believed to hold.
+func (c *prefixCache) reusableTokens(now time.Time, r *Request) Tokens {
+	if r.Prefix == 0 || len(c.entries) == 0 {
 		return 0
 	}
-	seen, ok := c.seen[r.Prefix]
-	if !ok || now.Sub(seen.at) > prefixFades {
+	seen, ok := c.entries[r.Prefix]
+	if !ok || now.Sub(seen.seenAt) > prefixTTL {
 		return 0
 	}
-	return min(seen.tokens, r.Prompt)
+	return min(seen.tokens, r.PromptTokens)
 }
--- a/policy/queue.go
+++ b/policy/queue.go
@@ -11,14 +11,14 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// waiting is a request in the queue.
-type waiting struct {
+// queuedRequest is a request in the queue.
+type queuedRequest struct {
 	Request
-	since time.Time
-	// start is the fair queue's tag: within a priority, the lower goes first.
-	start float64
-	// arrived orders equal tags.
-	arrived uint64
+	queuedAt time.Time
+	// startTag is the fair queue's tag: within a priority, the lower goes first.
+	startTag float64
+	// sequence orders equal tags.
+	sequence uint64
 }
 
 // queue holds what waits for a place: by priority, then fair between client
@@ -26,60 +26,60 @@
 // is empty and works.
 type queue struct {
 	// items is in the order of service.
-	items []*waiting
+	items []*queuedRequest
 	bytes int
-	// virtual is the start tag of the last request served.
-	virtual float64
-	// finish is, by account, the tag at which its last request ends.
-	finish map[resource.Account]float64
-	count  uint64
+	// virtualTime is the start tag of the last request served.
+	virtualTime float64
+	// finishTags is, by account, the tag at which its last request ends.
+	finishTags   map[resource.Account]float64
+	lastSequence uint64
 }
 
-func before(a, b *waiting) int {
+func compareQueued(a, b *queuedRequest) int {
 	if a.Priority != b.Priority {
 		return cmp.Compare(b.Priority, a.Priority)
 	}
-	if a.start != b.start {
-		return cmp.Compare(a.start, b.start)
+	if a.startTag != b.startTag {
+		return cmp.Compare(a.startTag, b.startTag)
 	}
-	return cmp.Compare(a.arrived, b.arrived)
+	return cmp.Compare(a.sequence, b.sequence)
 }
 
-// tag gives the request its place among its account's others.
-func (q *queue) tag(now time.Time, r Request, cost Tokens) *waiting {
-	if q.finish == nil {
-		q.finish = map[resource.Account]float64{}
+// newRequest gives the request its place among its account's others.
+func (q *queue) newRequest(now time.Time, r Request, cost Tokens) *queuedRequest {
+	if q.finishTags == nil {
+		q.finishTags = map[resource.Account]float64{}
 	}
-	q.count++
-	w := &waiting{Request: r, since: now, start: max(q.virtual, q.finish[r.Account]), arrived: q.count}
-	q.finish[r.Account] = w.start + float64(cost)
+	q.lastSequence++
+	w := &queuedRequest{Request: r, queuedAt: now, startTag: max(q.virtualTime, q.finishTags[r.Account]), sequence: q.lastSequence}
+	q.finishTags[r.Account] = w.startTag + float64(cost)
 	return w
 }
 
 // position is where the request would stand.
-func (q *queue) position(w *waiting) int {
-	at, _ := slices.BinarySearchFunc(q.items, w, before)
+func (q *queue) position(w *queuedRequest) int {
+	at, _ := slices.BinarySearchFunc(q.items, w, compareQueued)
 	return at
 }
 
-func (q *queue) insert(w *waiting) {
+func (q *queue) insert(w *queuedRequest) {
 	q.items = slices.Insert(q.items, q.position(w), w)
-	q.bytes += w.Bytes
+	q.bytes += w.QueueBytes
 }
 
 // removeAt takes the request out of the queue.
-func (q *queue) removeAt(i int) *waiting {
+func (q *queue) removeAt(i int) *queuedRequest {
 	w := q.items[i]
 	q.items = slices.Delete(q.items, i, i+1)
-	q.bytes -= w.Bytes
+	q.bytes -= w.QueueBytes
 	return w
 }
 
-// served moves the virtual time on to a request that gets its place.
-func (q *queue) served(w *waiting) {
-	q.virtual = max(q.virtual, w.start)
-	if len(q.finish) > maxFinishTags {
-		q.dropIdle()
+// advanceTo moves the virtual time on to a request that gets its place.
+func (q *queue) advanceTo(w *queuedRequest) {
+	q.virtualTime = max(q.virtualTime, w.startTag)
+	if len(q.finishTags) > maxFinishTags {
+		q.dropIdleAccounts()
 	}
 }
 
@@ -87,23 +87,23 @@
 // dropped.
 const maxFinishTags = 4096
 
-func (q *queue) dropIdle() {
-	for account, tag := range q.finish {
-		if tag <= q.virtual {
-			delete(q.finish, account)
+func (q *queue) dropIdleAccounts() {
+	for account, tag := range q.finishTags {
+		if tag <= q.virtualTime {
+			delete(q.finishTags, account)
 		}
 	}
 }
 
-// correct charges an account for the tokens it used beyond the estimate, or
+// adjustCharge charges an account for the tokens it used beyond the estimate, or
 // gives back what it didn't use.
-func (q *queue) correct(account resource.Account, difference Tokens) {
-	if tag, ok := q.finish[account]; ok {
-		q.finish[account] = max(tag+float64(difference), 0)
+func (q *queue) adjustCharge(account resource.Account, difference Tokens) {
+	if tag, ok := q.finishTags[account]; ok {
+		q.finishTags[account] = max(tag+float64(difference), 0)
 	}
 }
 
-// find returns the queue position of a run, or -1.
-func (q *queue) find(run RunID) int {
-	return slices.IndexFunc(q.items, func(w *waiting) bool { return w.Run == run })
+// indexOf returns the queue position of a run, or -1.
+func (q *queue) indexOf(run RunID) int {
+	return slices.IndexFunc(q.items, func(w *queuedRequest) bool { return w.Run == run })
 }
--- a/policy/readrate.go
+++ b/policy/readrate.go
@@ -8,75 +8,75 @@
 	"time"
 )
 
-// readRate learns how many prompt tokens an engine reads in a second beside its
+// prefillRate learns how many prompt tokens an engine reads in a second beside its
 // decoding, from how far foreseen first tokens were off. Until the first was
 // seen it is the prior; a prior of zero leaves reading out of account.
-type readRate struct {
-	prior float64
-	// factor corrects the prior; zero stands for one.
-	factor float64
+type prefillRate struct {
+	initialRate float64
+	// correction corrects the prior; zero stands for one.
+	correction float64
 	// samples counts what was learnt from.
 	samples uint64
 }
 
 const (
-	// readRateWeight is the weight of the newest observation: half of a change
+	// prefillRateWeight is the weight of the newest observation: half of a change
 	// of speed is learnt from seven prompts.
-	readRateWeight = 0.1
-	// readRateMost bounds one observation, for an engine that stands still says
+	prefillRateWeight = 0.1
+	// maxPrefillRateError bounds one observation, for an engine that stands still says
 	// little about the others.
-	readRateMost = 4.0
+	maxPrefillRateError = 4.0
 )
 
-func (r *readRate) known() bool { return r.prior > 0 }
+func (r *prefillRate) known() bool { return r.initialRate > 0 }
 
-// perSecond is the rate as it is known now.
-func (r *readRate) perSecond() float64 {
-	if r.factor == 0 {
-		return r.prior
+// tokensPerSecond is the rate as it is known now.
+func (r *prefillRate) tokensPerSecond() float64 {
+	if r.correction == 0 {
+		return r.initialRate
 	}
-	return r.prior * r.factor
+	return r.initialRate * r.correction
 }
 
-// takes is how long some tokens are read; zero when nothing is known.
-func (r *readRate) takes(n Tokens) time.Duration {
+// duration is how long some tokens are read; zero when nothing is known.
+func (r *prefillRate) duration(n Tokens) time.Duration {
 	if !r.known() {
 		return 0
 	}
-	return time.Duration(float64(n) / r.perSecond() * float64(time.Second))
+	return time.Duration(float64(n) / r.tokensPerSecond() * float64(time.Second))
 }
 
 // observe takes in a first token that was foreseen after some time and came
 // after another.
-func (r *readRate) observe(foreseen, came time.Duration) {
+func (r *prefillRate) observe(foreseen, came time.Duration) {
 	if !r.known() || foreseen <= 0 || came <= 0 {
 		return
 	}
-	if r.factor == 0 {
-		r.factor = 1
+	if r.correction == 0 {
+		r.correction = 1
 	}
-	off := min(max(float64(foreseen)/float64(came), 1/readRateMost), readRateMost)
-	r.factor *= math.Pow(off, readRateWeight)
+	off := min(max(float64(foreseen)/float64(came), 1/maxPrefillRateError), maxPrefillRateError)
+	r.correction *= math.Pow(off, prefillRateWeight)
 	r.samples++
 }
 
-// Begun takes in that a run made its first token on the engine that it was
+// RecordFirstToken takes in that a run made its first token on the engine that it was
 // placed on. Later tokens and runs that were moved before say nothing.
-func (p *Pool) Begun(now time.Time, id RunID) {
+func (p *Pool) RecordFirstToken(now time.Time, id RunID) {
 	run := p.runs[id]
 	if run == nil || run.placedAt.IsZero() {
 		return
 	}
-	p.reads.observe(run.firstAfter, now.Sub(run.placedAt))
+	p.prefill.observe(run.timeToFirstToken, now.Sub(run.placedAt))
 	run.placedAt = time.Time{}
-	p.Reading(now, id, now)
+	p.UpdatePrefill(now, id, now)
 }
 
-// TakesToRead is how long an idle engine is expected to read a prompt.
-func (p *Pool) TakesToRead(n Tokens) time.Duration { return p.reads.takes(n) }
+// IdlePrefillTime is how long an idle engine is expected to read a prompt.
+func (p *Pool) IdlePrefillTime(n Tokens) time.Duration { return p.prefill.duration(n) }
 
-// ReadRate is how many prompt tokens an engine is expected to read in a second,
+// PrefillRate is how many prompt tokens an engine is expected to read in a second,
 // and from how many first tokens that was learnt.
-func (p *Pool) ReadRate() (tokensPerSecond float64, samples uint64) {
-	return p.reads.perSecond(), p.reads.samples
+func (p *Pool) PrefillRate() (tokensPerSecond float64, samples uint64) {
+	return p.prefill.tokensPerSecond(), p.prefill.samples
 }
--- a/policy/refusal_test.go
+++ b/policy/refusal_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// askInTime is a request whose first token is aimed at within two seconds.
-func askInTime(run string, at time.Time, prompt Tokens) Request {
-	r := ask(run, prompt)
-	r.Arrived, r.Objective, r.Deadline = at, 2*time.Second, at.Add(2*time.Second)
+// newRequestWithObjective is a request whose first token is aimed at within two seconds.
+func newRequestWithObjective(run string, at time.Time, prompt Tokens) Request {
+	r := newRequest(run, prompt)
+	r.ArrivedAt, r.Objective, r.Deadline = at, 2*time.Second, at.Add(2*time.Second)
 	return r
 }
 
@@ -38,57 +38,57 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newTestPool(Settings{ReadRate: 1000}, c.engines...)
+			p := newTestPool(Settings{InitialPrefillRate: 1000}, c.engines...)
 			for i, prompt := range c.ahead {
-				is.Equal(p.Submit(start, askInTime(fmt.Sprint("ahead", i), start, prompt)).Verdict, Granted)
+				is.Equal(p.Submit(testStart, newRequestWithObjective(fmt.Sprint("ahead", i), testStart, prompt)).Verdict, Granted)
 			}
-			d := p.Submit(start, askInTime("r", start, c.prompt))
+			d := p.Submit(testStart, newRequestWithObjective("r", testStart, c.prompt))
 			is.Equal(d.Verdict, c.verdict)
 			if d.Verdict != Refused {
 				return
 			}
 			is.Equal(d.Reason, ReasonLate)
 			is.Equal(p.Waiting(), 0) // it isn't held
-			back := start.Add(d.RetryAfter)
-			is.Equal(p.Submit(back, askInTime("r", back, c.prompt)).Verdict, Granted)
+			back := testStart.Add(d.RetryAfter)
+			is.Equal(p.Submit(back, newRequestWithObjective("r", back, c.prompt)).Verdict, Granted)
 		})
 	}
 }
 
-// TestRefusedReturnsSpread has callers that are refused together told different
+// TestRetryAfterIsSpread has callers that are refused together told different
 // times, the short prompts earlier.
-func TestRefusedReturnsSpread(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{ReadRate: 1000}, "g1")
-	p.Submit(start, askInTime("ahead", start, 4000))
+	p := newTestPool(Settings{InitialPrefillRate: 1000}, "g1")
+	p.Submit(testStart, newRequestWithObjective("ahead", testStart, 4000))
 	told := map[time.Duration]bool{}
 	for i := range 20 {
-		told[p.Submit(start, askInTime(fmt.Sprint(i), start, 1000)).RetryAfter] = true
+		told[p.Submit(testStart, newRequestWithObjective(fmt.Sprint(i), testStart, 1000)).RetryAfter] = true
 	}
 	is.True(len(told) >= 18)
-	short := p.Submit(start, askInTime("same", start, 500)).RetryAfter
-	long := p.Submit(start, askInTime("same", start, 1500)).RetryAfter
+	short := p.Submit(testStart, newRequestWithObjective("same", testStart, 500)).RetryAfter
+	long := p.Submit(testStart, newRequestWithObjective("same", testStart, 1500)).RetryAfter
 	is.Equal(long-short, time.Second) // what the longer prompt takes to be read
 }
 
-// TestRefuseWhatWaits has a queued request refused as soon as its outlook is
+// TestRefuseQueuedRequest has a queued request refused as soon as its outlook is
 // hopeless, not when its time is over.
-func TestRefuseWhatWaits(t *testing.T) {
+func TestRefuseQueuedRequest(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000, WaitPart: 2}, "g1", "g2")
-	teach(p, "r", 60) // 1.2 s a run, so a place comes every 0.6 s
+	p := newTestPool(Settings{MaxBatchSize: 1, InitialPrefillRate: 100_000, MaxWaitFraction: 2}, "g1", "g2")
+	learnLengths(p, "r", 60) // 1.2 s a run, so a place comes every 0.6 s
 	for _, run := range []string{"a", "b"} {
-		is.Equal(p.Submit(start, ask(run, 100)).Verdict, Granted)
+		is.Equal(p.Submit(testStart, newRequest(run, 100)).Verdict, Granted)
 	}
-	is.Equal(p.Submit(start, askInTime("c", start, 100)).Verdict, Queued)
-	is.Equal(len(p.Advance(start.Add(100*time.Millisecond))), 0)
-	p.Finish(start, Finish{Run: "a"})
+	is.Equal(p.Submit(testStart, newRequestWithObjective("c", testStart, 100)).Verdict, Queued)
+	is.Equal(len(p.Advance(testStart.Add(100*time.Millisecond))), 0)
+	p.Finish(testStart, Finish{Run: "a"})
 	p.SetEngines([]EngineID{"g2"}) // half of the engines go
 	for i := range 40 {
-		now := start.Add(time.Duration(i) * 50 * time.Millisecond)
+		now := testStart.Add(time.Duration(i) * 50 * time.Millisecond)
 		for _, d := range p.Advance(now) {
 			is.Equal(d.Verdict, Refused)
-			is.True(now.Before(start.Add(time.Second))) // long before its two seconds are over
+			is.True(now.Before(testStart.Add(time.Second))) // long before its two seconds are over
 			return
 		}
 	}
@@ -99,17 +99,17 @@
 // a longer wait than is worth it, and else when it has waited for as long.
 func TestRefuseLongWaits(t *testing.T) {
 	is := is.New(t)
-	p := newTestPool(Settings{MaxBatch: 1, ReadRate: 100_000}, "g1", "g2")
+	p := newTestPool(Settings{MaxBatchSize: 1, InitialPrefillRate: 100_000}, "g1", "g2")
 	for _, run := range []string{"a", "b"} {
-		is.Equal(p.Submit(start, ask(run, 100)).Verdict, Granted)
+		is.Equal(p.Submit(testStart, newRequest(run, 100)).Verdict, Granted)
 	}
-	teach(p, "r", 60)                                                      // 1.2 s a run, so a place comes every 0.6 s
-	is.Equal(p.Submit(start, askInTime("c", start, 100)).Verdict, Refused) // 0.15 of 2 s is less
-	p.lengths = &Lengths{}
-	teach(p, "r", 20) // 0.4 s a run, so a place comes every 0.2 s
-	is.Equal(p.Submit(start, askInTime("d", start, 100)).Verdict, Queued)
-	is.Equal(len(p.Advance(start.Add(290*time.Millisecond))), 0)
-	decided := p.Advance(start.Add(310 * time.Millisecond))
+	learnLengths(p, "r", 60)                                                                     // 1.2 s a run, so a place comes every 0.6 s
+	is.Equal(p.Submit(testStart, newRequestWithObjective("c", testStart, 100)).Verdict, Refused) // 0.15 of 2 s is less
+	p.lengths = &LearnedLengths{}
+	learnLengths(p, "r", 20) // 0.4 s a run, so a place comes every 0.2 s
+	is.Equal(p.Submit(testStart, newRequestWithObjective("d", testStart, 100)).Verdict, Queued)
+	is.Equal(len(p.Advance(testStart.Add(290*time.Millisecond))), 0)
+	decided := p.Advance(testStart.Add(310 * time.Millisecond))
 	is.Equal(len(decided), 1)
 	is.Equal(decided[0].Verdict, Refused)
 	is.True(decided[0].RetryAfter > 0)
@@ -121,20 +121,20 @@
 	for name, factor := range map[string]float64{"as assumed": 1, "three times faster": 3, "three times slower": 1.0 / 3} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := newTestPool(Settings{ReadRate: 1000}, "g1")
-			now := start
+			p := newTestPool(Settings{InitialPrefillRate: 1000}, "g1")
+			now := testStart
 			for i := range 60 {
 				run := fmt.Sprint(i)
-				p.Submit(now, askInTime(run, now, 600))
+				p.Submit(now, newRequestWithObjective(run, now, 600))
 				now = now.Add(time.Duration(0.6 / factor * float64(time.Second)))
-				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: step})
-				p.Begun(now, RunID(run))
-				p.Begun(now.Add(time.Hour), RunID(run)) // later tokens say nothing
+				p.Report(now, Report{Engine: "g1", TotalMemory: 10_000, StepTime: testStepTime})
+				p.RecordFirstToken(now, RunID(run))
+				p.RecordFirstToken(now.Add(time.Hour), RunID(run)) // later tokens say nothing
 				p.Finish(now, Finish{Run: RunID(run)})
 				now = now.Add(5 * time.Second)
-				p.Report(now, Report{Engine: "g1", Memory: 10_000, Step: step})
+				p.Report(now, Report{Engine: "g1", TotalMemory: 10_000, StepTime: testStepTime})
 			}
-			rate, samples := p.ReadRate()
+			rate, samples := p.PrefillRate()
 			is.Equal(samples, uint64(60))
 			is.True(rate > 1000*factor*0.97 && rate < 1000*factor*1.03)
 		})
--- a/policy/relocate.go
+++ b/policy/relocate.go
@@ -11,7 +11,7 @@
 
 // SetZone says which availability zone an engine is in.
 func (p *Pool) SetZone(id EngineID, zone member.Zone) {
-	if e := p.engine(id); e != nil {
+	if e := p.activeEngine(id); e != nil {
 		e.zone = zone
 	}
 }
@@ -19,7 +19,7 @@
 // SetGroup says which of several groups of the pool an engine is of, to which requests may be
 // bound.
 func (p *Pool) SetGroup(id EngineID, group string) {
-	if e := p.engine(id); e != nil {
+	if e := p.activeEngine(id); e != nil {
 		e.group = group
 	}
 }
@@ -31,42 +31,42 @@
 	if run == nil {
 		return
 	}
-	if made > run.told {
-		run.told, run.engine.progressed = made, now
+	if made > run.reportedTokens {
+		run.reportedTokens, run.engine.progressedAt = made, now
 	}
-	if made <= run.made {
+	if made <= run.generatedTokens {
 		return
 	}
-	run.made = made
-	run.began = now.Add(-time.Duration(made) * run.engine.step())
+	run.generatedTokens = made
+	run.startedAt = now.Add(-time.Duration(made) * run.engine.expectedStepTime())
 }
 
 // Target says what another engine for a run has to be. Its zero value takes any.
 type Target struct {
-	// FarCost is what an engine of another zone than the present one's costs more, as a
+	// CrossZoneCost is what an engine of another zone than the present one's costs more, as a
 	// share of an engine's memory; with OnlyZone, none of another zone is considered.
-	FarCost  float64
-	OnlyZone bool
+	CrossZoneCost float64
+	SameZoneOnly  bool
 	// Zone stands for the present engine's zone unless it is empty.
 	Zone member.Zone
-	// Avoid are engines that won't do.
-	Avoid []EngineID
-	// OnlyGroup and ButGroup are those of a Request.
-	OnlyGroup, ButGroup string
+	// ExcludedEngines are engines that won't do.
+	ExcludedEngines []EngineID
+	// OnlyGroup and ExcludedGroup are those of a Request.
+	OnlyGroup, ExcludedGroup string
 }
 
-// Grown is a run as a request for another engine: with the memory that it has by now.
-func (p *Pool) Grown(id RunID) (Request, bool) {
+// RelocationRequest is a run as a request for another engine: with the memory that it has by now.
+func (p *Pool) RelocationRequest(id RunID) (Request, bool) {
 	run := p.runs[id]
 	if run == nil {
 		return Request{}, false
 	}
 	grown := run.Request
-	grown.Prompt += run.made
-	if run.Limit > 0 {
-		grown.Limit = max(run.Limit-run.made, 1)
+	grown.PromptTokens += run.generatedTokens
+	if run.MaxOutputTokens > 0 {
+		grown.MaxOutputTokens = max(run.MaxOutputTokens-run.generatedTokens, 1)
 	}
-	grown.Prefix, grown.PrefixTokens, grown.Arrived, grown.Avoid = 0, 0, time.Time{}, run.engine.id
+	grown.Prefix, grown.PrefixTokens, grown.ArrivedAt, grown.PreviousEngine = 0, 0, time.Time{}, run.engine.id
 	return grown, true
 }
 
@@ -74,13 +74,13 @@
 // run there from now on. It has to fit as it has grown so far. It returns false when no
 // engine has room; the run then stays counted where it is.
 func (p *Pool) Relocate(now time.Time, id RunID, t Target) (EngineID, bool) {
-	grown, known := p.Grown(id)
+	grown, known := p.RelocationRequest(id)
 	if !known {
 		return "", false
 	}
 	run := p.runs[id]
-	grown.Zone, grown.FarCost, grown.OnlyZone, grown.AvoidAlso = run.engine.zone, t.FarCost, t.OnlyZone, t.Avoid
-	grown.OnlyGroup, grown.ButGroup = t.OnlyGroup, t.ButGroup
+	grown.Zone, grown.CrossZoneCost, grown.SameZoneOnly, grown.ExcludedEngines = run.engine.zone, t.CrossZoneCost, t.SameZoneOnly, t.ExcludedEngines
+	grown.OnlyGroup, grown.ExcludedGroup = t.OnlyGroup, t.ExcludedGroup
 	if t.Zone != "" {
 		grown.Zone = t.Zone
 	}
@@ -88,44 +88,44 @@
 	if to == nil {
 		return "", false
 	}
-	p.rehome(now, run, to)
+	p.moveRun(now, run, to)
 	return to.id, true
 }
 
-// Return counts a run on an engine again that it wasn't moved from. It reports
+// CancelRelocation counts a run on an engine again that it wasn't moved from. It reports
 // false when that engine isn't known.
-func (p *Pool) Return(now time.Time, id RunID, engine EngineID) bool {
-	run, e := p.runs[id], p.anyEngine(engine)
+func (p *Pool) CancelRelocation(now time.Time, id RunID, engine EngineID) bool {
+	run, e := p.runs[id], p.knownEngine(engine)
 	if run == nil || e == nil {
 		return false
 	}
-	p.rehome(now, run, e)
+	p.moveRun(now, run, e)
 	return true
 }
 
-func (p *Pool) rehome(now time.Time, run *placed, to *engine) {
+func (p *Pool) moveRun(now time.Time, run *placedRun, to *engine) {
 	run.engine.remove(run)
-	run.engine.refresh(now)
-	run.placedAt, run.unread, run.readTakes = time.Time{}, false, 0
-	began := run.began
+	run.engine.refreshForecast(now)
+	run.placedAt, run.prefillPending, run.prefillTime = time.Time{}, false, 0
+	began := run.startedAt
 	to.add(now, run)
-	run.began = began
-	p.blocked = false
+	run.startedAt = began
+	p.queueBlocked = false
 }
 
-// Progressed is when a run on an engine was last known to have made a token; the zero
+// LastProgress is when a run on an engine was last known to have made a token; the zero
 // time when none was.
-func (p *Pool) Progressed(id EngineID) time.Time {
-	if e := p.anyEngine(id); e != nil {
-		return e.progressed
+func (p *Pool) LastProgress(id EngineID) time.Time {
+	if e := p.knownEngine(id); e != nil {
+		return e.progressedAt
 	}
 	return time.Time{}
 }
 
-// RunsOn is how many runs an engine has, as far as is known.
-func (p *Pool) RunsOn(id EngineID) int {
-	if e := p.anyEngine(id); e != nil {
-		return e.batch()
+// RunCount is how many runs an engine has, as far as is known.
+func (p *Pool) RunCount(id EngineID) int {
+	if e := p.knownEngine(id); e != nil {
+		return e.batchSize()
 	}
 	return 0
 }
@@ -139,4 +139,4 @@
 }
 
 // MeanLength is the expected length of an answer, from those that ended.
-func (p *Pool) MeanLength(r *Request) Tokens { return p.lengths.Mean(r) }
+func (p *Pool) MeanLength(r *Request) Tokens { return p.lengths.MeanLength(r) }
--- a/policy/steptime.go
+++ b/policy/steptime.go
@@ -5,20 +5,20 @@
 
 import "time"
 
-// stepTime learns how an engine's step grows with its batch: a straight line
+// stepTimeModel learns how an engine's step grows with its batch: a straight line
 // through the reports, the older ones fading. The zero value knows nothing.
-type stepTime struct {
+type stepTimeModel struct {
 	n, x, y, xx, xy float64
 }
 
-// stepTimeMemory is how many reports the line remembers.
-const stepTimeMemory = 400
+// stepTimeDecaySamples is how many reports the line remembers.
+const stepTimeDecaySamples = 400
 
-func (s *stepTime) observe(running int, step time.Duration) {
+func (s *stepTimeModel) observe(running int, step time.Duration) {
 	if running <= 0 || step <= 0 {
 		return
 	}
-	const keep = 1 - 1.0/stepTimeMemory
+	const keep = 1 - 1.0/stepTimeDecaySamples
 	x, y := float64(running), float64(step)
 	s.n = s.n*keep + 1
 	s.x = s.x*keep + x
@@ -27,9 +27,9 @@
 	s.xy = s.xy*keep + x*y
 }
 
-// leastSpread is the variance of the batch sizes below which their slope says
+// minBatchVariance is the variance of the batch sizes below which their slope says
 // nothing.
-const leastSpread = 1.0
+const minBatchVariance = 1.0
 
 // stepLine is the expected step, in nanoseconds, by batch size.
 type stepLine struct {
@@ -39,16 +39,16 @@
 // at is the expected step at a batch size.
 func (l stepLine) at(running int) float64 { return max(l.base+l.slope*float64(running), 0) }
 
-// line is the straight line through the reports; it is zero when nothing is
+// fit is the straight fit through the reports; it is zero when nothing is
 // known.
-func (s *stepTime) line() stepLine {
+func (s *stepTimeModel) fit() stepLine {
 	if s.n < 1 {
 		return stepLine{}
 	}
 	meanX, meanY := s.x/s.n, s.y/s.n
 	spread := s.xx/s.n - meanX*meanX
 	slope := 0.0
-	if spread > leastSpread {
+	if spread > minBatchVariance {
 		slope = max((s.xy/s.n-meanX*meanY)/spread, 0)
 	}
 	return stepLine{base: meanY - slope*meanX, slope: slope}
