--- a/cell/cell.go
+++ b/cell/cell.go
@@ -163,7 +163,7 @@
 	if len(among) == 0 {
 		return member.Entry{}, false
 	}
-	return member.First(purpose+" "+string(self), among), true
+	return member.HighestRanked(purpose+" "+string(self), among), true
 }
 
 func (id ID) String() string { return string(id.Zone) + "/" + strconv.Itoa(id.Number) }
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -22,14 +22,14 @@
 type Record struct {
 	// Claimant is unique to one attempt.
 	Claimant string `json:"claimant"`
-	// Request is a hash of the call, to tell a key that is used for another.
-	Request string `json:"request"`
+	// RequestHash is a hash of the call, to tell a key that is used for another.
+	RequestHash string `json:"request"`
 	// Status is the upstream's answer, when it was recorded; zero means that
 	// nothing is known of it.
 	Status int `json:"status,omitempty"`
-	// At is when the claim was made, by the claimant's clock; it decides
+	// ClaimedAt is when the claim was made, by the claimant's clock; it decides
 	// nothing.
-	At time.Time `json:"at"`
+	ClaimedAt time.Time `json:"at"`
 }
 
 // Key returns the platform key of a claim.
@@ -58,9 +58,9 @@
 	Read
 	// Send says that the claim is held: the call may be sent, once.
 	Send
-	// Tell says that another attempt has the claim: the caller is told what
+	// RejectDuplicate says that another attempt has the claim: the caller is told what
 	// Other knows, and nothing is sent.
-	Tell
+	RejectDuplicate
 	// GiveUp says that the time is over without a claim; nothing is sent, and
 	// never will be by this attempt.
 	GiveUp
@@ -71,12 +71,12 @@
 
 // The results.
 const (
-	// Done says that the platform answered.
-	Done Result = iota
+	// Answered says that the platform answered.
+	Answered Result = iota
 	// NotSent says that the call surely had no effect.
 	NotSent
-	// Lost says that the call may have had its effect.
-	Lost
+	// OutcomeUnknown says that the call may have had its effect.
+	OutcomeUnknown
 )
 
 // Attempt is one try to claim a call. Use NewAttempt.
@@ -84,9 +84,9 @@
 	record   Record
 	deadline time.Time
 	step     Step
-	// created says that the key may be there by this attempt's doing.
-	created bool
-	other   Record
+	// mayHaveCreated says that the key may be there by this attempt's doing.
+	mayHaveCreated bool
+	conflicting    Record
 }
 
 // NewAttempt returns an attempt that gives up at the deadline. The claimant
@@ -98,39 +98,39 @@
 // Record is what Create writes.
 func (a *Attempt) Record() Record { return a.record }
 
-// Other is the claim that stands in the way, after Tell.
-func (a *Attempt) Other() Record { return a.other }
+// ConflictingClaim is the claim that stands in the way, after Tell.
+func (a *Attempt) ConflictingClaim() Record { return a.conflicting }
 
 // MayHaveClaimed reports whether the key may have been created by this
 // attempt, so that after GiveUp it is to be removed.
-func (a *Attempt) MayHaveClaimed() bool { return a.created }
+func (a *Attempt) MayHaveClaimed() bool { return a.mayHaveCreated }
 
 // Next says what to do now. Past the deadline it never says Send.
 func (a *Attempt) Next(now time.Time) Step {
-	if now.After(a.deadline) && a.step != Tell {
+	if now.After(a.deadline) && a.step != RejectDuplicate {
 		a.step = GiveUp
 	}
 	return a.step
 }
 
-// Created takes in how the create ended; wrote is its answer.
-func (a *Attempt) Created(result Result, wrote bool) {
+// CreateFinished takes in how the create ended; wrote is its answer.
+func (a *Attempt) CreateFinished(result Result, wrote bool) {
 	switch {
-	case result == Lost:
-		a.created = true
+	case result == OutcomeUnknown:
+		a.mayHaveCreated = true
 		a.step = Read
-	case result == Done && wrote:
-		a.created = true
+	case result == Answered && wrote:
+		a.mayHaveCreated = true
 		a.step = Send
-	case result == Done:
+	case result == Answered:
 		a.step = Read
 	}
 }
 
-// WasRead takes in how the read ended and, if it was done, what was there.
-func (a *Attempt) WasRead(result Result, found bool, there Record) {
+// ReadFinished takes in how the read ended and, if it was done, what was there.
+func (a *Attempt) ReadFinished(result Result, found bool, there Record) {
 	switch {
-	case result != Done:
+	case result != Answered:
 	case !found:
 		// An earlier create may still be under way; creating again is safe,
 		// for only one of the two can win.
@@ -138,7 +138,7 @@
 	case there.Claimant == a.record.Claimant:
 		a.step = Send
 	default:
-		a.other = there
-		a.step = Tell
+		a.conflicting = there
+		a.step = RejectDuplicate
 	}
 }
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -16,8 +16,8 @@
 
 var start = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// inFlight is a create on its way to the platform, which may land much later.
-type inFlight struct {
+// pendingCreate is a create on its way to the platform, which may land much later.
+type pendingCreate struct {
 	record Record
 }
 
@@ -27,12 +27,12 @@
 func TestOneSender(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stored *Record
-		var late []inFlight
+		var late []pendingCreate
 		now := start
 		senders := map[string]bool{}
 		var attempts []*Attempt
 		for i := range rapid.IntRange(1, 4).Draw(t, "attempts") {
-			record := Record{Claimant: fmt.Sprint(i), Request: "r"}
+			record := Record{Claimant: fmt.Sprint(i), RequestHash: "r"}
 			attempts = append(attempts, NewAttempt(record, now.Add(time.Second)))
 		}
 		create := func(r Record) bool {
@@ -55,32 +55,32 @@
 			case Create:
 				switch rapid.SampledFrom([]string{"done", "refused", "lost", "late", "dropped"}).Draw(t, "create") {
 				case "done":
-					a.Created(Done, create(a.Record()))
+					a.CreateFinished(Answered, create(a.Record()))
 				case "refused":
-					a.Created(NotSent, false)
+					a.CreateFinished(NotSent, false)
 				case "lost":
 					create(a.Record())
-					a.Created(Lost, false)
+					a.CreateFinished(OutcomeUnknown, false)
 				case "late":
-					late = append(late, inFlight{a.Record()})
-					a.Created(Lost, false)
+					late = append(late, pendingCreate{a.Record()})
+					a.CreateFinished(OutcomeUnknown, false)
 				case "dropped":
-					a.Created(Lost, false)
+					a.CreateFinished(OutcomeUnknown, false)
 				}
 			case Read:
 				if rapid.IntRange(0, 3).Draw(t, "read") == 0 {
-					a.WasRead(Lost, false, Record{})
+					a.ReadFinished(OutcomeUnknown, false, Record{})
 					continue
 				}
 				there := Record{}
 				if stored != nil {
 					there = *stored
 				}
-				a.WasRead(Done, stored != nil, there)
+				a.ReadFinished(Answered, stored != nil, there)
 			case Send:
 				senders[a.Record().Claimant] = true
-			case Tell:
-				if a.Other().Claimant == a.Record().Claimant {
+			case RejectDuplicate:
+				if a.ConflictingClaim().Claimant == a.Record().Claimant {
 					t.Fatal("told of its own claim")
 				}
 			case GiveUp:
@@ -99,17 +99,17 @@
 	is := is.New(t)
 	a := NewAttempt(Record{Claimant: "a"}, start.Add(time.Second))
 	is.Equal(a.Next(start), Create)
-	a.Created(NotSent, false)
+	a.CreateFinished(NotSent, false)
 	is.Equal(a.Next(start), Create) // nothing happened: again
 	is.True(!a.MayHaveClaimed())
-	a.Created(Lost, false)
+	a.CreateFinished(OutcomeUnknown, false)
 	is.Equal(a.Next(start), Read)
 	is.True(a.MayHaveClaimed())
-	a.WasRead(Done, false, Record{})
+	a.ReadFinished(Answered, false, Record{})
 	is.Equal(a.Next(start), Create) // the same create again
-	a.Created(Done, false)
+	a.CreateFinished(Answered, false)
 	is.Equal(a.Next(start), Read)
-	a.WasRead(Done, true, Record{Claimant: "a"})
+	a.ReadFinished(Answered, true, Record{Claimant: "a"})
 	is.Equal(a.Next(start), Send)                      // it was ours
 	is.Equal(a.Next(start.Add(2*time.Second)), GiveUp) // woken too late
 	is.Equal(a.Next(start), GiveUp)                    // and for good
--- a/clock/alarm.go
+++ b/clock/alarm.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// alarm is a context's end that is due. Its timer stands still with the steady clock, so
+// pendingTimeout is a context's end that is due. Its timer stands still with the steady clock, so
 // it is set anew when the machine was suspended.
-type alarm struct {
-	due   time.Time
-	timer *time.Timer
+type pendingTimeout struct {
+	expiresAt time.Time
+	timer     *time.Timer
 }
 
 // WithTimeoutCause is context.WithTimeoutCause by the time that really passes. The context
@@ -22,26 +22,26 @@
 		return context.WithTimeoutCause(parent, d, cause)
 	}
 	ctx, end := context.WithCancelCause(parent)
-	a := &alarm{due: c.Now().Add(d)}
+	a := &pendingTimeout{expiresAt: c.Now().Add(d)}
 	c.mu.Lock()
 	a.timer = time.AfterFunc(d, func() { end(cause) })
-	c.alarms[a] = true
+	c.timeouts[a] = true
 	c.mu.Unlock()
 	return ctx, func() {
 		c.mu.Lock()
-		delete(c.alarms, a)
+		delete(c.timeouts, a)
 		c.mu.Unlock()
 		a.timer.Stop()
 		end(nil)
 	}
 }
 
-// ringAgain sets the alarms anew at a moment at which the machine went on. The mutex is
+// rearmTimeouts sets the alarms anew at a moment at which the machine went on. The mutex is
 // held.
-func (c *Clock) ringAgain(now time.Time) {
-	for a := range c.alarms {
+func (c *Clock) rearmTimeouts(now time.Time) {
+	for a := range c.timeouts {
 		if a.timer.Stop() {
-			a.timer.Reset(max(a.due.Sub(now), 0))
+			a.timer.Reset(max(a.expiresAt.Sub(now), 0))
 		}
 	}
 }
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// readApart is how far two clocks that are read one after the other may seem to
+	// maxReadSkew is how far two clocks that are read one after the other may seem to
 	// differ by nothing but that.
-	readApart = time.Millisecond
-	// Settles is how long after a machine went on it may still meet what had come before:
+	maxReadSkew = time.Millisecond
+	// BacklogWindow is how long after a machine went on it may still meet what had come before:
 	// bytes in its sockets, which are read in a few milliseconds, or some ten times that
 	// where many wait and the processor is shared.
-	Settles = 250 * time.Millisecond
-	// CheckEvery is how often Run looks whether the machine was suspended.
-	CheckEvery = 100 * time.Millisecond
+	BacklogWindow = 250 * time.Millisecond
+	// SuspensionCheckInterval is how often Run looks whether the machine was suspended.
+	SuspensionCheckInterval = 100 * time.Millisecond
 )
 
 // Clock tells the present time. Nil and the zero value work, for a machine that is never
@@ -33,20 +33,20 @@
 	sinceBoot func() time.Duration
 
 	mu sync.Mutex
-	// began and beganBoot are the same moment by both clocks.
-	began     time.Time
-	beganBoot time.Duration
-	// slept is how long the machine was suspended since, in all, and woke when it last
+	// startedAt and beganBoot are the same moment by both clocks.
+	startedAt      time.Time
+	startSinceBoot time.Duration
+	// totalSuspended is how long the machine was suspended since, in all, and woke when it last
 	// went on, after lastSleep.
-	slept     time.Duration
-	woke      time.Time
-	lastSleep time.Duration
-	alarms    map[*alarm]bool
+	totalSuspended time.Duration
+	resumedAt      time.Time
+	lastSuspension time.Duration
+	timeouts       map[*pendingTimeout]bool
 }
 
 // New returns a Clock that learns of suspensions by a clock that goes on meanwhile.
 func New(sinceBoot func() time.Duration) *Clock {
-	return &Clock{sinceBoot: sinceBoot, beganBoot: sinceBoot(), began: time.Now(), alarms: map[*alarm]bool{}}
+	return &Clock{sinceBoot: sinceBoot, startSinceBoot: sinceBoot(), startedAt: time.Now(), timeouts: map[*pendingTimeout]bool{}}
 }
 
 // Now is the present moment. It carries the steady clock's reading, put forward by the time
@@ -60,41 +60,41 @@
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if slept := boot - c.beganBoot - now.Sub(c.began); slept > c.slept+readApart {
-		c.lastSleep, c.slept = slept-c.slept, slept
-		c.woke = now.Add(c.slept)
-		c.ringAgain(c.woke)
+	if slept := boot - c.startSinceBoot - now.Sub(c.startedAt); slept > c.totalSuspended+maxReadSkew {
+		c.lastSuspension, c.totalSuspended = slept-c.totalSuspended, slept
+		c.resumedAt = now.Add(c.totalSuspended)
+		c.rearmTimeouts(c.resumedAt)
 	}
-	return now.Add(c.slept)
+	return now.Add(c.totalSuspended)
 }
 
 // Since is how long ago a moment of this Clock was.
 func (c *Clock) Since(t time.Time) time.Duration { return c.Now().Sub(t) }
 
-// Slept is how long the machine was suspended in all. An answer that was waited for while
+// TotalSuspended is how long the machine was suspended in all. An answer that was waited for while
 // that grew may have come before, and is older than it seems by as much.
-func (c *Clock) Slept() time.Duration {
+func (c *Clock) TotalSuspended() time.Duration {
 	if c == nil {
 		return 0
 	}
 	c.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.slept
+	return c.totalSuspended
 }
 
-// Late is by how much a message that is handled now may be older than it seems: it may
+// MaxMessageDelay is by how much a message that is handled now may be older than it seems: it may
 // have come before the machine was suspended, if that is only just over.
-func (c *Clock) Late(now time.Time) time.Duration {
+func (c *Clock) MaxMessageDelay(now time.Time) time.Duration {
 	if c == nil {
 		return 0
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lastSleep == 0 || now.Sub(c.woke) > Settles {
+	if c.lastSuspension == 0 || now.Sub(c.resumedAt) > BacklogWindow {
 		return 0
 	}
-	return c.lastSleep
+	return c.lastSuspension
 }
 
 // Run looks for suspensions until the context ends, so that what is due rings soon after
@@ -103,7 +103,7 @@
 	if c == nil || c.sinceBoot == nil {
 		return
 	}
-	tick := time.NewTicker(CheckEvery)
+	tick := time.NewTicker(SuspensionCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -30,7 +30,7 @@
 		time.Sleep(time.Second)
 		m.Suspend(5 * time.Second)
 		is.Equal(c.Since(first), 37*time.Second)
-		is.Equal(c.Slept(), 35*time.Second)
+		is.Equal(c.TotalSuspended(), 35*time.Second)
 	})
 }
 
@@ -41,8 +41,8 @@
 		var none *clock.Clock
 		for _, c := range []*clock.Clock{none, {}} {
 			is.Equal(c.Now(), time.Now())
-			is.Equal(c.Slept(), time.Duration(0))
-			is.Equal(c.Late(c.Now()), time.Duration(0))
+			is.Equal(c.TotalSuspended(), time.Duration(0))
+			is.Equal(c.MaxMessageDelay(c.Now()), time.Duration(0))
 			ctx, cancel := c.WithTimeoutCause(t.Context(), time.Second, errors.New("over"))
 			time.Sleep(time.Second)
 			synctest.Wait()
@@ -52,18 +52,18 @@
 	})
 }
 
-// TestLate has what is handled just after the machine went on count as older by that.
-func TestLate(t *testing.T) {
+// TestMaxMessageDelay has what is handled just after the machine went on count as older by that.
+func TestMaxMessageDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		m := clocktest.NewMachine(t)
 		c := m.Clock()
 		m.Suspend(5 * time.Second)
-		is.Equal(c.Late(c.Now()), 5*time.Second)
-		time.Sleep(clock.Settles / 2)
-		is.Equal(c.Late(c.Now()), 5*time.Second)
-		time.Sleep(clock.Settles)
-		is.Equal(c.Late(c.Now()), time.Duration(0))
+		is.Equal(c.MaxMessageDelay(c.Now()), 5*time.Second)
+		time.Sleep(clock.BacklogWindow / 2)
+		is.Equal(c.MaxMessageDelay(c.Now()), 5*time.Second)
+		time.Sleep(clock.BacklogWindow)
+		is.Equal(c.MaxMessageDelay(c.Now()), time.Duration(0))
 	})
 }
 
@@ -97,7 +97,7 @@
 				<-ctx.Done()
 				is.Equal(context.Cause(ctx), errOver)
 				late := time.Since(began) - c.ends
-				is.True(0 <= late && late <= clock.CheckEvery)
+				is.True(0 <= late && late <= clock.SuspensionCheckInterval)
 				stop()
 			})
 		})
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -33,13 +33,13 @@
 	now := e.now()
 	key := claim.Key(r.Account, r.Route, r.IdempotencyKey)
 	attempt := claim.NewAttempt(claim.Record{
-		Claimant: string(e.self.ID) + "/" + uuid.NewString(),
-		Request:  claim.RequestHash(r.Method, r.Path, r.Body), At: now.UTC(),
+		Claimant:    string(e.self.ID) + "/" + uuid.NewString(),
+		RequestHash: claim.RequestHash(r.Method, r.Path, r.Body), ClaimedAt: now.UTC(),
 	}, now.Add(claimTimeout))
 	for {
 		e.observeEra(e.claims.Era())
 		step := attempt.Next(e.now())
-		if held := e.claimed.heldFor(e.now()); held > 0 && step != claim.Tell {
+		if held := e.claimed.heldFor(e.now()); held > 0 && step != claim.RejectDuplicate {
 			e.abandon(key, attempt)
 			return nil, fail(CodeNoClaim, NotRun, "the call could not be claimed: the platform was restored, and may lack claims").retryAfter(held)
 		}
@@ -51,8 +51,8 @@
 		case claim.Send:
 			e.claimed.remember(e.now(), key, attempt.Record())
 			return &heldClaim{key: key, record: attempt.Record()}, nil
-		case claim.Tell:
-			return nil, duplicate(attempt.Record(), attempt.Other())
+		case claim.RejectDuplicate:
+			return nil, duplicate(attempt.Record(), attempt.ConflictingClaim())
 		case claim.GiveUp:
 			e.abandon(key, attempt)
 			return nil, fail(CodeNoClaim, NotRun, "the call could not be claimed: the platform does not answer").retryAfter(claimRetry)
@@ -67,7 +67,7 @@
 func (e *Entry) createClaim(ctx context.Context, key string, a *claim.Attempt) {
 	text, _ := json.Marshal(a.Record())
 	wrote, err := e.claims.Swap(ctx, key, text, 0)
-	a.Created(resultOf(err), wrote)
+	a.CreateFinished(resultOf(err), wrote)
 	if err != nil {
 		pause(ctx, claimPause)
 	}
@@ -79,7 +79,7 @@
 	if err == nil && item.Found() {
 		err = json.Unmarshal(item.Value, &there)
 	}
-	a.WasRead(resultOf(err), item.Found(), there)
+	a.ReadFinished(resultOf(err), item.Found(), there)
 	if err != nil {
 		pause(ctx, claimPause)
 	}
@@ -88,18 +88,18 @@
 func resultOf(err error) claim.Result {
 	switch {
 	case err == nil:
-		return claim.Done
+		return claim.Answered
 	case errors.Is(err, ErrNotSent):
 		return claim.NotSent
 	default:
-		return claim.Lost
+		return claim.OutcomeUnknown
 	}
 }
 
 // duplicate tells the second caller of a key what is known of the first call.
 func duplicate(ours, theirs claim.Record) *Failure {
 	switch {
-	case ours.Request != theirs.Request:
+	case ours.RequestHash != theirs.RequestHash:
 		return fail(CodeKeyReused, NotRun, "the Idempotency-Key was used for another call")
 	case theirs.Status != 0:
 		return fail(CodeDuplicate, NotRun, "the call with this Idempotency-Key was run; it was answered with status %d", theirs.Status)
--- a/entry/load.go
+++ b/entry/load.go
@@ -74,7 +74,7 @@
 	e.placement.report(ctx, name, round.reports, round.cache)
 	e.placement.suspect(ctx, name, round.silent)
 	// Engines are emptied before their models change.
-	e.placement.withhold(ctx, name, order.Draining(wantedModels(e.Catalog(), name), round.models))
+	e.placement.withhold(ctx, name, order.EnginesToDrain(wantedModels(e.Catalog(), name), round.models))
 }
 
 func (e *Entry) askLoad(ctx context.Context, u member.Upstream, after uint64, round *loadRound) {
--- a/entry/members.go
+++ b/entry/members.go
@@ -80,7 +80,7 @@
 	for {
 		m.beat(ctx)
 		m.entry.crashes.Forget(m.entry.now(), m.isKnown)
-		timer := time.NewTimer(jitter(member.HeartbeatEvery))
+		timer := time.NewTimer(jitter(member.HeartbeatInterval))
 		select {
 		case <-timer.C:
 		case <-m.wake:
@@ -111,7 +111,7 @@
 	pools := m.entry.placement.status(ctx)
 	m.mu.Lock()
 	m.pools = pools
-	calls := m.view.Calls(m.entry.now())
+	calls := m.view.HeartbeatTargets(m.entry.now())
 	m.mu.Unlock()
 	round := pool.New().WithMaxGoroutines(heartbeatConcurrency)
 	for _, to := range calls {
@@ -123,7 +123,7 @@
 func (m *members) beatOne(ctx context.Context, to member.Entry, pools []PoolStatus) {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	slept := m.entry.settings.Clock.Slept()
+	slept := m.entry.settings.Clock.TotalSuspended()
 	h, upTo := m.heartbeat(m.entry.now(), to, pools)
 	answer, err := m.entry.peers.Heartbeat(ctx, to, h)
 	if err != nil {
@@ -132,7 +132,7 @@
 		}
 		return
 	}
-	answer.age(m.entry.settings.Clock.Slept() - slept)
+	answer.age(m.entry.settings.Clock.TotalSuspended() - slept)
 	m.receive(m.entry.now(), answer)
 	m.entry.crashes.Told(answer.From.ID, answer.Epoch, upTo)
 	if answer.Revision > m.entry.config.Catalog().Revision() {
@@ -144,7 +144,7 @@
 func (m *members) OnLinkDown(from member.HostID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Lost(from)
+	m.view.MarkLinkBroken(from)
 }
 
 // lost takes a refused or broken link for the peer's end; a silent one counts
@@ -152,7 +152,7 @@
 func (m *members) lost(to member.Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Lost(to.ID)
+	m.view.MarkLinkBroken(to.ID)
 }
 
 // heartbeat is what this entry tells a peer, and the change of the crashes up to which that
@@ -163,7 +163,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h := Heartbeat{
-		From: m.entry.self, Revision: revision, Leaving: m.leaving, LeavingUpstreams: m.view.Leaving(),
+		From: m.entry.self, Revision: revision, Leaving: m.leaving, LeavingUpstreams: m.view.LeavingUpstreams(),
 		Epoch: m.entry.crashes.epoch, Crashes: crashes, Era: m.entry.Era(),
 	}
 	h.Zones = m.zonesFor(now, to, revision)
@@ -185,18 +185,18 @@
 // entries that have links to other zones have something to tell. The mutex is
 // held.
 func (m *members) zonesFor(now time.Time, to member.Zone, revision resource.Revision) []ZoneStatus {
-	if to == m.entry.self.Zone && !m.view.Watches(now) {
+	if to == m.entry.self.Zone && !m.view.IsWatcher(now) {
 		return nil
 	}
 	var told []ZoneStatus
 	for _, z := range m.view.Zones() {
-		report := m.view.Zone(z)
+		report := m.view.LastZoneReport(z)
 		if z == m.entry.self.Zone {
-			report = m.view.OwnZone(now, uint64(revision))
+			report = m.view.OwnZoneReport(now, uint64(revision))
 		}
-		if !report.At.IsZero() {
+		if !report.ObservedAt.IsZero() {
 			told = append(told, ZoneStatus{
-				Zone: z, Revision: resource.Revision(report.Revision), Entries: report.Entries, Age: now.Sub(report.At),
+				Zone: z, Revision: resource.Revision(report.MinRevision), Entries: report.Entries, Age: now.Sub(report.ObservedAt),
 			})
 		}
 	}
@@ -206,7 +206,7 @@
 // OnHeartbeat serves a peer's heartbeat.
 func (m *members) OnHeartbeat(now time.Time, h Heartbeat) Heartbeat {
 	// It may have waited here while this machine was suspended.
-	h.age(m.entry.settings.Clock.Late(now))
+	h.age(m.entry.settings.Clock.MaxMessageDelay(now))
 	m.receive(now, h)
 	m.mu.Lock()
 	pools := m.pools
@@ -224,12 +224,12 @@
 	m.entry.crashes.Receive(now, h.Crashes)
 	m.entry.observeEra(h.Era)
 	m.mu.Lock()
-	m.view.Heard(now, h.From, uint64(h.Revision), h.Leaving)
+	m.view.RecordHeartbeat(now, h.From, uint64(h.Revision), h.Leaving)
 	for _, id := range h.LeavingUpstreams {
 		m.markLeaving(id, "peer")
 	}
 	for _, z := range h.Zones {
-		m.view.HeardZone(z.Zone, member.ZoneReport{Revision: uint64(z.Revision), Entries: z.Entries, At: now.Add(-z.Age)})
+		m.view.RecordZoneReport(z.Zone, member.ZoneReport{MinRevision: uint64(z.Revision), Entries: z.Entries, ObservedAt: now.Add(-z.Age)})
 	}
 	for _, status := range h.Pools {
 		if status.Zone != m.entry.self.Zone {
@@ -270,7 +270,7 @@
 		list, err := m.entry.hosts.Hosts(ctx)
 		if err == nil {
 			m.mu.Lock()
-			m.view.HostList(m.entry.now(), list)
+			m.view.UpdateHostList(m.entry.now(), list)
 			m.mu.Unlock()
 		}
 		if failing != (err != nil) {
@@ -301,7 +301,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leaving = true
-	m.view.Leave()
+	m.view.MarkSelfLeaving()
 }
 
 // Upstream finds an upstream by its id, also one that is leaving.
@@ -332,7 +332,7 @@
 func (m *members) enginesFor(now time.Time, name resource.Name) []member.Upstream {
 	engines := m.upstreamsFor(member.KindEngine, name, m.entry.self.Zone)
 	m.mu.Lock()
-	orphaned := m.view.Orphaned(now)
+	orphaned := m.view.OrphanedZones(now)
 	m.mu.Unlock()
 	for _, z := range orphaned {
 		engines = append(engines, m.upstreamsFor(member.KindEngine, name, z)...)
@@ -353,7 +353,7 @@
 func (m *members) LiveHere(now time.Time) []member.Entry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Live(now, m.entry.self.Zone)
+	return m.view.AvailableEntries(now, m.entry.self.Zone)
 }
 
 // Alive reports whether an entry was heard of lately.
@@ -367,7 +367,7 @@
 func (m *members) Gone(now time.Time, id member.HostID) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Gone(now, id)
+	return m.view.PresumedDead(now, id)
 }
 
 // Entry finds an entry by its id.
@@ -428,5 +428,5 @@
 func (m *members) Watches(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Watches(now)
+	return m.view.IsWatcher(now)
 }
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -40,7 +40,7 @@
 			e.releaseOrders(ctx, &holder, lease)
 		case order.Wait:
 		}
-		if holder.MayAct(e.now()) && looked.due(e.now(), e.Catalog().Revision()) {
+		if holder.LeaseValid(e.now()) && looked.due(e.now(), e.Catalog().Revision()) {
 			settled := e.reconcile(ctx, &holder)
 			looked = reconciled{at: e.now(), revision: e.Catalog().Revision(), settled: settled}
 		}
@@ -149,12 +149,12 @@
 	if err != nil {
 		return false
 	}
-	missing := order.Missing(wanted, load.Models)
-	if order.Outdated(wanted, load.Models) && load.Running+load.Waiting > 0 {
+	missing := order.MissingModels(wanted, load.Models)
+	if order.HasOutdatedModel(wanted, load.Models) && load.Running+load.Waiting > 0 {
 		return false
 	}
 	for _, target := range missing {
-		if !h.MayOrder(e.now(), checks) {
+		if !h.MaySendOrder(e.now(), checks) {
 			return false
 		}
 		o := Order{Token: h.Token(), Model: target.Model, Version: target.Version}
--- a/entry/placement_test.go
+++ b/entry/placement_test.go
@@ -181,7 +181,7 @@
 				p.setCut(peer, id != peer)
 			}
 		}
-		time.Sleep(2 * member.SuspectAfter)
+		time.Sleep(2 * member.SuspectTimeout)
 		is.Equal(placedAt(coordinator), 0)
 		release()
 		is.NoErr(<-ended)
--- a/entry/status.go
+++ b/entry/status.go
@@ -38,12 +38,12 @@
 	defer m.mu.Unlock()
 	var states []ZoneState
 	for _, z := range m.view.Zones() {
-		report := m.view.Zone(z)
+		report := m.view.LastZoneReport(z)
 		if z == e.self.Zone {
-			report = m.view.OwnZone(now, uint64(revision))
+			report = m.view.OwnZoneReport(now, uint64(revision))
 		}
 		states = append(states, ZoneState{
-			Zone: z, Revision: resource.Revision(report.Revision), Entries: report.Entries, Seen: report.At,
+			Zone: z, Revision: resource.Revision(report.MinRevision), Entries: report.Entries, Seen: report.ObservedAt,
 		})
 	}
 	return states
@@ -84,7 +84,7 @@
 	s.OutOfService = catalog.DrainedZones()
 	e.members.mu.Lock()
 	defer e.members.mu.Unlock()
-	s.Entries = e.members.view.Live(now, "")
+	s.Entries = e.members.view.AvailableEntries(now, "")
 	for _, u := range e.members.view.AllUpstreams() {
 		u.Leaving = u.Leaving || catalog.Drained(string(u.ID), string(u.Zone))
 		s.Upstreams = append(s.Upstreams, u)
@@ -100,5 +100,5 @@
 func (e *Entry) Daemons() int {
 	e.members.mu.Lock()
 	defer e.members.mu.Unlock()
-	return e.members.view.Known()
+	return e.members.view.EntryCount()
 }
--- a/entry/store.go
+++ b/entry/store.go
@@ -28,7 +28,7 @@
 }
 
 // at is where in the service's history it answered.
-func (i Item) at() history.Point { return history.At(i.Era, history.Revision(i.Index)) }
+func (i Item) at() history.Point { return history.NewPoint(i.Era, history.Revision(i.Index)) }
 
 // Found reports whether the key was there.
 func (i Item) Found() bool { return i.Version != 0 }
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -35,7 +35,7 @@
 // TestOrdersAcrossSuspension has an entry that was suspended for longer than its lease
 // holds give no order any more: another has the lease by now.
 func TestOrdersAcrossSuspension(t *testing.T) {
-	for _, slept := range clocktest.Durations {
+	for _, slept := range clocktest.SuspensionDurations {
 		t.Run(slept.String(), func(t *testing.T) {
 			onSuspendable(t, func(is *is.I, s *fakeSite, e *Entry, m *clocktest.Machine) {
 				s.leases.fail()
@@ -65,7 +65,7 @@
 // TestClaimAcrossSuspension has a call whose claim took longer than a claim may, because
 // the machine was suspended meanwhile, not be sent.
 func TestClaimAcrossSuspension(t *testing.T) {
-	for _, slept := range clocktest.Durations {
+	for _, slept := range clocktest.SuspensionDurations {
 		t.Run(slept.String(), func(t *testing.T) {
 			onSuspendable(t, func(is *is.I, s *fakeSite, e *Entry, m *clocktest.Machine) {
 				s.addService("s2", "az2")
@@ -100,7 +100,7 @@
 
 // TestZonesAcrossSuspension has what is told of other zones be as old as it is.
 func TestZonesAcrossSuspension(t *testing.T) {
-	for _, slept := range clocktest.Durations {
+	for _, slept := range clocktest.SuspensionDurations {
 		t.Run(slept.String(), func(t *testing.T) {
 			onSuspendable(t, func(is *is.I, _ *fakeSite, e *Entry, m *clocktest.Machine) {
 				heard := func() time.Duration {
--- a/forward/drillstore_test.go
+++ b/forward/drillstore_test.go
@@ -162,7 +162,7 @@
 func (s *drillStore) newest(after history.Revision, whole bool) (OriginUpdate, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	news := OriginUpdate{Revision: history.At(s.era, s.at)}
+	news := OriginUpdate{Revision: history.NewPoint(s.era, s.at)}
 	last := map[string]history.Revision{}
 	for _, e := range s.events {
 		last[e.key] = e.revision
@@ -180,11 +180,11 @@
 	switch {
 	case e.upstream != nil && !(whole && e.upstream.Gone):
 		c := *e.upstream
-		c.Revision = history.At(era, e.revision)
+		c.Revision = history.NewPoint(era, e.revision)
 		news.Changes = append(news.Changes, c)
 	case e.zone != nil && !(whole && !e.zone.OutOfService):
 		o := *e.zone
-		o.Revision = history.At(era, e.revision)
+		o.Revision = history.NewPoint(era, e.revision)
 		news.ZoneOrders = append(news.ZoneOrders, o)
 	case e.config != nil:
 		news.Config = e.config
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -119,7 +119,7 @@
 	}
 	// The request may have waited in a socket of this host while the machine was suspended. Its
 	// caller has waited for that time, too, and may have left.
-	late := x.settings.Clock.Late(now)
+	late := x.settings.Clock.MaxMessageDelay(now)
 	if x.call.CallerTimeout > 0 && x.call.CallerTimeout <= late {
 		return Refusal{Code: CodeLate, RetryAfter: otherHostRetryAfter}, false
 	}
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -64,7 +64,7 @@
 	// restore holds what is known of writes to the origin in the present era. eraFirstSeen is
 	// when the era was first seen, by this host or by the host that reported it. restoreStats
 	// counts the effects of the last restore until takeRestored collects them.
-	restore      history.Restore
+	restore      history.EraTracker
 	eraFirstSeen time.Time
 	restoreStats *restoreStats
 	// forgottenUpTo is the newest revision of the removed upstreams that this host has
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -245,7 +245,7 @@
 
 // followOrigin reads everything from the origin or waits for its next update.
 func (w *follower) followOrigin(ctx context.Context) {
-	provedAt, slept := w.now(), w.settings.Clock.Slept()
+	provedAt, slept := w.now(), w.settings.Clock.TotalSuspended()
 	var update OriginUpdate
 	var err error
 	if w.configReadDue(provedAt) {
@@ -273,7 +273,7 @@
 		// The update lacks what was written between the point of the watch and the restore.
 		w.needsFullRead = true
 		return
-	case !w.needsFullRead && w.settings.Clock.Slept() == slept:
+	case !w.needsFullRead && w.settings.Clock.TotalSuspended() == slept:
 		// The machine wasn't suspended during the watch. If it was, the answer may have waited
 		// here, and is only proved for the time before the call.
 		provedAt = w.now()
--- a/forward/followpeer.go
+++ b/forward/followpeer.go
@@ -167,13 +167,13 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	slept := f.settings.Clock.Slept()
+	slept := f.settings.Clock.TotalSuspended()
 	announcements, announcedUpTo := f.peers.announcementsForLeader(f.now(), peer.ID)
 	reply, err := peers.Follow(callCtx, peer, FollowRequest{
 		From: f.peers.self.ID, Announcements: announcements,
 		Version: f.newestKnownVersion(), ListRevision: f.fleet.Revision(), HostCursor: f.peers.rosterCursor(peer.ID), Wait: bounds.wait,
 	})
-	suspendedFor := f.settings.Clock.Slept() - slept
+	suspendedFor := f.settings.Clock.TotalSuspended() - slept
 	reply.ConfigAge, reply.OriginAge = ageWithDelay(reply.ConfigAge, suspendedFor), ageWithDelay(reply.OriginAge, suspendedFor)
 	reply.EraAge = ageWithDelay(reply.EraAge, suspendedFor)
 	if err == nil && reply.Busy {
@@ -267,7 +267,7 @@
 	r.Generation = f.generation
 	r.Zones = f.zoneOrdersSince(after, r.Complete)
 	r.HasGaps = slices.ContainsFunc(f.gaps, func(g gap) bool { return g.from.Before(r.ListRevision) && after.Before(g.to) })
-	r.EraFirstSeen = f.restore.First()
+	r.EraFirstSeen = f.restore.LowestSeen()
 	if !f.eraFirstSeen.IsZero() {
 		r.EraAge = now.Sub(f.eraFirstSeen)
 	}
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -235,7 +235,7 @@
 func (f *Forwarder) Run(ctx context.Context) {
 	tick := time.NewTicker(poolRefreshInterval)
 	defer tick.Stop()
-	suspended := f.settings.Clock.Slept()
+	suspended := f.settings.Clock.TotalSuspended()
 	for {
 		suspended = f.reportSuspension(suspended)
 		changed := f.fleet.Changed()
@@ -276,7 +276,7 @@
 // last call, and returns the present total. After a suspension it notifies all peers at once,
 // so that they learn that this host is back, and it learns what they know.
 func (f *Forwarder) reportSuspension(reported time.Duration) time.Duration {
-	suspended := f.settings.Clock.Slept()
+	suspended := f.settings.Clock.TotalSuspended()
 	if suspended > reported {
 		f.journal.HostEvent("was suspended", "for", suspended-reported)
 		f.observer.Suspended(suspended - reported)
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -222,11 +222,11 @@
 	defer cancel()
 	var upTo uint64
 	share.Crashes, upTo = f.crashes.Tell(f.now(), to.ID)
-	suspendedBefore := f.settings.Clock.Slept()
+	suspendedBefore := f.settings.Clock.TotalSuspended()
 	reply, err := peers.Share(ctx, to, share)
 	f.peers.recordShareResult(to.ID, err)
 	if err == nil {
-		suspended := f.settings.Clock.Slept() - suspendedBefore
+		suspended := f.settings.Clock.TotalSuspended() - suspendedBefore
 		reply.ConfigAge, reply.OriginAge = ageWithDelay(reply.ConfigAge, suspended), ageWithDelay(reply.OriginAge, suspended)
 		if f.peers.inSameCell(reply.From.ID) {
 			f.engines.replacePeerRuns(f.now(), reply.From.ID, reply.Runs, reply.EndedRuns)
@@ -289,7 +289,7 @@
 // OnShare handles a share from a peer and returns the reply.
 func (f *Forwarder) OnShare(s Share) Share {
 	// The share may have waited in a socket of this machine while the machine was suspended.
-	delay := f.settings.Clock.Late(f.now())
+	delay := f.settings.Clock.MaxMessageDelay(f.now())
 	s.ConfigAge, s.OriginAge = ageWithDelay(s.ConfigAge, delay), ageWithDelay(s.OriginAge, delay)
 	f.engines.replacePeerRuns(f.now(), s.From.ID, s.Runs, s.EndedRuns)
 	f.receiveShare(s)
--- a/forward/peerselection.go
+++ b/forward/peerselection.go
@@ -199,7 +199,7 @@
 	}
 	for _, candidates := range [][]Peer{reachable, recent, anyCell} {
 		if len(candidates) > 0 {
-			return member.First(duty, candidates)
+			return member.HighestRanked(duty, candidates)
 		}
 	}
 	return p.self
--- a/forward/point_test.go
+++ b/forward/point_test.go
@@ -6,4 +6,4 @@
 import "github.com/shedpath/shedpath/history"
 
 // rev returns a revision of an origin that states no era.
-func rev[N ~int | ~uint64](n N) history.Point { return history.At(0, history.Revision(n)) }
+func rev[N ~int | ~uint64](n N) history.Point { return history.NewPoint(0, history.Revision(n)) }
--- a/forward/restore_test.go
+++ b/forward/restore_test.go
@@ -24,9 +24,9 @@
 	now = now.Add(goneRetention + time.Second)
 	f.Apply(now, []Change{{Upstream: llmUpstream("app4", 5, false), Gone: true}}, rev(5))
 	f.Settle(now.Add(time.Second))
-	restored := history.At(1, 4)
+	restored := history.NewPoint(1, 4)
 	copied := llmUpstream("app4", 0, false)
-	copied.Revision = history.At(1, 3)
+	copied.Revision = history.NewPoint(1, 3)
 	f.ApplyUpdate(now.Add(2*time.Second), OriginUpdate{Changes: []Change{{Upstream: copied}}, Revision: restored}, true)
 	is.Equal(len(f.Available(now.Add(2*time.Second), copied.Service)), 0)
 }
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -40,7 +40,7 @@
 // TestProofsAcrossSuspension checks that each proof, and each age that is reported of one, grows by the
 // time for which the machine was suspended.
 func TestProofsAcrossSuspension(t *testing.T) {
-	for _, slept := range clocktest.Durations {
+	for _, slept := range clocktest.SuspensionDurations {
 		for name, age := range map[string]func(f *Forwarder) time.Duration{
 			"configuration":      func(f *Forwarder) time.Duration { return f.ContactAge(f.now()) },
 			"list":               func(f *Forwarder) time.Duration { return f.OriginAge(f.now()) },
@@ -65,7 +65,7 @@
 // TestUnknownAfterSuspension checks that a host that was suspended for longer than its proof is valid
 // doesn't deny that a route or a key exists, as its configuration may be out of date.
 func TestUnknownAfterSuspension(t *testing.T) {
-	for _, slept := range clocktest.Durations {
+	for _, slept := range clocktest.SuspensionDurations {
 		for name, c := range map[string]struct {
 			path, key string
 			code      Code
@@ -91,7 +91,7 @@
 // passed, suspension included, and not before.
 func TestTimedStateAcrossSuspension(t *testing.T) {
 	const engine = member.UpstreamID("llm1")
-	for _, slept := range clocktest.Durations {
+	for _, slept := range clocktest.SuspensionDurations {
 		for name, c := range map[string]struct {
 			set      func(f *Forwarder)
 			holds    func(f *Forwarder) bool
@@ -172,7 +172,7 @@
 // peer or of the origin for new: answers that arrived during the suspension, and messages that waited in
 // its sockets.
 func TestMessagesFromBeforeSuspension(t *testing.T) {
-	for _, slept := range clocktest.Durations {
+	for _, slept := range clocktest.SuspensionDurations {
 		for name, receive := range map[string]func(f *Forwarder, s *clocktest.Machine){
 			"a message that waited": func(f *Forwarder, s *clocktest.Machine) {
 				s.Suspend(slept)
@@ -237,7 +237,7 @@
 // is refused if its caller may have given it up while it was queued, and otherwise has only the
 // time that is left. A request that is read later has its full time.
 func TestRequestQueuedDuringSuspension(t *testing.T) {
-	for _, slept := range clocktest.Durations {
+	for _, slept := range clocktest.SuspensionDurations {
 		for _, patience := range []time.Duration{600 * time.Millisecond, 3 * time.Second, 39 * time.Second} {
 			t.Run(fmt.Sprint(patience, " ", slept), func(t *testing.T) {
 				var left time.Duration
@@ -273,7 +273,7 @@
 // TestRequestAcrossSuspension checks that a request in progress when the machine is suspended ends when
 // its time is really over, and that an upstream is given no more time than is left.
 func TestRequestAcrossSuspension(t *testing.T) {
-	for _, slept := range clocktest.Durations {
+	for _, slept := range clocktest.SuspensionDurations {
 		t.Run(fmt.Sprint("ends in time ", slept), func(t *testing.T) {
 			silent := func(ctx context.Context, _ Upstream, _ *UpstreamRequest) (*Response, error) {
 				<-ctx.Done()
@@ -291,7 +291,7 @@
 				f.Serve(ctx, request, sink)
 				is.Equal(sink.refused.Code, CodeTimeout)
 				late := time.Since(began) - (39*time.Second - slept)
-				is.True(0 <= late && late <= 2*clock.CheckEvery)
+				is.True(0 <= late && late <= 2*clock.SuspensionCheckInterval)
 				stop()
 				synctest.Wait()
 			})
--- a/forward/turns.go
+++ b/forward/turns.go
@@ -200,7 +200,7 @@
 	if len(near) == 0 {
 		return p.self
 	}
-	return member.First("moves off "+string(u.ID), near)
+	return member.HighestRanked("moves off "+string(u.ID), near)
 }
 
 // errNoTurn is an arbiter's word that another has the turn.
--- a/history/history.go
+++ b/history/history.go
@@ -36,8 +36,8 @@
 	revision Revision
 }
 
-// At returns the point of a revision in an era.
-func At(e Era, r Revision) Point { return Point{e, r} }
+// NewPoint returns the point of a revision in an era.
+func NewPoint(e Era, r Revision) Point { return Point{e, r} }
 
 // Era is the point's era.
 func (p Point) Era() Era { return p.era }
@@ -78,22 +78,22 @@
 	return p
 }
 
-// Restore says from which revision on what an era tells was written in it. The zero value
+// EraTracker says from which revision on what an era tells was written in it. The zero value
 // knows of no restore.
-type Restore struct {
-	// first is the lowest revision at which the era was seen: all above was written in it.
-	first Point
+type EraTracker struct {
+	// lowestSeen is the lowest revision at which the era was seen: all above was written in it.
+	lowestSeen Point
 }
 
 // Observe takes in that a store was at a point. Only points of the latest era count.
-func (r *Restore) Observe(p Point) {
-	if p.era > r.first.era || p.era == r.first.era && p.Before(r.first) {
-		r.first = p
+func (r *EraTracker) Observe(p Point) {
+	if p.era > r.lowestSeen.era || p.era == r.lowestSeen.era && p.Before(r.lowestSeen) {
+		r.lowestSeen = p
 	}
 }
 
-// First is the lowest point at which the latest era was seen.
-func (r *Restore) First() Point { return r.first }
+// LowestSeen is the lowest point at which the latest era was seen.
+func (r *EraTracker) LowestSeen() Point { return r.lowestSeen }
 
 // Supersedes reports whether what was written at a point is newer than what is known as of
 // another, or is the same.
@@ -102,10 +102,10 @@
 // If the copy has a higher revision of a key than is known, its write was after the known one,
 // in whichever era. A lower one is either older, or was written since with a revision that was
 // given out again: that can't be told, and what is known stands.
-func (r *Restore) Supersedes(read, known Point) bool {
+func (r *EraTracker) Supersedes(read, known Point) bool {
 	if read.era == known.era || read.era < known.era {
 		return !read.Before(known)
 	}
-	fresh := read.era == r.first.era && read.After(r.first)
+	fresh := read.era == r.lowestSeen.era && read.After(r.lowestSeen)
 	return fresh || read.revision >= known.revision
 }
--- a/internal/peer/list_test.go
+++ b/internal/peer/list_test.go
@@ -18,11 +18,11 @@
 
 // wholeList is a reply with the list of a large fleet.
 func wholeList(now time.Time, upstreams int) forward.FollowReply {
-	r := forward.FollowReply{Complete: true, Generation: 1, ListRevision: history.At(2, 90)}
+	r := forward.FollowReply{Complete: true, Generation: 1, ListRevision: history.NewPoint(2, 90)}
 	for n := range upstreams {
 		c := forward.Change{Upstream: forward.Upstream{
 			ID: member.UpstreamID(fmt.Sprintf("i-%08x", n*2654435761%(1<<32))), Service: "llm", Address: fmt.Sprintf("10.9.%d.%d:80", n/250, n%250),
-			Zone: member.Zone(fmt.Sprint("z", n%5)), Slots: 24, Version: "v1", Incarnation: forward.Incarnation(1700000000000 + n), Revision: history.At(2, history.Revision(n)),
+			Zone: member.Zone(fmt.Sprint("z", n%5)), Slots: 24, Version: "v1", Incarnation: forward.Incarnation(1700000000000 + n), Revision: history.NewPoint(2, history.Revision(n)),
 		}}
 		if n%100 == 0 {
 			c.Leaving, c.ColdUntil = true, now.Add(time.Second)
--- a/internal/peer/permits_test.go
+++ b/internal/peer/permits_test.go
@@ -52,7 +52,7 @@
 		b.Fatal(err)
 	}
 	asked := forward.New(forward.Settings{Self: forward.Peer{ID: "g", Zone: "z"}}, nil, nothingNoted{}, nothingCounted{})
-	asked.Fleet().Replace(time.Now(), []forward.Upstream{{ID: "u", Service: "app", Zone: "z", Revision: history.At(0, 1)}}, history.At(0, 1))
+	asked.Fleet().Replace(time.Now(), []forward.Upstream{{ID: "u", Service: "app", Zone: "z", Revision: history.NewPoint(0, 1)}}, history.NewPoint(0, 1))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	server, caller := NewMesh("g", key), NewMesh("h", key)
--- a/internal/peer/points_test.go
+++ b/internal/peer/points_test.go
@@ -19,11 +19,11 @@
 	is := is.New(t)
 	now := time.Now()
 	orders := []forward.ZoneOrder{
-		{Zone: "z1", OutOfService: true, Revision: history.At(3, 5)}, {Zone: "z2", Revision: history.At(4, 6), BelievedFrom: now.Add(30 * time.Second)},
+		{Zone: "z1", OutOfService: true, Revision: history.NewPoint(3, 5)}, {Zone: "z2", Revision: history.NewPoint(4, 6), BelievedFrom: now.Add(30 * time.Second)},
 	}
 	sent := forward.FollowReply{
-		Complete: true, ListRevision: history.At(4, 9), EraFirstSeen: history.At(4, 7), Zones: orders,
-		Changes: []forward.Change{{Upstream: forward.Upstream{ID: "u", Revision: history.At(3, 8)}, BelievedFrom: now.Add(5 * time.Second)}},
+		Complete: true, ListRevision: history.NewPoint(4, 9), EraFirstSeen: history.NewPoint(4, 7), Zones: orders,
+		Changes: []forward.Change{{Upstream: forward.Upstream{ID: "u", Revision: history.NewPoint(3, 8)}, BelievedFrom: now.Add(5 * time.Second)}},
 	}
 	wire, err := toWireFollowed(now, sent, &listPacker{})
 	is.NoErr(err)
@@ -36,7 +36,7 @@
 	is.Equal([]history.Point{reply.ListRevision, reply.EraFirstSeen, reply.Changes[0].Revision}, []history.Point{sent.ListRevision, sent.EraFirstSeen, sent.Changes[0].Revision})
 	is.Equal(reply.Changes[0].BelievedFrom, sent.Changes[0].BelievedFrom)
 	is.Equal(reply.Zones, orders)
-	share := toWireShare(now, forward.Share{List: history.At(4, 9), Zones: orders}).share(now)
-	is.Equal(share.List, history.At(4, 9))
+	share := toWireShare(now, forward.Share{List: history.NewPoint(4, 9), Zones: orders}).share(now)
+	is.Equal(share.List, history.NewPoint(4, 9))
 	is.Equal(share.Zones, orders)
 }
--- a/internal/peer/share.go
+++ b/internal/peer/share.go
@@ -79,7 +79,7 @@
 
 // point is a point as two numbers of a message.
 func point(era, revision uint64) history.Point {
-	return history.At(history.Era(era), history.Revision(revision))
+	return history.NewPoint(history.Era(era), history.Revision(revision))
 }
 
 // numbers are a point's, for a message.
--- a/member/member.go
+++ b/member/member.go
@@ -61,11 +61,11 @@
 
 // Heartbeat periods and limits.
 const (
-	HeartbeatEvery = time.Second
-	// SuspectAfter is how long after its last heartbeat an entry counts as
+	HeartbeatInterval = time.Second
+	// SuspectTimeout is how long after its last heartbeat an entry counts as
 	// alive.
-	SuspectAfter = 3 * time.Second
-	// ForgetAfter is how long a silent entry that the host list doesn't name
+	SuspectTimeout = 3 * time.Second
+	// ForgetTimeout is how long a silent entry that the host list doesn't name
 	// is still tried.
-	ForgetAfter = 10 * time.Minute
+	ForgetTimeout = 10 * time.Minute
 )
--- a/member/rank.go
+++ b/member/rank.go
@@ -30,8 +30,8 @@
 	return ranked
 }
 
-// First is the entry that ranks first for a duty among some, of which there is one at least.
-func First(duty string, among []Entry) Entry {
+// HighestRanked is the entry that ranks first for a duty among some, of which there is one at least.
+func HighestRanked(duty string, among []Entry) Entry {
 	first, highest := among[0], weight(duty, among[0].ID)
 	for _, e := range among[1:] {
 		if w := weight(duty, e.ID); w > highest || w == highest && e.ID < first.ID {
@@ -53,7 +53,7 @@
 
 // Owner returns the live entry of the zone that has the duty.
 func (v *View) Owner(now time.Time, duty string, z Zone) (Entry, bool) {
-	ranked := Rank(duty, v.Live(now, z))
+	ranked := Rank(duty, v.AvailableEntries(now, z))
 	if len(ranked) == 0 {
 		return Entry{}, false
 	}
@@ -64,10 +64,10 @@
 // the links to other zones.
 const watchersPerZone = 2
 
-// Watches reports whether this entry is among those of its zone that keep the
+// IsWatcher reports whether this entry is among those of its zone that keep the
 // platform's watch.
-func (v *View) Watches(now time.Time) bool {
-	return ranksWithin(Rank("watch", v.Live(now, v.self.Zone)), v.self.ID, watchersPerZone)
+func (v *View) IsWatcher(now time.Time) bool {
+	return ranksWithin(Rank("watch", v.AvailableEntries(now, v.self.Zone)), v.self.ID, watchersPerZone)
 }
 
 func ranksWithin(ranked []Entry, id HostID, n int) bool {
@@ -79,10 +79,10 @@
 	return false
 }
 
-// Links lists the peers that this entry exchanges heartbeats with: everyone in
+// HeartbeatPeers lists the peers that this entry exchanges heartbeats with: everyone in
 // its zone and, while it is among its own zone's first by rank, the first few
 // of each other zone.
-func (v *View) Links(now time.Time) []Entry {
+func (v *View) HeartbeatPeers(now time.Time) []Entry {
 	var links []Entry
 	others := map[Zone][]Entry{}
 	for _, p := range v.peers {
@@ -92,11 +92,11 @@
 		}
 		others[p.entry.Zone] = append(others[p.entry.Zone], p.entry)
 	}
-	if !v.Watches(now) {
+	if !v.IsWatcher(now) {
 		return links
 	}
 	for z, all := range others {
-		among := v.Live(now, z)
+		among := v.AvailableEntries(now, z)
 		if len(among) < watchersPerZone {
 			// Nobody is heard there: try some of those it may have.
 			among = all
@@ -107,14 +107,14 @@
 	return links
 }
 
-// Calls lists the links on which this entry is the one to call. Of each two
+// HeartbeatTargets lists the links on which this entry is the one to call. Of each two
 // entries one calls and the other answers with its own heartbeat; but a peer
 // that has gone quiet is called by both.
-func (v *View) Calls(now time.Time) []Entry {
+func (v *View) HeartbeatTargets(now time.Time) []Entry {
 	var calls []Entry
-	for _, to := range v.Links(now) {
+	for _, to := range v.HeartbeatPeers(now) {
 		p := v.peers[to.ID]
-		quiet := p.broken || now.Sub(p.heard) > quietAfter
+		quiet := p.linkBroken || now.Sub(p.lastHeartbeat) > quietTimeout
 		if v.self.ID < to.ID || quiet {
 			calls = append(calls, to)
 		}
@@ -122,14 +122,14 @@
 	return calls
 }
 
-// quietAfter is a little more than the longest time between two heartbeats.
-const quietAfter = 3 * HeartbeatEvery / 2
+// quietTimeout is a little more than the longest time between two heartbeats.
+const quietTimeout = 3 * HeartbeatInterval / 2
 
 // ProbableOwner returns the entry of another zone that probably has a duty
 // there: by rank among its live entries or, when this entry hears none of
 // them, among all it knows of.
 func (v *View) ProbableOwner(now time.Time, duty string, z Zone) (Entry, bool) {
-	among := v.Live(now, z)
+	among := v.AvailableEntries(now, z)
 	if len(among) == 0 {
 		for _, p := range v.peers {
 			if p.entry.Zone == z {
--- a/member/view.go
+++ b/member/view.go
@@ -22,70 +22,70 @@
 	// leaving is sticky: once one sign said that an upstream leaves, it holds
 	// until the host list has dropped the upstream.
 	leaving map[UpstreamID]bool
-	// zones are the other zones' reports, as last heard.
-	zones map[Zone]ZoneReport
-	// began is when this entry started to listen.
-	began time.Time
+	// zoneReports are the other zoneReports' reports, as last heard.
+	zoneReports map[Zone]ZoneReport
+	// startedAt is when this entry started to listen.
+	startedAt time.Time
 }
 
 type peer struct {
 	entry Entry
-	// heard is the time of the last heartbeat; zero means never.
-	heard time.Time
-	// broken says that its link was refused or broke since.
-	broken bool
-	// listed is the last time the host list or a heartbeat named the peer.
-	listed   time.Time
-	leaving  bool
-	revision uint64
+	// lastHeartbeat is the time of the last heartbeat; zero means never.
+	lastHeartbeat time.Time
+	// linkBroken says that its link was refused or broke since.
+	linkBroken bool
+	// lastNamed is the last time the host list or a heartbeat named the peer.
+	lastNamed time.Time
+	leaving   bool
+	revision  uint64
 }
 
 // ZoneReport is the state of a zone as it was last reported.
 type ZoneReport struct {
-	// Revision is the lowest in force on the zone's live entries.
-	Revision uint64
+	// MinRevision is the lowest in force on the zone's live entries.
+	MinRevision uint64
 	// Entries is how many of them there were.
 	Entries int
-	// At is when this entry learned it.
-	At time.Time
+	// ObservedAt is when this entry learned it.
+	ObservedAt time.Time
 }
 
 // NewView returns a view that knows only its own entry and the seeds.
 func NewView(now time.Time, self Entry, seeds ...Entry) *View {
 	v := &View{
-		self:      self,
-		began:     now,
-		peers:     map[HostID]*peer{},
-		upstreams: map[UpstreamID]Upstream{},
-		leaving:   map[UpstreamID]bool{},
-		zones:     map[Zone]ZoneReport{},
+		self:        self,
+		startedAt:   now,
+		peers:       map[HostID]*peer{},
+		upstreams:   map[UpstreamID]Upstream{},
+		leaving:     map[UpstreamID]bool{},
+		zoneReports: map[Zone]ZoneReport{},
 	}
 	for _, seed := range seeds {
-		v.learn(now, seed)
+		v.recordPeer(now, seed)
 	}
 	return v
 }
 
-func (v *View) learn(now time.Time, e Entry) *peer {
+func (v *View) recordPeer(now time.Time, e Entry) *peer {
 	p := v.peers[e.ID]
 	if p == nil {
 		p = &peer{}
 		v.peers[e.ID] = p
 	}
-	p.entry, p.listed = e, now
+	p.entry, p.lastNamed = e, now
 	return p
 }
 
-// HostList takes in the platform's list. A peer that was heard of lately stays,
+// UpdateHostList takes in the platform's list. A peer that was heard of lately stays,
 // whatever the list says; an upstream that the list dropped goes.
-func (v *View) HostList(now time.Time, list HostList) {
+func (v *View) UpdateHostList(now time.Time, list HostList) {
 	for _, e := range list.Entries {
 		if e.ID != v.self.ID {
-			v.learn(now, e)
+			v.recordPeer(now, e)
 		}
 	}
 	for id, p := range v.peers {
-		if now.Sub(p.listed) > ForgetAfter && now.Sub(p.heard) > ForgetAfter {
+		if now.Sub(p.lastNamed) > ForgetTimeout && now.Sub(p.lastHeartbeat) > ForgetTimeout {
 			delete(v.peers, id)
 		}
 	}
@@ -103,13 +103,13 @@
 	})
 }
 
-// Heard takes in a heartbeat from a peer.
-func (v *View) Heard(now time.Time, from Entry, revision uint64, leaving bool) {
+// RecordHeartbeat takes in a heartbeat from a peer.
+func (v *View) RecordHeartbeat(now time.Time, from Entry, revision uint64, leaving bool) {
 	if from.ID == v.self.ID {
 		return
 	}
-	p := v.learn(now, from)
-	p.heard, p.broken, p.revision, p.leaving = now, false, revision, leaving
+	p := v.recordPeer(now, from)
+	p.lastHeartbeat, p.linkBroken, p.revision, p.leaving = now, false, revision, leaving
 }
 
 // MarkLeaving records a sign, of whatever source, that an upstream is leaving.
@@ -122,8 +122,8 @@
 	return true
 }
 
-// Leaving lists the upstreams known to be leaving, for the next heartbeat.
-func (v *View) Leaving() []UpstreamID { return slices.Sorted(maps.Keys(v.leaving)) }
+// LeavingUpstreams lists the upstreams known to be leaving, for the next heartbeat.
+func (v *View) LeavingUpstreams() []UpstreamID { return slices.Sorted(maps.Keys(v.leaving)) }
 
 // Upstreams lists a pool's upstreams that take new work, in the given zone or,
 // with an empty zone, everywhere.
@@ -155,21 +155,21 @@
 }
 
 func (p *peer) alive(now time.Time) bool {
-	return !p.broken && now.Sub(p.heard) <= SuspectAfter
+	return !p.linkBroken && now.Sub(p.lastHeartbeat) <= SuspectTimeout
 }
 
-// serves reports whether the peer is alive and takes duties.
-func (p *peer) serves(now time.Time) bool { return p.alive(now) && !p.leaving }
+// takesRoles reports whether the peer is alive and takes duties.
+func (p *peer) takesRoles(now time.Time) bool { return p.alive(now) && !p.leaving }
 
-// Live lists the live entries of a zone that take duties, this one included
+// AvailableEntries lists the live entries of a zone that take duties, this one included
 // when it is in the zone, in order. With an empty zone it lists all.
-func (v *View) Live(now time.Time, z Zone) []Entry {
+func (v *View) AvailableEntries(now time.Time, z Zone) []Entry {
 	var live []Entry
 	if (z == "" || v.self.Zone == z) && !v.selfLeaving {
 		live = append(live, v.self)
 	}
 	for _, p := range v.peers {
-		if p.serves(now) && (z == "" || p.entry.Zone == z) {
+		if p.takesRoles(now) && (z == "" || p.entry.Zone == z) {
 			live = append(live, p.entry)
 		}
 	}
@@ -189,68 +189,68 @@
 	return slices.Sorted(maps.Keys(known))
 }
 
-// OrphanAfter is how long a zone must be silent for its upstreams to be used
+// OrphanTimeout is how long a zone must be silent for its upstreams to be used
 // from other zones as if they were their own.
-const OrphanAfter = 8 * time.Second
+const OrphanTimeout = 8 * time.Second
 
-// Orphaned lists the other zones from which no entry was heard for long,
+// OrphanedZones lists the other zones from which no entry was heard for long,
 // directly or through others. Their entries may be gone, or cut off; in either
 // case using the engines there that answer costs at most some crowding.
-func (v *View) Orphaned(now time.Time) []Zone {
-	if now.Sub(v.began) < OrphanAfter {
+func (v *View) OrphanedZones(now time.Time) []Zone {
+	if now.Sub(v.startedAt) < OrphanTimeout {
 		return nil
 	}
 	var orphaned []Zone
 	for _, z := range v.Zones() {
-		if z != v.self.Zone && now.Sub(v.zones[z].At) > OrphanAfter {
+		if z != v.self.Zone && now.Sub(v.zoneReports[z].ObservedAt) > OrphanTimeout {
 			orphaned = append(orphaned, z)
 		}
 	}
 	return orphaned
 }
 
-// OwnZone reports on the zone of this entry, which is at the given revision.
-func (v *View) OwnZone(now time.Time, revision uint64) ZoneReport {
-	report := ZoneReport{Revision: revision, Entries: 1, At: now}
+// OwnZoneReport reports on the zone of this entry, which is at the given revision.
+func (v *View) OwnZoneReport(now time.Time, revision uint64) ZoneReport {
+	report := ZoneReport{MinRevision: revision, Entries: 1, ObservedAt: now}
 	for _, p := range v.peers {
 		if p.entry.Zone == v.self.Zone && p.alive(now) {
-			report.Revision = min(report.Revision, p.revision)
+			report.MinRevision = min(report.MinRevision, p.revision)
 			report.Entries++
 		}
 	}
 	return report
 }
 
-// HeardZone takes in another zone's report; an older one changes nothing.
-func (v *View) HeardZone(z Zone, report ZoneReport) {
-	if z != v.self.Zone && report.At.After(v.zones[z].At) {
-		v.zones[z] = report
+// RecordZoneReport takes in another zone's report; an older one changes nothing.
+func (v *View) RecordZoneReport(z Zone, report ZoneReport) {
+	if z != v.self.Zone && report.ObservedAt.After(v.zoneReports[z].ObservedAt) {
+		v.zoneReports[z] = report
 	}
 }
 
-// Zone returns the last report on another zone; its zero At says that there
+// LastZoneReport returns the last report on another zone; its zero At says that there
 // was none.
-func (v *View) Zone(z Zone) ZoneReport { return v.zones[z] }
+func (v *View) LastZoneReport(z Zone) ZoneReport { return v.zoneReports[z] }
 
-// Leave makes this entry hand its duties over.
-func (v *View) Leave() { v.selfLeaving = true }
+// MarkSelfLeaving makes this entry hand its duties over.
+func (v *View) MarkSelfLeaving() { v.selfLeaving = true }
 
-// Lost records that a peer's link was refused or broke: it isn't alive until
+// MarkLinkBroken records that a peer's link was refused or broke: it isn't alive until
 // it is heard again.
-func (v *View) Lost(id HostID) {
+func (v *View) MarkLinkBroken(id HostID) {
 	if p := v.peers[id]; p != nil {
-		p.broken = true
+		p.linkBroken = true
 	}
 }
 
-// Gone reports whether an entry hasn't been heard of for so long that its runs
+// PresumedDead reports whether an entry hasn't been heard of for so long that its runs
 // are taken to have ended with it. A link that broke just now doesn't say so.
-func (v *View) Gone(now time.Time, id HostID) bool {
+func (v *View) PresumedDead(now time.Time, id HostID) bool {
 	if id == v.self.ID {
 		return false
 	}
 	p := v.peers[id]
-	return p == nil || now.Sub(p.heard) > SuspectAfter
+	return p == nil || now.Sub(p.lastHeartbeat) > SuspectTimeout
 }
 
 // Alive reports whether an entry was heard of lately, leaving or not; this one
@@ -274,5 +274,5 @@
 	return Entry{}, false
 }
 
-// Known is how many entries the view knows of, this one included.
-func (v *View) Known() int { return len(v.peers) + 1 }
+// EntryCount is how many entries the view knows of, this one included.
+func (v *View) EntryCount() int { return len(v.peers) + 1 }
--- a/order/order.go
+++ b/order/order.go
@@ -31,19 +31,19 @@
 // and works.
 type Holder struct {
 	token uint64
-	// until is the holder's own deadline, counted from before the call that
+	// validUntil is the holder's own deadline, counted from before the call that
 	// gained or renewed the lease was sent. Nothing is ordered after it.
-	until time.Time
-	ttl   time.Duration
-	// settled is from when on an engine that checks no tokens may be ordered.
-	settled time.Time
-	// retry is when the lease may be asked for again.
-	retry time.Time
+	validUntil time.Time
+	ttl        time.Duration
+	// olderExpiredAt is from when on an engine that checks no tokens may be ordered.
+	olderExpiredAt time.Time
+	// retryAt is when the lease may be asked for again.
+	retryAt time.Time
 }
 
 const (
-	// retryAfter is how long a refused holder waits.
-	retryAfter = 3 * time.Second
+	// retryDelay is how long a refused holder waits.
+	retryDelay = 3 * time.Second
 	// clockMargin is what clocks may drift apart, and an order may take on its
 	// way, within one lease.
 	clockMargin = 2 * time.Second
@@ -54,17 +54,17 @@
 
 // Next says what to do now, given whether this entry has the duty.
 func (h *Holder) Next(now time.Time, wanted bool) Step {
-	held := h.token != 0 && now.Before(h.until)
+	held := h.token != 0 && now.Before(h.validUntil)
 	switch {
 	case !held:
 		h.token = 0
-		if wanted && !now.Before(h.retry) {
+		if wanted && !now.Before(h.retryAt) {
 			return Acquire
 		}
 		return Wait
 	case !wanted:
 		return Release
-	case h.until.Sub(now) < 2*h.ttl/3:
+	case h.validUntil.Sub(now) < 2*h.ttl/3:
 		return Renew
 	}
 	return Wait
@@ -73,54 +73,54 @@
 // Acquired takes in a lease gained by a call that was sent at asked.
 func (h *Holder) Acquired(asked time.Time, token uint64, ttl time.Duration) {
 	h.token, h.ttl = token, ttl
-	h.until = asked.Add(ttl - clockMargin)
-	h.settled = asked.Add(ttl + clockMargin)
+	h.validUntil = asked.Add(ttl - clockMargin)
+	h.olderExpiredAt = asked.Add(ttl + clockMargin)
 }
 
 // Renewed takes in a renewal by a call that was sent at asked.
 func (h *Holder) Renewed(asked time.Time, ttl time.Duration) {
 	if h.token != 0 {
-		h.until = asked.Add(ttl - clockMargin)
+		h.validUntil = asked.Add(ttl - clockMargin)
 	}
 }
 
 // Refused takes in that the lease was not to be had.
-func (h *Holder) Refused(now time.Time) { h.retry = now.Add(retryAfter) }
+func (h *Holder) Refused(now time.Time) { h.retryAt = now.Add(retryDelay) }
 
 // Released forgets the lease.
 func (h *Holder) Released() { h.token = 0 }
 
-// MayAct reports whether the lease surely holds now.
-func (h *Holder) MayAct(now time.Time) bool { return h.token != 0 && now.Before(h.until) }
+// LeaseValid reports whether the lease surely holds now.
+func (h *Holder) LeaseValid(now time.Time) bool { return h.token != 0 && now.Before(h.validUntil) }
 
-// MayOrder reports whether an engine may be given an order now. One that
+// MaySendOrder reports whether an engine may be given an order now. One that
 // checks no tokens has to wait until an older holder can't order any more.
-func (h *Holder) MayOrder(now time.Time, checks bool) bool {
-	return h.MayAct(now) && (checks || !now.Before(h.settled))
+func (h *Holder) MaySendOrder(now time.Time, checks bool) bool {
+	return h.LeaseValid(now) && (checks || !now.Before(h.olderExpiredAt))
 }
 
-// drainedShare is the part of a pool's engines that are emptied at a time, as
+// drainDivisor is the part of a pool's engines that are emptied at a time, as
 // its inverse: the rest goes on serving the old versions.
-const drainedShare = 4
+const drainDivisor = 4
 
-// Draining lists the engines of a pool that are to be emptied now, because they
+// EnginesToDrain lists the engines of a pool that are to be emptied now, because they
 // serve a wanted model in another version: a part of them at a time, in the
 // order of their ids. served holds, by engine, the versions by model; an engine
 // that doesn't serve a model at all needn't be emptied to get it.
-func Draining[ID cmp.Ordered](wanted map[string]string, served map[ID]map[string]string) []ID {
+func EnginesToDrain[ID cmp.Ordered](wanted map[string]string, served map[ID]map[string]string) []ID {
 	var outdated []ID
 	for id, models := range served {
-		if Outdated(wanted, models) {
+		if HasOutdatedModel(wanted, models) {
 			outdated = append(outdated, id)
 		}
 	}
 	slices.Sort(outdated)
-	atOnce := (len(served) + drainedShare - 1) / drainedShare
+	atOnce := (len(served) + drainDivisor - 1) / drainDivisor
 	return outdated[:min(atOnce, len(outdated))]
 }
 
-// Outdated reports whether a wanted model is served in another version.
-func Outdated(wanted, served map[string]string) bool {
+// HasOutdatedModel reports whether a wanted model is served in another version.
+func HasOutdatedModel(wanted, served map[string]string) bool {
 	for model, version := range wanted {
 		if there, has := served[model]; has && there != version {
 			return true
@@ -129,20 +129,20 @@
 	return false
 }
 
-// Target is a model in the version that an engine is to serve.
-type Target struct {
+// ModelVersion is a model in the version that an engine is to serve.
+type ModelVersion struct {
 	Model   string
 	Version string
 }
 
-// Missing lists what is wanted of an engine and not served by it, in order.
-func Missing(wanted, served map[string]string) []Target {
-	var missing []Target
+// MissingModels lists what is wanted of an engine and not served by it, in order.
+func MissingModels(wanted, served map[string]string) []ModelVersion {
+	var missing []ModelVersion
 	for model, version := range wanted {
 		if served[model] != version {
-			missing = append(missing, Target{Model: model, Version: version})
+			missing = append(missing, ModelVersion{Model: model, Version: version})
 		}
 	}
-	slices.SortFunc(missing, func(a, b Target) int { return cmp.Compare(a.Model, b.Model) })
+	slices.SortFunc(missing, func(a, b ModelVersion) int { return cmp.Compare(a.Model, b.Model) })
 	return missing
 }
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -17,26 +17,26 @@
 
 // lease is the platform's side: who holds it until when.
 type lease struct {
-	token   uint64
-	holder  int
-	expires time.Time
+	token     uint64
+	holder    int
+	expiresAt time.Time
 }
 
 // engineState is an engine that took some orders.
 type engineState struct {
-	checks  bool
-	highest uint64
-	version string
-	// token is the one that the version in force came with.
-	token uint64
+	checksTokens bool
+	highestToken uint64
+	version      string
+	// versionToken is the one that the version in force came with.
+	versionToken uint64
 }
 
-func (e *engineState) take(token uint64, version string) {
-	if e.checks && token < e.highest {
+func (e *engineState) apply(token uint64, version string) {
+	if e.checksTokens && token < e.highestToken {
 		return
 	}
-	e.highest = max(e.highest, token)
-	e.version, e.token = version, token
+	e.highestToken = max(e.highestToken, token)
+	e.version, e.versionToken = version, token
 }
 
 // TestOlderHolderNeverUndoes runs several holders that are paused at any point,
@@ -47,7 +47,7 @@
 func TestOlderHolderNeverUndoes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		checks := rapid.Bool().Draw(t, "checks")
-		engine := engineState{checks: checks}
+		engine := engineState{checksTokens: checks}
 		var l lease
 		var tokens uint64
 		now := start
@@ -59,10 +59,10 @@
 		var onTheWay []sent
 		arrive := func() {
 			for len(onTheWay) > 0 && (checks && rapid.Bool().Draw(t, "arrives") || !checks && !now.Before(onTheWay[0].until)) {
-				before := engine.token
-				engine.take(onTheWay[0].token, "v")
-				if engine.token < before {
-					t.Fatalf("token %d undid token %d", engine.token, before)
+				before := engine.versionToken
+				engine.apply(onTheWay[0].token, "v")
+				if engine.versionToken < before {
+					t.Fatalf("token %d undid token %d", engine.versionToken, before)
 				}
 				onTheWay = onTheWay[1:]
 			}
@@ -78,21 +78,21 @@
 			case Acquire:
 				asked := now
 				now = now.Add(rapid.SampledFrom([]time.Duration{0, time.Second, 20 * time.Second}).Draw(t, "answer takes"))
-				if l.token != 0 && l.holder != i && asked.Before(l.expires) {
+				if l.token != 0 && l.holder != i && asked.Before(l.expiresAt) {
 					h.Refused(now)
 					break
 				}
 				tokens++
-				l = lease{token: tokens, holder: i, expires: asked.Add(ttl)}
+				l = lease{token: tokens, holder: i, expiresAt: asked.Add(ttl)}
 				h.Acquired(asked, tokens, ttl)
 			case Renew:
-				if l.token == h.Token() && now.Before(l.expires) {
-					l.expires = now.Add(ttl)
+				if l.token == h.Token() && now.Before(l.expiresAt) {
+					l.expiresAt = now.Add(ttl)
 					h.Renewed(now, ttl)
 				}
 			}
-			if h.MayOrder(now, checks) {
-				if h.Token() != l.token || !now.Before(l.expires) {
+			if h.MaySendOrder(now, checks) {
+				if h.Token() != l.token || !now.Before(l.expiresAt) {
 					t.Fatalf("orders with token %d while %d holds the lease", h.Token(), l.token)
 				}
 				onTheWay = append(onTheWay, sent{h.Token(), now.Add(clockMargin)})
@@ -108,36 +108,36 @@
 	is.Equal(h.Next(start, true), Acquire)
 	h.Refused(start)
 	is.Equal(h.Next(start.Add(time.Second), true), Wait)
-	is.Equal(h.Next(start.Add(retryAfter), true), Acquire)
+	is.Equal(h.Next(start.Add(retryDelay), true), Acquire)
 	h.Acquired(start, 7, ttl)
-	is.True(h.MayAct(start))
-	is.True(h.MayOrder(start, true))
-	is.True(!h.MayOrder(start, false)) // an older holder may still be ordering
+	is.True(h.LeaseValid(start))
+	is.True(h.MaySendOrder(start, true))
+	is.True(!h.MaySendOrder(start, false)) // an older holder may still be ordering
 	is.Equal(h.Next(start.Add(time.Second), true), Wait)
 	is.Equal(h.Next(start.Add(4*time.Second), true), Renew)
 	is.Equal(h.Next(start.Add(4*time.Second), false), Release)
-	is.True(!h.MayAct(start.Add(ttl - clockMargin))) // paused past its own deadline
+	is.True(!h.LeaseValid(start.Add(ttl - clockMargin))) // paused past its own deadline
 	is.Equal(h.Next(start.Add(ttl), true), Acquire)
 	is.Equal(h.Token(), uint64(0))
 }
 
-func TestMissing(t *testing.T) {
+func TestMissingModels(t *testing.T) {
 	is := is.New(t)
 	wanted := map[string]string{"a": "1", "b": "2", "c": "3"}
 	served := map[string]string{"a": "1", "b": "1", "z": "9"}
-	is.Equal(Missing(wanted, served), []Target{{"b", "2"}, {"c", "3"}})
+	is.Equal(MissingModels(wanted, served), []ModelVersion{{"b", "2"}, {"c", "3"}})
 }
 
-func TestDraining(t *testing.T) {
+func TestEnginesToDrain(t *testing.T) {
 	is := is.New(t)
 	wanted := map[string]string{"m": "2"}
 	served := map[string]map[string]string{"new": {"m": "2"}, "fresh": {}, "other": {"z": "1"}}
-	is.Equal(len(Draining(wanted, served)), 0)
+	is.Equal(len(EnginesToDrain(wanted, served)), 0)
 	for _, id := range []string{"g4", "g1", "g3", "g2", "g5"} {
 		served[id] = map[string]string{"m": "1"}
 	}
-	is.Equal(Draining(wanted, served), []string{"g1", "g2"}) // two of eight at a time
+	is.Equal(EnginesToDrain(wanted, served), []string{"g1", "g2"}) // two of eight at a time
 	served["g1"] = map[string]string{"m": "2"}
-	is.Equal(Draining(wanted, served), []string{"g2", "g3"})
-	is.Equal(Draining(wanted, map[string]map[string]string{"only": {"m": "1"}}), []string{"only"})
+	is.Equal(EnginesToDrain(wanted, served), []string{"g2", "g3"})
+	is.Equal(EnginesToDrain(wanted, map[string]map[string]string{"only": {"m": "1"}}), []string{"only"})
 }
--- a/rollout/book_test.go
+++ b/rollout/book_test.go
@@ -25,7 +25,7 @@
 		for _, perHost := range []int{1, 6, 120} {
 			t.Run(fmt.Sprintf("%d hosts, %d requests each", hosts, perHost), func(t *testing.T) {
 				now := time.Unix(1000, 0)
-				order := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: history.At(1, 7)}}
+				order := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: history.NewPoint(1, 7)}}
 				random := rand.New(rand.NewPCG(uint64(hosts), uint64(perHost)))
 				sent, all := 0, 0
 				for range hosts {
@@ -71,10 +71,10 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			now, b := time.Unix(1000, 0), &Book{}
-			s := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: history.At(1, 7)}, Phase: c.phase}
+			s := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: history.NewPoint(1, 7)}, Phase: c.phase}
 			is.True(b.Receive(now, s, limits, 1))
 			if c.withdrawn {
-				is.True(b.Receive(now, Status{Order: Order{Service: "s", Given: history.At(1, 8), Withdrawn: true}}, limits, 1))
+				is.True(b.Receive(now, Status{Order: Order{Service: "s", Given: history.NewPoint(1, 8), Withdrawn: true}}, limits, 1))
 			}
 			got := map[Bound]bool{}
 			for range 200 {
@@ -94,7 +94,7 @@
 func TestLastOfOthersLeaves(t *testing.T) {
 	is := is.New(t)
 	b, has := &Book{}, true
-	b.Receive(time.Unix(1000, 0), Status{Order: Order{Service: "s", Target: "v2", Given: history.At(1, 7)}}, limits, 100)
+	b.Receive(time.Unix(1000, 0), Status{Order: Order{Service: "s", Target: "v2", Given: history.NewPoint(1, 7)}}, limits, 100)
 	n := 0
 	for i := range 1000 {
 		has = i < 10
@@ -112,7 +112,7 @@
 		now := time.Unix(1000, 0)
 		var told []Status
 		for n := range rapid.IntRange(1, 6).Draw(t, "words") {
-			given := history.At(1, history.Revision(n/2+1))
+			given := history.NewPoint(1, history.Revision(n/2+1))
 			s := Status{Order: Order{Service: resource.Name("s"), Target: Version(fmt.Sprint("v", n/2)), Lasts: lasts, Given: given}}
 			s.Phase = Phase(rapid.IntRange(int(Trial), int(RolledBack)).Draw(t, "phase"))
 			told = append(told, s)
@@ -149,12 +149,12 @@
 func TestOrderOfARestoredStore(t *testing.T) {
 	is := is.New(t)
 	now, b := time.Unix(1000, 0), &Book{}
-	s := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: history.At(1, 7)}, Phase: RolledBack}
+	s := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: history.NewPoint(1, 7)}, Phase: RolledBack}
 	b.Receive(now, s, limits, 1)
-	s.Given, s.Phase = history.At(2, 7), Trial
+	s.Given, s.Phase = history.NewPoint(2, 7), Trial
 	is.True(!b.Receive(now, s, limits, 1))
 	is.Equal(b.Statuses(now)[0].Phase, RolledBack)
-	s.Given = history.At(2, 9) // written anew
+	s.Given = history.NewPoint(2, 9) // written anew
 	is.True(b.Receive(now, s, limits, 1))
 	is.Equal(b.Statuses(now)[0].Phase, Trial)
 }
--- a/rollout/judge_test.go
+++ b/rollout/judge_test.go
@@ -53,7 +53,7 @@
 func (c trial) play(seed uint64) outcome {
 	random := rand.New(rand.NewPCG(seed, 1))
 	start := time.Unix(1000, 0)
-	given := history.At(1, 7)
+	given := history.NewPoint(1, 7)
 	status := Status{Order: Order{Service: "s", Target: "v2", Lasts: lasts, Given: given}}
 	books, seen := make([]Book, c.hosts), make([]Observations, c.hosts)
 	for i := range books {
