--- a/entry/ask.go
+++ b/entry/ask.go
@@ -14,12 +14,12 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// send gives a pool's outbox to the goroutines that talk to the peers.
-func (p *placement) send(s *poolState) {
+// flushOutbox gives a pool's outbox to the goroutines that talk to the peers.
+func (p *placement) flushOutbox(s *poolState) {
 	if len(s.asks) > 0 {
 		asked, owner := s.asks, s.owner
 		s.asks = nil
-		p.entry.spawn(func(ctx context.Context) { p.ask(ctx, s, owner, asked) })
+		p.entry.spawn(func(ctx context.Context) { p.requestPlaces(ctx, s, owner, asked) })
 	}
 	for host, finished := range s.finished {
 		delete(s.finished, host)
@@ -27,26 +27,26 @@
 		if !known {
 			continue
 		}
-		p.entry.spawn(func(ctx context.Context) { p.tellFinished(ctx, s, to, finished) })
+		p.entry.spawn(func(ctx context.Context) { p.sendFinished(ctx, s, to, finished) })
 	}
 	for host, decisions := range s.decisions {
 		delete(s.decisions, host)
 		to, known := p.entry.members.Entry(host)
 		if known {
-			p.entry.spawn(func(ctx context.Context) { p.tell(ctx, s, to, decisions) })
+			p.entry.spawn(func(ctx context.Context) { p.sendDecisions(ctx, s, to, decisions) })
 		}
 	}
 }
 
-// tellFinished tells a coordinator of places that are free again, and again
+// sendFinished tells a coordinator of places that are free again, and again
 // until it has heard or is dead.
-func (p *placement) tellFinished(ctx context.Context, s *poolState, to member.Entry, finished []policy.Finish) {
+func (p *placement) sendFinished(ctx context.Context, s *poolState, to member.Entry, finished []policy.Finish) {
 	quick, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if p.entry.peers.Finished(quick, to, s.name, finished) == nil {
 		return
 	}
-	if !pause(ctx, tellAgainAfter) {
+	if !pause(ctx, finishedRetryDelay) {
 		return
 	}
 	_ = p.do(ctx, func(now time.Time) {
@@ -56,24 +56,24 @@
 	})
 }
 
-const tellAgainAfter = 200 * time.Millisecond
+const finishedRetryDelay = 200 * time.Millisecond
 
-// ask asks the coordinator for places. When it doesn't answer in time, this
+// requestPlaces asks the coordinator for places. When it doesn't answer in time, this
 // entry decides alone and leaves the coordinator in peace for a while.
-func (p *placement) ask(ctx context.Context, s *poolState, owner member.Entry, asked []policy.Request) {
+func (p *placement) requestPlaces(ctx context.Context, s *poolState, owner member.Entry, asked []policy.Request) {
 	quick, cancel := context.WithTimeout(ctx, answerWithin)
 	defer cancel()
 	decisions, err := p.entry.peers.Place(quick, owner, s.name, asked)
 	_ = p.do(ctx, func(now time.Time) {
 		if err != nil {
-			p.fallBack(now, s, owner, asked)
+			p.decideLocally(now, s, owner, asked)
 			return
 		}
-		p.takeDecisions(s, owner, decisions)
+		p.applyDecisions(s, owner, decisions)
 	})
 }
 
-func (p *placement) fallBack(now time.Time, s *poolState, owner member.Entry, asked []policy.Request) {
+func (p *placement) decideLocally(now time.Time, s *poolState, owner member.Entry, asked []policy.Request) {
 	if s.owner.ID == owner.ID {
 		s.distrusted = now.Add(distrustFor)
 	}
@@ -86,36 +86,36 @@
 	}
 }
 
-// takeDecisions hands on what a coordinator decided, and gives back the places
+// applyDecisions hands on what a coordinator decided, and gives back the places
 // that nobody here wants any more.
-func (p *placement) takeDecisions(s *poolState, owner member.Entry, decisions []policy.Decision) {
+func (p *placement) applyDecisions(s *poolState, owner member.Entry, decisions []policy.Decision) {
 	for _, d := range decisions {
-		if !p.decide(s, d, owner) && d.Verdict == policy.Granted && !p.carries(d, owner.ID) {
+		if !p.decide(s, d, owner) && d.Verdict == policy.Granted && !p.holdsPlace(d, owner.ID) {
 			s.finished[owner.ID] = append(s.finished[owner.ID], policy.Finish{Run: d.Run})
 		}
 	}
 }
 
-// carries reports whether the run of a decision is under way here as the
+// holdsPlace reports whether the run of a decision is under way here as the
 // coordinator decided. A second coordinator's place for it is not wanted, even
 // on the same engine: nobody would tell that one of the end.
-func (p *placement) carries(d policy.Decision, by member.HostID) bool {
+func (p *placement) holdsPlace(d policy.Decision, by member.HostID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	own := p.runs[d.Run]
 	return own != nil && own.engine == d.Engine && own.coordinator.ID == by
 }
 
-// tell tells an entry what became of its queued requests.
-func (p *placement) tell(ctx context.Context, s *poolState, to member.Entry, decisions []policy.Decision) {
+// sendDecisions tells an entry what became of its queued requests.
+func (p *placement) sendDecisions(ctx context.Context, s *poolState, to member.Entry, decisions []policy.Decision) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	// An entry that misses this asks again.
 	_ = p.entry.peers.Decided(ctx, to, s.name, decisions)
 }
 
-// elsewhere tries the other zones when this one has no room.
-func (p *placement) elsewhere(ctx context.Context, pool resource.Name, r policy.Request, d policy.Decision) policy.Decision {
+// tryOtherZones tries the other zones when this one has no room.
+func (p *placement) tryOtherZones(ctx context.Context, pool resource.Name, r policy.Request, d policy.Decision) policy.Decision {
 	if d.Verdict != policy.Refused || d.Reason == policy.ReasonTooLong {
 		return d
 	}
@@ -175,7 +175,7 @@
 	return p.do(ctx, func(time.Time) {
 		owner, known := p.entry.members.Entry(from)
 		if known {
-			p.takeDecisions(p.state(pool), owner, decisions)
+			p.applyDecisions(p.state(pool), owner, decisions)
 		}
 	})
 }
@@ -205,8 +205,8 @@
 	})
 }
 
-// report takes in an engine's report, from wherever it came.
-func (p *placement) report(ctx context.Context, pool resource.Name, reports []policy.Report, cache map[member.UpstreamID][]policy.CacheEvent) {
+// applyReports takes in an engine's applyReports, from wherever it came.
+func (p *placement) applyReports(ctx context.Context, pool resource.Name, reports []policy.Report, cache map[member.UpstreamID][]policy.CacheEvent) {
 	_ = p.do(ctx, func(now time.Time) {
 		s := p.state(pool)
 		for _, r := range reports {
@@ -220,9 +220,9 @@
 	})
 }
 
-// suspect keeps new work from engines that didn't answer, until they report
+// markSuspect keeps new work from engines that didn't answer, until they report
 // again.
-func (p *placement) suspect(ctx context.Context, pool resource.Name, silent []member.UpstreamID) {
+func (p *placement) markSuspect(ctx context.Context, pool resource.Name, silent []member.UpstreamID) {
 	if len(silent) == 0 {
 		return
 	}
--- a/entry/backoff.go
+++ b/entry/backoff.go
@@ -11,8 +11,8 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// takeBackoff takes in for how long an upstream that turned a request away wants no other.
-func (e *Entry) takeBackoff(id member.UpstreamID, d time.Duration) {
+// recordBackoff takes in for how long an upstream that turned a request away wants no other.
+func (e *Entry) recordBackoff(id member.UpstreamID, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -22,8 +22,8 @@
 	}
 }
 
-// backoffOf is how long an engine that refused a run wants no other.
-func backoffOf(err error) time.Duration {
+// refusalBackoff is how long an engine that refused a run wants no other.
+func refusalBackoff(err error) time.Duration {
 	var refused *EngineRefusal
 	if errors.As(err, &refused) && (refused.Status == statusTooMany || refused.Status >= 500) {
 		return refused.RetryAfter
@@ -31,9 +31,9 @@
 	return 0
 }
 
-// backingOff lists the engines of a pool that want nothing from this entry now. If these
+// enginesBackingOff lists the engines of a pool that want nothing from this entry now. If these
 // are all, it returns how long it is until one of them does.
-func (e *Entry) backingOff(pool resource.Name) (resting []member.UpstreamID, all time.Duration) {
+func (e *Entry) enginesBackingOff(pool resource.Name) (resting []member.UpstreamID, all time.Duration) {
 	if !e.backoffs.HasUpstreams() {
 		return nil, 0
 	}
@@ -55,9 +55,9 @@
 	return resting, all
 }
 
-// withoutBackingOff drops the upstreams that want nothing from this entry now. If these are all,
+// excludeBackingOff drops the upstreams that want nothing from this entry now. If these are all,
 // it returns how long it is until one of them does.
-func (e *Entry) withoutBackingOff(upstreams []member.Upstream) (rest []member.Upstream, all time.Duration) {
+func (e *Entry) excludeBackingOff(upstreams []member.Upstream) (rest []member.Upstream, all time.Duration) {
 	now := e.now()
 	for _, u := range upstreams {
 		left := e.backoffs.Remaining(now, u.ID)
--- a/entry/backoff_test.go
+++ b/entry/backoff_test.go
@@ -57,7 +57,7 @@
 			_, err := e.Generate(s.ctx, quote(), &fakeSink{})
 			var failure *Failure
 			is.True(errors.As(err, &failure))
-			is.Equal(failure.Run, NotRun)
+			is.Equal(failure.RunState, NotRun)
 			is.Equal(failure.Code, CodeOverloaded)
 			is.True(failure.RetryAfter > 2*time.Second)
 			is.True(time.Since(began) < time.Second)
@@ -82,7 +82,7 @@
 		_, err := e.CallService(s.ctx, call("orders", ""))
 		var failure *Failure
 		is.True(errors.As(err, &failure))
-		is.Equal(failure.Run, NotRun)
+		is.Equal(failure.RunState, NotRun)
 		is.True(failure.RetryAfter > 2*time.Second)
 		is.Equal(s.services.count(""), 3)
 		s.services.setBackoff(0)
--- a/entry/claimrestore.go
+++ b/entry/claimrestore.go
@@ -19,87 +19,87 @@
 // write theirs again, and make no new ones until every entry has had the time for that.
 
 const (
-	// claimsRemembered is for how long an entry remembers its claims; a copy is some seconds old.
-	claimsRemembered = time.Minute
-	// claimsSettle is how long after a restore no new claims are made: heartbeats take the era to
+	// claimRetention is for how long an entry remembers its claims; a copy is some seconds old.
+	claimRetention = time.Minute
+	// restoreSettleTime is how long after a restore no new claims are made: heartbeats take the era to
 	// all entries within three seconds.
-	claimsSettle = 5 * time.Second
-	// claimsMost bounds how many are remembered: what the platform takes within a minute.
-	claimsMost = 8192
+	restoreSettleTime = 5 * time.Second
+	// maxRecentClaims bounds how many are remembered: what the platform takes within a minute.
+	maxRecentClaims = 8192
 )
 
-// claimKeeper remembers what this entry has claimed, and since when claims are safe. The zero value
+// claimHistory remembers what this entry has claimed, and since when claims are safe. The zero value
 // works.
-type claimKeeper struct {
+type claimHistory struct {
 	mu sync.Mutex
-	// era is the newest that was told.
-	era history.Era
-	// heldUntil is until when no claim may be made.
-	heldUntil time.Time
-	// made are this entry's claims, in the order of their times.
-	made []madeClaim
+	// newestEra is the newest that was told.
+	newestEra history.Era
+	// blockedUntil is until when no claim may be made.
+	blockedUntil time.Time
+	// claims are this entry's claims, in the order of their times.
+	claims []recentClaim
 }
 
-type madeClaim struct {
+type recentClaim struct {
 	key    string
 	record claim.Record
-	at     time.Time
+	madeAt time.Time
 }
 
 // observeEra takes in that an era was told, and returns the claims that have to be written again because
 // it is a new one.
-func (k *claimKeeper) observeEra(now time.Time, era history.Era) []madeClaim {
+func (k *claimHistory) observeEra(now time.Time, era history.Era) []recentClaim {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if era <= k.era {
+	if era <= k.newestEra {
 		return nil
 	}
-	first := k.era == 0
-	k.era = era
+	first := k.newestEra == 0
+	k.newestEra = era
 	if first {
 		return nil
 	}
-	k.heldUntil = now.Add(claimsSettle)
-	k.forget(now)
-	return append([]madeClaim(nil), k.made...)
+	k.blockedUntil = now.Add(restoreSettleTime)
+	k.dropExpired(now)
+	return append([]recentClaim(nil), k.claims...)
 }
 
-func (k *claimKeeper) knownEra() history.Era {
+func (k *claimHistory) knownEra() history.Era {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.era
+	return k.newestEra
 }
 
-// heldFor is how much longer no claim may be made.
-func (k *claimKeeper) heldFor(now time.Time) time.Duration {
+// blockedFor is how much longer no claim may be made.
+func (k *claimHistory) blockedFor(now time.Time) time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return max(k.heldUntil.Sub(now), 0)
+	return max(k.blockedUntil.Sub(now), 0)
 }
 
 // remember takes in a claim that this entry has made.
-func (k *claimKeeper) remember(now time.Time, key string, r claim.Record) {
+func (k *claimHistory) remember(now time.Time, key string, r claim.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.forget(now)
-	k.made = append(k.made, madeClaim{key, r, now})
+	k.dropExpired(now)
+	k.claims = append(k.claims, recentClaim{key, r, now})
 }
 
-// forget drops what is old. The mutex is held.
-func (k *claimKeeper) forget(now time.Time) {
-	drop := max(len(k.made)-claimsMost, 0)
-	for drop < len(k.made) && now.Sub(k.made[drop].at) > claimsRemembered {
+// dropExpired drops what is old. The mutex is held.
+func (k *claimHistory) dropExpired(now time.Time) {
+	drop := max(len(k.claims)-maxRecentClaims, 0)
+	for drop < len(k.claims) && now.Sub(k.claims[drop].madeAt) > claimRetention {
 		drop++
 	}
-	k.made = k.made[drop:]
+	k.claims = k.claims[drop:]
 }
 
 // Era is the platform's as this entry knows it; zero where it isn't told.
-func (e *Entry) Era() history.Era { return max(e.store.Era(), e.claimed.knownEra()) }
+func (e *Entry) Era() history.Era { return max(e.store.Era(), e.claimHistory.knownEra()) }
 
 // observeEra takes in the platform's era as the platform or a peer told it.
 func (e *Entry) observeEra(era history.Era) {
-	lost := e.claimed.observeEra(e.now(), era)
+	lost := e.claimHistory.observeEra(e.now(), era)
 	if len(lost) == 0 {
 		return
 	}
@@ -108,14 +108,14 @@
 }
 
 // rewriteClaims writes claims that the platform may have lost.
-func (e *Entry) rewriteClaims(ctx context.Context, lost []madeClaim) {
-	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+func (e *Entry) rewriteClaims(ctx context.Context, lost []recentClaim) {
+	ctx, cancel := context.WithTimeout(ctx, claimCleanupTimeout)
 	defer cancel()
 	for _, c := range lost {
 		text, _ := json.Marshal(c.record)
 		// One that is there stays as it is, whoever's it is.
 		for _, err := e.claims.Swap(ctx, c.key, text, 0); err != nil; _, err = e.claims.Swap(ctx, c.key, text, 0) {
-			if !pause(ctx, jitter(claimPause)) {
+			if !pause(ctx, jitter(claimAttemptDelay)) {
 				_ = level.Error(e.logger).Log("msg", "claim not written again", "key", c.key, "err", err)
 				return
 			}
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -15,21 +15,21 @@
 	"github.com/shedpath/shedpath/claim"
 )
 
-// heldClaim is a claim that this entry made for a call.
-type heldClaim struct {
+// callClaim is a claim that this entry made for a call.
+type callClaim struct {
 	key    string
 	record claim.Record
 }
 
 const (
-	claimTimeout   = 2 * time.Second
-	claimPause     = 20 * time.Millisecond
-	claimRetry     = 2 * time.Second
-	releaseTimeout = time.Minute
+	claimTimeout        = 2 * time.Second
+	claimAttemptDelay   = 20 * time.Millisecond
+	claimRetryAfter     = 2 * time.Second
+	claimCleanupTimeout = time.Minute
 )
 
 // claimCall claims a call. Without a failure, the call may be sent once.
-func (e *Entry) claimCall(ctx context.Context, r ServiceRequest) (*heldClaim, *Failure) {
+func (e *Entry) claimCall(ctx context.Context, r ServiceRequest) (*callClaim, *Failure) {
 	now := e.now()
 	key := claim.Key(r.Account, r.Route, r.IdempotencyKey)
 	attempt := claim.NewAttempt(claim.Record{
@@ -39,9 +39,9 @@
 	for {
 		e.observeEra(e.claims.Era())
 		step := attempt.Next(e.now())
-		if held := e.claimed.heldFor(e.now()); held > 0 && step != claim.RejectDuplicate {
-			e.abandon(key, attempt)
-			return nil, fail(CodeNoClaim, NotRun, "the call could not be claimed: the platform was restored, and may lack claims").retryAfter(held)
+		if held := e.claimHistory.blockedFor(e.now()); held > 0 && step != claim.RejectDuplicate {
+			e.abandonClaim(key, attempt)
+			return nil, newFailure(CodeClaimUnavailable, NotRun, "the call could not be claimed: the platform was restored, and may lack claims").withRetryAfter(held)
 		}
 		switch step {
 		case claim.Create:
@@ -49,17 +49,17 @@
 		case claim.Read:
 			e.readClaim(ctx, key, attempt)
 		case claim.Send:
-			e.claimed.remember(e.now(), key, attempt.Record())
-			return &heldClaim{key: key, record: attempt.Record()}, nil
+			e.claimHistory.remember(e.now(), key, attempt.Record())
+			return &callClaim{key: key, record: attempt.Record()}, nil
 		case claim.RejectDuplicate:
-			return nil, duplicate(attempt.Record(), attempt.ConflictingClaim())
+			return nil, duplicateFailure(attempt.Record(), attempt.ConflictingClaim())
 		case claim.GiveUp:
-			e.abandon(key, attempt)
-			return nil, fail(CodeNoClaim, NotRun, "the call could not be claimed: the platform does not answer").retryAfter(claimRetry)
+			e.abandonClaim(key, attempt)
+			return nil, newFailure(CodeClaimUnavailable, NotRun, "the call could not be claimed: the platform does not answer").withRetryAfter(claimRetryAfter)
 		}
 		if ctx.Err() != nil {
-			e.abandon(key, attempt)
-			return nil, fail(CodeCancelled, NotRun, "the caller left before the call was claimed")
+			e.abandonClaim(key, attempt)
+			return nil, newFailure(CodeCancelled, NotRun, "the caller left before the call was claimed")
 		}
 	}
 }
@@ -67,9 +67,9 @@
 func (e *Entry) createClaim(ctx context.Context, key string, a *claim.Attempt) {
 	text, _ := json.Marshal(a.Record())
 	wrote, err := e.claims.Swap(ctx, key, text, 0)
-	a.CreateFinished(resultOf(err), wrote)
+	a.CreateFinished(claimResult(err), wrote)
 	if err != nil {
-		pause(ctx, claimPause)
+		pause(ctx, claimAttemptDelay)
 	}
 }
 
@@ -79,13 +79,13 @@
 	if err == nil && item.Found() {
 		err = json.Unmarshal(item.Value, &there)
 	}
-	a.ReadFinished(resultOf(err), item.Found(), there)
+	a.ReadFinished(claimResult(err), item.Found(), there)
 	if err != nil {
-		pause(ctx, claimPause)
+		pause(ctx, claimAttemptDelay)
 	}
 }
 
-func resultOf(err error) claim.Result {
+func claimResult(err error) claim.Result {
 	switch {
 	case err == nil:
 		return claim.Answered
@@ -96,30 +96,30 @@
 	}
 }
 
-// duplicate tells the second caller of a key what is known of the first call.
-func duplicate(ours, theirs claim.Record) *Failure {
+// duplicateFailure tells the second caller of a key what is known of the first call.
+func duplicateFailure(ours, theirs claim.Record) *Failure {
 	switch {
 	case ours.RequestHash != theirs.RequestHash:
-		return fail(CodeKeyReused, NotRun, "the Idempotency-Key was used for another call")
+		return newFailure(CodeIdempotencyKeyReused, NotRun, "the Idempotency-Key was used for another call")
 	case theirs.Status != 0:
-		return fail(CodeDuplicate, NotRun, "the call with this Idempotency-Key was run; it was answered with status %d", theirs.Status)
+		return newFailure(CodeDuplicateRequest, NotRun, "the call with this Idempotency-Key was run; it was answered with status %d", theirs.Status)
 	default:
-		return fail(CodeDuplicate, Unknown, "a call with this Idempotency-Key is under way or its outcome is not known")
+		return newFailure(CodeDuplicateRequest, Unknown, "a call with this Idempotency-Key is under way or its outcome is not known")
 	}
 }
 
-// abandon removes the key of a claim that was given up, so that the caller can
+// abandonClaim removes the key of a claim that was given up, so that the caller can
 // try again. That is safe at any later time: this attempt never sends.
-func (e *Entry) abandon(key string, a *claim.Attempt) {
+func (e *Entry) abandonClaim(key string, a *claim.Attempt) {
 	if !a.MayHaveClaimed() {
 		return
 	}
 	ours := a.Record().Claimant
 	e.spawn(func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
+		ctx, cancel := context.WithTimeout(ctx, claimCleanupTimeout)
 		defer cancel()
 		for {
-			if e.removeClaim(ctx, key, ours) || !pause(ctx, jitter(claimRetry)) {
+			if e.removeClaim(ctx, key, ours) || !pause(ctx, jitter(claimRetryAfter)) {
 				return
 			}
 		}
@@ -142,7 +142,7 @@
 
 // recordOutcome notes the upstream's answer on the claim, if the platform has
 // room for it. A second caller is told it; nothing else depends on it.
-func (e *Entry) recordOutcome(held *heldClaim, status int) {
+func (e *Entry) recordOutcome(held *callClaim, status int) {
 	if status < http.StatusOK {
 		return
 	}
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -27,11 +27,11 @@
 
 	// mu guards the fold; readers use the catalog alone.
 	mu sync.Mutex
-	// recent are the last entries applied, in order, for peers that are behind and for a platform
+	// recentEntries are the last entries applied, in order, for peers that are behind and for a platform
 	// that has lost them.
-	recent []resource.LogEntry
-	// at is where the platform's history was read last. It is for the goroutine that follows.
-	at history.Point
+	recentEntries []resource.LogEntry
+	// lastLogEnd is where the platform's history was read last. It is for the goroutine that follows.
+	lastLogEnd history.Point
 	// changed is closed and replaced at every new revision.
 	changed chan struct{}
 
@@ -42,14 +42,14 @@
 }
 
 const (
-	keptEntries    = 1024
-	watchWait      = 30 * time.Second
-	pollEvery      = 20 * time.Second
-	snapshotEvery  = 200
-	configRetry    = 200 * time.Millisecond
-	configRetryMax = 5 * time.Second
-	snapshotKey    = "shedpath/config/snapshot"
-	proposalRing   = 256
+	minRecentEntries        = 1024
+	watchTimeout            = 30 * time.Second
+	configPollInterval      = 20 * time.Second
+	revisionsPerSnapshot    = 200
+	initialConfigRetryDelay = 200 * time.Millisecond
+	maxConfigRetryDelay     = 5 * time.Second
+	snapshotKey             = "shedpath/config/snapshot"
+	proposalQueueSize       = 256
 )
 
 func logKey(r resource.Revision) string { return fmt.Sprintf("shedpath/config/log/%020d", r) }
@@ -57,7 +57,7 @@
 func newConfiguration(e *Entry) *configuration {
 	c := &configuration{
 		entry: e, changed: make(chan struct{}), loaded: make(chan struct{}),
-		proposals: make(chan *proposal, proposalRing),
+		proposals: make(chan *proposal, proposalQueueSize),
 	}
 	c.catalog.Store(&resource.Catalog{})
 	return c
@@ -85,27 +85,27 @@
 		if err != nil {
 			continue
 		}
-		c.put(next)
-		c.recent = append(c.recent, e)
+		c.setCatalog(next)
+		c.recentEntries = append(c.recentEntries, e)
 	}
-	if over := len(c.recent) - keptEntries; over > keptEntries {
-		c.recent = append([]resource.LogEntry(nil), c.recent[over:]...)
+	if over := len(c.recentEntries) - minRecentEntries; over > minRecentEntries {
+		c.recentEntries = append([]resource.LogEntry(nil), c.recentEntries[over:]...)
 	}
 }
 
-// restore takes a snapshot in if it is newer.
-func (c *configuration) restore(s resource.Snapshot) {
+// applySnapshot takes a snapshot in if it is newer.
+func (c *configuration) applySnapshot(s resource.Snapshot) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.Revision <= c.catalog.Load().Revision() {
 		return
 	}
-	c.put(resource.FromSnapshot(s))
-	c.recent = nil
+	c.setCatalog(resource.FromSnapshot(s))
+	c.recentEntries = nil
 }
 
-// put brings a catalog into force. The mutex is held.
-func (c *configuration) put(next *resource.Catalog) {
+// setCatalog brings a catalog into force. The mutex is held.
+func (c *configuration) setCatalog(next *resource.Catalog) {
 	c.catalog.Store(next)
 	close(c.changed)
 	c.changed = make(chan struct{})
@@ -118,12 +118,12 @@
 	if after >= c.catalog.Load().Revision() {
 		return LogTail{}
 	}
-	if len(c.recent) == 0 || c.recent[0].Revision > after+1 {
+	if len(c.recentEntries) == 0 || c.recentEntries[0].Revision > after+1 {
 		snapshot := c.catalog.Load().Snapshot()
 		return LogTail{Snapshot: &snapshot}
 	}
-	from := int(after + 1 - c.recent[0].Revision)
-	return LogTail{Entries: append([]resource.LogEntry(nil), c.recent[from:]...)}
+	from := int(after + 1 - c.recentEntries[0].Revision)
+	return LogTail{Entries: append([]resource.LogEntry(nil), c.recentEntries[from:]...)}
 }
 
 // pull fetches from a peer what this entry doesn't have yet.
@@ -132,15 +132,15 @@
 	if err != nil {
 		return
 	}
-	c.take(tail)
+	c.applyTail(tail)
 	if c.Catalog().Revision() > 0 {
 		c.setLoaded()
 	}
 }
 
-func (c *configuration) take(tail LogTail) {
+func (c *configuration) applyTail(tail LogTail) {
 	if tail.Snapshot != nil {
-		c.restore(*tail.Snapshot)
+		c.applySnapshot(*tail.Snapshot)
 	}
 	c.apply(tail.Entries...)
 }
@@ -148,47 +148,47 @@
 // run follows the log: by the platform's watch while this entry is among its
 // zone's watchers, and by a slow poll as a backstop otherwise.
 func (c *configuration) run(ctx context.Context) {
-	wait := configRetry
+	wait := initialConfigRetryDelay
 	failing := false
 	for ctx.Err() == nil {
-		err := c.follow(ctx)
+		err := c.followOnce(ctx)
 		if failing != (err != nil) && ctx.Err() == nil {
 			failing = err != nil
 			logChange(c.entry.logger, "following the configuration", failing, err)
 		}
 		if err == nil {
-			wait = configRetry
+			wait = initialConfigRetryDelay
 			continue
 		}
 		if !pause(ctx, jitter(wait)) {
 			return
 		}
-		wait = min(2*wait, configRetryMax)
+		wait = min(2*wait, maxConfigRetryDelay)
 	}
 }
 
-// follow does one step: it catches up with the log, then waits for news.
-func (c *configuration) follow(ctx context.Context) error {
+// followOnce does one step: it catches up with the log, then waits for news.
+func (c *configuration) followOnce(ctx context.Context) error {
 	at, err := c.catchUp(ctx)
 	if err != nil {
 		return err
 	}
 	c.setLoaded()
 	if !c.entry.members.Watches(c.entry.now()) {
-		c.waitForPeers(ctx)
+		c.waitForPollOrChange(ctx)
 		return nil
 	}
 	next := c.Catalog().Revision() + 1
-	item, err := c.entry.store.Watch(ctx, logKey(next), max(at, 1), watchWait)
+	item, err := c.entry.store.Watch(ctx, logKey(next), max(at, 1), watchTimeout)
 	if err != nil {
 		return err
 	}
-	return c.takeItem(next, item)
+	return c.applyItem(next, item)
 }
 
-// waitForPeers waits for the slow poll, or for a peer to bring news.
-func (c *configuration) waitForPeers(ctx context.Context) {
-	timer := time.NewTimer(jitter(c.entry.settings.ConfigPollEvery))
+// waitForPollOrChange waits for the slow poll, or for a peer to bring news.
+func (c *configuration) waitForPollOrChange(ctx context.Context) {
+	timer := time.NewTimer(jitter(c.entry.settings.ConfigPollInterval))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -219,16 +219,16 @@
 			continue
 		}
 		if !item.Found() {
-			c.at = item.at()
+			c.lastLogEnd = item.at()
 			return item.Index, nil
 		}
-		if err := c.takeItem(next, item); err != nil {
+		if err := c.applyItem(next, item); err != nil {
 			return 0, err
 		}
 	}
 }
 
-func (c *configuration) takeItem(r resource.Revision, item Item) error {
+func (c *configuration) applyItem(r resource.Revision, item Item) error {
 	if !item.Found() {
 		return nil
 	}
@@ -260,7 +260,7 @@
 	if err := json.Unmarshal(item.Value, &s); err != nil {
 		return trace.Wrap(err, "the snapshot can't be read")
 	}
-	c.restore(s)
+	c.applySnapshot(s)
 	return nil
 }
 
@@ -268,7 +268,7 @@
 // entry needn't read the whole log. It is called by the entry that wrote the
 // revision, at that revision. Losing a race is fine: another wrote one.
 func (c *configuration) saveSnapshot(catalog *resource.Catalog) {
-	if catalog.Revision()%snapshotEvery != 0 {
+	if catalog.Revision()%revisionsPerSnapshot != 0 {
 		return
 	}
 	c.entry.spawn(func(ctx context.Context) {
--- a/entry/configuration_test.go
+++ b/entry/configuration_test.go
@@ -47,8 +47,8 @@
 	})
 }
 
-// told is what one writer was told of one change.
-type told struct {
+// proposeResult is what one writer was proposeResult of one change.
+type proposeResult struct {
 	change   resource.Change
 	revision resource.Revision
 	err      error
@@ -72,7 +72,7 @@
 		entries = append(entries, s.add(member.HostID(fmt.Sprintf("e%d", i)), "az1"))
 	}
 	var mu sync.Mutex
-	var all []told
+	var all []proposeResult
 	var writing sync.WaitGroup
 	for i, e := range entries {
 		writing.Go(func() {
@@ -80,14 +80,14 @@
 				c := poolChange(resource.Name(fmt.Sprintf("p%d-%d", i, n)), n+1)
 				revision, err := e.Propose(ctx, c, nil)
 				mu.Lock()
-				all = append(all, told{c, revision, err})
+				all = append(all, proposeResult{c, revision, err})
 				mu.Unlock()
 			}
 		})
 	}
 	writing.Wait()
 	time.Sleep(8 * time.Second)
-	if err := compareWithLog(all, s.store.log()); err != nil {
+	if err := checkAgainstLog(all, s.store.log()); err != nil {
 		return err
 	}
 	for _, e := range entries {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func compareWithLog(all []told, log []resource.LogEntry) error {
+func checkAgainstLog(all []proposeResult, log []resource.LogEntry) error {
 	at := map[resource.Name][]resource.Revision{}
 	for _, e := range log {
 		for _, c := range e.Changes {
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// inZones runs a test with one entry in each of three zones, configured.
-func inZones(t *testing.T, test func(t *testing.T, s *fakeSite, entries []*Entry)) {
+// runInThreeZones runs a test with one entry in each of three zones, configured.
+func runInThreeZones(t *testing.T, test func(t *testing.T, s *fakeSite, entries []*Entry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -143,7 +143,7 @@
 
 // TestTwoOperatorsOneResource lets one win and tells the other what is there.
 func TestTwoOperatorsOneResource(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		there, _ := entries[0].Catalog().Get(resource.EnginePools, "desk")
 		results := make(chan error, 2)
@@ -162,34 +162,34 @@
 			}
 		}
 		is.Equal(lost, 1)
-		is.True(conflict.Now.Revision > there.Revision)
+		is.True(conflict.Current.Revision > there.Revision)
 	})
 }
 
 // TestPausedWriter has a writer with an old view lose: it finds the revision
 // taken, takes in what is there and is told of the conflict.
 func TestPausedWriter(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		there, _ := entries[0].Catalog().Get(resource.EnginePools, "desk")
 		paused := newConfiguration(entries[0])
-		paused.restore(entries[0].Catalog().Snapshot())
+		paused.applySnapshot(entries[0].Catalog().Snapshot())
 		_, err := entries[1].Propose(s.ctx, poolChange("desk", 7), nil)
 		is.NoErr(err)
-		p := &proposal{ctx: s.ctx, change: poolChange("desk", 8), match: &there.Revision, done: make(chan proposalResult, 1)}
+		p := &proposal{ctx: s.ctx, change: poolChange("desk", 8), expectedRevision: &there.Revision, result: make(chan proposalResult, 1)}
 		held := paused.writeGroup(s.ctx, []*proposal{p})
 		is.Equal(len(held), 1) // the race is lost
 		is.Equal(len(paused.writeGroup(s.ctx, held)), 0)
 		var conflict *Conflict
-		is.True(errors.As((<-p.done).err, &conflict))
+		is.True(errors.As((<-p.result).err, &conflict))
 	})
 }
 
-// TestCutOffZone cuts a zone off from the platform and the others for hours. It
+// TestPartitionedZone cuts a zone off from the platform and the others for hours. It
 // keeps its configuration, says so, and has the new one within 3 s of being
 // back; the others' status says that it isn't known there.
-func TestCutOffZone(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+func TestPartitionedZone(t *testing.T) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		cut := func(cut bool) {
 			for id, p := range s.peers {
@@ -227,7 +227,7 @@
 // TestAcceptedIsInForceWithin3s changes the configuration while the platform's
 // watch fails for all but the writer's zone.
 func TestAcceptedIsInForceWithin3s(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		s.stores["e2"].set(true)
 		s.stores["e3"].set(true)
@@ -245,7 +245,7 @@
 // TestFreshEntryWithThePlatformDown starts from its peers, and says that it
 // isn't ready with neither.
 func TestFreshEntryWithThePlatformDown(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		s.store.setDown(true)
 		fresh := s.add("e4", "az1")
@@ -253,7 +253,7 @@
 		is.True(fresh.Ready())
 		is.Equal(fresh.Catalog().Revision(), entries[0].Catalog().Revision())
 		alone := &fakeHosts{down: true}
-		lonely := New(Settings{Self: member.Entry{ID: "e5", Zone: "az9"}}, Ports{
+		lonely := New(Settings{Self: member.Entry{ID: "e5", Zone: "az9"}}, Dependencies{
 			Store: s.store, Hosts: alone, Peers: s.peers["e4"], Engines: s.engines, Services: s.services,
 		})
 		s.wait.Go(func() { lonely.Run(s.ctx) })
@@ -263,14 +263,14 @@
 		var failure *Failure
 		is.True(errors.As(err, &failure))
 		is.Equal(failure.Code, CodeNotReady)
-		is.Equal(failure.Run, NotRun)
+		is.Equal(failure.RunState, NotRun)
 	})
 }
 
 // TestOutageRefusesChanges tells an operator during an outage that the change
 // was not accepted, and it never appears.
 func TestOutageRefusesChanges(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		before := entries[0].Catalog().Revision()
 		s.store.setDown(true)
@@ -288,7 +288,7 @@
 // accepted when its answer is lost and the platform then stays away; once it is
 // back, the change that landed is in force everywhere, once.
 func TestLostAnswerThenOutage(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		before := entries[0].Catalog().Revision()
 		s.store.mu.Lock()
@@ -298,7 +298,7 @@
 		}
 		s.store.mu.Unlock()
 		_, err := entries[0].Propose(s.ctx, poolChange("desk", 77), nil)
-		is.True(errors.Is(err, ErrUnsure))
+		is.True(errors.Is(err, ErrOutcomeUnknown))
 		s.store.mu.Lock()
 		s.store.fault = nil
 		s.store.mu.Unlock()
@@ -315,9 +315,9 @@
 // TestSnapshotBoundsCatchUp has a fresh entry read the snapshot and only the
 // entries after it.
 func TestSnapshotBoundsCatchUp(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
-		for n := range snapshotEvery + 20 {
+		for n := range revisionsPerSnapshot + 20 {
 			_, err := entries[0].Propose(s.ctx, poolChange("desk", n+1), nil)
 			is.NoErr(err)
 		}
@@ -331,8 +331,8 @@
 	})
 }
 
-// TestChangeThatTheCopyLost: what was accepted is written again, and stays in force at all entries.
-func TestChangeThatTheCopyLost(t *testing.T) {
+// TestLostChangeIsRewrittenAfterRestore: what was accepted is written again, and stays in force at all entries.
+func TestLostChangeIsRewrittenAfterRestore(t *testing.T) {
 	for name, c := range map[string]struct {
 		// overtaken has other writes catch up with the index; era has the platform tell it.
 		overtaken, era bool
@@ -340,7 +340,7 @@
 		"the index falls": {}, "the index has caught up, the era tells": {overtaken: true, era: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+			runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 				is := is.New(t)
 				if c.era {
 					s.store.mu.Lock()
@@ -374,7 +374,7 @@
 
 // TestLogDivergesAfterARestore: where another change has taken a lost one's revision, all entries follow the log.
 func TestLogDivergesAfterARestore(t *testing.T) {
-	inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+	runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 		is := is.New(t)
 		items, index := s.store.copy()
 		accepted, err := entries[0].Propose(t.Context(), poolChange("lost", 3), nil)
--- a/entry/engines.go
+++ b/entry/engines.go
@@ -54,13 +54,13 @@
 	// Data is the token's chunk in the request's shape, as the engine wrote it.
 	Data string
 	// End is set with EventEnd.
-	End Ending
+	End RunResult
 }
 
-// Ending is an engine's word on how a run ended.
-type Ending struct {
-	// Whole says that the answer came to its own end.
-	Whole            bool
+// RunResult is an engine's word on how a run ended.
+type RunResult struct {
+	// Complete says that the answer came to its own end.
+	Complete         bool
 	PromptTokens     int
 	CompletionTokens int
 }
@@ -104,8 +104,8 @@
 	Order(ctx context.Context, u member.Upstream, o Order) error
 }
 
-// ErrRunGone says that an engine doesn't have the run that was asked for.
-var ErrRunGone = errors.New("the engine doesn't have the run")
+// ErrRunNotFound says that an engine doesn't have the run that was asked for.
+var ErrRunNotFound = errors.New("the engine doesn't have the run")
 
 // ErrStreamIdle says that nothing came from an engine, not even a sign of life.
 var ErrStreamIdle = errors.New("the link to the engine is silent")
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -38,31 +38,31 @@
 	// GenerationKey signs the generation ids; it must be the same on every
 	// entry of the site.
 	GenerationKey []byte
-	// Alone has every entry place by itself, within its share, to be compared
+	// LocalPlacement has every entry place by itself, within its share, to be compared
 	// with the coordinated placement.
-	Alone bool
-	// HostListEvery, ConfigPollEvery and LoadEvery are the periods of the
+	LocalPlacement bool
+	// HostListInterval, ConfigPollInterval and LoadInterval are the periods of the
 	// polls; zero takes the default.
-	HostListEvery, ConfigPollEvery, LoadEvery time.Duration
+	HostListInterval, ConfigPollInterval, LoadInterval time.Duration
 	// Clock counts the time for which the machine is suspended; nil counts none.
 	Clock *clock.Clock
 }
 
-func (s *Settings) fill() {
-	if s.HostListEvery == 0 {
-		s.HostListEvery = hostListEvery
+func (s *Settings) setDefaults() {
+	if s.HostListInterval == 0 {
+		s.HostListInterval = hostListEvery
 	}
-	if s.ConfigPollEvery == 0 {
-		s.ConfigPollEvery = pollEvery
+	if s.ConfigPollInterval == 0 {
+		s.ConfigPollInterval = configPollInterval
 	}
-	if s.LoadEvery == 0 {
-		s.LoadEvery = loadEvery
+	if s.LoadInterval == 0 {
+		s.LoadInterval = loadEvery
 	}
 }
 
-// Ports are what an entry reaches the outside by. All but the last four must
+// Dependencies are what an entry reaches the outside by. All but the last four must
 // be set.
-type Ports struct {
+type Dependencies struct {
 	Store Store
 	// Claims and Outcomes are the same store at lower ranks of its budget.
 	Claims, Outcomes Store
@@ -84,17 +84,17 @@
 	generationKey []byte
 
 	store, claims, outcomes Store
-	// claimed remembers the claims of calls that were made here.
-	claimed   claimKeeper
-	hosts     Hosts
-	peers     Peers
-	engines   Engines
-	services  Services
-	leases    LeaseStore
-	upstreams Upstreams
-	observer  Observer
-	logger    log.Logger
-	tracer    trace.Tracer
+	// claimHistory remembers the claims of calls that were made here.
+	claimHistory claimHistory
+	hosts        Hosts
+	peers        Peers
+	engines      Engines
+	services     Services
+	leases       LeaseStore
+	upstreams    Upstreams
+	observer     Observer
+	logger       log.Logger
+	tracer       trace.Tracer
 
 	config    *configuration
 	members   *members
@@ -114,17 +114,17 @@
 	// leaving says that the entry is stopping; refusing, which follows it,
 	// that new calls are refused.
 	leaving, refusing bool
-	// idle closes when refusing and nothing is in flight.
-	idle chan struct{}
-	// spawned are the short-lived goroutines, which end with stopped.
-	spawned    conc.WaitGroup
-	spawnClose bool
-	background context.Context
+	// drained closes when refusing and nothing is in flight.
+	drained chan struct{}
+	// jobs are the short-lived goroutines, which end with stopped.
+	jobs       conc.WaitGroup
+	jobsClosed bool
+	runCtx     context.Context
 }
 
 // New returns an entry that isn't running yet.
-func New(s Settings, p Ports) *Entry {
-	s.fill()
+func New(s Settings, p Dependencies) *Entry {
+	s.setDefaults()
 	if p.Observer == nil {
 		p.Observer = noObserver{}
 	}
@@ -139,7 +139,7 @@
 		store: p.Store, claims: p.Claims, outcomes: p.Outcomes, hosts: p.Hosts, peers: p.Peers,
 		engines: p.Engines, services: p.Services, leases: p.Leases, upstreams: p.Upstreams, crashes: newCrashes(),
 		observer: p.Observer, logger: p.Logger, tracer: p.Tracer,
-		stopped: make(chan struct{}), idle: make(chan struct{}), background: context.Background(),
+		stopped: make(chan struct{}), drained: make(chan struct{}), runCtx: context.Background(),
 	}
 	e.config = newConfiguration(e)
 	e.members = newMembers(e, e.now(), s.Seeds)
@@ -158,7 +158,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e.mu.Lock()
-	e.background = ctx
+	e.runCtx = ctx
 	e.mu.Unlock()
 	var duties conc.WaitGroup
 	duties.Go(func() { e.placement.run(ctx) })
@@ -171,10 +171,10 @@
 	<-ctx.Done()
 	close(e.stopped)
 	e.mu.Lock()
-	e.spawnClose = true
+	e.jobsClosed = true
 	e.mu.Unlock()
 	duties.Wait()
-	e.spawned.Wait()
+	e.jobs.Wait()
 }
 
 // spawn runs a short-lived job beside the duties; its context ends with Run's.
@@ -182,38 +182,38 @@
 func (e *Entry) spawn(job func(ctx context.Context)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.spawnClose {
+	if e.jobsClosed {
 		return
 	}
-	ctx := e.background
-	e.spawned.Go(func() { job(ctx) })
+	ctx := e.runCtx
+	e.jobs.Go(func() { job(ctx) })
 }
 
 // admit lets a call in if the entry and the account allow it. The release is
 // to be called when the call has ended.
 func (e *Entry) admit(name resource.Account) (release func(), failure *Failure) {
 	if !e.Ready() {
-		return nil, fail(CodeNotReady, NotRun, "this entry has no configuration yet").retryAfter(retryUnknown)
+		return nil, newFailure(CodeNotReady, NotRun, "this entry has no configuration yet").withRetryAfter(retryUnknown)
 	}
-	if !e.enter() {
-		return nil, fail(CodeLeaving, NotRun, "this entry is stopping; another takes the call").retryAfter(retryLeaving)
+	if !e.beginCall() {
+		return nil, newFailure(CodeLeaving, NotRun, "this entry is stopping; another takes the call").withRetryAfter(leavingRetryAfter)
 	}
 	account, _ := e.config.Catalog().Account(name)
 	wait, ok := e.limits.enter(e.now(), name, account)
 	if !ok {
-		e.leave()
-		return nil, fail(CodeRateLimited, NotRun, "the account's limit is reached").retryAfter(max(wait, retryUnknown))
+		e.endCall()
+		return nil, newFailure(CodeRateLimited, NotRun, "the account's limit is reached").withRetryAfter(max(wait, retryUnknown))
 	}
 	return func() {
 		e.limits.leave(name)
-		e.leave()
+		e.endCall()
 	}, nil
 }
 
-// retryLeaving sends the caller on at once: another entry takes the call.
-const retryLeaving = time.Millisecond
+// leavingRetryAfter sends the caller on at once: another entry takes the call.
+const leavingRetryAfter = time.Millisecond
 
-func (e *Entry) enter() bool {
+func (e *Entry) beginCall() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.refusing {
@@ -223,12 +223,12 @@
 	return true
 }
 
-func (e *Entry) leave() {
+func (e *Entry) endCall() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inFlight--
 	if e.refusing && e.inFlight == 0 {
-		close(e.idle)
+		close(e.drained)
 	}
 }
 
@@ -245,14 +245,14 @@
 	e.members.setLeaving()
 	e.members.beat(ctx)
 	pause(ctx, grace)
-	e.refuse()
+	e.refuseCalls()
 	select {
-	case <-e.idle:
+	case <-e.drained:
 	case <-ctx.Done():
 	}
 }
 
-func (e *Entry) refuse() {
+func (e *Entry) refuseCalls() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.refusing {
@@ -260,7 +260,7 @@
 	}
 	e.refusing = true
 	if e.inFlight == 0 {
-		close(e.idle)
+		close(e.drained)
 	}
 }
 
--- a/entry/failure.go
+++ b/entry/failure.go
@@ -26,27 +26,27 @@
 
 // The codes that callers see.
 const (
-	CodeBadRequest    Code = "bad_request"
-	CodeUnauthorized  Code = "unauthorized"
-	CodeUnknownModel  Code = "unknown_model"
-	CodeUnknownRoute  Code = "unknown_route"
-	CodePromptTooLong Code = "prompt_too_long"
-	CodeTooLarge      Code = "request_too_large"
-	CodeRateLimited   Code = "rate_limited"
-	CodeOverloaded    Code = "overloaded"
-	CodeNoEngine      Code = "no_engine"
-	CodeLeaving       Code = "leaving"
-	CodeNotReady      Code = "not_ready"
-	CodeUpstreamLost  Code = "upstream_lost"
-	CodeUpstream      Code = "upstream_refused"
-	CodeBadStream     Code = "bad_stream"
-	CodeBadID         Code = "bad_generation_id"
-	CodeGone          Code = "generation_gone"
-	CodeDuplicate     Code = "duplicate_request"
-	CodeKeyReused     Code = "idempotency_key_reused"
-	CodeNoClaim       Code = "claim_unavailable"
-	CodeTimeout       Code = "timeout"
-	CodeCancelled     Code = "cancelled"
+	CodeBadRequest           Code = "bad_request"
+	CodeUnauthorized         Code = "unauthorized"
+	CodeUnknownModel         Code = "unknown_model"
+	CodeUnknownRoute         Code = "unknown_route"
+	CodePromptTooLong        Code = "prompt_too_long"
+	CodeRequestTooLarge      Code = "request_too_large"
+	CodeRateLimited          Code = "rate_limited"
+	CodeOverloaded           Code = "overloaded"
+	CodeNoEngine             Code = "no_engine"
+	CodeLeaving              Code = "leaving"
+	CodeNotReady             Code = "not_ready"
+	CodeUpstreamLost         Code = "upstream_lost"
+	CodeUpstreamRefused      Code = "upstream_refused"
+	CodeBadStream            Code = "bad_stream"
+	CodeBadGenerationID      Code = "bad_generation_id"
+	CodeGenerationGone       Code = "generation_gone"
+	CodeDuplicateRequest     Code = "duplicate_request"
+	CodeIdempotencyKeyReused Code = "idempotency_key_reused"
+	CodeClaimUnavailable     Code = "claim_unavailable"
+	CodeTimeout              Code = "timeout"
+	CodeCancelled            Code = "cancelled"
 	// CodeQuarantined: upstreams ended under the same request, and it isn't sent any
 	// more.
 	CodeQuarantined Code = "quarantined"
@@ -54,22 +54,22 @@
 
 // Failure is the final answer to a call that did not finish.
 type Failure struct {
-	Code    Code
-	Run     RunState
-	Message string
+	Code     Code
+	RunState RunState
+	Message  string
 	// RetryAfter is when to come back; zero means that coming back makes no
 	// sense or that nothing is known.
 	RetryAfter time.Duration
 }
 
 // Error gives the code, the run state and the message.
-func (f *Failure) Error() string { return fmt.Sprintf("%s (%s): %s", f.Code, f.Run, f.Message) }
+func (f *Failure) Error() string { return fmt.Sprintf("%s (%s): %s", f.Code, f.RunState, f.Message) }
 
-func fail(code Code, run RunState, format string, args ...any) *Failure {
-	return &Failure{Code: code, Run: run, Message: fmt.Sprintf(format, args...)}
+func newFailure(code Code, run RunState, format string, args ...any) *Failure {
+	return &Failure{Code: code, RunState: run, Message: fmt.Sprintf(format, args...)}
 }
 
-func (f *Failure) retryAfter(d time.Duration) *Failure {
+func (f *Failure) withRetryAfter(d time.Duration) *Failure {
 	f.RetryAfter = d
 	return f
 }
--- a/entry/fakeengines_test.go
+++ b/entry/fakeengines_test.go
@@ -235,7 +235,7 @@
 }
 
 func ended(count int) StreamEvent {
-	return StreamEvent{Kind: EventEnd, Index: count, End: Ending{Whole: true, CompletionTokens: count}}
+	return StreamEvent{Kind: EventEnd, Index: count, End: RunResult{Complete: true, CompletionTokens: count}}
 }
 
 // fakeSink gathers what reached the caller.
--- a/entry/fakesite_test.go
+++ b/entry/fakesite_test.go
@@ -195,7 +195,7 @@
 	peers := &fakePeers{from: id, site: s, cut: map[member.HostID]bool{}}
 	store := &switchedStore{fakeStore: s.store}
 	s.stores[id] = store
-	e := New(Settings{Self: self, GenerationKey: []byte("key"), HostListEvery: time.Second, Clock: s.clock}, Ports{
+	e := New(Settings{Self: self, GenerationKey: []byte("key"), HostListInterval: time.Second, Clock: s.clock}, Dependencies{
 		Store: store, Claims: store, Outcomes: store, Hosts: s.hosts, Peers: peers,
 		Engines: s.engines, Services: s.services, Leases: &s.leases, Upstreams: s.upstreams,
 	})
--- a/entry/follow.go
+++ b/entry/follow.go
@@ -38,12 +38,12 @@
 }
 
 // follow reads the run to its end. Without a stream it begins by resuming.
-func (r *relay) follow(ctx context.Context, stream Stream) (Ending, *Failure) {
+func (r *relay) follow(ctx context.Context, stream Stream) (RunResult, *Failure) {
 	for {
 		if stream == nil {
 			var failure *Failure
 			if stream, failure = r.takeUp(ctx); failure != nil {
-				return Ending{}, failure
+				return RunResult{}, failure
 			}
 		}
 		ending, ended, failure := r.read(ctx, stream)
@@ -61,14 +61,14 @@
 
 // read passes on what one stream brings. With neither an end nor a failure,
 // the run is to be taken up again.
-func (r *relay) read(ctx context.Context, stream Stream) (Ending, bool, *Failure) {
+func (r *relay) read(ctx context.Context, stream Stream) (RunResult, bool, *Failure) {
 	for event, err := range stream.Events(r.flush) {
 		if ctx.Err() != nil || r.sinkErr != nil {
-			return Ending{}, false, r.lost(CodeCancelled, "the caller left")
+			return RunResult{}, false, r.lost(CodeCancelled, "the caller left")
 		}
 		if err != nil {
 			r.why = err
-			return Ending{}, false, nil
+			return RunResult{}, false, nil
 		}
 		switch r.sequence.judge(event) {
 		case deliver:
@@ -77,20 +77,20 @@
 			r.entry.observer.Spoilt("duplicate")
 		case resume:
 			r.why = errGap
-			return Ending{}, false, nil
+			return RunResult{}, false, nil
 		case foreign:
 			r.entry.observer.Spoilt("foreign")
 			r.why = errForeign
-			return Ending{}, false, nil
+			return RunResult{}, false, nil
 		case done:
 			return event.End, true, r.finish()
 		case broken:
-			return Ending{}, false, r.lost(CodeBadStream, "the engine ended the run after %d tokens; %d came",
+			return RunResult{}, false, r.lost(CodeBadStream, "the engine ended the run after %d tokens; %d came",
 				event.End.CompletionTokens, r.sequence.delivered)
 		}
 	}
 	r.why = errCutShort
-	return Ending{}, false, nil
+	return RunResult{}, false, nil
 }
 
 // What makes a relay take a stream up again, besides a failing link.
@@ -158,7 +158,7 @@
 		switch {
 		case err == nil:
 			return stream, nil
-		case errors.Is(err, ErrRunGone):
+		case errors.Is(err, ErrRunNotFound):
 			return nil, r.lost(CodeUpstreamLost, "engine %s no longer has the run", r.upstream.ID)
 		case ctx.Err() != nil:
 			return nil, r.lost(CodeCancelled, "the caller left")
@@ -200,5 +200,5 @@
 	if r.sequence.delivered > 0 {
 		state = Partial
 	}
-	return fail(code, state, format, args...)
+	return newFailure(code, state, format, args...)
 }
--- a/entry/generation.go
+++ b/entry/generation.go
@@ -75,7 +75,7 @@
 
 // Generate runs a generation and passes its tokens to the sink. The error is a
 // *Failure.
-func (e *Entry) Generate(ctx context.Context, r GenerationRequest, sink Sink) (Ending, error) {
+func (e *Entry) Generate(ctx context.Context, r GenerationRequest, sink Sink) (RunResult, error) {
 	ending, failure := e.generate(ctx, r, sink)
 	e.answered("generation", failure)
 	if failure != nil {
@@ -89,27 +89,27 @@
 		e.observer.Answered(kind, "ok", "")
 		return
 	}
-	e.observer.Answered(kind, string(failure.Code), failure.Run)
+	e.observer.Answered(kind, string(failure.Code), failure.RunState)
 }
 
-func (e *Entry) generate(ctx context.Context, r GenerationRequest, sink Sink) (Ending, *Failure) {
+func (e *Entry) generate(ctx context.Context, r GenerationRequest, sink Sink) (RunResult, *Failure) {
 	release, failure := e.admit(r.Account)
 	if failure != nil {
-		return Ending{}, failure
+		return RunResult{}, failure
 	}
 	defer release()
 	catalog := e.config.Catalog()
 	route, known := catalog.Route(r.Route)
 	if !known || route.Model == "" {
-		return Ending{}, fail(CodeUnknownModel, NotRun, "there is no model %q", r.Route)
+		return RunResult{}, newFailure(CodeUnknownModel, NotRun, "there is no model %q", r.Route)
 	}
 	model, known := catalog.Model(route.Model)
 	if !known {
-		return Ending{}, fail(CodeUnknownModel, NotRun, "the model %q behind %q is not declared", route.Model, r.Route)
+		return RunResult{}, newFailure(CodeUnknownModel, NotRun, "the model %q behind %q is not declared", route.Model, r.Route)
 	}
 	window := policy.Tokens(model.ContextTokens)
 	if r.Prompt >= window {
-		return Ending{}, fail(CodePromptTooLong, NotRun,
+		return RunResult{}, newFailure(CodePromptTooLong, NotRun,
 			"the prompt has about %d tokens; the model takes %d with the answer", r.Prompt, window)
 	}
 	if r.Limit == 0 || r.Limit > window-r.Prompt {
@@ -123,12 +123,12 @@
 
 // run starts the generation on one engine after another, until one has given
 // the caller a token or ended it.
-func (g *generation) run(ctx context.Context, deadline time.Time) (Ending, *Failure) {
+func (g *generation) run(ctx context.Context, deadline time.Time) (RunResult, *Failure) {
 	var avoid member.UpstreamID
 	var last *Failure
 	for starts := range maxStarts {
 		if failure := g.entry.held(&g.asking); failure != nil {
-			return Ending{}, later(last, failure)
+			return RunResult{}, later(last, failure)
 		}
 		if starts > 0 && !g.entry.retries.take() {
 			break
@@ -136,12 +136,12 @@
 		run := newRunID()
 		decision, failure := g.place(ctx, run, avoid, deadline)
 		if failure != nil {
-			return Ending{}, later(last, failure)
+			return RunResult{}, later(last, failure)
 		}
 		// It may have waited for its place.
 		if failure := g.entry.held(&g.asking); failure != nil {
 			g.entry.placement.finish(g.pool, policy.Finish{Run: run})
-			return Ending{}, later(last, failure)
+			return RunResult{}, later(last, failure)
 		}
 		ending, failure := g.onEngine(ctx, run, decision)
 		if failure == nil {
@@ -154,7 +154,7 @@
 		g.entry.observer.Retried(string(failure.Code))
 		avoid, last = decision.Engine, failure
 	}
-	return Ending{}, last.retryAfter(retryUnknown)
+	return RunResult{}, last.withRetryAfter(retryUnknown)
 }
 
 // runIDBytes make a run id of 16 letters that nobody else draws. It travels in
@@ -170,8 +170,8 @@
 
 // later answers with a second try's failure, unless the first may have run.
 func later(first, second *Failure) *Failure {
-	if first != nil && first.Run != NotRun && second.Run == NotRun {
-		second.Run = first.Run
+	if first != nil && first.RunState != NotRun && second.RunState == NotRun {
+		second.RunState = first.RunState
 	}
 	return second
 }
@@ -188,9 +188,9 @@
 func (g *generation) place(ctx context.Context, run policy.RunID, avoid member.UpstreamID, deadline time.Time) (policy.Decision, *Failure) {
 	ctx, span := g.entry.tracer.Start(ctx, "placement", trace.WithAttributes(attribute.String("pool", string(g.pool))))
 	defer span.End()
-	resting, wait := g.entry.backingOff(g.pool)
+	resting, wait := g.entry.enginesBackingOff(g.pool)
 	if wait > 0 {
-		return policy.Decision{}, fail(CodeOverloaded, NotRun, "every engine asked this entry to stay away").retryAfter(wait)
+		return policy.Decision{}, newFailure(CodeOverloaded, NotRun, "every engine asked this entry to stay away").withRetryAfter(wait)
 	}
 	account, _ := g.entry.config.Catalog().Account(g.request.Account)
 	r := policy.Request{
@@ -200,7 +200,7 @@
 	}
 	decision, err := g.entry.placement.place(ctx, g.pool, r)
 	if err != nil {
-		return decision, fail(CodeCancelled, NotRun, "the caller left while waiting for an engine")
+		return decision, newFailure(CodeCancelled, NotRun, "the caller left while waiting for an engine")
 	}
 	span.SetAttributes(attribute.String("engine", string(decision.Engine)))
 	if decision.Verdict == policy.Refused {
@@ -215,25 +215,25 @@
 func refusal(d policy.Decision) *Failure {
 	switch d.Reason {
 	case policy.ReasonTooLong:
-		return fail(CodePromptTooLong, NotRun, "no engine's memory holds the prompt")
+		return newFailure(CodePromptTooLong, NotRun, "no engine's memory holds the prompt")
 	case policy.ReasonNoEngine:
-		return fail(CodeNoEngine, NotRun, "no engine takes work for this model now").retryAfter(d.RetryAfter)
+		return newFailure(CodeNoEngine, NotRun, "no engine takes work for this model now").withRetryAfter(d.RetryAfter)
 	default:
-		return fail(CodeOverloaded, NotRun, "every engine is full (%s)", d.Reason).retryAfter(d.RetryAfter)
+		return newFailure(CodeOverloaded, NotRun, "every engine is full (%s)", d.Reason).withRetryAfter(d.RetryAfter)
 	}
 }
 
 // onEngine runs the generation on the engine that it was placed on.
-func (g *generation) onEngine(ctx context.Context, run policy.RunID, d policy.Decision) (Ending, *Failure) {
+func (g *generation) onEngine(ctx context.Context, run policy.RunID, d policy.Decision) (RunResult, *Failure) {
 	finish := policy.Finish{Run: run}
 	defer func() { g.entry.placement.finish(g.pool, finish) }()
 	upstream, known := g.entry.members.Upstream(d.Engine)
 	if !known {
-		return Ending{}, fail(CodeUpstreamLost, NotRun, "engine %s is gone", d.Engine)
+		return RunResult{}, newFailure(CodeUpstreamLost, NotRun, "engine %s is gone", d.Engine)
 	}
 	if wait := g.entry.backoffs.Remaining(g.entry.now(), d.Engine); wait > 0 {
 		// It asked for that since the run was placed there.
-		return Ending{}, fail(CodeOverloaded, NotRun, "engine %s asked this entry to stay away", d.Engine).retryAfter(wait)
+		return RunResult{}, newFailure(CodeOverloaded, NotRun, "engine %s asked this entry to stay away", d.Engine).withRetryAfter(wait)
 	}
 	id := newGenerationID(g.entry.generationKey, location{
 		Engine: d.Engine, Run: run, Account: g.request.Account, Route: g.request.Route,
@@ -246,12 +246,12 @@
 		Prefix: prefixName(g.request.Prefix), PrefixTokens: g.request.PrefixTokens,
 	})
 	if err != nil {
-		g.entry.takeBackoff(d.Engine, backoffOf(err))
+		g.entry.recordBackoff(d.Engine, refusalBackoff(err))
 		failure := startFailure(ctx, d.Engine, err)
-		if failure.Code == CodeUpstreamLost && failure.Run != NotRun {
+		if failure.Code == CodeUpstreamLost && failure.RunState != NotRun {
 			g.entry.broke(ctx, &g.asking, upstream, time.Time{})
 		}
-		return Ending{}, failure
+		return RunResult{}, failure
 	}
 	relay := relay{generation: g, upstream: upstream, id: id, sequence: sequence{run: run}}
 	ending, failure := relay.follow(ctx, stream)
@@ -268,15 +268,15 @@
 	var refused *EngineRefusal
 	switch {
 	case ctx.Err() != nil:
-		return fail(CodeCancelled, Unknown, "the caller left")
+		return newFailure(CodeCancelled, Unknown, "the caller left")
 	case errors.Is(err, ErrNotSent):
-		return fail(CodeUpstreamLost, NotRun, "engine %s can't be reached", engine)
+		return newFailure(CodeUpstreamLost, NotRun, "engine %s can't be reached", engine)
 	case errors.As(err, &refused) && refused.Status < 500 && refused.Status != statusTooMany:
-		return fail(CodeUpstream, NotRun, "%v", refused)
+		return newFailure(CodeUpstreamRefused, NotRun, "%v", refused)
 	case errors.As(err, &refused):
-		return fail(CodeOverloaded, NotRun, "%v", refused).retryAfter(refused.RetryAfter)
+		return newFailure(CodeOverloaded, NotRun, "%v", refused).withRetryAfter(refused.RetryAfter)
 	default:
-		return fail(CodeUpstreamLost, Unknown, "engine %s was lost: %v", engine, err)
+		return newFailure(CodeUpstreamLost, Unknown, "engine %s was lost: %v", engine, err)
 	}
 }
 
@@ -284,7 +284,7 @@
 
 // Resume carries on with a generation whose entry was lost, behind the token
 // that the caller saw last. The error is a *Failure.
-func (e *Entry) Resume(ctx context.Context, account resource.Account, lastEvent string, sink Sink) (Ending, error) {
+func (e *Entry) Resume(ctx context.Context, account resource.Account, lastEvent string, sink Sink) (RunResult, error) {
 	ending, failure := e.resume(ctx, account, lastEvent, sink)
 	e.answered("resume", failure)
 	if failure != nil {
@@ -293,24 +293,24 @@
 	return ending, nil
 }
 
-func (e *Entry) resume(ctx context.Context, account resource.Account, lastEvent string, sink Sink) (Ending, *Failure) {
+func (e *Entry) resume(ctx context.Context, account resource.Account, lastEvent string, sink Sink) (RunResult, *Failure) {
 	id, index, err := ParseEventID(lastEvent)
 	if err != nil {
-		return Ending{}, fail(CodeBadID, Unknown, "%v", err)
+		return RunResult{}, newFailure(CodeBadGenerationID, Unknown, "%v", err)
 	}
 	at, err := id.open(e.generationKey)
 	if err != nil || at.Account != account {
-		return Ending{}, fail(CodeBadID, Unknown, "the generation id is not one of this account's")
+		return RunResult{}, newFailure(CodeBadGenerationID, Unknown, "the generation id is not one of this account's")
 	}
 	release, failure := e.admit(account)
 	if failure != nil {
-		failure.Run = Partial
-		return Ending{}, failure
+		failure.RunState = Partial
+		return RunResult{}, failure
 	}
 	defer release()
 	upstream, known := e.members.Upstream(at.Engine)
 	if !known {
-		return Ending{}, fail(CodeGone, Partial, "the engine of this generation is gone")
+		return RunResult{}, newFailure(CodeGenerationGone, Partial, "the engine of this generation is gone")
 	}
 	g := &generation{
 		entry: e, sink: sink, asked: e.now(), request: GenerationRequest{Account: account, Route: at.Route},
--- a/entry/generation_test.go
+++ b/entry/generation_test.go
@@ -61,7 +61,7 @@
 	}{
 		"whole":                       {[]script{whole}, 5, "", "", 1, nil},
 		"no engine reached":           {[]script{{startErr: ErrNotSent}}, 0, CodeUpstreamLost, NotRun, 0, nil},
-		"refused as wrong":            {[]script{refused(400)}, 0, CodeUpstream, NotRun, 1, nil},
+		"refused as wrong":            {[]script{refused(400)}, 0, CodeUpstreamRefused, NotRun, 1, nil},
 		"refused as full, then taken": {[]script{refused(503), whole}, 5, "", "", 2, nil},
 		"lost after sending, then taken": {
 			[]script{{startErr: errLink}, whole}, 5, "", "", 2, nil,
@@ -86,7 +86,7 @@
 			[]script{{events: append(tokens(1, 2), StreamEvent{Run: "other", Index: 3})}, rest}, 5, "", "", 1, []int{2},
 		},
 		"run gone mid-stream": {
-			[]script{{events: tokens(1, 2), endErr: errLink}, {resumeErr: ErrRunGone}}, 2, CodeUpstreamLost, Partial, 1, nil,
+			[]script{{events: tokens(1, 2), endErr: errLink}, {resumeErr: ErrRunNotFound}}, 2, CodeUpstreamLost, Partial, 1, nil,
 		},
 		"engine dead mid-stream": {
 			[]script{{events: tokens(1, 2), endErr: errLink}, {resumeErr: ErrNotSent}}, 2, CodeUpstreamLost, Partial, 1, nil,
@@ -95,7 +95,7 @@
 			[]script{{events: append(tokens(1, 5), ended(3))}}, 5, CodeBadStream, Partial, 1, nil,
 		},
 		"cancelled by the engine": {
-			[]script{{events: append(tokens(1, 2), StreamEvent{Kind: EventEnd, End: Ending{CompletionTokens: 2}})}},
+			[]script{{events: append(tokens(1, 2), StreamEvent{Kind: EventEnd, End: RunResult{CompletionTokens: 2}})}},
 			2, CodeBadStream, Partial, 1, nil,
 		},
 	} {
@@ -108,7 +108,7 @@
 				var failure *Failure
 				if errors.As(err, &failure) {
 					is.Equal(failure.Code, c.code)
-					is.Equal(failure.Run, c.run)
+					is.Equal(failure.RunState, c.run)
 				} else {
 					is.NoErr(err)
 					is.Equal(Code(""), c.code)
@@ -135,7 +135,7 @@
 		_, err := e.Resume(s.ctx, "another", id.EventID(2), sink)
 		var failure *Failure
 		is.True(errors.As(err, &failure))
-		is.Equal(failure.Code, CodeBadID)
+		is.Equal(failure.Code, CodeBadGenerationID)
 		is.Equal(len(sink.got), 0)
 		_, err = e.Resume(s.ctx, "counter", id.EventID(2), sink)
 		is.NoErr(err)
@@ -146,14 +146,14 @@
 // TestNothingRunAgainAfterAToken has a caller that saw one token never get a
 // second run.
 func TestNothingRunAgainAfterAToken(t *testing.T) {
-	lost := []script{{events: tokens(1, 1), endErr: errLink}, {resumeErr: ErrRunGone}}
+	lost := []script{{events: tokens(1, 1), endErr: errLink}, {resumeErr: ErrRunNotFound}}
 	inSite(t, lost, twoEngines, func(t *testing.T, s *fakeSite, e *Entry) {
 		is := is.New(t)
 		sink := &fakeSink{}
 		_, err := e.Generate(s.ctx, quote(), sink)
 		var failure *Failure
 		is.True(errors.As(err, &failure))
-		is.Equal(failure.Run, Partial)
+		is.Equal(failure.RunState, Partial)
 		is.Equal(s.engines.totalStarted(), 1)
 	})
 }
@@ -213,7 +213,7 @@
 				_, err := e.Generate(s.ctx, quote(), &fakeSink{})
 				var failure *Failure
 				is.True(errors.As(err, &failure))
-				is.Equal(failure.Run, NotRun)
+				is.Equal(failure.RunState, NotRun)
 				is.Equal(s.engines.totalStarted(), 1)
 				close(s.engines.hold)
 				is.NoErr(<-running)
@@ -250,7 +250,7 @@
 		var failure *Failure
 		is.True(errors.As(err, &failure))
 		is.Equal(failure.Code, CodeLeaving)
-		is.Equal(failure.Run, NotRun)
+		is.Equal(failure.RunState, NotRun)
 		is.True(failure.RetryAfter > 0)
 		synctest.Wait()
 		select {
--- a/entry/load.go
+++ b/entry/load.go
@@ -34,7 +34,7 @@
 				e.askLoads(ctx, name, seen, n%cacheEvery == 0)
 			}
 		}
-		if !pause(ctx, jitter(e.settings.LoadEvery)) {
+		if !pause(ctx, jitter(e.settings.LoadInterval)) {
 			return
 		}
 	}
@@ -71,8 +71,8 @@
 			seen[engine] = events[len(events)-1].Seq
 		}
 	}
-	e.placement.report(ctx, name, round.reports, round.cache)
-	e.placement.suspect(ctx, name, round.silent)
+	e.placement.applyReports(ctx, name, round.reports, round.cache)
+	e.placement.markSuspect(ctx, name, round.silent)
 	// Engines are emptied before their models change.
 	e.placement.withhold(ctx, name, order.EnginesToDrain(wantedModels(e.Catalog(), name), round.models))
 }
--- a/entry/members.go
+++ b/entry/members.go
@@ -242,7 +242,7 @@
 	for _, status := range h.Pools {
 		if len(status.Reports) > 0 {
 			m.entry.spawn(func(ctx context.Context) {
-				m.entry.placement.report(ctx, status.Pool, status.Reports, nil)
+				m.entry.placement.applyReports(ctx, status.Pool, status.Reports, nil)
 			})
 		}
 	}
@@ -277,7 +277,7 @@
 			failing = err != nil
 			logChange(m.entry.logger, "host list", failing, err)
 		}
-		period := m.entry.settings.HostListEvery
+		period := m.entry.settings.HostListInterval
 		if m.entry.now().Sub(began) < formingTime {
 			period = min(period, formingEvery)
 		}
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -133,7 +133,7 @@
 		}
 		for _, s := range p.pools {
 			p.advance(now, s)
-			p.send(s)
+			p.flushOutbox(s)
 		}
 		tick.Reset(p.untilNextTurn())
 	}
@@ -203,7 +203,7 @@
 		p.announceRuns(s)
 	}
 	s.pool.SetDeciderCount(len(live))
-	if p.coordinates(s) && !p.entry.settings.Alone {
+	if p.coordinates(s) && !p.entry.settings.LocalPlacement {
 		s.pool.SetDeciderCount(1)
 	}
 	p.dropLostGuests(now, s)
@@ -257,7 +257,7 @@
 	if err == nil {
 		select {
 		case d := <-w.decided:
-			return p.elsewhere(ctx, pool, r, d), nil
+			return p.tryOtherZones(ctx, pool, r, d), nil
 		case <-ctx.Done():
 			err = ctx.Err()
 		}
@@ -269,7 +269,7 @@
 // submit brings a request to the pool's coordinator, or decides here.
 func (p *placement) submit(now time.Time, s *poolState, w *waiter) {
 	s.waiters[w.request.Run] = w
-	if p.coordinates(s) || p.entry.settings.Alone || now.Before(s.distrusted) {
+	if p.coordinates(s) || p.entry.settings.LocalPlacement || now.Before(s.distrusted) {
 		p.submitHere(now, s, w)
 		return
 	}
--- a/entry/placement_test.go
+++ b/entry/placement_test.go
@@ -206,7 +206,7 @@
 // TestGivenUpCommands has callers leave while the duty comes to their commands:
 // what these write later is nothing of theirs. The race detector judges it.
 func TestGivenUpCommands(t *testing.T) {
-	e := New(Settings{Self: member.Entry{ID: "e1", Zone: "az1"}}, Ports{})
+	e := New(Settings{Self: member.Entry{ID: "e1", Zone: "az1"}}, Dependencies{})
 	e.config.apply(resource.LogEntry{Revision: 1, Changes: []resource.Change{poolChange("desk", 1)}})
 	e.placement.drainCommands()
 	e.placement.state("desk")
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -99,7 +99,7 @@
 		return nil
 	}
 	_ = level.Warn(e.logger).Log("msg", "held back", "asks", print, "upstreams_ended", evidence.Ended, "last_ended_ago", evidence.Last)
-	return fail(CodeQuarantined, NotRun, "%d upstreams ended while this request began to run on them; it is not sent to another", evidence.Ended)
+	return newFailure(CodeQuarantined, NotRun, "%d upstreams ended while this request began to run on them; it is not sent to another", evidence.Ended)
 }
 
 // broke looks whether an upstream ended when the link to it broke, and if so counts that
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -65,7 +65,7 @@
 			is.True(errors.As(err, &failure))
 			if n > 2 {
 				is.Equal(failure.Code, CodeQuarantined)
-				is.Equal(failure.Run, NotRun)
+				is.Equal(failure.RunState, NotRun)
 				is.Equal(failure.RetryAfter, time.Duration(0))
 				is.Equal(time.Since(began), time.Duration(0))
 			}
--- a/entry/relay.go
+++ b/entry/relay.go
@@ -51,11 +51,11 @@
 	return deliver
 }
 
-func (s *sequence) judgeEnd(end Ending) verdict {
+func (s *sequence) judgeEnd(end RunResult) verdict {
 	switch {
 	case end.CompletionTokens > s.delivered:
 		return resume
-	case end.CompletionTokens < s.delivered || !end.Whole:
+	case end.CompletionTokens < s.delivered || !end.Complete:
 		return broken
 	}
 	return done
--- a/entry/relay_test.go
+++ b/entry/relay_test.go
@@ -23,7 +23,7 @@
 			event := StreamEvent{Run: run, Index: rapid.IntRange(1, length+1).Draw(t, "index")}
 			ended := rapid.IntRange(0, 9).Draw(t, "end") == 0
 			if ended {
-				event = StreamEvent{Run: run, Kind: EventEnd, End: Ending{Whole: true, CompletionTokens: length}}
+				event = StreamEvent{Run: run, Kind: EventEnd, End: RunResult{Complete: true, CompletionTokens: length}}
 			} else if event.Index > length {
 				event.Run = "another"
 			}
@@ -49,7 +49,7 @@
 func TestSequenceJudge(t *testing.T) {
 	token := func(run policy.RunID, index int) StreamEvent { return StreamEvent{Run: run, Index: index} }
 	end := func(count int, whole bool) StreamEvent {
-		return StreamEvent{Run: "r", Kind: EventEnd, End: Ending{Whole: whole, CompletionTokens: count}}
+		return StreamEvent{Run: "r", Kind: EventEnd, End: RunResult{Complete: whole, CompletionTokens: count}}
 	}
 	for name, c := range map[string]struct {
 		event StreamEvent
@@ -64,7 +64,7 @@
 		"end with more tokens":    {end(8, true), resume},
 		"end with fewer tokens":   {end(3, true), broken},
 		"end of a cancelled run":  {end(5, false), broken},
-		"end of another run":      {StreamEvent{Run: "q", Kind: EventEnd, End: Ending{Whole: true, CompletionTokens: 5}}, foreign},
+		"end of another run":      {StreamEvent{Run: "q", Kind: EventEnd, End: RunResult{Complete: true, CompletionTokens: 5}}, foreign},
 		"token without any index": {token("r", 0), drop},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/entry/restorelog.go
+++ b/entry/restorelog.go
@@ -18,13 +18,13 @@
 // read last: it tells another era, or its index at the end of the log has fallen. An entry that has
 // its configuration from elsewhere hasn't read the log's end yet.
 func (c *configuration) wasRestored(item Item) bool {
-	if c.at.IsZero() {
+	if c.lastLogEnd.IsZero() {
 		return c.Catalog().Revision() > 0 && !item.Found()
 	}
-	if item.Era != 0 && item.Era != c.at.Era() {
+	if item.Era != 0 && item.Era != c.lastLogEnd.Era() {
 		return true
 	}
-	return !item.Found() && item.at().Before(c.at)
+	return !item.Found() && item.at().Before(c.lastLogEnd)
 }
 
 // restoreLog writes again what a platform that came back from an older copy has lost of the
@@ -48,7 +48,7 @@
 		if _, err := c.entry.store.Swap(ctx, logKey(e.Revision), text, 0); err != nil {
 			return err
 		}
-		same, found, err := c.inLog(ctx, e)
+		same, found, err := c.findInLog(ctx, e)
 		if err != nil {
 			return err
 		}
@@ -59,11 +59,11 @@
 			return err
 		}
 	}
-	if !c.at.IsZero() || len(missing) > 0 || diverged {
-		_ = level.Warn(c.entry.logger).Log("msg", "the platform was restored from a copy", "from", c.at, "to", at,
+	if !c.lastLogEnd.IsZero() || len(missing) > 0 || diverged {
+		_ = level.Warn(c.entry.logger).Log("msg", "the platform was restored from a copy", "from", c.lastLogEnd, "to", at,
 			"revision", newest, "entries_written_again", len(missing), "log_diverged", diverged)
 	}
-	c.at = at
+	c.lastLogEnd = at
 	return nil
 }
 
@@ -71,10 +71,10 @@
 // in the place of one that is known here.
 func (c *configuration) missingFromLog(ctx context.Context) (missing []resource.LogEntry, diverged bool, err error) {
 	c.mu.Lock()
-	recent := append([]resource.LogEntry(nil), c.recent...)
+	recent := append([]resource.LogEntry(nil), c.recentEntries...)
 	c.mu.Unlock()
 	for i := len(recent) - 1; i >= 0; i-- {
-		same, found, err := c.inLog(ctx, recent[i])
+		same, found, err := c.findInLog(ctx, recent[i])
 		if err != nil {
 			return nil, false, err
 		}
@@ -85,8 +85,8 @@
 	return recent, false, nil
 }
 
-// inLog reports whether the log has an entry at a revision, and whether it is this one.
-func (c *configuration) inLog(ctx context.Context, e resource.LogEntry) (same, found bool, err error) {
+// findInLog reports whether the log has an entry at a revision, and whether it is this one.
+func (c *configuration) findInLog(ctx context.Context, e resource.LogEntry) (same, found bool, err error) {
 	item, err := c.entry.store.Get(ctx, logKey(e.Revision))
 	if err != nil || !item.Found() {
 		return false, false, err
@@ -130,7 +130,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.put(catalog)
-	c.recent = entries
+	c.setCatalog(catalog)
+	c.recentEntries = entries
 	return nil
 }
--- a/entry/service.go
+++ b/entry/service.go
@@ -83,14 +83,14 @@
 	defer release()
 	route, known := e.config.Catalog().Route(r.Route)
 	if !known || route.Service == "" {
-		return ServiceAnswer{}, fail(CodeUnknownRoute, NotRun, "there is no service route %q", r.Route)
+		return ServiceAnswer{}, newFailure(CodeUnknownRoute, NotRun, "there is no service route %q", r.Route)
 	}
 	upstreams, wait := e.serviceUpstreams(route.Service)
 	if wait > 0 {
-		return ServiceAnswer{}, fail(CodeOverloaded, NotRun, "every upstream of service %s asked this entry to stay away", route.Service).retryAfter(wait)
+		return ServiceAnswer{}, newFailure(CodeOverloaded, NotRun, "every upstream of service %s asked this entry to stay away", route.Service).withRetryAfter(wait)
 	}
 	if len(upstreams) == 0 {
-		return ServiceAnswer{}, fail(CodeOverloaded, NotRun, "no upstream of service %s takes work now", route.Service).retryAfter(retryUnknown)
+		return ServiceAnswer{}, newFailure(CodeOverloaded, NotRun, "no upstream of service %s takes work now", route.Service).withRetryAfter(retryUnknown)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(route.Timeout))
 	defer cancel()
@@ -105,7 +105,7 @@
 	switch {
 	case failure == nil:
 		e.recordOutcome(held, answer.Status)
-	case failure.Run == NotRun:
+	case failure.RunState == NotRun:
 		// Nothing left this entry: the caller may try again with the key.
 		e.spawn(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, claimTimeout)
@@ -120,7 +120,7 @@
 // zone's in a random order, then the others'. wait is how long it is until one takes calls
 // where all asked this entry to stay away.
 func (e *Entry) serviceUpstreams(name resource.Name) (upstreams []member.Upstream, wait time.Duration) {
-	all, wait := e.withoutBackingOff(e.members.upstreamsFor(member.KindService, name, ""))
+	all, wait := e.excludeBackingOff(e.members.upstreamsFor(member.KindService, name, ""))
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	ordered := make([]member.Upstream, 0, len(all))
 	for _, near := range []bool{true, false} {
@@ -157,10 +157,10 @@
 			return answer, nil
 		}
 		last = later(last, failure)
-		if failure.Code == CodeUpstreamLost && failure.Run != NotRun {
+		if failure.Code == CodeUpstreamLost && failure.RunState != NotRun {
 			e.broke(ctx, &asks, u, time.Time{})
 		}
-		if failure.Run != NotRun && !route.Repeatable || ctx.Err() != nil {
+		if failure.RunState != NotRun && !route.Repeatable || ctx.Err() != nil {
 			break
 		}
 		e.observer.Retried(string(failure.Code))
@@ -173,25 +173,25 @@
 		trace.WithAttributes(attribute.String("upstream", string(u.ID))))
 	defer span.End()
 	if wait := e.backoffs.Remaining(e.now(), u.ID); wait > 0 {
-		return ServiceAnswer{}, fail(CodeOverloaded, NotRun, "upstream %s asked this entry to stay away", u.ID).retryAfter(wait)
+		return ServiceAnswer{}, newFailure(CodeOverloaded, NotRun, "upstream %s asked this entry to stay away", u.ID).withRetryAfter(wait)
 	}
 	answer, err := e.services.Call(ctx, u, r)
-	e.takeBackoff(u.ID, answer.RetryAfter)
+	e.recordBackoff(u.ID, answer.RetryAfter)
 	switch {
 	case err == nil:
 		return answer, nil
 	case errors.Is(err, ErrNotSent) && ctx.Err() != nil:
-		return answer, fail(CodeTimeout, NotRun, "the time was over before the call was sent").retryAfter(retryUnknown)
+		return answer, newFailure(CodeTimeout, NotRun, "the time was over before the call was sent").withRetryAfter(retryUnknown)
 	case errors.Is(err, ErrNotSent):
-		return answer, fail(CodeUpstreamLost, NotRun, "upstream %s can't be reached", u.ID).retryAfter(retryUnknown)
+		return answer, newFailure(CodeUpstreamLost, NotRun, "upstream %s can't be reached", u.ID).withRetryAfter(retryUnknown)
 	case errors.Is(err, ErrCrossed):
 		e.observer.Spoilt("crossed")
-		return answer, fail(CodeBadStream, Unknown, "upstream %s answered another request", u.ID)
+		return answer, newFailure(CodeBadStream, Unknown, "upstream %s answered another request", u.ID)
 	case errors.Is(err, ErrCutShort):
-		return answer, fail(CodeUpstreamLost, Unknown, "the answer of upstream %s broke off", u.ID)
+		return answer, newFailure(CodeUpstreamLost, Unknown, "the answer of upstream %s broke off", u.ID)
 	case ctx.Err() != nil:
-		return answer, fail(CodeTimeout, Unknown, "upstream %s did not answer in time", u.ID)
+		return answer, newFailure(CodeTimeout, Unknown, "upstream %s did not answer in time", u.ID)
 	default:
-		return answer, fail(CodeUpstreamLost, Unknown, "upstream %s was lost: %v", u.ID, err)
+		return answer, newFailure(CodeUpstreamLost, Unknown, "upstream %s was lost: %v", u.ID, err)
 	}
 }
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -59,7 +59,7 @@
 				is.Equal(err != nil, c.denied)
 				var failure *Failure
 				if errors.As(err, &failure) {
-					is.Equal(failure.Run, c.run)
+					is.Equal(failure.RunState, c.run)
 				}
 				is.Equal(s.services.count(c.key), c.calls)
 			})
@@ -83,12 +83,12 @@
 		_, err = e.CallService(s.ctx, call("orders", "k"))
 		var failure *Failure
 		is.True(errors.As(err, &failure))
-		is.Equal(failure.Code, CodeDuplicate)
+		is.Equal(failure.Code, CodeDuplicateRequest)
 		other := call("orders", "k")
 		other.Body = []byte("another order")
 		_, err = e.CallService(s.ctx, other)
 		is.True(errors.As(err, &failure))
-		is.Equal(failure.Code, CodeKeyReused)
+		is.Equal(failure.Code, CodeIdempotencyKeyReused)
 		is.Equal(s.services.count("k"), 1)
 	})
 }
@@ -153,7 +153,7 @@
 				switch {
 				case err == nil:
 					ok++
-				case errors.As(err, &failure) && failure.Run == Unknown:
+				case errors.As(err, &failure) && failure.RunState == Unknown:
 					unknown++
 				}
 			})
@@ -185,7 +185,7 @@
 		_, err := e.CallService(s.ctx, call("orders", "k"))
 		var failure *Failure
 		is.True(errors.As(err, &failure))
-		is.Equal(failure.Run, NotRun)
+		is.Equal(failure.RunState, NotRun)
 		is.Equal(s.services.count("k"), 0)
 	})
 }
@@ -194,7 +194,7 @@
 func TestCallRunsTwiceAfterARestore(t *testing.T) {
 	for name, second := range map[string]int{"at the same entry": 0, "at another": 1, "in another zone": 2} {
 		t.Run(name, func(t *testing.T) {
-			inZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
+			runInThreeZones(t, func(t *testing.T, s *fakeSite, entries []*Entry) {
 				is := is.New(t)
 				s.store.mu.Lock()
 				s.store.era = 1
@@ -213,7 +213,7 @@
 				is.Equal(s.services.count("k"), 1)
 				var failure *Failure
 				is.True(errors.As(err, &failure))
-				is.Equal(failure.Code, CodeDuplicate)
+				is.Equal(failure.Code, CodeDuplicateRequest)
 			})
 		})
 	}
--- a/entry/status.go
+++ b/entry/status.go
@@ -18,16 +18,16 @@
 	// Revision is the lowest in force on the zone's live entries, when Seen.
 	Revision resource.Revision
 	Entries  int
-	// Seen is when that was so; zero means never.
-	Seen time.Time
+	// ReportedAt is when that was so; zero means never.
+	ReportedAt time.Time
 }
 
-// zoneFresh is how old a zone's report may be to count as present.
-const zoneFresh = 5 * time.Second
+// maxZoneReportAge is how old a zone's report may be to count as present.
+const maxZoneReportAge = 5 * time.Second
 
 // Fresh reports whether the state is one of now.
 func (z ZoneState) Fresh(now time.Time) bool {
-	return !z.Seen.IsZero() && now.Sub(z.Seen) <= zoneFresh
+	return !z.ReportedAt.IsZero() && now.Sub(z.ReportedAt) <= maxZoneReportAge
 }
 
 // ZoneStates lists what is known of each zone.
@@ -43,7 +43,7 @@
 			report = m.view.OwnZoneReport(now, uint64(revision))
 		}
 		states = append(states, ZoneState{
-			Zone: z, Revision: resource.Revision(report.MinRevision), Entries: report.Entries, Seen: report.ObservedAt,
+			Zone: z, Revision: resource.Revision(report.MinRevision), Entries: report.Entries, ReportedAt: report.ObservedAt,
 		})
 	}
 	return states
@@ -92,12 +92,12 @@
 	return s
 }
 
-// WhenLoaded closes when the entry has a configuration.
-func (e *Entry) WhenLoaded() <-chan struct{} { return e.config.loaded }
+// Loaded closes when the entry has a configuration.
+func (e *Entry) Loaded() <-chan struct{} { return e.config.loaded }
 
-// Daemons is how many entries this one knows of, itself included, live or not:
+// KnownEntries is how many entries this one knows of, itself included, live or not:
 // each may be calling the platform.
-func (e *Entry) Daemons() int {
+func (e *Entry) KnownEntries() int {
 	e.members.mu.Lock()
 	defer e.members.mu.Unlock()
 	return e.members.view.EntryCount()
--- a/entry/suspended_test.go
+++ b/entry/suspended_test.go
@@ -78,8 +78,8 @@
 				}
 				var f *Failure
 				is.True(errors.As(failure, &f))
-				is.Equal(f.Code, CodeNoClaim)
-				is.Equal(f.Run, NotRun)
+				is.Equal(f.Code, CodeClaimUnavailable)
+				is.Equal(f.RunState, NotRun)
 			})
 		})
 	}
@@ -107,7 +107,7 @@
 					now := e.Now()
 					for _, z := range e.ZoneStates(now) {
 						if z.Zone == "az1" {
-							return now.Sub(z.Seen)
+							return now.Sub(z.ReportedAt)
 						}
 					}
 					return 0
--- a/entry/writer.go
+++ b/entry/writer.go
@@ -20,10 +20,10 @@
 type proposal struct {
 	ctx    context.Context
 	change resource.Change
-	// match is the revision that the operator saw; nil accepts any, and 0
+	// expectedRevision is the revision that the operator saw; nil accepts any, and 0
 	// wants a resource that isn't there.
-	match *resource.Revision
-	done  chan proposalResult
+	expectedRevision *resource.Revision
+	result           chan proposalResult
 }
 
 type proposalResult struct {
@@ -33,17 +33,17 @@
 
 // Conflict says that the resource isn't as the operator saw it.
 type Conflict struct {
-	// Now is the resource as it is; its zero value says that there is none.
-	Now resource.Resource
+	// Current is the resource as it is; its zero value says that there is none.
+	Current resource.Resource
 }
 
 // Error names the resource and its revision.
 func (c *Conflict) Error() string {
-	return "the resource has changed; it is now at revision " + strconv.FormatUint(uint64(c.Now.Revision), 10)
+	return "the resource has changed; it is now at revision " + strconv.FormatUint(uint64(c.Current.Revision), 10)
 }
 
-// ErrUnsure says that a change may or may not have been accepted.
-var ErrUnsure = errors.New("the platform did not answer; the change may still be accepted")
+// ErrOutcomeUnknown says that a change may or may not have been accepted.
+var ErrOutcomeUnknown = errors.New("the platform did not answer; the change may still be accepted")
 
 // ErrNotAccepted says that a change was surely not accepted.
 var ErrNotAccepted = errors.New("the platform can't be reached; the change was not accepted")
@@ -57,24 +57,24 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	p := &proposal{ctx: ctx, change: change, match: match, done: make(chan proposalResult, 1)}
+	p := &proposal{ctx: ctx, change: change, expectedRevision: match, result: make(chan proposalResult, 1)}
 	select {
 	case e.config.proposals <- p:
 	case <-ctx.Done():
 		return 0, ErrNotAccepted
 	}
 	select {
-	case result := <-p.done:
+	case result := <-p.result:
 		return result.revision, result.err
 	case <-e.stopped:
-		return 0, ErrUnsure
+		return 0, ErrOutcomeUnknown
 	}
 }
 
 const (
-	proposeTimeout = 5 * time.Second
-	maxGroup       = 64
-	resolvePause   = 50 * time.Millisecond
+	proposeTimeout     = 5 * time.Second
+	maxChangesPerEntry = 64
+	appendRetryDelay   = 50 * time.Millisecond
 )
 
 // runWriter takes proposals and writes them, many at a time.
@@ -89,13 +89,13 @@
 				return
 			}
 		}
-		held = c.gather(held)
+		held = c.collectProposals(held)
 		held = c.writeGroup(ctx, held)
 	}
 }
 
-func (c *configuration) gather(held []*proposal) []*proposal {
-	for len(held) < maxGroup {
+func (c *configuration) collectProposals(held []*proposal) []*proposal {
+	for len(held) < maxChangesPerEntry {
 		select {
 		case p := <-c.proposals:
 			held = append(held, p)
@@ -112,7 +112,7 @@
 	// The entry follows the very catalog that the operators' revisions were checked
 	// against: one that came in between would be overwritten unseen.
 	seen := c.Catalog()
-	group, rest := choose(seen, held)
+	group, rest := selectProposals(seen, held)
 	if len(group) == 0 {
 		return rest
 	}
@@ -120,7 +120,7 @@
 	for _, p := range group {
 		e.Changes = append(e.Changes, p.change)
 	}
-	outcome, err := c.append(ctx, group[0].ctx, e)
+	outcome, err := c.appendEntry(ctx, group[0].ctx, e)
 	switch outcome {
 	case appended:
 		answerAll(group, proposalResult{revision: e.Revision})
@@ -135,13 +135,13 @@
 
 func answerAll(group []*proposal, r proposalResult) {
 	for _, p := range group {
-		p.done <- r
+		p.result <- r
 	}
 }
 
-// choose takes the proposals that can go into one entry: each resource once,
+// selectProposals takes the proposals that can go into one entry: each resource once,
 // and each seen by its operator as it is. Conflicts are answered.
-func choose(seen *resource.Catalog, held []*proposal) (group, rest []*proposal) {
+func selectProposals(seen *resource.Catalog, held []*proposal) (group, rest []*proposal) {
 	type key struct {
 		kind resource.Kind
 		name resource.Name
@@ -152,11 +152,11 @@
 		now, _ := seen.Get(k.kind, k.name)
 		switch {
 		case p.ctx.Err() != nil:
-			p.done <- proposalResult{err: ErrNotAccepted}
+			p.result <- proposalResult{err: ErrNotAccepted}
 		case taken[k]:
 			rest = append(rest, p)
-		case p.match != nil && *p.match != now.Revision:
-			p.done <- proposalResult{err: &Conflict{Now: now}}
+		case p.expectedRevision != nil && *p.expectedRevision != now.Revision:
+			p.result <- proposalResult{err: &Conflict{Current: now}}
 		default:
 			taken[k] = true
 			group = append(group, p)
@@ -176,10 +176,10 @@
 	gaveUp
 )
 
-// append writes an entry under its revision if no other is there. When an
+// appendEntry writes an entry under its revision if no other is there. When an
 // answer is lost it reads the key, and as long as nothing is there it tries
 // the same create again, never a later revision.
-func (c *configuration) append(ctx, asked context.Context, e resource.LogEntry) (appendOutcome, error) {
+func (c *configuration) appendEntry(ctx, asked context.Context, e resource.LogEntry) (appendOutcome, error) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		return gaveUp, trace.Wrap(err)
@@ -195,26 +195,26 @@
 		case err == nil || !errors.Is(err, ErrNotSent):
 			// Somebody's entry is there, perhaps our own by an earlier try.
 			unsure = unsure || err != nil
-			if outcome, known := c.resolve(asked, e); known {
+			if outcome, known := c.checkRevisionOwner(asked, e); known {
 				return outcome, nil
 			}
 		}
-		if !pause(asked, resolvePause) || ctx.Err() != nil {
-			return gaveUp, giveUpError(unsure)
+		if !pause(asked, appendRetryDelay) || ctx.Err() != nil {
+			return gaveUp, unresolvedError(unsure)
 		}
 	}
 }
 
-func giveUpError(unsure bool) error {
+func unresolvedError(unsure bool) error {
 	if unsure {
-		return ErrUnsure
+		return ErrOutcomeUnknown
 	}
 	return ErrNotAccepted
 }
 
-// resolve reads who has the entry's revision. It isn't known while the
+// checkRevisionOwner reads who has the entry's revision. It isn't known while the
 // platform doesn't answer or has nothing there.
-func (c *configuration) resolve(ctx context.Context, e resource.LogEntry) (appendOutcome, bool) {
+func (c *configuration) checkRevisionOwner(ctx context.Context, e resource.LogEntry) (appendOutcome, bool) {
 	item, err := c.entry.store.Get(ctx, logKey(e.Revision))
 	if err != nil || !item.Found() {
 		return gaveUp, false
--- a/forward/brokenconnection.go
+++ b/forward/brokenconnection.go
@@ -49,16 +49,16 @@
 	if !closedByUpstream(cause) || ctx.Err() != nil {
 		return
 	}
-	ended, err := x.upstreamEnded(ctx, u)
+	ended, err := x.checkUpstreamEnded(ctx, u)
 	x.observer.ConnectionBroken(ended)
 	// An upstream that had announced that it leaves ended as announced.
-	announced := x.fleet.LeavingFor(now, u.ID) >= noticeLeast
+	announced := x.fleet.LeavingFor(now, u.ID) >= minLeavingNotice
 	keyvals := []any{"upstream", u.ID, "life", u.Incarnation, "ended", ended, "leaving", announced, "asks", x.fingerprint(), "runs_beside", x.engines.otherRuns(x.service.Name, u.ID, x.runID())}
 	if !firstEventAt.IsZero() {
 		keyvals = append(keyvals, "first_event_ago", now.Sub(firstEventAt))
 	}
 	x.journal.Request(x.call.ID, "connection broke", append(keyvals, "looked", err)...)
-	if ended && !announced && (firstEventAt.IsZero() || now.Sub(firstEventAt) < beginsFor) {
-		x.crashedUnder(now, u)
+	if ended && !announced && (firstEventAt.IsZero() || now.Sub(firstEventAt) < crashAttributionWindow) {
+		x.recordCrash(now, u)
 	}
 }
--- a/forward/clockjump_test.go
+++ b/forward/clockjump_test.go
@@ -53,7 +53,7 @@
 			func(f *Forwarder, now time.Time) time.Duration { return f.followedPeerAnsweredAt.age(now) },
 		},
 		"doubt": {
-			func(f *Forwarder, now time.Time) { f.suspectList(now) },
+			func(f *Forwarder, now time.Time) { f.markListSuspect(now) },
 			func(f *Forwarder, now time.Time) time.Duration { return f.listSuspectedAt.age(now) },
 		},
 	}
@@ -84,7 +84,7 @@
 	cutOffRequest := &exchange{Forwarder: f, call: call("/nowhere/")}
 	refusal := cutOffRequest.refuseUnknown(start.Add(10*time.Second), CodeNoRoute)
 	is.Equal(refusal.Code, CodeNotReady) // not CodeNoRoute: the host can't prove that the route doesn't exist
-	is.True(!f.listKnown(start.Add(10 * time.Second)))
+	is.True(!f.isListCurrent(start.Add(10 * time.Second)))
 }
 
 // TestRetryBudgetAcrossClockJump checks that the retry window goes on sliding when the wall clock
--- a/forward/coldupstream_test.go
+++ b/forward/coldupstream_test.go
@@ -125,7 +125,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				fleet := newLimitingFleet()
-				s := newNeedySite(fleet, 1, 10, 2)
+				s := newLimitSite(fleet, 1, 10, 2)
 				config := testConfig(2)
 				config.Services[1].ColdRate = maxRate
 				s.origin.configure(2, rev(20))
@@ -137,13 +137,13 @@
 				}
 				if cut {
 					for n := range 5 {
-						s.isolate(s.nth(n).settings.Self.PeerAddress)
+						s.isolate(s.nthHost(n).settings.Self.PeerAddress)
 					}
 				}
 				for n := range 600 {
 					c := call("/llm/")
 					c.ID, c.Prompt.Tokens = RequestID(fmt.Sprint("r", n)), 50
-					go s.nth(n%10).Serve(ctx, c, &fakeSink{})
+					go s.nthHost(n%10).Serve(ctx, c, &fakeSink{})
 					time.Sleep(10 * time.Millisecond)
 				}
 				var arrivals []time.Duration
--- a/forward/crashday_test.go
+++ b/forward/crashday_test.go
@@ -67,7 +67,7 @@
 		if own {
 			t.own++
 		}
-	case lost(s):
+	case lostWithEngine(s):
 		t.lost++
 	case s.refused != nil:
 		t.refused++
@@ -120,7 +120,7 @@
 				sink := &fakeSink{}
 				s.anyHost(draw(hosts), l).Serve(ctx, crashCall("/llm/", body, n), sink)
 				tally.note(sink, tries > 1)
-				if !lost(sink) {
+				if !lostWithEngine(sink) {
 					return
 				}
 				time.Sleep(200 * time.Millisecond)
--- a/forward/drill_test.go
+++ b/forward/drill_test.go
@@ -308,7 +308,7 @@
 	}
 	before := func(d *drill) {
 		f := d.each()[4]
-		f.receiveCrashes(f.now(), []quarantine.Mark{mark})
+		f.receivePeerCrashes(f.now(), []quarantine.Mark{mark})
 	}
 	playDrill(t, 3, 3, before, func(d *drill) {
 		time.Sleep(3 * time.Second)
--- a/forward/endcause.go
+++ b/forward/endcause.go
@@ -40,7 +40,7 @@
 		return endDeadline
 	case errors.Is(cause, errStopped):
 		return endHostStopped
-	case errors.Is(cause, errHeld):
+	case errors.Is(cause, errQuarantined):
 		return endQuarantined
 	default:
 		return endCallerLeft
--- a/forward/engineplacer.go
+++ b/forward/engineplacer.go
@@ -255,7 +255,7 @@
 // refresh passes the state of the engines and runs to the policy pool, and delivers decisions
 // on queued requests.
 func (p *enginePool) refresh(now time.Time) {
-	p.revokeUnused(now)
+	p.revokeUnusedGrants(now)
 	for id, run := range p.ownRuns {
 		p.pool.Progress(now, id, policy.Tokens(run.generatedTokens.Load()))
 		p.pool.UpdatePrefill(now, id, run.firstTokenAt)
@@ -317,7 +317,7 @@
 	if d.Verdict != policy.Granted {
 		return Upstream{}, nil, d
 	}
-	return p.poolEngines[d.Engine], p.carry(r, d.Engine), d
+	return p.poolEngines[d.Engine], p.addOwnRun(r, d.Engine), d
 }
 
 // withdraw cancels a queued request whose context has ended.
--- a/forward/exchange.go
+++ b/forward/exchange.go
@@ -39,7 +39,7 @@
 	// zones are the zones in which the request may be served; nil allows all.
 	zones []member.Zone
 	// versions restricts the upstream versions that may get the request.
-	versions versionBound
+	versions versionConstraint
 	// cachedFingerprint identifies what the request asks; nil until it is computed.
 	cachedFingerprint atomic.Pointer[quarantine.Fingerprint]
 	// quarantineTrialMu guards isQuarantineTrial, because parallel sends of the request are
@@ -130,8 +130,8 @@
 		return Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter}, false
 	}
 	x.versions.set(x.drawVersions(now))
-	if x.held(now) {
-		return heldRefusal, false
+	if x.mustHoldBack(now) {
+		return quarantineRefusal, false
 	}
 	if x.noUpstreamInRegions(now) {
 		return Refusal{Code: CodeRegion, RetryAfter: maxRetryAfter}, false
--- a/forward/failingupstream.go
+++ b/forward/failingupstream.go
@@ -148,7 +148,7 @@
 // announced that the engine leaves, the list may be out of date.
 func (s *streamExchange) recordBrokenStream(now time.Time, id member.UpstreamID) {
 	if u, known := s.fleet.Upstream(id); known && !u.Leaving {
-		s.suspectList(now)
+		s.markListSuspect(now)
 	}
 	s.recordEngineFailure(now, id, "the upstream broke off a stream")
 }
--- a/forward/follow.go
+++ b/forward/follow.go
@@ -322,17 +322,17 @@
 		w.logUnread(now, update)
 	}
 	w.peers.addFromDirectory(now, update.Hosts)
-	w.receiveCrashes(now, update.HeldRequests)
+	w.receivePeerCrashes(now, update.HeldRequests)
 	if w.needsFullRead {
 		w.journal.HostEvent("list read", "revision", update.Revision, "upstreams", len(update.Changes), "took", now.Sub(provedAt))
 	}
 	// Rollouts are applied before the revision of the list rises, because followers aren't sent
 	// again what came before that revision.
 	if w.needsFullRead {
-		w.takeRollouts(now, w.rollouts.Missing(update.Rollouts, update.Revision))
+		w.receiveRollouts(now, w.rollouts.Missing(update.Rollouts, update.Revision))
 	}
-	w.takeRollouts(now, update.Rollouts)
-	w.takeRolloutRecords(update.RolloutRecords)
+	w.receiveRollouts(now, update.Rollouts)
+	w.receiveRolloutRecords(update.RolloutRecords)
 	zones, changes := w.fleet.ApplyUpdate(now, update, w.needsFullRead)
 	w.logZoneChanges(zones)
 	w.handleListChanges(changes)
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -239,7 +239,7 @@
 		origin.failing.Store(true)
 		f.peers.recordShare(time.Now(), Share{From: Peer{ID: "h9", Zone: "z1"}})
 		time.Sleep(2 * time.Second)
-		is.True(f.listKnown(time.Now()))
+		is.True(f.isListCurrent(time.Now()))
 		is.True(f.OriginAge(time.Now()) > maxOriginProofAge)
 		cancel()
 		synctest.Wait()
@@ -276,7 +276,7 @@
 			receiveShares(0)
 			time.Sleep(500 * time.Millisecond)
 		}
-		is.True(f.listKnown(time.Now()))
+		is.True(f.isListCurrent(time.Now()))
 		is.True(origin.reads.Load() <= before+1) // only the attempt that was already due
 		cancel()
 		synctest.Wait()
--- a/forward/followpeer.go
+++ b/forward/followpeer.go
@@ -217,7 +217,7 @@
 	for i := range reply.Rollouts {
 		reply.Rollouts[i].Age = ageWithDelay(reply.Rollouts[i].Age, suspendedFor)
 	}
-	f.takeRollouts(now, reply.Rollouts)
+	f.receiveRollouts(now, reply.Rollouts)
 	zones, changes := f.fleet.ApplyFollowReply(now, reply)
 	f.logZoneChanges(zones)
 	f.handleListChanges(changes)
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -126,7 +126,7 @@
 	// peers.
 	newestConfig atomic.Pointer[Config]
 	peers        *peerSet
-	turns        turns
+	turns        turnQueues
 	// peerTransport is set by RunPeers under the lock of peers.
 	peerTransport Peers
 	// crashes holds the requests under which upstreams ended.
@@ -138,7 +138,7 @@
 	// hosts.
 	rollouts            rollout.Book
 	rolloutObservations rollout.Observations
-	rolloutDecider      rolloutDesk
+	rolloutDecider      rolloutDecider
 	// answerBudget bounds the memory that answers take.
 	answerBudget spool.Budget
 	// configOffers holds the newer configurations that peers offer.
@@ -253,7 +253,7 @@
 		case <-f.relistRequested:
 		case <-tick.C:
 			f.crashes.Forget(f.now(), f.peers.isKnown)
-			f.forgetLimits(f.now())
+			f.pruneLimits(f.now())
 			f.backoffs.RemoveExpired(f.now())
 			for _, c := range f.fleet.Settle(f.now()) {
 				if !c.Gone {
--- a/forward/granting.go
+++ b/forward/granting.go
@@ -13,9 +13,9 @@
 
 // Places on engines that one host gives to another's runs.
 
-// zonesOf tells whether the own zone has engines of a service that take work, and which
+// zonesWithEngines tells whether the own zone has engines of a service that take work, and which
 // others do, in an order that differs from call to call.
-func (e *enginePlacer) zonesOf(service ServiceName) (near bool, far []member.Zone) {
+func (e *enginePlacer) zonesWithEngines(service ServiceName) (near bool, far []member.Zone) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
@@ -34,8 +34,8 @@
 	return near, far
 }
 
-// tryNear places a request on an engine of the own zone if that can be done at once.
-func (e *enginePlacer) tryNear(now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision, bool) {
+// tryPlaceInOwnZone places a request on an engine of the own zone if that can be done at once.
+func (e *enginePlacer) tryPlaceInOwnZone(now time.Time, service ServiceName, r policy.Request) (Upstream, *ownRun, policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
@@ -47,11 +47,11 @@
 	if !ok {
 		return Upstream{}, nil, d, false
 	}
-	return p.poolEngines[d.Engine], p.carry(r, d.Engine), d, true
+	return p.poolEngines[d.Engine], p.addOwnRun(r, d.Engine), d, true
 }
 
-// placeAt counts a run on an engine that another host gave a place on.
-func (e *enginePlacer) placeAt(now time.Time, service ServiceName, r policy.Request, g PlacementGrant) (Upstream, *ownRun, policy.Decision, bool) {
+// placeGranted counts a run on an engine that another host gave a place on.
+func (e *enginePlacer) placeGranted(now time.Time, service ServiceName, r policy.Request, g PlacementGrant) (Upstream, *ownRun, policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
@@ -63,34 +63,34 @@
 	if !ok {
 		return Upstream{}, nil, d, false
 	}
-	return p.poolEngines[g.Engine], p.carry(r, g.Engine), d, true
+	return p.poolEngines[g.Engine], p.addOwnRun(r, g.Engine), d, true
 }
 
-// carry notes that this host has a run on an engine.
-func (p *enginePool) carry(r policy.Request, engine member.UpstreamID) *ownRun {
+// addOwnRun notes that this host has a run on an engine.
+func (p *enginePool) addOwnRun(r policy.Request, engine member.UpstreamID) *ownRun {
 	run := &ownRun{request: r, engine: engine, incarnation: p.poolEngines[engine].Incarnation}
 	p.ownRuns[r.Run] = run
 	return run
 }
 
-// grant gives a peer's run a place on an engine of the own zone, if one has room.
-func (e *enginePlacer) grant(now time.Time, a PlacementRequest) (policy.Decision, bool) {
+// grantPlacement gives a peer's run a place on an engine of the own zone, if one has room.
+func (e *enginePlacer) grantPlacement(now time.Time, a PlacementRequest) (policy.Decision, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[a.Service]
 	if p == nil || p.ownRuns[a.Run] != nil {
 		return policy.Decision{}, false
 	}
-	d, ok := p.placePeers(now, a, e.zone)
+	d, ok := p.placePeerRun(now, a, e.zone)
 	if ok {
 		p.peerRuns[a.Run], p.unconfirmedGrants[a.Run] = a.From, now
 	}
 	return d, ok
 }
 
-// placePeers places a peer's run on an engine of a zone. One that is known here already
+// placePeerRun places a peer's run on an engine of a zone. One that is known here already
 // is to move, and stays counted where it is if there is no room.
-func (p *enginePool) placePeers(now time.Time, a PlacementRequest, zone member.Zone) (policy.Decision, bool) {
+func (p *enginePool) placePeerRun(now time.Time, a PlacementRequest, zone member.Zone) (policy.Decision, bool) {
 	if _, known := p.peerRuns[a.Run]; known {
 		id, ok := p.pool.Relocate(now, a.Run, policy.Target{ExcludedEngines: a.ExcludedEngines, SameZoneOnly: true, Zone: zone, OnlyGroup: a.OnlyGroup, ExcludedGroup: a.ExcludedGroup})
 		return policy.Decision{Run: a.Run, Verdict: policy.Granted, Engine: id}, ok
@@ -100,8 +100,8 @@
 	return p.pool.TryPlace(now, r)
 }
 
-// revokeUnused frees the places that were given to peers' runs that nothing was heard of.
-func (p *enginePool) revokeUnused(now time.Time) {
+// revokeUnusedGrants frees the places that were given to peers' runs that nothing was heard of.
+func (p *enginePool) revokeUnusedGrants(now time.Time) {
 	for id, at := range p.unconfirmedGrants {
 		if now.Sub(at) > placementGrantTTL {
 			delete(p.unconfirmedGrants, id)
@@ -111,8 +111,8 @@
 	}
 }
 
-// grown is a run as it would be placed anew with what it has made so far.
-func (e *enginePlacer) grown(service ServiceName, run *ownRun, avoid []member.UpstreamID) (policy.Request, bool) {
+// requestForMove is a run as it would be placed anew with what it has made so far.
+func (e *enginePlacer) requestForMove(service ServiceName, run *ownRun, avoid []member.UpstreamID) (policy.Request, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
@@ -124,8 +124,8 @@
 	return r, ok
 }
 
-// moveTo counts a run on an engine that another host gave a place on.
-func (e *enginePlacer) moveTo(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) (Upstream, bool) {
+// moveToGranted counts a run on an engine that another host gave a place on.
+func (e *enginePlacer) moveToGranted(now time.Time, service ServiceName, run *ownRun, engine member.UpstreamID) (Upstream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p := e.pools[service]
--- a/forward/join_test.go
+++ b/forward/join_test.go
@@ -131,10 +131,10 @@
 		time.Sleep(6 * time.Second)
 		is.Equal(s.origin.reads.Load(), reads)
 		for _, f := range s.hosts {
-			if !f.listKnown(time.Now()) {
+			if !f.isListCurrent(time.Now()) {
 				t.Log("list not known at host", f.peers.self, "origin age", f.OriginAge(time.Now()), "last followed", f.followedPeerAnsweredAt.age(time.Now()), "contact age", f.ContactAge(time.Now()))
 			}
-			is.True(f.listKnown(time.Now()))
+			is.True(f.isListCurrent(time.Now()))
 			is.True(f.ContactAge(time.Now()) <= maxOriginProofAge+time.Second)
 		}
 		cancel()
@@ -260,7 +260,7 @@
 			f.updatePlacementEngines(time.Now(), f.Table())
 		}
 		far, _ := sender.fleet.Upstream("llm2")
-		_, run, _, ok := sender.engines.placeAt(time.Now(), "llm", policy.Request{Run: "r", PromptTokens: 100}, PlacementGrant{Engine: far.ID})
+		_, run, _, ok := sender.engines.placeGranted(time.Now(), "llm", policy.Request{Run: "r", PromptTokens: 100}, PlacementGrant{Engine: far.ID})
 		is.True(ok)
 		busy := func() bool {
 			return len(s.hosts["10.2.0.1:1"].engines.enginesWithRuns())+len(s.hosts["10.2.0.2:1"].engines.enginesWithRuns()) == 2
@@ -307,7 +307,7 @@
 		is.Equal(joiner.versionInForce(), Version(1))
 		is.Equal(availableIDs(joiner.fleet, time.Now()), map[member.UpstreamID]bool{"llm2": true})
 		is.True(joiner.OriginAge(time.Now()) > maxOriginProofAge)
-		is.True(!joiner.listKnown(time.Now()))
+		is.True(!joiner.isListCurrent(time.Now()))
 		s.origin.unavailable.Store(false)
 		s.origin.orderZones(backInService("z1", 22))
 		time.Sleep(6 * time.Second)
--- a/forward/limitfaults_test.go
+++ b/forward/limitfaults_test.go
@@ -20,8 +20,8 @@
 
 // Limits while hosts start, stop, are suspended and cut off, and while upstreams change.
 
-// restart has another process be in a host's place, which knows nothing.
-func (s *site) restart(ctx context.Context, fleet *limitingFleet, old *Forwarder) *Forwarder {
+// restartHost has another process be in a host's place, which knows nothing.
+func (s *site) restartHost(ctx context.Context, fleet *limitingFleet, old *Forwarder) *Forwarder {
 	f := New(old.settings, &fakeTransport{send: fleet.sendFrom(old.settings.Self.ID), checkReachable: fleet.checkReachable}, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
 	s.replaceHost(f)
@@ -30,8 +30,8 @@
 	return f
 }
 
-// zone lists the addresses of a zone's hosts.
-func (s *site) zone(n int) []string {
+// zoneAddresses lists the addresses of a zoneAddresses's hosts.
+func (s *site) zoneAddresses(n int) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.DeleteFunc(slices.Collect(maps.Keys(s.hosts)), func(address string) bool {
@@ -41,7 +41,7 @@
 
 // granter is the host that gives out what an upstream takes.
 func (s *site) granter(id member.UpstreamID) *Forwarder {
-	return s.at(permitSite{s.first()}.Granter(time.Now(), id).PeerAddress)
+	return s.hostAtAddress(permitSite{s.firstHost()}.Granter(time.Now(), id).PeerAddress)
 }
 
 // TestLimitsUnderFaults has the rule kept whatever befalls the hosts meanwhile, and the
@@ -60,14 +60,14 @@
 		"hosts start again, one after the other": {func(ctx context.Context, s *site, fleet *limitingFleet) {
 			time.Sleep(8 * time.Second)
 			for n := range 6 {
-				s.restart(ctx, fleet, s.nth(n))
+				s.restartHost(ctx, fleet, s.nthHost(n))
 				time.Sleep(3 * time.Second)
 			}
 		}, 0.8, nil},
 		"all hosts start again at once": {func(ctx context.Context, s *site, fleet *limitingFleet) {
 			time.Sleep(12 * time.Second)
 			for n := range 6 {
-				s.restart(ctx, fleet, s.nth(n))
+				s.restartHost(ctx, fleet, s.nthHost(n))
 			}
 		}, 0.8, nil},
 		"the host that grants dies, again and again": {func(ctx context.Context, s *site, fleet *limitingFleet) {
@@ -77,7 +77,7 @@
 				s.makeUnreachable(f.settings.Self.PeerAddress)
 				time.Sleep(time.Second)
 				s.reconnect(f.settings.Self.PeerAddress)
-				s.restart(ctx, fleet, f)
+				s.restartHost(ctx, fleet, f)
 			}
 		}, 0.8, nil},
 		"the host that grants stops": {func(_ context.Context, s *site, _ *limitingFleet) {
@@ -98,24 +98,24 @@
 		}, 0.6, nil},
 		"its zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
-			s.isolate(s.zone(1)...)
+			s.isolate(s.zoneAddresses(1)...)
 			time.Sleep(10 * time.Second)
-			s.reconnect(s.zone(1)...)
+			s.reconnect(s.zoneAddresses(1)...)
 		}, 0.6, nil},
 		// Each of the two takes itself for the only one of its zone and gives out the
 		// limit: of 53 requests in 4 s 26 and 23 were theirs. They count as cut off, which
 		// excuses them; the others' have to keep to the rule.
 		"its zone's hosts can't be reached, and reach the others": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
-			s.makeUnreachable(s.zone(1)...)
+			s.makeUnreachable(s.zoneAddresses(1)...)
 			time.Sleep(10 * time.Second)
-			s.reconnect(s.zone(1)...)
+			s.reconnect(s.zoneAddresses(1)...)
 		}, 0.6, []member.HostID{"z1-h01", "z1-h02"}},
 		"another zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
-			s.isolate(s.zone(2)...)
+			s.isolate(s.zoneAddresses(2)...)
 			time.Sleep(10 * time.Second)
-			s.reconnect(s.zone(2)...)
+			s.reconnect(s.zoneAddresses(2)...)
 		}, 0.8, nil},
 		"upstreams end again and again, also the one in need": {func(_ context.Context, _ *site, fleet *limitingFleet) {
 			for n := range 10 {
@@ -125,14 +125,14 @@
 		}, 0.5, nil},
 		"another upstream leaves": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(12 * time.Second)
-			u, _ := s.first().fleet.Upstream("app02")
+			u, _ := s.firstHost().fleet.Upstream("app02")
 			u.Leaving, u.Revision = true, rev(50)
 			s.origin.publish(Change{Upstream: u})
 		}, 0.8, nil},
 		"it starts again under its id, in need": {func(_ context.Context, s *site, _ *limitingFleet) {
 			for n := range 5 {
 				time.Sleep(5 * time.Second)
-				u, _ := s.first().fleet.Upstream(id)
+				u, _ := s.firstHost().fleet.Upstream(id)
 				u.Incarnation, u.Revision = Incarnation(n+1), rev(50+n)
 				s.origin.publish(Change{Upstream: u})
 			}
@@ -150,21 +150,21 @@
 		"all hosts are cut off from each other": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
 			for zone := range 3 {
-				s.isolate(s.zone(zone + 1)...)
+				s.isolate(s.zoneAddresses(zone + 1)...)
 			}
 			time.Sleep(10 * time.Second)
 			for zone := range 3 {
-				s.reconnect(s.zone(zone + 1)...)
+				s.reconnect(s.zoneAddresses(zone + 1)...)
 			}
 		}, 0.6, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			limitDay{
-				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, lasts: until,
-				needs: []limitPeriod{needOf(id, rate, until)}, happens: c.happens, coldRate: 10,
-			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
-				rule, aim, used := fleet.worstOverTolerance(id, c.excused...), fleet.worstOverLimit(id), fleet.usedFraction(id, settled+contactBound, until, rate)
-				t.Logf("%v; used %.2f; asked %d, served %d", aim, used, tally.asked, tally.good)
+			limitScenario{
+				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, duration: until,
+				needs: []limitPeriod{needAfterSettling(id, rate, until)}, disturb: c.happens, coldRate: 10,
+			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
+				rule, aim, used := fleet.worstOverTolerance(id, c.excused...), fleet.worstOverLimit(id), fleet.usedFraction(id, siteSettleTime+contactBound, until, rate)
+				t.Logf("%v; used %.2f; asked %d, served %d", aim, used, tally.requests, tally.served)
 				if rule.exceeded() {
 					perHost := map[member.HostID]int{}
 					for _, r := range fleet.requests[id] {
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestLimitsThatMove has limits that move be kept to, those that come and go, too, and an
+// TestChangingLimits has limits that move be kept to, those that come and go, too, and an
 // upstream whose need is over return to its part: within a fifth of what its like get.
-func TestLimitsThatMove(t *testing.T) {
+func TestChangingLimits(t *testing.T) {
 	const until = 40 * time.Second
 	const id = member.UpstreamID("app00")
 	at := func(from, to time.Duration, rate ratelimit.Rate) limitPeriod {
@@ -195,20 +195,20 @@
 		needs []limitPeriod
 		hides func() func() bool
 	}{
-		"8, 2, 8":     {[]limitPeriod{at(settled, 14*time.Second, 8), at(14*time.Second, 24*time.Second, 2), at(24*time.Second, until, 8)}, nil},
-		"0.2 to 20":   {[]limitPeriod{at(settled, 14*time.Second, 0.2), at(14*time.Second, until, 20)}, nil},
-		"none at all": {[]limitPeriod{at(settled, until, 0)}, nil},
-		"named in every other answer": {[]limitPeriod{at(settled, until, 4)}, func() func() bool {
+		"8, 2, 8":     {[]limitPeriod{at(siteSettleTime, 14*time.Second, 8), at(14*time.Second, 24*time.Second, 2), at(24*time.Second, until, 8)}, nil},
+		"0.2 to 20":   {[]limitPeriod{at(siteSettleTime, 14*time.Second, 0.2), at(14*time.Second, until, 20)}, nil},
+		"none at all": {[]limitPeriod{at(siteSettleTime, until, 0)}, nil},
+		"named in every other answer": {[]limitPeriod{at(siteSettleTime, until, 4)}, func() func() bool {
 			var n atomic.Int64
 			return func() bool { return n.Add(1)%2 == 0 }
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			limitDay{
-				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, lasts: until, needs: c.needs, hides: c.hides,
-			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
+			limitScenario{
+				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, duration: until, needs: c.needs, hides: c.hides,
+			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
 				rule := fleet.worstOverTolerance(id)
-				t.Logf("%v; in all %d", fleet.worstOverLimit(id), fleet.requestCount(id, settled, until))
+				t.Logf("%v; in all %d", fleet.worstOverLimit(id), fleet.requestCount(id, siteSettleTime, until))
 				if rule.exceeded() {
 					t.Errorf("%v", rule)
 				}
@@ -217,17 +217,17 @@
 	}
 }
 
-// TestLimitThatEnds has an upstream whose need is over get within a fifth of what its like
+// TestLimitEnds has an upstream whose need is over get within a fifth of what its like
 // get within five seconds, from then on, and no more than twice that on the way.
-func TestLimitThatEnds(t *testing.T) {
+func TestLimitEnds(t *testing.T) {
 	const over, until = 14 * time.Second, 40 * time.Second
 	for name, rate := range map[string]ratelimit.Rate{"0.2": 0.2, "4": 4} {
 		for load, atOneHost := range map[string]bool{"all hosts": false, "one host": true} {
 			t.Run(name+", "+load, func(t *testing.T) {
-				limitDay{
-					zones: 3, hostsPerZone: 3, upstreams: 3, path: "/order/", perSecond: 90, lasts: until, atOneHost: atOneHost,
-					needs: []limitPeriod{needOf("app01", rate, over)},
-				}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
+				limitScenario{
+					zones: 3, hostsPerZone: 3, upstreams: 3, path: "/order/", perSecond: 90, duration: until, atOneHost: atOneHost,
+					needs: []limitPeriod{needAfterSettling("app01", rate, over)},
+				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
 					// The third zone's is like it from both loads' hosts.
 					part := func(from, to time.Duration) float64 {
 						return float64(fleet.requestCount("app01", from, to)) / float64(fleet.requestCount("app02", from, to))
@@ -253,37 +253,37 @@
 	}
 }
 
-// TestLimitOfASuspendedHost has a host that was suspended, with requests waiting in its
+// TestSuspendedHostKeepsLimit has a host that was suspended, with requests waiting in its
 // sockets, send no more for the time that it missed.
-func TestLimitOfASuspendedHost(t *testing.T) {
+func TestSuspendedHostKeepsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		fleet := newLimitingFleet(needOf("app00", 4, time.Hour), needOf("app01", 4, time.Hour), needOf("app02", 4, time.Hour))
-		s := newNeedySite(fleet, 3, 2, 3)
+		fleet := newLimitingFleet(needAfterSettling("app00", 4, time.Hour), needAfterSettling("app01", 4, time.Hour), needAfterSettling("app02", 4, time.Hour))
+		s := newLimitSite(fleet, 3, 2, 3)
 		s.serveAll(ctx)
-		time.Sleep(settled)
+		time.Sleep(siteSettleTime)
 		send := func(f *Forwarder, n int) {
 			for range n {
 				go f.Serve(ctx, call("/order/"), &fakeSink{})
 			}
 		}
 		for range 300 {
-			send(s.first(), 1)
-			send(s.nth(4), 1)
+			send(s.firstHost(), 1)
+			send(s.nthHost(4), 1)
 			time.Sleep(20 * time.Millisecond)
 		}
-		address := s.first().settings.Self.PeerAddress
+		address := s.firstHost().settings.Self.PeerAddress
 		s.freeze(address)
 		for range 250 {
-			send(s.nth(4), 1)
+			send(s.nthHost(4), 1)
 			time.Sleep(20 * time.Millisecond)
 		}
 		s.reconnect(address)
-		send(s.first(), 250)
+		send(s.firstHost(), 250)
 		for range 300 {
-			send(s.first(), 1)
-			send(s.nth(4), 1)
+			send(s.firstHost(), 1)
+			send(s.nthHost(4), 1)
 			time.Sleep(20 * time.Millisecond)
 		}
 		for _, id := range []member.UpstreamID{"app00", "app01", "app02"} {
--- a/forward/limitingfleet_test.go
+++ b/forward/limitingfleet_test.go
@@ -80,7 +80,7 @@
 		if !named || f.hidesLimit != nil && f.hidesLimit() {
 			return a, nil
 		}
-		a.Signals.Limit = NamedLimit{Named: true, Rate: rate}
+		a.Signals.Limit = AnnouncedLimit{Announced: true, Rate: rate}
 		if f.firstLimitAt[u.ID] == nil {
 			f.firstLimitAt[u.ID] = map[member.HostID]time.Duration{}
 		}
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -10,18 +10,18 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// NamedLimit is what an answer says of how many requests a second its upstream takes from
+// AnnouncedLimit is what an answer says of how many requests a second its upstream takes from
 // all hosts together. The zero value names none.
-type NamedLimit struct {
-	Named bool
-	Rate  ratelimit.Rate
+type AnnouncedLimit struct {
+	Announced bool
+	Rate      ratelimit.Rate
 	// Err says why what it named can't be read. Such an answer says nothing.
 	Err error
 }
 
-// receiveLimit takes in what an answer says of its upstream's limit. sent is when its request
+// recordAnswerLimit takes in what an answer says of its upstream's limit. sent is when its request
 // was.
-func (f *Forwarder) receiveLimit(sent time.Time, u Upstream, l NamedLimit) {
+func (f *Forwarder) recordAnswerLimit(sent time.Time, u Upstream, l AnnouncedLimit) {
 	now := f.now()
 	if l.Err != nil {
 		if f.limitLogLimiter.allow(now, u.ID) {
@@ -29,23 +29,23 @@
 		}
 		return
 	}
-	if !l.Named && !f.limiter.Words.Any() {
+	if !l.Announced && !f.limiter.Words.Any() {
 		return
 	}
-	word := ratelimit.Word{Named: l.Named, Rate: l.Rate, Since: sent, At: now}
-	f.noteLimit(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
+	word := ratelimit.Word{Named: l.Announced, Rate: l.Rate, Since: sent, At: now}
+	f.applyLimitChange(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
 }
 
-// receiveLimitMark takes in a peer's word of an upstream's limit.
-func (f *Forwarder) receiveLimitMark(now time.Time, from member.HostID, m ratelimit.Mark) {
+// receivePeerLimit takes in a peer's word of an upstream's limit.
+func (f *Forwarder) receivePeerLimit(now time.Time, from member.HostID, m ratelimit.Mark) {
 	if !f.fleet.ReceiveIncarnation(m.Upstream, Incarnation(m.Life)) {
 		return
 	}
-	f.noteLimit(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceiveMark(now, from, m))
+	f.applyLimitChange(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceiveMark(now, from, m))
 }
 
-// noteLimit tells of a change of an upstream's limit.
-func (f *Forwarder) noteLimit(now time.Time, id member.UpstreamID, from member.HostID, rate ratelimit.Rate, age time.Duration, c ratelimit.Change) {
+// applyLimitChange tells of a change of an upstream's limit.
+func (f *Forwarder) applyLimitChange(now time.Time, id member.UpstreamID, from member.HostID, rate ratelimit.Rate, age time.Duration, c ratelimit.Change) {
 	if c == ratelimit.Unchanged {
 		return
 	}
@@ -57,8 +57,8 @@
 	}
 }
 
-// forgetLimits drops what is known of upstreams that aren't bounded any more.
-func (f *Forwarder) forgetLimits(now time.Time) {
+// pruneLimits drops what is known of upstreams that aren't bounded any more.
+func (f *Forwarder) pruneLimits(now time.Time) {
 	isKnown := func(id member.UpstreamID) bool {
 		_, found := f.fleet.Upstream(id)
 		return found
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -37,8 +37,8 @@
 	limitSeedFlag  = flag.Uint64("limit.seed", 1, "seed of the callers of limited upstreams")
 )
 
-// limitDay is a load on upstreams of which some name limits.
-type limitDay struct {
+// limitScenario is a load on upstreams of which some name limits.
+type limitScenario struct {
 	zones, hostsPerZone, upstreams int
 	// path chooses the kind of request.
 	path string
@@ -46,64 +46,64 @@
 	perSecond float64
 	atOneHost bool
 	needs     []limitPeriod
-	lasts     time.Duration
+	duration  time.Duration
 	// hides makes needyFleet's.
 	hides func() func() bool
 	// coldRate is what a cold plain upstream bears; zero sets no bound.
 	coldRate float64
-	// happens is what befalls the site meanwhile.
-	happens func(ctx context.Context, s *site, fleet *limitingFleet)
-	// permits is told how many questions for permits there were, if it is set.
-	permits func(n int64)
+	// disturb is what befalls the site meanwhile.
+	disturb func(ctx context.Context, s *site, fleet *limitingFleet)
+	// onPermitCount is told how many questions for onPermitCount there were, if it is set.
+	onPermitCount func(n int64)
 }
 
 // limitTally is what callers got on such a day.
 type limitTally struct {
-	mu                   sync.Mutex
-	asked, good, refused int
-	// wrong counts refusals that don't say that the request has not run, and held those
+	mu                        sync.Mutex
+	requests, served, refused int
+	// wronglyRefused counts refusals that don't say that the request has not run, and lateRefused those
 	// that took longer than they may.
-	wrong, held int
+	wronglyRefused, lateRefused int
 }
 
-func (t *limitTally) note(s *fakeSink, took, atOnce time.Duration) {
+func (t *limitTally) record(s *fakeSink, took, atOnce time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asked++
+	t.requests++
 	switch {
 	case s.refused == nil:
-		t.good++
+		t.served++
 	case s.refused.Code == CodeOverloaded:
 		t.refused++
 		if took > atOnce {
-			t.held++
+			t.lateRefused++
 		}
 	default:
-		t.wrong++
+		t.wronglyRefused++
 	}
 }
 
-// refusedAtOnce is how long it may take to refuse a request: a question to another host and
+// maxUnaryRefusalTime is how long it may take to refuse a request: a question to another host and
 // back, and one that isn't answered.
-const refusedAtOnce = 2 * peerRequestTimeout
+const maxUnaryRefusalTime = 2 * peerRequestTimeout
 
-// refusedWithin is how long it may take to refuse a request: a stream may wait for an engine
+// maxRefusalTime is how long it may take to refuse a request: a stream may wait for an engine
 // that isn't bounded before that.
-func (d limitDay) refusedWithin() time.Duration {
+func (d limitScenario) maxRefusalTime() time.Duration {
 	if d.path != "/llm/" && d.path != "/resumable/" {
-		return refusedAtOnce
+		return maxUnaryRefusalTime
 	}
-	return refusedAtOnce + time.Duration(policy.DefaultMaxWaitFraction*float64(1800*time.Millisecond)) + poolRefreshInterval
+	return maxUnaryRefusalTime + time.Duration(policy.DefaultMaxWaitFraction*float64(1800*time.Millisecond)) + poolRefreshInterval
 }
 
-// leastUsed is how much of a limit is to be used while more is wanted.
-const leastUsed = 0.9
+// minLimitUsage is how much of a limit is to be used while more is wanted.
+const minLimitUsage = 0.9
 
-// settled is when a day's hosts know each other; needs begin after it.
-const settled = 4 * time.Second
+// siteSettleTime is when a day's hosts know each other; needs begin after it.
+const siteSettleTime = 4 * time.Second
 
-// play plays the day with some seed.
-func (d limitDay) play(t *testing.T, seed uint64, judge func(*testing.T, *limitingFleet, *limitTally)) {
+// run plays the day with some seed.
+func (d limitScenario) run(t *testing.T, seed uint64, judge func(*testing.T, *limitingFleet, *limitTally)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -112,33 +112,33 @@
 		if d.hides != nil {
 			fleet.hidesLimit = d.hides()
 		}
-		s := newNeedySite(fleet, d.zones, d.hostsPerZone, d.upstreams)
+		s := newLimitSite(fleet, d.zones, d.hostsPerZone, d.upstreams)
 		s.origin.config.Services[0].ColdRate = d.coldRate
 		s.serveAll(ctx)
 		random := rand.New(rand.NewPCG(seed, 0))
 		var under sync.WaitGroup
-		if d.happens != nil {
-			under.Go(func() { d.happens(ctx, s, fleet) })
+		if d.disturb != nil {
+			under.Go(func() { d.disturb(ctx, s, fleet) })
 		}
-		time.Sleep(settled / 2)
+		time.Sleep(siteSettleTime / 2)
 		pause := float64(time.Second) / d.perSecond
-		for n := 0; time.Since(fleet.start) < d.lasts; n++ {
-			host := s.first()
+		for n := 0; time.Since(fleet.start) < d.duration; n++ {
+			host := s.firstHost()
 			if !d.atOneHost {
-				host = s.nth(random.IntN(d.zones * d.hostsPerZone))
+				host = s.nthHost(random.IntN(d.zones * d.hostsPerZone))
 			}
 			under.Go(func() {
 				c, sink := call(d.path), &fakeSink{}
 				c.ID, c.Prompt = RequestID(fmt.Sprint("r", n)), Prompt{Tokens: 500, MaxOutputTokens: 300}
 				host.Serve(ctx, c, sink)
-				tally.note(sink, time.Since(c.Arrived), d.refusedWithin())
+				tally.record(sink, time.Since(c.Arrived), d.maxRefusalTime())
 			})
 			// The times between arrivals of callers that don't know of each other.
 			time.Sleep(time.Duration(-math.Log(1-random.Float64()) * pause))
 		}
 		under.Wait()
-		if d.permits != nil {
-			d.permits(s.permitCalls.Load())
+		if d.onPermitCount != nil {
+			d.onPermitCount(s.permitCalls.Load())
 		}
 		judge(t, fleet, tally)
 		cancel()
@@ -146,8 +146,8 @@
 	})
 }
 
-// newNeedySite returns zones of hosts before upstreams that name limits.
-func newNeedySite(fleet *limitingFleet, zones, hostsPerZone, upstreams int) *site {
+// newLimitSite returns zones of hosts before upstreams that name limits.
+func newLimitSite(fleet *limitingFleet, zones, hostsPerZone, upstreams int) *site {
 	s := newCrashSiteOf(fleet.fakeFleet, zones, hostsPerZone, upstreams)
 	for _, f := range s.hosts {
 		f.transport = &fakeTransport{send: fleet.sendFrom(f.settings.Self.ID), checkReachable: fleet.checkReachable}
@@ -155,36 +155,36 @@
 	return s
 }
 
-// at is the host at an address; nil where there is none.
-func (s *site) at(address string) *Forwarder {
+// hostAtAddress is the host hostAtAddress an address; nil where there is none.
+func (s *site) hostAtAddress(address string) *Forwarder {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hosts[address]
 }
 
-// first is the first host of the first zone, and nth the nth of all.
-func (s *site) first() *Forwarder { return s.at("10.1.0.1:1") }
+// firstHost is the firstHost host of the firstHost zone, and nth the nth of all.
+func (s *site) firstHost() *Forwarder { return s.hostAtAddress("10.1.0.1:1") }
 
-func (s *site) nth(n int) *Forwarder {
+func (s *site) nthHost(n int) *Forwarder {
 	zones := 0
-	for s.at(fmt.Sprintf("10.%d.0.1:1", zones+1)) != nil {
+	for s.hostAtAddress(fmt.Sprintf("10.%d.0.1:1", zones+1)) != nil {
 		zones++
 	}
-	return s.at(fmt.Sprintf("10.%d.0.%d:1", n%zones+1, n/zones+1))
+	return s.hostAtAddress(fmt.Sprintf("10.%d.0.%d:1", n%zones+1, n/zones+1))
 }
 
-// needOf is a need from when the hosts know each other until a time.
-func needOf(id member.UpstreamID, rate ratelimit.Rate, until time.Duration) limitPeriod {
-	return limitPeriod{upstream: id, from: settled, until: until, rate: rate}
+// needAfterSettling is a need from when the hosts know each other until a time.
+func needAfterSettling(id member.UpstreamID, rate ratelimit.Rate, until time.Duration) limitPeriod {
+	return limitPeriod{upstream: id, from: siteSettleTime, until: until, rate: rate}
 }
 
-// TestNamedLimits has upstreams that name a limit get no more from all hosts together than
+// TestAnnouncedLimits has upstreams that name a limit get no more from all hosts together than
 // they are to bear at most.
-func TestNamedLimits(t *testing.T) {
-	limitDay{
-		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 36, lasts: 18 * time.Second,
-		needs: []limitPeriod{needOf("app00", 4, 18*time.Second), needOf("app01", 2.8, 18*time.Second)},
-	}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
+func TestAnnouncedLimits(t *testing.T) {
+	limitScenario{
+		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 36, duration: 18 * time.Second,
+		needs: []limitPeriod{needAfterSettling("app00", 4, 18*time.Second), needAfterSettling("app01", 2.8, 18*time.Second)},
+	}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
 		for _, id := range []member.UpstreamID{"app00", "app01"} {
 			if w := fleet.worstOverTolerance(id); w.exceeded() {
 				t.Errorf("%s got %v", id, w)
@@ -193,12 +193,12 @@
 	})
 }
 
-// TestLimitsAim has upstreams that name limits get no more than these, counted in whole
+// TestLimitsKeptAndUsed has upstreams that name limits get no more than these, counted in whole
 // requests, and nine tenths of them used while more is wanted; and no caller wait for a
 // refusal, or hear that its request may have run.
-func TestLimitsAim(t *testing.T) {
-	const from = settled + contactBound
-	for name, d := range map[string]limitDay{
+func TestLimitsKeptAndUsed(t *testing.T) {
+	const from = siteSettleTime + contactBound
+	for name, d := range map[string]limitScenario{
 		"calls, at all hosts":         {path: "/order/", perSecond: 40},
 		"calls, at one host":          {path: "/order/", perSecond: 40, atOneHost: true},
 		"calls that may be repeated":  {path: "/status/", perSecond: 40},
@@ -212,9 +212,9 @@
 			service, until = "llm", 18*time.Second
 		}
 		at := func(n int, rate ratelimit.Rate) limitPeriod {
-			return needOf(member.UpstreamID(fmt.Sprintf("%s%02d", service, n)), rate, until)
+			return needAfterSettling(member.UpstreamID(fmt.Sprintf("%s%02d", service, n)), rate, until)
 		}
-		d.zones, d.hostsPerZone, d.upstreams, d.lasts = 3, 3, 5, until
+		d.zones, d.hostsPerZone, d.upstreams, d.duration = 3, 3, 5, until
 		for kind, needs := range map[string][]limitPeriod{
 			"one": {at(0, 2)},
 			"two": {at(0, 2.8), at(1, 1.2)},
@@ -222,7 +222,7 @@
 		} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				d.needs = needs
-				d.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
+				d.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 					got, takes := 0, 0.0
 					for _, n := range needs {
 						got += fleet.requestCount(n.upstream, from, until)
@@ -237,16 +237,16 @@
 						}
 						// Which engine a stream goes to is decided by more than that, so
 						// that more is wanted of one while others have room isn't sure.
-						if used < leastUsed && n.rate >= 1 && service == "app" {
+						if used < minLimitUsage && n.rate >= 1 && service == "app" {
 							t.Errorf("%s was used to %.2f", n.upstream, used)
 						}
 					}
-					if used := float64(got) / takes; used < leastUsed && kind == "all" {
+					if used := float64(got) / takes; used < minLimitUsage && kind == "all" {
 						t.Errorf("all of the service were used to %.2f", used)
 					}
-					t.Logf("asked %d, served %d, refused %d, of which late %d, wrongly %d", tally.asked, tally.good, tally.refused, tally.held, tally.wrong)
-					if tally.wrong > 0 || tally.held > 0 {
-						t.Errorf("refused wrongly %d, late %d", tally.wrong, tally.held)
+					t.Logf("asked %d, served %d, refused %d, of which late %d, wrongly %d", tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused)
+					if tally.wronglyRefused > 0 || tally.lateRefused > 0 {
+						t.Errorf("refused wrongly %d, late %d", tally.wronglyRefused, tally.lateRefused)
 					}
 				})
 			})
@@ -254,8 +254,8 @@
 	}
 }
 
-// TestLimitSizesOfEngines is TestLimitSizes for streams, of engines that all name limits.
-func TestLimitSizesOfEngines(t *testing.T) {
+// TestEngineLimitSizes is TestLimitSizes for streams, of engines that all name limits.
+func TestEngineLimitSizes(t *testing.T) {
 	const until = 16 * time.Second
 	for _, size := range []struct{ zones, hostsPerZone int }{{3, 3}, {3, 20}, {5, 60}} {
 		if size.hostsPerZone > 3 && !*limitSizesFlag {
@@ -264,22 +264,22 @@
 		t.Run(fmt.Sprintf("%d hosts", size.zones*size.hostsPerZone), func(t *testing.T) {
 			var needs []limitPeriod
 			for n := range 10 {
-				needs = append(needs, needOf(member.UpstreamID(fmt.Sprintf("llm%02d", n)), ratelimit.Rate(1+n%3), until))
+				needs = append(needs, needAfterSettling(member.UpstreamID(fmt.Sprintf("llm%02d", n)), ratelimit.Rate(1+n%3), until))
 			}
-			limitDay{
-				zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 10, path: "/llm/", perSecond: 60, needs: needs, lasts: until,
-			}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
+			limitScenario{
+				zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 10, path: "/llm/", perSecond: 60, needs: needs, duration: until,
+			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 				got, takes := 0, 0.0
 				for _, n := range needs {
-					got += fleet.requestCount(n.upstream, settled+contactBound, until)
-					takes += float64(n.rate) * (until - settled - contactBound).Seconds()
+					got += fleet.requestCount(n.upstream, siteSettleTime+contactBound, until)
+					takes += float64(n.rate) * (until - siteSettleTime - contactBound).Seconds()
 					if rule, aim := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream); rule.exceeded() || aim.exceeded() {
 						t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
 					}
 				}
-				t.Logf("used %.2f; asked %d, served %d, refused %d, late %d, wrongly %d", float64(got)/takes, tally.asked, tally.good, tally.refused, tally.held, tally.wrong)
-				if float64(got) < leastUsed*takes || tally.held > 0 || tally.wrong > 0 {
-					t.Errorf("used to %.2f; refused late %d, wrongly %d", float64(got)/takes, tally.held, tally.wrong)
+				t.Logf("used %.2f; asked %d, served %d, refused %d, late %d, wrongly %d", float64(got)/takes, tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused)
+				if float64(got) < minLimitUsage*takes || tally.lateRefused > 0 || tally.wronglyRefused > 0 {
+					t.Errorf("used to %.2f; refused late %d, wrongly %d", float64(got)/takes, tally.lateRefused, tally.wronglyRefused)
 				}
 			})
 		})
@@ -296,23 +296,23 @@
 		}
 		for load, atOneHost := range map[string]bool{"all hosts": false, "one host": true} {
 			t.Run(fmt.Sprintf("%d hosts, %s", size.zones*size.hostsPerZone, load), func(t *testing.T) {
-				needs := []limitPeriod{needOf("app00", 0.2, until), needOf("app01", 4, until), needOf("app02", 27, until)}
+				needs := []limitPeriod{needAfterSettling("app00", 0.2, until), needAfterSettling("app01", 4, until), needAfterSettling("app02", 27, until)}
 				var asks int64
-				limitDay{
+				limitScenario{
 					zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 6, path: "/order/", perSecond: 300, atOneHost: atOneHost,
-					needs: needs, lasts: until, permits: func(n int64) { asks = n },
-				}.play(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
+					needs: needs, duration: until, onPermitCount: func(n int64) { asks = n },
+				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 					for _, n := range needs {
-						rule, aim, used := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream), fleet.usedFraction(n.upstream, settled+contactBound, until, n.rate)
+						rule, aim, used := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream), fleet.usedFraction(n.upstream, siteSettleTime+contactBound, until, n.rate)
 						t.Logf("%s at %v a second: %v; used %.2f", n.upstream, float64(n.rate), aim, used)
 						if rule.exceeded() || aim.exceeded() {
 							t.Errorf("%s got %v (rule: %v)", n.upstream, aim, rule)
 						}
-						if used < leastUsed && n.rate >= 1 {
+						if used < minLimitUsage && n.rate >= 1 {
 							t.Errorf("%s was used to %.2f", n.upstream, used)
 						}
 					}
-					t.Logf("asked %d, served %d, refused %d, late %d, wrongly %d; %.0f questions a second", tally.asked, tally.good, tally.refused, tally.held, tally.wrong, float64(asks)/(until-settled).Seconds())
+					t.Logf("asked %d, served %d, refused %d, late %d, wrongly %d; %.0f questions a second", tally.requests, tally.served, tally.refused, tally.lateRefused, tally.wronglyRefused, float64(asks)/(until-siteSettleTime).Seconds())
 				})
 			})
 		}
--- a/forward/move.go
+++ b/forward/move.go
@@ -157,11 +157,11 @@
 
 // tryTurns takes the turns of both engines' links if nobody uses them.
 func (m *mover) tryTurns(ctx context.Context, x *exchange, run *ownRun, to Upstream) (end func(), err error) {
-	endSource, err := x.takeTurn(ctx, m.source, TurnRequest{Engine: m.source.ID, Run: run.request.Run, AtOnce: true})
+	endSource, err := x.acquireTurn(ctx, m.source, TurnRequest{Engine: m.source.ID, Run: run.request.Run, NoWait: true})
 	if err != nil {
 		return endSource, err
 	}
-	endTarget, err := x.takeTurn(ctx, to, TurnRequest{Engine: to.ID, Run: run.request.Run, AtOnce: true})
+	endTarget, err := x.acquireTurn(ctx, to, TurnRequest{Engine: to.ID, Run: run.request.Run, NoWait: true})
 	return func() {
 		endTarget()
 		endSource()
@@ -245,9 +245,9 @@
 // tryMove waits for the turn of the source's link and moves the run to the engine that is best
 // at that time.
 func (m *mover) tryMove(ctx context.Context, x *exchange, run *ownRun, goneAt time.Time) (*handover, error) {
-	r := TurnRequest{Engine: m.source.ID, Run: run.request.Run, Worth: x.engines.movePriority(x.service.Name, run)}
+	r := TurnRequest{Engine: m.source.ID, Run: run.request.Run, Priority: x.engines.movePriority(x.service.Name, run)}
 	turnCtx, cancel := context.WithTimeout(ctx, goneAt.Add(-finalCopyMargin).Sub(x.now()))
-	endTurn, err := x.takeTurn(turnCtx, m.source, r)
+	endTurn, err := x.acquireTurn(turnCtx, m.source, r)
 	cancel()
 	if err != nil {
 		x.journal.Request(x.call.ID, "no turn", "engine", m.source.ID, "err", err)
@@ -287,7 +287,7 @@
 		}
 		to, found = next, true
 		turnCtx, cancel := context.WithTimeout(ctx, targetTurnTimeout)
-		free, err := x.takeTurn(turnCtx, to, TurnRequest{Engine: to.ID, Run: run.request.Run, AtOnce: true})
+		free, err := x.acquireTurn(turnCtx, to, TurnRequest{Engine: to.ID, Run: run.request.Run, NoWait: true})
 		cancel()
 		if err == nil {
 			return to, free, true
@@ -299,7 +299,7 @@
 	}
 	turn, cancel := context.WithTimeout(ctx, busyTargetTimeout)
 	defer cancel()
-	free, err := x.takeTurn(turn, to, TurnRequest{Engine: to.ID, Run: run.request.Run})
+	free, err := x.acquireTurn(turn, to, TurnRequest{Engine: to.ID, Run: run.request.Run})
 	if err != nil {
 		x.journal.Request(x.call.ID, "no turn", "engine", to.ID, "err", err)
 	}
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -257,14 +257,14 @@
 		}
 	}
 	for _, mark := range s.Limits {
-		f.receiveLimitMark(now, s.From.ID, mark)
+		f.receivePeerLimit(now, s.From.ID, mark)
 	}
 	for _, mark := range s.Backoffs {
 		f.receivePeerBackoff(now, s.From.ID, mark)
 	}
 	f.resetRestartedUpstreams()
 	f.crashes.Met(s.From.ID, s.Epoch)
-	f.receiveCrashes(now, s.Crashes)
+	f.receivePeerCrashes(now, s.Crashes)
 	if len(s.Announcements) > 0 {
 		f.peers.receiveAnnouncements(now, s.From.ID, s.Announcements)
 	}
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -15,9 +15,9 @@
 
 // What is bounded at which upstream, and what a permit.Limiter has to know of this host.
 
-// bound is what an upstream is given at most by all hosts together; false says that nothing
+// rateLimitFor is what an upstream is given at most by all hosts together; false says that nothing
 // bounds it.
-func (f *Forwarder) bound(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
+func (f *Forwarder) rateLimitFor(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
 	named, isNamed := f.limiter.Words.Bound(now, u.ID)
 	cold, isCold := f.coldRateLimit(now, s, u)
 	switch {
@@ -29,8 +29,8 @@
 	return named, true
 }
 
-// anyBound reports whether some upstream of a service may be bounded.
-func (f *Forwarder) anyBound(now time.Time, s *Service) bool {
+// mayBeThrottled reports whether some upstream of a service may be bounded.
+func (f *Forwarder) mayBeThrottled(now time.Time, s *Service) bool {
 	return f.backoffs.HasUpstreams() || f.limiter.Words.Any() || s.ColdRate > 0 && f.fleet.AnyCold(now)
 }
 
@@ -45,11 +45,11 @@
 	repeat, must bool
 }
 
-// permit reports whether something may be sent to an upstream now, and if not, how long it is
+// acquirePermit reports whether something may be sent to an upstream now, and if not, how long it is
 // until it may be asked for again. It is asked just before sending.
-func (f *Forwarder) permit(ctx context.Context, r permitRequest) (wait time.Duration, ok bool) {
+func (f *Forwarder) acquirePermit(ctx context.Context, r permitRequest) (wait time.Duration, ok bool) {
 	now := f.now()
-	rate, bounded := f.bound(now, r.service, r.upstream)
+	rate, bounded := f.rateLimitFor(now, r.service, r.upstream)
 	if !bounded {
 		return 0, true
 	}
@@ -67,11 +67,11 @@
 // OnPermit serves a host that asks for leave to send to an upstream.
 func (f *Forwarder) OnPermit(a permit.Ask) permit.Reply { return f.limiter.OnAsk(a) }
 
-// keptBack is how long it is until this host may send to an upstream, or may ask for leave
+// sendDelay is how long it is until this host may send to an upstream, or may ask for leave
 // to; zero when it may now.
-func (f *Forwarder) keptBack(now time.Time, s *Service, u Upstream) time.Duration {
+func (f *Forwarder) sendDelay(now time.Time, s *Service, u Upstream) time.Duration {
 	wait := f.backoffs.Delay(now, u.ID)
-	if _, bounded := f.bound(now, s, u); bounded {
+	if _, bounded := f.rateLimitFor(now, s, u); bounded {
 		wait = max(wait, f.limiter.Wait(now, u.ID))
 	}
 	return wait
@@ -106,16 +106,16 @@
 }
 
 func (p permitSite) ReceiveWord(now time.Time, from member.HostID, m ratelimit.Mark) {
-	p.receiveLimitMark(now, from, m)
+	p.receivePeerLimit(now, from, m)
 }
 
-// errNoPeers says that this host has no way to the others yet.
-var errNoPeers = errors.New("no way to other hosts yet")
+// errPeersUnavailable says that this host has no way to the others yet.
+var errPeersUnavailable = errors.New("no way to other hosts yet")
 
 func (p permitSite) AskPeer(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
 	peers := p.loadPeerPort()
 	if peers == nil {
-		return permit.Reply{}, errNoPeers
+		return permit.Reply{}, errPeersUnavailable
 	}
 	bounded, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
--- a/forward/probe.go
+++ b/forward/probe.go
@@ -16,21 +16,21 @@
 // While the list of upstreams can't be had, engines are asked themselves whether
 // they leave: a notice is short, and a run that isn't moved is lost.
 const (
-	// probeEvery is the period of asking one engine. Each answer has a price,
+	// probeInterval is the period of asking one engine. Each answer has a price,
 	// so only one host asks each engine, and only while the list is lost.
-	probeEvery = 300 * time.Millisecond
+	probeInterval = 300 * time.Millisecond
 	// probeTimeout bounds one answer.
 	probeTimeout = 400 * time.Millisecond
-	// listLate is how old the proof of the list may be before engines are asked.
-	listLate = watchTimeout + 600*time.Millisecond
-	// suspectListFor is how long engines are asked after one went without notice: its own
+	// maxListAge is how old the proof of the list may be before engines are asked.
+	maxListAge = watchTimeout + 600*time.Millisecond
+	// listSuspectDuration is how long engines are asked after one went without notice: its own
 	// entry on the list came late, and others' may, too.
-	suspectListFor = 10 * time.Second
+	listSuspectDuration = 10 * time.Second
 )
 
 // RunProbes asks the engines while the list is lost, until the context ends.
 func (f *Forwarder) RunProbes(ctx context.Context) {
-	tick := time.NewTicker(probeEvery)
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -38,34 +38,34 @@
 			return
 		case <-tick.C:
 			now := f.now()
-			if !f.listKnown(now) || f.listSuspected(now) {
-				f.probe(ctx, now, f.engines.enginesWithRuns())
+			if !f.isListCurrent(now) || f.isListSuspect(now) {
+				f.probeEngines(ctx, now, f.engines.enginesWithRuns())
 				continue
 			}
 			if missing := f.fleet.Missing(); len(missing) > 0 {
-				f.probe(ctx, now, intersect(f.engines.enginesWithRuns(), missing))
+				f.probeEngines(ctx, now, intersect(f.engines.enginesWithRuns(), missing))
 			}
 		}
 	}
 }
 
-// listKnown reports whether the list is up to date, by this host or by a peer
+// isListCurrent reports whether the list is up to date, by this host or by a peer
 // that it follows.
-func (f *Forwarder) listKnown(now time.Time) bool {
-	return f.isFollowing(now) || f.OriginAge(now) <= listLate
+func (f *Forwarder) isListCurrent(now time.Time) bool {
+	return f.isFollowing(now) || f.OriginAge(now) <= maxListAge
 }
 
-// suspectList takes in that an engine which the list has as well went without
+// markListSuspect takes in that an engine which the list has as well went without
 // notice.
-func (f *Forwarder) suspectList(now time.Time) {
-	if !f.listSuspected(now) {
-		f.journal.HostEvent("list suspect", "for", suspectListFor, "list_revision", f.fleet.Revision())
+func (f *Forwarder) markListSuspect(now time.Time) {
+	if !f.isListSuspect(now) {
+		f.journal.HostEvent("list suspect", "for", listSuspectDuration, "list_revision", f.fleet.Revision())
 	}
 	f.listSuspectedAt.advance(now)
 }
 
-func (f *Forwarder) listSuspected(now time.Time) bool {
-	return f.listSuspectedAt.age(now) < suspectListFor
+func (f *Forwarder) isListSuspect(now time.Time) bool {
+	return f.listSuspectedAt.age(now) < listSuspectDuration
 }
 
 // intersect returns the ids that are in both lists.
@@ -73,8 +73,8 @@
 	return slices.DeleteFunc(a, func(id member.UpstreamID) bool { return !slices.Contains(b, id) })
 }
 
-// probe asks those of some engines that this host is the arbiter of.
-func (f *Forwarder) probe(ctx context.Context, now time.Time, ids []member.UpstreamID) {
+// probeEngines asks those of some engines that this host is the arbiter of.
+func (f *Forwarder) probeEngines(ctx context.Context, now time.Time, ids []member.UpstreamID) {
 	t := f.table.Load()
 	if t == nil {
 		return
@@ -86,26 +86,26 @@
 		if !known || !declared || u.Leaving || !f.fleet.InService(u.Zone) || f.peers.arbiter(now, u).ID != f.peers.self.ID {
 			continue
 		}
-		asking.Go(func() { f.ask(ctx, &service, u) })
+		asking.Go(func() { f.probeEngine(ctx, &service, u) })
 	}
 	asking.Wait()
 }
 
-// hintedLeaving asks an engine that hinted that it leaves, unless the list says so.
+// checkLeavingHint asks an engine that hinted that it leaves, unless the list says so.
 // The hint comes with some other answers, too, three times a day of 17 streams a
 // second.
-func (s *streamExchange) hintedLeaving(ctx context.Context, u Upstream) {
+func (s *streamExchange) checkLeavingHint(ctx context.Context, u Upstream) {
 	known, found := s.fleet.Upstream(u.ID)
 	if !found || known.Leaving {
 		return
 	}
-	go s.ask(context.WithoutCancel(ctx), &s.service, u)
+	go s.probeEngine(context.WithoutCancel(ctx), &s.service, u)
 }
 
-// ask takes an engine's word that it isn't well as a sign that it leaves, and believes
+// probeEngine takes an engine's word that it isn't well as a sign that it leaves, and believes
 // that it is cold or in a new life. No answer says nothing. One that is bounded is asked
 // only where no request wants its place.
-func (f *Forwarder) ask(ctx context.Context, s *Service, u Upstream) {
+func (f *Forwarder) probeEngine(ctx context.Context, s *Service, u Upstream) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	health, err := f.checkHealth(ctx, s, u)
--- a/forward/probe_test.go
+++ b/forward/probe_test.go
@@ -82,10 +82,10 @@
 				f.engines.setAvailable(time.Now(), "llm", []Upstream{{ID: "llm2", Service: "llm", Zone: "z1"}})
 				_, run, _ := f.engines.place(ctx, time.Now(), "llm", policy.Request{Run: "r", PromptTokens: 100})
 				is.Equal(run.engine, member.UpstreamID("llm2"))
-				time.Sleep(2 * probeEvery)
+				time.Sleep(2 * probeInterval)
 				u, _ := f.fleet.Upstream("llm2")
 				is.Equal(u.Leaving, c.marked)
-				is.True(!f.listSuspected(time.Now().Add(suspectListFor))) // not for ever
+				is.True(!f.isListSuspect(time.Now().Add(listSuspectDuration))) // not for ever
 				cancel()
 				synctest.Wait()
 			})
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -17,24 +17,24 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// crashDay is a site with one or more requests that crash upstreams, in virtual time.
-type crashDay struct {
+// crashScenario is a site with one or more requests that crash upstreams, in virtual time.
+type crashScenario struct {
 	*testing.T
 	*site
 	fleet *fakeFleet
 	ctx   context.Context
 	// stopHosts ends all hosts.
-	stopHosts context.CancelFunc
-	n         atomic.Int32
+	stopHosts    context.CancelFunc
+	requestCount atomic.Int32
 }
 
-// playCrashDay plays a day on a site whose hosts know each other.
-func playCrashDay(t *testing.T, play func(d *crashDay)) {
+// runCrashScenario plays a day on a site whose hosts know each other.
+func runCrashScenario(t *testing.T, play func(d *crashScenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		d := &crashDay{T: t, fleet: newFakeFleet(), ctx: ctx}
+		d := &crashScenario{T: t, fleet: newFakeFleet(), ctx: ctx}
 		d.site = newCrashSite(d.fleet, 12)
 		var hosts context.Context
 		hosts, d.stopHosts = context.WithCancel(ctx)
@@ -47,14 +47,14 @@
 }
 
 // send has a host serve a request and returns what its caller got.
-func (d *crashDay) send(f *Forwarder, path, body string) *fakeSink {
+func (d *crashScenario) send(f *Forwarder, path, body string) *fakeSink {
 	sink := &fakeSink{}
-	f.Serve(d.ctx, crashCall(path, body, int(d.n.Add(1))), sink)
+	f.Serve(d.ctx, crashCall(path, body, int(d.requestCount.Add(1))), sink)
 	return sink
 }
 
-// crashThrice has three upstreams end under a request, each at another host.
-func (d *crashDay) crashThrice(path, body string) {
+// crashThreeUpstreams has three upstreams end under a request, each at another host.
+func (d *crashScenario) crashThreeUpstreams(path, body string) {
 	for n := range 3 {
 		d.send(d.hostAt(n), path, body)
 		time.Sleep(100 * time.Millisecond)
@@ -64,49 +64,49 @@
 	}
 }
 
-// lost reports whether a stream was lost with its engine.
-func lost(sink *fakeSink) bool {
+// lostWithEngine reports whether a stream was lostWithEngine with its engine.
+func lostWithEngine(sink *fakeSink) bool {
 	return sink.truncated || sink.refused != nil && sink.refused.MayHaveRun
 }
 
-// heldAt reports whether a host refuses a request at once, and says why.
-func (d *crashDay) heldAt(f *Forwarder, path, body string) bool {
+// heldBackAt reports whether a host refuses a request at once, and says why.
+func (d *crashScenario) heldBackAt(f *Forwarder, path, body string) bool {
 	began := time.Now()
 	sink := d.send(f, path, body)
-	return sink.refused != nil && *sink.refused == heldRefusal && time.Since(began) < time.Millisecond
+	return sink.refused != nil && *sink.refused == quarantineRefusal && time.Since(began) < time.Millisecond
 }
 
-// TestHeldAtEveryHost has a request be held back soon at each host that is there, cut off
+// TestQuarantineReachesEveryHost has a request be held back soon at each host that is there, cut off
 // or not yet started when upstreams ended under it.
-func TestHeldAtEveryHost(t *testing.T) {
+func TestQuarantineReachesEveryHost(t *testing.T) {
 	t.Run("at all that reach each other, at once", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
-			d.crashThrice("/llm/", crashingPrefix)
+		runCrashScenario(t, func(d *crashScenario) {
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			for n := range 6 {
-				if !d.heldAt(d.hostAt(n), "/llm/", crashingPrefix) {
+				if !d.heldBackAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends it", n)
 				}
 			}
 		})
 	})
 	t.Run("at one that was cut off, when it is back", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
+		runCrashScenario(t, func(d *crashScenario) {
 			cut := d.hostAt(5)
 			d.makeUnreachable(cut.settings.Self.PeerAddress)
 			d.freeze(cut.settings.Self.PeerAddress)
 			time.Sleep(100 * time.Millisecond)
-			d.crashThrice("/llm/", crashingPrefix)
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			time.Sleep(10 * time.Second)
 			d.reconnect(cut.settings.Self.PeerAddress)
 			time.Sleep(contactBound)
-			if !d.heldAt(cut, "/llm/", crashingPrefix) {
+			if !d.heldBackAt(cut, "/llm/", crashingPrefix) {
 				d.Errorf("the host that is back sends it")
 			}
 		})
 	})
 	t.Run("at one that starts, and under a name that is known", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
-			d.crashThrice("/llm/", crashingPrefix)
+		runCrashScenario(t, func(d *crashScenario) {
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			time.Sleep(time.Second)
 			old := d.hostAt(5)
 			again := New(old.settings, old.transport, silentJournal{}, silentObserver{})
@@ -114,30 +114,30 @@
 			d.start(d.ctx, again)
 			go again.Run(d.ctx)
 			time.Sleep(contactBound)
-			if !d.heldAt(again, "/llm/", crashingPrefix) {
+			if !d.heldBackAt(again, "/llm/", crashingPrefix) {
 				d.Errorf("the host that has started sends it")
 			}
 		})
 	})
 	t.Run("at all of them, when all have ended at once", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
+		runCrashScenario(t, func(d *crashScenario) {
 			d.origin.unavailable.Store(true)
-			d.crashThrice("/llm/", crashingPrefix)
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			time.Sleep(time.Second)
 			d.origin.unavailable.Store(false)
 			time.Sleep(3 * time.Second)
 			d.restartAll()
 			time.Sleep(contactBound)
 			for n := range 6 {
-				if !d.heldAt(d.hostAt(n), "/llm/", crashingPrefix) {
+				if !d.heldBackAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends it", n)
 				}
 			}
 		})
 	})
 	t.Run("no more, when it was let through before all ended", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
-			d.crashThrice("/llm/", crashingPrefix)
+		runCrashScenario(t, func(d *crashScenario) {
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			time.Sleep(time.Second)
 			print := d.hostAt(0).Quarantined()[0].Request
 			if _, released := d.hostAt(3).OnQuarantine(&print); !released {
@@ -146,19 +146,19 @@
 			time.Sleep(time.Second)
 			d.restartAll()
 			time.Sleep(contactBound)
-			if d.heldAt(d.hostAt(0), "/llm/", crashingPrefix) {
+			if d.heldBackAt(d.hostAt(0), "/llm/", crashingPrefix) {
 				d.Errorf("it is held again")
 			}
 		})
 	})
 	t.Run("when the hosts that saw it are gone", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
-			d.crashThrice("/llm/", crashingPrefix)
+		runCrashScenario(t, func(d *crashScenario) {
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			for n := range 3 {
 				d.makeUnreachable(d.hostAt(n).settings.Self.PeerAddress)
 			}
 			for n := 3; n < 6; n++ {
-				if !d.heldAt(d.hostAt(n), "/llm/", crashingPrefix) {
+				if !d.heldBackAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends it", n)
 				}
 			}
@@ -166,9 +166,9 @@
 	})
 }
 
-// TestOnlyARunProves has a request that crashes upstreams not be cleared by an answer of one
+// TestOnlyExecutionClearsQuarantine has a request that crashes upstreams not be cleared by an answer of one
 // that didn't run it.
-func TestOnlyARunProves(t *testing.T) {
+func TestOnlyExecutionClearsQuarantine(t *testing.T) {
 	notRun := func() *Response { a := answer(503, ""); a.NotRun = true; return a }
 	other := func() *Response { a := answer(421, ""); a.WrongInstance = true; return a }
 	failed := func() *Response { return answer(500, "no") }
@@ -190,7 +190,7 @@
 }
 
 // restartAll has every host end and start again, with nothing that it knew.
-func (d *crashDay) restartAll() {
+func (d *crashScenario) restartAll() {
 	d.stopHosts()
 	ctx, stop := context.WithCancel(d.ctx)
 	d.stopHosts = stop
@@ -207,11 +207,11 @@
 	}
 }
 
-// TestHeldMeanwhile has requests that were taken before the third end, and have got no
+// TestQuarantineOfRequestsInFlight has requests that were taken before the third end, and have got no
 // answer yet, not begin at a further upstream: those that wait for a place, and those that
 // an upstream hasn't begun with.
-func TestHeldMeanwhile(t *testing.T) {
-	playCrashDay(t, func(d *crashDay) {
+func TestQuarantineOfRequestsInFlight(t *testing.T) {
+	runCrashScenario(t, func(d *crashScenario) {
 		is := is.New(d.T)
 		d.send(d.hostAt(0), "/llm/", crashingPrefix)
 		d.send(d.hostAt(1), "/llm/", crashingPrefix)
@@ -237,35 +237,35 @@
 	})
 }
 
-// TestOthersAreServed has requests that only ran beside one that crashes upstreams, and
+// TestHarmlessRequestsAreServed has requests that only ran beside one that crashes upstreams, and
 // ones that were lost for other reasons, be served as ever when they come again.
-func TestOthersAreServed(t *testing.T) {
+func TestHarmlessRequestsAreServed(t *testing.T) {
 	t.Run("lost beside it three times", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
+		runCrashScenario(t, func(d *crashScenario) {
 			is := is.New(d.T)
 			// All run on the only engine that there is each time.
 			for n := range 3 {
 				only := fmt.Sprintf("llm%02d", n)
-				d.onlyEngine(only)
+				d.keepOnlyEngines(only)
 				go d.send(d.hostAt(n), "/llm/", crashingPrefix)
-				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
+				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
-			d.onlyEngine("llm05")
+			d.keepOnlyEngines("llm05")
 			// Nothing tells the two apart, so both are held. Once the other has ended
 			// an upstream without it, this one is served.
-			is.True(d.heldAt(d.hostAt(0), "/llm/", "good"))
+			is.True(d.heldBackAt(d.hostAt(0), "/llm/", "good"))
 		})
 	})
 	t.Run("lost beside it twice, and it ends two more alone", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
+		runCrashScenario(t, func(d *crashScenario) {
 			is := is.New(d.T)
 			for n := range 2 {
-				d.onlyEngine(fmt.Sprintf("llm%02d", n))
+				d.keepOnlyEngines(fmt.Sprintf("llm%02d", n))
 				go d.send(d.hostAt(n), "/llm/", crashingPrefix)
-				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
+				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
-			d.onlyEngine("llm05")
-			is.True(lost(d.send(d.hostAt(0), "/llm/", crashingPrefix)))
+			d.keepOnlyEngines("llm05")
+			is.True(lostWithEngine(d.send(d.hostAt(0), "/llm/", crashingPrefix)))
 			time.Sleep(100 * time.Millisecond)
 			for n := range 6 {
 				entries := d.hostAt(n).crashes.Entries(time.Now())
@@ -275,77 +275,77 @@
 		})
 	})
 	t.Run("lost beside it twice, then well", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
+		runCrashScenario(t, func(d *crashScenario) {
 			is := is.New(d.T)
 			for n := range 2 {
-				d.onlyEngine(fmt.Sprintf("llm%02d", n))
+				d.keepOnlyEngines(fmt.Sprintf("llm%02d", n))
 				go d.send(d.hostAt(n), "/llm/", crashingPrefix)
-				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
+				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
-			d.onlyEngine("llm05")
+			d.keepOnlyEngines("llm05")
 			is.Equal(d.send(d.hostAt(3), "/llm/", "good").refused, nil)
-			d.onlyEngine("llm06")
+			d.keepOnlyEngines("llm06")
 			go d.send(d.hostAt(0), "/llm/", crashingPrefix)
-			is.True(lost(d.send(d.hostAt(0), "/llm/", "good")))
-			d.onlyEngine("llm07")
+			is.True(lostWithEngine(d.send(d.hostAt(0), "/llm/", "good")))
+			d.keepOnlyEngines("llm07")
 			is.Equal(d.send(d.hostAt(4), "/llm/", "good").refused, nil)
 		})
 	})
 	t.Run("a link that resets", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
+		runCrashScenario(t, func(d *crashScenario) {
 			is := is.New(d.T)
 			for n := range 5 {
 				go func() {
 					time.Sleep(fakeFirstEventDelay / 2)
 					d.fleet.breakConnections()
 				}()
-				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
+				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
 			is.Equal(d.send(d.hostAt(0), "/llm/", "good").refused, nil)
 		})
 	})
 	t.Run("engines that said that they leave", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
+		runCrashScenario(t, func(d *crashScenario) {
 			is := is.New(d.T)
 			for n := range 5 {
 				only := fmt.Sprintf("llm%02d", n)
-				d.onlyEngine(only)
+				d.keepOnlyEngines(only)
 				go func() {
 					time.Sleep(fakeFirstEventDelay / 2)
 					for _, f := range d.hosts {
 						f.fleet.MarkLeaving(time.Now(), member.UpstreamID(only), 0, false)
 					}
-					time.Sleep(noticeLeast)
+					time.Sleep(minLeavingNotice)
 					d.fleet.endUpstream(member.UpstreamID(only))
 				}()
-				is.True(lost(d.send(d.hostAt(n), "/llm/", "good")))
+				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
-			d.onlyEngine("llm08")
+			d.keepOnlyEngines("llm08")
 			is.Equal(d.send(d.hostAt(0), "/llm/", "good").refused, nil)
 		})
 	})
 	t.Run("long under way when its engines end", func(t *testing.T) {
-		playCrashDay(t, func(d *crashDay) {
+		runCrashScenario(t, func(d *crashScenario) {
 			is := is.New(d.T)
 			d.fleet.eventCount = 100
 			for n := range 4 {
 				only := fmt.Sprintf("llm%02d", n)
-				d.onlyEngine(only)
+				d.keepOnlyEngines(only)
 				go func() {
-					time.Sleep(fakeFirstEventDelay + beginsFor + time.Second)
+					time.Sleep(fakeFirstEventDelay + crashAttributionWindow + time.Second)
 					d.fleet.endUpstream(member.UpstreamID(only))
 				}()
 				is.True(d.send(d.hostAt(n), "/llm/", "good").truncated)
 			}
-			d.onlyEngine("llm08")
+			d.keepOnlyEngines("llm08")
 			is.True(!d.send(d.hostAt(0), "/llm/", "good").truncated)
 		})
 	})
 }
 
-// onlyEngine takes all engines but some out of the list, everywhere and at once, and puts
+// keepOnlyEngines takes all engines but some out of the list, everywhere and at once, and puts
 // these on it.
-func (d *crashDay) onlyEngine(ids ...string) {
+func (d *crashScenario) keepOnlyEngines(ids ...string) {
 	keep := map[member.UpstreamID]bool{}
 	for _, id := range ids {
 		keep[member.UpstreamID(id)] = true
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -47,7 +47,7 @@
 // off.
 func (s *streamExchange) relayAnswer(ctx context.Context, u Upstream, a *Response) {
 	if a.Status != http.StatusOK || !a.Signed || a.UnexpectedEncoding {
-		s.noteAnswer(s.now(), u, rollout.First, true, 0)
+		s.recordRolloutAnswer(s.now(), u, rollout.First, true, 0)
 	}
 	if a.Status != http.StatusOK {
 		s.relayFailure(ctx, u, a)
@@ -60,7 +60,7 @@
 		return
 	}
 	if a.Signals.Closing {
-		s.hintedLeaving(ctx, u)
+		s.checkLeavingHint(ctx, u)
 	}
 	lastEngine, err := s.relayRun(ctx, u, a)
 	for err != nil && s.callerErr == nil {
@@ -80,13 +80,13 @@
 	switch {
 	case err == nil:
 		if s.moveCount == 0 && s.eventCount > 2 && lastEngine.ID == s.initialEngine.ID {
-			s.noteAnswer(s.now(), lastEngine, rollout.Pace, false, s.lastEventAt.Sub(s.engineFirstEventAt)/time.Duration(s.eventCount-1))
+			s.recordRolloutAnswer(s.now(), lastEngine, rollout.Pace, false, s.lastEventAt.Sub(s.engineFirstEventAt)/time.Duration(s.eventCount-1))
 		}
 		s.fleet.RecordSuccess(lastEngine.ID)
-		s.survived(s.now())
+		s.recordSurvival(s.now())
 	case s.callerErr == nil && ctx.Err() == nil:
 		now := s.now()
-		s.noteAnswer(now, lastEngine, rollout.First, true, 0)
+		s.recordRolloutAnswer(now, lastEngine, rollout.First, true, 0)
 		s.recordBrokenStream(now, lastEngine.ID)
 		s.recordBrokenConnection(ctx, now, lastEngine, s.engineFirstEventAt, err)
 	}
@@ -131,7 +131,7 @@
 	case cause != endNone:
 		s.refuse(Refusal{Code: cause.code(), MayHaveRun: true}, keyvals...)
 	default:
-		s.refuse(s.truly(s.now(), Refusal{Code: CodeLost, MayHaveRun: true}), keyvals...)
+		s.refuse(s.withQuarantineCode(s.now(), Refusal{Code: CodeLost, MayHaveRun: true}), keyvals...)
 	}
 }
 
@@ -229,7 +229,7 @@
 	s.noteEngineEvent(now)
 	if s.eventCount == 0 {
 		s.timeToFirstEvent = now.Sub(s.call.Arrived)
-		s.noteAnswer(now, s.initialEngine, rollout.First, false, now.Sub(s.initialSentAt))
+		s.recordRolloutAnswer(now, s.initialEngine, rollout.First, false, now.Sub(s.initialSentAt))
 		if s.run != nil {
 			s.engines.recordFirstToken(now, s.service.Name, s.run)
 		}
@@ -250,9 +250,9 @@
 	switch {
 	case s.engineFirstEventAt.IsZero():
 		s.engineFirstEventAt = now
-	case !s.survivalRecorded && now.Sub(s.engineFirstEventAt) >= beginsFor:
+	case !s.survivalRecorded && now.Sub(s.engineFirstEventAt) >= crashAttributionWindow:
 		s.survivalRecorded = true
-		s.survived(now)
+		s.recordSurvival(now)
 	}
 }
 
--- a/forward/remoteplacement.go
+++ b/forward/remoteplacement.go
@@ -98,7 +98,7 @@
 	service, _ := t.Service(request.Service)
 	x := &exchange{Forwarder: f, service: service}
 	request.ExcludedEngines = slices.Concat(request.ExcludedEngines, x.throttledEngines(now).sameZone)
-	decision, ok := f.engines.grant(now, request)
+	decision, ok := f.engines.grantPlacement(now, request)
 	if !ok {
 		return PlacementGrant{}
 	}
@@ -151,7 +151,7 @@
 	inOwnZone, otherZones = inOwnZone && s.zoneAllowed(s.peers.self.Zone), s.filterZones(otherZones)
 	useLocalView := !inOwnZone || len(otherZones) == 0
 	if !useLocalView {
-		if u, run, d, ok := s.engines.tryNear(now, service, r); ok {
+		if u, run, d, ok := s.engines.tryPlaceInOwnZone(now, service, r); ok {
 			return placementResult{upstream: u, run: run, decision: d}
 		}
 		var grant PlacementGrant
@@ -160,7 +160,7 @@
 		remote.ExcludedEngines = slices.Concat(r.ExcludedEngines, throttled.otherZones)
 		if grant, found, useLocalView = s.requestPlacement(ctx, otherZones, service, remote); found {
 			s.registerGrantedEngine(service, grant.Engine)
-			if u, run, d, ok := s.engines.placeAt(s.now(), service, r, grant); ok {
+			if u, run, d, ok := s.engines.placeGranted(s.now(), service, r, grant); ok {
 				return placementResult{upstream: u, run: run, decision: d}
 			}
 			// The granted engine is not, or no longer, on this host's list.
@@ -195,7 +195,7 @@
 	if i := slices.Index(zones, current.Zone); i > 0 {
 		zones = slices.Insert(slices.Delete(zones, i, i+1), 0, current.Zone)
 	}
-	r, known := x.engines.grown(service, run, slices.Concat(avoid, throttled))
+	r, known := x.engines.requestForMove(service, run, slices.Concat(avoid, throttled))
 	if !known {
 		return Upstream{}, false
 	}
@@ -216,7 +216,7 @@
 			continue
 		}
 		x.registerGrantedEngine(service, grant.Engine)
-		if u, ok := x.engines.moveTo(x.now(), service, run, grant.Engine); ok {
+		if u, ok := x.engines.moveToGranted(x.now(), service, run, grant.Engine); ok {
 			return u, true
 		}
 	}
@@ -241,7 +241,7 @@
 // which zones other hosts have to be asked. If the own zone is divided into cells, it is
 // among these too, in first place.
 func (x *exchange) placementZones(service ServiceName) (inOwnZone bool, otherZones []member.Zone) {
-	inOwnZone, otherZones = x.engines.zonesOf(service)
+	inOwnZone, otherZones = x.engines.zonesWithEngines(service)
 	if !x.peers.zonesDivided() {
 		return inOwnZone, otherZones
 	}
--- a/forward/remoteplacement_test.go
+++ b/forward/remoteplacement_test.go
@@ -66,7 +66,7 @@
 func fillEngine(t *testing.T, f *Forwarder, engine member.UpstreamID) {
 	t.Helper()
 	request := policy.Request{Run: policy.RunID("fill-" + engine), PromptTokens: 32500, MaxOutputTokens: 100, Zone: f.engines.zone}
-	if _, _, _, ok := f.engines.placeAt(time.Now(), "llm", request, PlacementGrant{Engine: engine}); !ok {
+	if _, _, _, ok := f.engines.placeGranted(time.Now(), "llm", request, PlacementGrant{Engine: engine}); !ok {
 		t.Fatalf("filling run not placed on engine %s: want a place", engine)
 	}
 }
--- a/forward/resume.go
+++ b/forward/resume.go
@@ -19,7 +19,7 @@
 	if !s.mayHaveRun || r.MayHaveRun || r.Code == CodeCallerLeft {
 		return r
 	}
-	return s.truly(s.now(), Refusal{Code: CodeLost, MayHaveRun: true})
+	return s.withQuarantineCode(s.now(), Refusal{Code: CodeLost, MayHaveRun: true})
 }
 
 // mayRunAgain reports whether a request that an engine may have worked on may be sent to
@@ -91,7 +91,7 @@
 		// Without an event id it is unknown where to continue.
 		return Upstream{}, nil, false
 	}
-	if !s.mayRunAgain(ctx, CodeLost) || s.held(s.now()) || !s.takeRetry("broken_off") {
+	if !s.mayRunAgain(ctx, CodeLost) || s.mustHoldBack(s.now()) || !s.takeRetry("broken_off") {
 		return Upstream{}, nil, false
 	}
 	s.excluded = append(s.excluded, broken.ID)
--- a/forward/retrybudget_test.go
+++ b/forward/retrybudget_test.go
@@ -58,19 +58,19 @@
 		"cut off from each other": {func(s *site) {
 			time.Sleep(settleTime)
 			for zone := range zones {
-				s.isolate(s.zone(zone + 1)...)
+				s.isolate(s.zoneAddresses(zone + 1)...)
 			}
 			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"one zone is cut off": {func(s *site) {
 			time.Sleep(settleTime)
-			s.isolate(s.zone(1)...)
+			s.isolate(s.zoneAddresses(1)...)
 			time.Sleep(otherCellSilenceTimeout + time.Second)
 		}, 0},
 		"cut off for longer than silent hosts are kept": {func(s *site) {
 			time.Sleep(settleTime)
 			for zone := range zones {
-				s.isolate(s.zone(zone + 1)...)
+				s.isolate(s.zoneAddresses(zone + 1)...)
 			}
 			time.Sleep(peerForgetTimeout + time.Second)
 		}, 0},
@@ -113,7 +113,7 @@
 		s := newSite(1, 1, true)
 		s.startAll(ctx)
 		time.Sleep(2 * startupDuration)
-		f := s.first()
+		f := s.firstHost()
 		f.SetRetryLimit(RetryLimit{Slack: 10, Window: 10 * time.Second})
 		repeats := 0
 		for f.retries.takeRetry(f.now(), "app") {
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -20,8 +20,8 @@
 // and reports what it sees; one, the first that lives, decides for all and has the origin keep
 // what it decided.
 
-// RolloutRecords keeps how far rollouts are.
-type RolloutRecords interface {
+// RolloutStore keeps how far rollouts are.
+type RolloutStore interface {
 	// Record puts the phase of a rollout in place of what was recorded at a point, zero for
 	// nothing. ErrRecordChanged says that something else is recorded by now.
 	Record(ctx context.Context, s rollout.Status, over history.Point) error
@@ -31,28 +31,28 @@
 var ErrRecordChanged = errors.New("the record has changed")
 
 const (
-	// rolloutTick is how often a rollout is looked at.
-	rolloutTick = 100 * time.Millisecond
-	// reportsPerSecond is how many reports the host that decides gets from all others, while
+	// rolloutCheckInterval is how often a rollout is looked at.
+	rolloutCheckInterval = 100 * time.Millisecond
+	// rolloutReportsPerSecond is how many reports the host that decides gets from all others, while
 	// they see few answers; one that sees something new reports within a second.
-	reportsPerSecond = 200
-	mostReportPause  = time.Second
-	// reportAgain is after how many such pauses a host reports what it has reported already: the
+	rolloutReportsPerSecond  = 200
+	maxRolloutReportInterval = time.Second
+	// rolloutReportRepeatFactor is after how many such pauses a host reports what it has reported already: the
 	// host that decides may have started again.
-	reportAgain = 5
-	// recordTimeout bounds one write, and reportTimeout one report.
-	recordTimeout = time.Second
-	reportTimeout = 300 * time.Millisecond
+	rolloutReportRepeatFactor = 5
+	// rolloutRecordTimeout bounds one write, and reportTimeout one report.
+	rolloutRecordTimeout = time.Second
+	rolloutReportTimeout = 300 * time.Millisecond
 )
 
-// rolloutDesk is what a host needs to decide about rollouts. The zero value works.
-type rolloutDesk struct {
+// rolloutDecider is what a host needs to decide about rollouts. The zero value works.
+type rolloutDecider struct {
 	mu     sync.Mutex
 	judges map[ServiceName]*rollout.Judge
 }
 
-// take takes in a report.
-func (d *rolloutDesk) take(now time.Time, r rollout.Report) {
+// addReport takes in a report.
+func (d *rolloutDecider) addReport(now time.Time, r rollout.Report) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.judges == nil {
@@ -66,7 +66,7 @@
 	j.Take(now, r)
 }
 
-func (d *rolloutDesk) decide(now time.Time, s rollout.Status, f rollout.Fleet) (rollout.Phase, float64) {
+func (d *rolloutDecider) decide(now time.Time, s rollout.Status, f rollout.Fleet) (rollout.Phase, float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	j := d.judges[s.Service]
@@ -76,8 +76,8 @@
 	return j.Decide(now, s, f), j.Against()
 }
 
-// takeRollouts takes in what the origin or a peer says of rollouts.
-func (f *Forwarder) takeRollouts(now time.Time, told []rollout.Status) {
+// receiveRollouts takes in what the origin or a peer says of rollouts.
+func (f *Forwarder) receiveRollouts(now time.Time, told []rollout.Status) {
 	for _, s := range told {
 		if !f.rollouts.Receive(now, s, f.settings.RolloutLimits, f.peers.recentMaxHosts(now)) {
 			continue
@@ -88,8 +88,8 @@
 	}
 }
 
-// takeRolloutRecords takes in how far the origin says that rollouts are.
-func (f *Forwarder) takeRolloutRecords(records []rollout.Status) {
+// receiveRolloutRecords takes in how far the origin says that rollouts are.
+func (f *Forwarder) receiveRolloutRecords(records []rollout.Status) {
 	for _, r := range records {
 		if f.rollouts.Record(r) {
 			f.journal.HostEvent("rollout", "service", r.Service, "target", r.Target, "phase", r.Phase, "recorded", r.Recorded)
@@ -98,31 +98,31 @@
 	}
 }
 
-// versionBound holds which versions a request may go to. Tries of one request run beside each other.
-type versionBound struct{ bound atomic.Pointer[rollout.Bound] }
+// versionConstraint holds which versions a request may go to. Tries of one request run beside each other.
+type versionConstraint struct{ current atomic.Pointer[rollout.Bound] }
 
-func (v *versionBound) get() rollout.Bound {
-	if b := v.bound.Load(); b != nil {
+func (v *versionConstraint) get() rollout.Bound {
+	if b := v.current.Load(); b != nil {
 		return *b
 	}
 	return rollout.Bound{}
 }
 
-func (v *versionBound) set(b rollout.Bound) {
-	if b != (rollout.Bound{}) || v.bound.Load() != nil {
-		v.bound.Store(&b)
+func (v *versionConstraint) set(b rollout.Bound) {
+	if b != (rollout.Bound{}) || v.current.Load() != nil {
+		v.current.Store(&b)
 	}
 }
 
 // drawVersions draws which versions a new request may go to.
 func (x *exchange) drawVersions(now time.Time) rollout.Bound {
 	return x.rollouts.Bound(x.service.Name, x.settings.RolloutLimits, func(target rollout.Version) (hasTarget, hasOthers bool) {
-		return x.hasVersion(now, x.service.Name, target)
+		return x.versionsAvailable(now, x.service.Name, target)
 	})
 }
 
-// hasVersion reports whether upstreams of a version, and of others, take new work.
-func (f *Forwarder) hasVersion(now time.Time, service ServiceName, v rollout.Version) (has, others bool) {
+// versionsAvailable reports whether upstreams of a version, and of others, take new work.
+func (f *Forwarder) versionsAvailable(now time.Time, service ServiceName, v rollout.Version) (has, others bool) {
 	for _, u := range f.fleet.Available(now, service) {
 		has, others = has || u.Version == v, others || u.Version != v
 	}
@@ -156,9 +156,9 @@
 	f.notify(changed)
 }
 
-// noteAnswer takes in an answer of an upstream whose service has a rollout. Cold upstreams are
+// recordRolloutAnswer takes in an answer of an upstream whose service has a rollout. Cold upstreams are
 // slow whatever their version.
-func (x *exchange) noteAnswer(now time.Time, u Upstream, m rollout.Measure, failed bool, took time.Duration) {
+func (x *exchange) recordRolloutAnswer(now time.Time, u Upstream, m rollout.Measure, failed bool, took time.Duration) {
 	if !x.rollouts.Any() || x.fleet.IsCold(now, u.ID) {
 		return
 	}
@@ -169,22 +169,22 @@
 	}
 }
 
-// noteVersion is noteAnswer for a plain try. What didn't run there says nothing of its version.
-func (p *unaryExchange) noteVersion(ctx context.Context, now time.Time, u Upstream, t *upstreamAttempt) {
+// recordRolloutAttempt is noteAnswer for a plain try. What didn't run there says nothing of its version.
+func (p *unaryExchange) recordRolloutAttempt(ctx context.Context, now time.Time, u Upstream, t *upstreamAttempt) {
 	switch _, kept := notSentVerdict(t.err); {
 	case kept, errors.Is(t.err, ErrNotSent), ctx.Err() != nil:
 	case t.err == nil && (t.response.WrongInstance || t.response.NotRun || t.response.Signals.RetryAfter > 0):
 	default:
-		p.noteAnswer(now, u, rollout.Whole, !t.succeeded(), t.elapsed)
+		p.recordRolloutAnswer(now, u, rollout.Whole, !t.succeeded(), t.elapsed)
 	}
 }
 
 // RunRollouts reports what this host sees of rollouts, and decides about them while it is the
 // first of all hosts, until the context ends.
-func (f *Forwarder) RunRollouts(ctx context.Context, records RolloutRecords) {
-	tick := time.NewTicker(rolloutTick)
+func (f *Forwarder) RunRollouts(ctx context.Context, records RolloutStore) {
+	tick := time.NewTicker(rolloutCheckInterval)
 	defer tick.Stop()
-	told := map[ServiceName]rolloutTold{}
+	told := map[ServiceName]sentRolloutReport{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -202,14 +202,14 @@
 	}
 }
 
-// rolloutTold is what the host that decides was told last.
-type rolloutTold struct {
-	at      time.Time
-	to      member.HostID
-	count   uint64
-	phase   rollout.Phase
-	given   history.Point
-	running int
+// sentRolloutReport is what the host that decides was told last.
+type sentRolloutReport struct {
+	sentAt           time.Time
+	recipient        member.HostID
+	observationCount uint64
+	phase            rollout.Phase
+	given            history.Point
+	running          int
 }
 
 func (f *Forwarder) rolloutReport(s rollout.Status) (rollout.Report, uint64) {
@@ -229,44 +229,44 @@
 			n += requests
 		}
 	}
-	f.engines.countOwn(count)
+	f.engines.countOwnRuns(count)
 	f.plainChooser.countInFlight(count)
 	return n
 }
 
 // reportRollout tells the host that decides what this one has seen, where that is new.
-func (f *Forwarder) reportRollout(ctx context.Context, now time.Time, to Peer, s rollout.Status, told map[ServiceName]rolloutTold) {
+func (f *Forwarder) reportRollout(ctx context.Context, now time.Time, to Peer, s rollout.Status, told map[ServiceName]sentRolloutReport) {
 	peers := f.loadPeerPort()
 	before := told[s.Service]
-	pause := min(time.Duration(f.peers.recentMaxHosts(now))*time.Second/reportsPerSecond, mostReportPause)
-	if peers == nil || now.Sub(before.at) < pause {
+	pause := min(time.Duration(f.peers.recentMaxHosts(now))*time.Second/rolloutReportsPerSecond, maxRolloutReportInterval)
+	if peers == nil || now.Sub(before.sentAt) < pause {
 		return
 	}
 	r, count := f.rolloutReport(s)
-	next := rolloutTold{now, to.ID, count, s.Phase, s.Given, r.Running}
-	again := now.Sub(before.at) >= reportAgain*pause && !s.Phase.Ended()
-	before.at = now
+	next := sentRolloutReport{now, to.ID, count, s.Phase, s.Given, r.Running}
+	again := now.Sub(before.sentAt) >= rolloutReportRepeatFactor*pause && !s.Phase.Ended()
+	before.sentAt = now
 	if next == before && !again {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, reportTimeout)
+	call, cancel := context.WithTimeout(ctx, rolloutReportTimeout)
 	defer cancel()
 	reply, err := peers.Rollout(call, to, r)
 	if err != nil {
-		next.count, next.to = before.count, ""
+		next.observationCount, next.recipient = before.observationCount, ""
 		f.peers.markUnreachable(now, to.ID)
 		f.journal.HostEvent("rollout not reported", "service", s.Service, "peer", to.ID, "err", err)
 	}
 	told[s.Service] = next
 	if err == nil && reply.Service == s.Service {
-		f.takeRollouts(now, []rollout.Status{reply})
+		f.receiveRollouts(now, []rollout.Status{reply})
 	}
 }
 
 // OnRollout serves a host that reports what it has seen.
 func (f *Forwarder) OnRollout(r rollout.Report) rollout.Status {
 	now := f.now()
-	f.rolloutDecider.take(now, r)
+	f.rolloutDecider.addReport(now, r)
 	f.rollouts.Aged(now, r.Service, r.Given, r.Age)
 	for _, s := range f.rollouts.Statuses(now) {
 		if s.Service == r.Service {
@@ -277,14 +277,14 @@
 }
 
 // decideRollout decides for all hosts what comes next, and has it recorded.
-func (f *Forwarder) decideRollout(ctx context.Context, now time.Time, s rollout.Status, records RolloutRecords) {
+func (f *Forwarder) decideRollout(ctx context.Context, now time.Time, s rollout.Status, records RolloutStore) {
 	r, _ := f.rolloutReport(s)
-	f.rolloutDecider.take(now, r)
+	f.rolloutDecider.addReport(now, r)
 	fleet := rollout.Fleet{}
 	if !f.peers.zonesDivided() {
-		fleet.Hosts = f.peers.liveIDs(now)
+		fleet.Hosts = f.peers.liveHostIDs(now)
 	}
-	fleet.HasTarget, _ = f.hasVersion(now, s.Service, s.Target)
+	fleet.HasTarget, _ = f.versionsAvailable(now, s.Service, s.Target)
 	phase, against := f.rolloutDecider.decide(now, s, fleet)
 	if phase > s.Phase {
 		f.journal.HostEvent("rollout decided", "service", s.Service, "target", s.Target, "phase", phase, "after", s.Age, "of", s.Lasts, "evidence_against", against)
@@ -292,19 +292,19 @@
 	s.Phase = phase
 	if phase == rollout.RolledBack {
 		// What is bad is left before anything is recorded.
-		f.takeRollouts(now, []rollout.Status{s})
+		f.receiveRollouts(now, []rollout.Status{s})
 	}
 	if s.Withdrawn || s.RecordedPhase >= s.Phase {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, recordTimeout)
+	call, cancel := context.WithTimeout(ctx, rolloutRecordTimeout)
 	defer cancel()
 	// What became of a write that fails is told by the next news.
 	if err := records.Record(call, s, s.Recorded); err != nil {
 		f.journal.HostEvent("rollout not recorded", "service", s.Service, "phase", s.Phase, "err", err)
 		return
 	}
-	f.takeRollouts(f.now(), []rollout.Status{s})
+	f.receiveRollouts(f.now(), []rollout.Status{s})
 	// The origin's news tell where it was recorded; until then it isn't written again.
 	f.rollouts.Written(s.Service, s.Given, s.Phase)
 }
@@ -317,7 +317,7 @@
 	for _, s := range f.rollouts.Statuses(now) {
 		_, against := f.rolloutDecider.decide(now, s, rollout.Fleet{})
 		evidence, _ := f.rolloutObservations.Report(s.Service)
-		all = append(all, RolloutEntry{Status: s, Decides: f.peers.firstHost(now).ID, Against: against, Evidence: evidence})
+		all = append(all, RolloutEntry{Status: s, DecidingHost: f.peers.firstHost(now).ID, EvidenceAgainst: against, Evidence: evidence})
 	}
 	return all
 }
@@ -325,16 +325,16 @@
 // RolloutEntry is a rollout as a host knows it, for operators.
 type RolloutEntry struct {
 	rollout.Status
-	// Decides is the host that decides, and Against the evidence against the target that was
+	// DecidingHost is the host that decides, and Against the evidence against the target that was
 	// reported to the host that is asked.
-	Decides member.HostID
-	Against float64
+	DecidingHost    member.HostID
+	EvidenceAgainst float64
 	// Evidence is what the host itself has seen.
 	Evidence []rollout.Evidence
 }
 
-// countOwn tells how many of this host's runs each engine has.
-func (e *enginePlacer) countOwn(count func(member.UpstreamID, int)) {
+// countOwnRuns tells how many of this host's runs each engine has.
+func (e *enginePlacer) countOwnRuns(count func(member.UpstreamID, int)) {
 	e.mu.Lock()
 	var on []member.UpstreamID
 	for _, p := range e.pools {
@@ -382,8 +382,8 @@
 	return first
 }
 
-// liveIDs are the hosts that are heard, with this one.
-func (p *peerSet) liveIDs(now time.Time) []member.HostID {
+// liveHostIDs are the hosts that are heard, with this one.
+func (p *peerSet) liveHostIDs(now time.Time) []member.HostID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	ids := []member.HostID{p.self.ID}
--- a/forward/rollouts_test.go
+++ b/forward/rollouts_test.go
@@ -20,11 +20,11 @@
 // rolloutOrigin is a siteOrigin that keeps rollouts.
 type rolloutOrigin struct {
 	*siteOrigin
-	mu      sync.Mutex
-	records map[ServiceName]rollout.Status
-	next    history.Revision
-	// phases are those that were recorded, and when.
-	phases map[rollout.Phase]time.Time
+	mu           sync.Mutex
+	records      map[ServiceName]rollout.Status
+	nextRevision history.Revision
+	// recordedAt are those that were recorded, and when.
+	recordedAt map[rollout.Phase]time.Time
 }
 
 // Record keeps a phase if what is recorded is what the writer knows.
@@ -37,22 +37,22 @@
 	if o.records[s.Service].Recorded != over {
 		return ErrRecordChanged
 	}
-	o.next++
-	s.Recorded = rev(int(o.next))
+	o.nextRevision++
+	s.Recorded = rev(int(o.nextRevision))
 	o.records[s.Service] = s
-	if _, ever := o.phases[s.Phase]; !ever {
-		o.phases[s.Phase] = time.Now()
+	if _, ever := o.recordedAt[s.Phase]; !ever {
+		o.recordedAt[s.Phase] = time.Now()
 	}
 	o.publishRollouts(nil, []rollout.Status{s})
 	return nil
 }
 
-// give gives an order.
-func (o *rolloutOrigin) give(s rollout.Status) rollout.Status {
+// publishOrder gives an order.
+func (o *rolloutOrigin) publishOrder(s rollout.Status) rollout.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.next++
-	s.Given = rev(int(o.next))
+	o.nextRevision++
+	s.Given = rev(int(o.nextRevision))
 	o.publishRollouts([]rollout.Status{s}, nil)
 	return s
 }
@@ -61,73 +61,73 @@
 	o.siteOrigin.mu.Lock()
 	defer o.siteOrigin.mu.Unlock()
 	o.rollouts, o.rolloutRecords = append(o.rollouts, orders...), append(o.rolloutRecords, records...)
-	o.rolloutsRevision = rev(int(o.next))
+	o.rolloutsRevision = rev(int(o.nextRevision))
 	o.wakeWatches()
 }
 
-// rolloutDay is a move of a service to another version, and what befalls the site meanwhile.
-type rolloutDay struct {
+// rolloutScenario is a move of a service to another version, and what befalls the site meanwhile.
+type rolloutScenario struct {
 	zones, hostsPerZone int
 	service             ServiceName
 	perSecond           float64
-	// fails is the part that fails of the new version from a time after the order on.
-	fails     float64
-	failsFrom time.Duration
-	happens   func(ctx context.Context, s *site, o *rolloutOrigin)
-	// want is the phase at the deadline.
-	want rollout.Phase
+	// failureRate is the part that failureRate of the new version from a time after the order on.
+	failureRate float64
+	failsFrom   time.Duration
+	disturb     func(ctx context.Context, s *site, o *rolloutOrigin)
+	// wantPhase is the phase at the deadline.
+	wantPhase rollout.Phase
 }
 
-const rolloutLasts = 12 * time.Second
+const rolloutDuration = 12 * time.Second
 
 // rolloutTally counts what reached the new version.
 type rolloutTally struct {
 	mu sync.Mutex
-	// all are the requests that reached the service until the deadline, exposed those that
+	// total are the requests that reached the service until the deadline, exposed those that
 	// reached the new version, by when.
-	all     int
-	exposed []time.Time
-	bad     []time.Time
+	total     int
+	exposedAt []time.Time
+	failedAt  []time.Time
 }
 
 // TestRollouts has good versions take over a service and bad ones be left, whatever befalls the
 // hosts meanwhile, within the exposure that all hosts together are allowed.
 func TestRollouts(t *testing.T) {
-	bad := func(d rolloutDay) rolloutDay {
-		d.fails, d.want = 0.5, rollout.RolledBack
+	bad := func(d rolloutScenario) rolloutScenario {
+		d.failureRate, d.wantPhase = 0.5, rollout.RolledBack
 		return d
 	}
-	good := func(d rolloutDay) rolloutDay {
-		d.want = rollout.Completed
+	good := func(d rolloutScenario) rolloutScenario {
+		d.wantPhase = rollout.Completed
 		return d
 	}
-	base := rolloutDay{zones: 3, hostsPerZone: 3, service: "app", perSecond: 60}
+	base := rolloutScenario{zones: 3, hostsPerZone: 3, service: "app", perSecond: 60}
 	streams := base
 	streams.service, streams.perSecond = "llm", 12
 	restarts, judgeDies, cut, storeAway := base, base, base, base
-	restarts.happens = func(ctx context.Context, s *site, o *rolloutOrigin) {
+	restarts.disturb = func(ctx context.Context, s *site, o *rolloutOrigin) {
 		for n := range 9 {
-			s.restartRollout(ctx, o, s.nth(n))
+			s.restartRolloutHost(ctx, o, s.nthHost(n))
 			time.Sleep(700 * time.Millisecond)
 		}
 	}
-	judgeDies.happens = func(ctx context.Context, s *site, o *rolloutOrigin) {
+	judgeDies.disturb = func(ctx context.Context, s *site, o *rolloutOrigin) {
 		for range 3 {
 			time.Sleep(2 * time.Second)
-			first := s.first()
+			first := s.firstHost()
 			s.makeUnreachable(first.settings.Self.PeerAddress)
 			time.Sleep(time.Second)
 			s.reconnect(first.settings.Self.PeerAddress)
-			s.restartRollout(ctx, o, first)
+			s.restartRolloutHost(ctx, o, first)
 		}
 	}
-	cut.happens = func(_ context.Context, s *site, _ *rolloutOrigin) {
+	cut.disturb = func(_ context.Context, s *site, _ *rolloutOrigin) {
 		time.Sleep(2 * time.Second)
-		s.isolate(s.zone(2)...)
+		s.isolate(s.zoneAddresses(2)...)
 		time.Sleep(4 * time.Second)
-		s.reconnect(s.zone(2)...)
+		s.reconnect(s.zoneAddresses(2)...)
 	}
-	storeAway.happens = func(_ context.Context, _ *site, o *rolloutOrigin) {
+	storeAway.disturb = func(_ context.Context, _ *site, o *rolloutOrigin) {
 		time.Sleep(time.Second)
 		o.unavailable.Store(true)
 		time.Sleep(4 * time.Second)
@@ -137,19 +137,19 @@
 	later.failsFrom = 8 * time.Second
 	last := bad(base)
 	last.failsFrom = 9500 * time.Millisecond
-	for name, d := range map[string]rolloutDay{
+	for name, d := range map[string]rolloutScenario{
 		"good": good(base), "good, streams": good(streams), "good, hosts start again": good(restarts),
 		"good, the host that decides dies": good(judgeDies), "good, the store is away": good(storeAway),
 		"bad": bad(base), "bad, streams": bad(streams), "bad, hosts start again": bad(restarts),
 		"bad, the host that decides dies": bad(judgeDies), "bad, a zone is cut off": bad(cut), "bad, the store is away": bad(storeAway),
 		"bad, but not at first": later, "bad, once all requests come": last,
 	} {
-		t.Run(name, func(t *testing.T) { synctest.Test(t, d.play) })
+		t.Run(name, func(t *testing.T) { synctest.Test(t, d.run) })
 	}
 }
 
-// restartRollout has another process be in a host's place.
-func (s *site) restartRollout(ctx context.Context, o *rolloutOrigin, old *Forwarder) {
+// restartRolloutHost has another process be in a host's place.
+func (s *site) restartRolloutHost(ctx context.Context, o *rolloutOrigin, old *Forwarder) {
 	f := New(old.settings, old.transport, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
 	s.replaceHost(f)
@@ -158,7 +158,7 @@
 	go f.RunRollouts(ctx, o)
 }
 
-func (d rolloutDay) play(t *testing.T) {
+func (d rolloutScenario) run(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	random, failures := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4))
@@ -166,7 +166,7 @@
 	fleet, tally := newFakeFleet(), &rolloutTally{}
 	fleet.eventCount = 40 // runs that nothing moves end by themselves
 	s := newCrashSiteOf(fleet, d.zones, d.hostsPerZone, 6)
-	o := &rolloutOrigin{siteOrigin: s.origin, records: map[ServiceName]rollout.Status{}, phases: map[rollout.Phase]time.Time{}, next: 100}
+	o := &rolloutOrigin{siteOrigin: s.origin, records: map[ServiceName]rollout.Status{}, recordedAt: map[rollout.Phase]time.Time{}, nextRevision: 100}
 	var given time.Time
 	versions := map[member.UpstreamID]rollout.Version{}
 	for i := range s.origin.list {
@@ -175,21 +175,21 @@
 	send := func(ctx context.Context, u Upstream, out *UpstreamRequest) (*Response, error) {
 		now := time.Now()
 		tally.mu.Lock()
-		counts := !given.IsZero() && now.Sub(given) < rolloutLasts && u.Service == d.service
+		counts := !given.IsZero() && now.Sub(given) < rolloutDuration && u.Service == d.service
 		if counts {
-			tally.all++
+			tally.total++
 		}
 		isNew := versions[u.ID] == "v2"
 		if isNew && counts {
-			tally.exposed = append(tally.exposed, now)
+			tally.exposedAt = append(tally.exposedAt, now)
 		}
 		tally.mu.Unlock()
 		failuresMu.Lock()
-		fails := isNew && now.Sub(given) >= d.failsFrom && failures.Float64() < d.fails
+		fails := isNew && now.Sub(given) >= d.failsFrom && failures.Float64() < d.failureRate
 		failuresMu.Unlock()
 		if fails {
 			tally.mu.Lock()
-			tally.bad = append(tally.bad, now)
+			tally.failedAt = append(tally.failedAt, now)
 			tally.mu.Unlock()
 			time.Sleep(fakeCallDuration)
 			return answer(500, "broken"), nil
@@ -202,7 +202,7 @@
 		go f.RunRollouts(ctx, o)
 	}
 	s.serveAll(ctx)
-	time.Sleep(settled)
+	time.Sleep(siteSettleTime)
 	path := "/order/"
 	if d.service == "llm" {
 		path = "/llm/"
@@ -217,8 +217,8 @@
 			u.ID, u.Version = u.ID+"-new", "v2"
 			u.Address += "9"
 			o.mu.Lock()
-			o.next++
-			u.Revision = rev(int(o.next))
+			o.nextRevision++
+			u.Revision = rev(int(o.nextRevision))
 			o.mu.Unlock()
 			tally.mu.Lock()
 			versions[u.ID] = "v2"
@@ -229,17 +229,17 @@
 		tally.mu.Lock()
 		given = time.Now()
 		tally.mu.Unlock()
-		o.give(rollout.Status{Order: rollout.Order{Service: d.service, Target: "v2", Lasts: rolloutLasts}})
+		o.publishOrder(rollout.Status{Order: rollout.Order{Service: d.service, Target: "v2", Lasts: rolloutDuration}})
 	}
 	start := time.Now()
-	for n := 0; time.Since(start) < rolloutLasts+2*time.Second; n++ {
+	for n := 0; time.Since(start) < rolloutDuration+2*time.Second; n++ {
 		if given.IsZero() && time.Since(start) > 500*time.Millisecond {
 			order()
-			if d.happens != nil {
-				under.Go(func() { d.happens(ctx, s, o) })
+			if d.disturb != nil {
+				under.Go(func() { d.disturb(ctx, s, o) })
 			}
 		}
-		host := s.nth(random.IntN(d.zones * d.hostsPerZone))
+		host := s.nthHost(random.IntN(d.zones * d.hostsPerZone))
 		under.Go(func() {
 			c, sink := call(path), &fakeSink{}
 			c.ID, c.Prompt = RequestID(fmt.Sprint("r", n)), Prompt{Tokens: 500, MaxOutputTokens: 300}
@@ -248,26 +248,26 @@
 		time.Sleep(time.Duration(float64(time.Second) / d.perSecond))
 	}
 	under.Wait()
-	d.judge(t, o, tally, given)
+	d.check(t, o, tally, given)
 	cancel()
 	synctest.Wait()
 }
 
-func (d rolloutDay) judge(t *testing.T, o *rolloutOrigin, tally *rolloutTally, given time.Time) {
-	ended, done := o.phases[d.want]
-	if !done || ended.Sub(given) > rolloutLasts {
-		t.Errorf("%v after %v: %v", d.want, ended.Sub(given), o.phases)
+func (d rolloutScenario) check(t *testing.T, o *rolloutOrigin, tally *rolloutTally, given time.Time) {
+	ended, done := o.recordedAt[d.wantPhase]
+	if !done || ended.Sub(given) > rolloutDuration {
+		t.Errorf("%v after %v: %v", d.wantPhase, ended.Sub(given), o.recordedAt)
 	}
-	t.Logf("%v after %v; %d of %d exposed, %d answered badly", d.want, ended.Sub(given), len(tally.exposed), tally.all, len(tally.bad))
-	if d.want != rollout.RolledBack {
+	t.Logf("%v after %v; %d of %d exposed, %d answered badly", d.wantPhase, ended.Sub(given), len(tally.exposedAt), tally.total, len(tally.failedAt))
+	if d.wantPhase != rollout.RolledBack {
 		return
 	}
-	if allowed := 0.1*float64(tally.all) + 50; float64(len(tally.exposed)) > allowed {
-		t.Errorf("%d exposed, %.0f allowed", len(tally.exposed), allowed)
+	if allowed := 0.1*float64(tally.total) + 50; float64(len(tally.exposedAt)) > allowed {
+		t.Errorf("%d exposed, %.0f allowed", len(tally.exposedAt), allowed)
 	}
-	if len(tally.bad) > 50 {
-		last := tally.exposed[len(tally.exposed)-1]
-		if late := last.Sub(tally.bad[49]); late > 5*time.Second {
+	if len(tally.failedAt) > 50 {
+		last := tally.exposedAt[len(tally.exposedAt)-1]
+		if late := last.Sub(tally.failedAt[49]); late > 5*time.Second {
 			t.Errorf("sent to %v after the 50th bad answer", late)
 		}
 	}
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -111,7 +111,7 @@
 		})
 	}
 	for n := range hosts {
-		f := s.nth(n)
+		f := s.nthHost(n)
 		self := &f.settings.Self
 		// The first ten of each zone carry ten times as much.
 		self.Capacity = 20
@@ -172,7 +172,7 @@
 				watches = s.origin.watches.Load() - watches
 				// How long a change takes to all hosts.
 				published := time.Now()
-				u, _ := s.first().fleet.Upstream(s.origin.list[0].ID)
+				u, _ := s.firstHost().fleet.Upstream(s.origin.list[0].ID)
 				u.Leaving, u.Revision = true, rev(90)
 				s.origin.publish(Change{Upstream: u})
 				var reached time.Duration
@@ -207,7 +207,7 @@
 				if up < hosts {
 					t.Errorf("%d of %d hosts are up to date", up, hosts)
 				}
-				if s.first().peers.zonesDivided() && followers > 5*maxFollowers {
+				if s.firstHost().peers.zonesDivided() && followers > 5*maxFollowers {
 					t.Errorf("%d follow one host", followers)
 				}
 				if reached > time.Second {
@@ -264,7 +264,7 @@
 					}
 				}
 				for n := range hosts {
-					old := s.nth(n)
+					old := s.nthHost(n)
 					settings := old.settings
 					settings.FirstStart = false
 					f := New(settings, old.transport, silentJournal{}, silentObserver{})
@@ -315,14 +315,14 @@
 		defer cancel()
 		s := newScaleSite(ctx, hosts)
 		time.Sleep(5 * time.Second)
-		heard := s.nth(1) // of the second zone
+		heard := s.nthHost(1) // of the second zone
 		u, _ := heard.fleet.Upstream(s.origin.list[0].ID)
 		of := heard.peers.upstreamCell(u)
 		s.mu.Lock()
 		s.counted = true
 		s.mu.Unlock()
 		told := time.Now()
-		heard.takeSignals(told, u, answerToRequest, Signals{Leaving: true})
+		heard.applySignals(told, u, answerToRequest, Signals{Leaving: true})
 		var cellAt, allAt time.Duration
 		for allAt == 0 && time.Since(told) < 20*time.Second {
 			time.Sleep(5 * time.Millisecond)
