--- a/forward/send.go
+++ b/forward/send.go
@@ -64,7 +64,7 @@
 // that a rate-limited upstream needs.
 func (x *exchange) checkEligibility(now time.Time, u Upstream, p eligibility.Purpose) eligibility.Verdict {
 	s := x.eligibilityState(now, u)
-	s.Quarantined, s.RegionBarred = x.held(now), !x.zoneAllowed(u.Zone)
+	s.Quarantined, s.RegionBarred = x.mustHoldBack(now), !x.zoneAllowed(u.Zone)
 	s.VersionBarred = !x.versions.get().Allows(u.Version) || x.rollouts.Retired(u.Service, u.Version)
 	return eligibility.Judge(s, p)
 }
@@ -81,7 +81,7 @@
 
 // permitVerdict asks for a permit and returns the verdict on a send that needs nothing else.
 func (f *Forwarder) permitVerdict(ctx context.Context, r permitRequest) eligibility.Verdict {
-	wait, ok := f.permit(ctx, r)
+	wait, ok := f.acquirePermit(ctx, r)
 	if ok {
 		return eligibility.Verdict{}
 	}
@@ -90,7 +90,7 @@
 
 // countForcedSend counts a send to a rate-limited upstream that happens with or without a permit.
 func (x *exchange) countForcedSend(ctx context.Context, u Upstream) {
-	x.permit(ctx, permitRequest{service: &x.service, upstream: u, must: true})
+	x.acquirePermit(ctx, permitRequest{service: &x.service, upstream: u, must: true})
 }
 
 // sendTo sends the request to an upstream. If the upstream may not receive it now, the error is a
@@ -118,8 +118,8 @@
 		x.backoffs.End(x.now(), u.ID, ticket, false)
 		return answer, err
 	}
-	answer.Signals.Own = answer.Signed || answer.NotRun
-	x.takeSignals(sent, u, answerToRequest, answer.Signals)
+	answer.Signals.FromUpstream = answer.Signed || answer.NotRun
+	x.applySignals(sent, u, answerToRequest, answer.Signals)
 	x.backoffs.End(x.now(), u.ID, ticket, answer.Signed && !answer.NotRun && answer.Status < http.StatusInternalServerError)
 	return answer, nil
 }
@@ -143,7 +143,7 @@
 	x.countControlCall(ctx, from)
 	sent := x.now()
 	result, err := x.transport.Move(ctx, from, r)
-	x.takeSignals(sent, from, answerToMove, result.Signals)
+	x.applySignals(sent, from, answerToMove, result.Signals)
 	return result, err
 }
 
@@ -152,7 +152,7 @@
 	x.countControlCall(ctx, at)
 	sent := x.now()
 	signals, err := x.transport.Discard(ctx, at, handle)
-	x.takeSignals(sent, at, answerToDiscard, signals)
+	x.applySignals(sent, at, answerToDiscard, signals)
 	return err
 }
 
@@ -179,7 +179,7 @@
 	}
 	health, err := f.transport.Health(ctx, u, s.HealthPath)
 	if err == nil {
-		f.takeSignals(sent, u, answerToHealth, health.Signals)
+		f.applySignals(sent, u, answerToHealth, health.Signals)
 	}
 	return health, err
 }
--- a/forward/share_bench_test.go
+++ b/forward/share_bench_test.go
@@ -27,7 +27,7 @@
 	f.fleet.Replace(now, list, rev(1))
 	f.Configure(now, testConfig(1))
 	for n := range 20 {
-		f.engines.pools["llm"].carry(policy.Request{Run: policy.RunID(fmt.Sprint("r", n)), PromptTokens: 3000}, list[n].ID)
+		f.engines.pools["llm"].addOwnRun(policy.Request{Run: policy.RunID(fmt.Sprint("r", n)), PromptTokens: 3000}, list[n].ID)
 	}
 	share := Share{From: Peer{ID: "h2", Zone: "z1"}, Version: 1}
 	for b.Loop() {
--- a/forward/signalday_test.go
+++ b/forward/signalday_test.go
@@ -121,7 +121,9 @@
 }
 
 // maxRefusalTime is how long it may take to refuse a request.
-func (d signalDay) maxRefusalTime() time.Duration { return limitDay{path: d.path}.refusedWithin() }
+func (d signalDay) maxRefusalTime() time.Duration {
+	return limitScenario{path: d.path}.maxRefusalTime()
+}
 
 // play simulates the day and calls verify with the results.
 func (d signalDay) play(t *testing.T, seed uint64, verify func(*testing.T, *signalFleet, *signalTally)) {
@@ -150,14 +152,14 @@
 		if d.disturb != nil {
 			running.Go(func() { d.disturb(ctx, s, fleet) })
 		}
-		time.Sleep(settled / 2)
+		time.Sleep(siteSettleTime / 2)
 		random := rand.New(rand.NewPCG(seed, 0))
 		pause := float64(time.Second) / d.requestsPerSecond
 		for n := 0; fleet.elapsed() < d.duration; n++ {
-			host := s.nth(random.IntN(d.zones * d.hostsPerZone))
+			host := s.nthHost(random.IntN(d.zones * d.hostsPerZone))
 			for !host.Ready() {
 				// Callers aren't directed to a host that isn't ready.
-				host = s.nth(random.IntN(d.zones * d.hostsPerZone))
+				host = s.nthHost(random.IntN(d.zones * d.hostsPerZone))
 			}
 			running.Go(func() {
 				var sink *fakeSink
@@ -190,7 +192,7 @@
 	return func(_ context.Context, s *site, fleet *signalFleet) {
 		for n := 0; fleet.elapsed() < 12*time.Second; n++ {
 			time.Sleep(700 * time.Millisecond)
-			u, known := s.first().fleet.Upstream(id)
+			u, known := s.firstHost().fleet.Upstream(id)
 			if !known {
 				continue
 			}
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -37,7 +37,7 @@
 	lapseFor := func(back time.Duration) func(context.Context, *site, *signalFleet) {
 		return func(_ context.Context, s *site, _ *signalFleet) {
 			time.Sleep(6 * time.Second)
-			u, _ := s.first().fleet.Upstream(id)
+			u, _ := s.firstHost().fleet.Upstream(id)
 			u.Leaving, u.Revision = false, rev(50)
 			s.origin.publish(Change{Upstream: u, Gone: true})
 			time.Sleep(back)
@@ -48,7 +48,7 @@
 	restart := func(before, after Incarnation, address string) func(context.Context, *site, *signalFleet) {
 		return func(_ context.Context, s *site, fleet *signalFleet) {
 			time.Sleep(3 * time.Second)
-			u, _ := s.first().fleet.Upstream(id)
+			u, _ := s.firstHost().fleet.Upstream(id)
 			u.Incarnation, u.Revision = before, rev(40)
 			s.origin.publish(Change{Upstream: u})
 			time.Sleep(5 * time.Second)
@@ -78,7 +78,7 @@
 			disturb: func(ctx context.Context, s *site, fleet *signalFleet) {
 				time.Sleep(8 * time.Second)
 				for n := range 3 {
-					s.replaceWithNewProcess(ctx, fleet, s.nth(n))
+					s.replaceWithNewProcess(ctx, fleet, s.nthHost(n))
 					time.Sleep(time.Second)
 				}
 			},
@@ -88,7 +88,7 @@
 			disturb: func(_ context.Context, s *site, _ *signalFleet) {
 				time.Sleep(4 * time.Second)
 				for zone := range 3 {
-					s.isolate(s.zone(zone + 1)...)
+					s.isolate(s.zoneAddresses(zone + 1)...)
 				}
 			},
 		},
--- a/forward/signals.go
+++ b/forward/signals.go
@@ -15,9 +15,9 @@
 	// RetryAfter is for how long the upstream wants nothing from this host; zero doesn't ask.
 	RetryAfter time.Duration
 	// Limit is how many requests it takes from all hosts.
-	Limit NamedLimit
-	// Own says that the answer shows to be the upstream's own.
-	Own bool
+	Limit AnnouncedLimit
+	// FromUpstream says that the answer shows to be the upstream's own.
+	FromUpstream bool
 	// Unusable says why parts of what it told can't be used.
 	Unusable []error
 }
@@ -43,9 +43,9 @@
 	answerToDiscard answerKind = "discard"
 )
 
-// takeSignals takes in what an answer tells about its upstream, whoever waits for the
+// applySignals takes in what an answer tells about its upstream, whoever waits for the
 // answer. sent is when its request was.
-func (f *Forwarder) takeSignals(sent time.Time, u Upstream, to answerKind, s Signals) {
+func (f *Forwarder) applySignals(sent time.Time, u Upstream, to answerKind, s Signals) {
 	now := f.now()
 	if known, found := f.fleet.Upstream(u.ID); found && u.Incarnation != 0 && known.Incarnation != u.Incarnation {
 		// Of the life before.
@@ -53,7 +53,7 @@
 	}
 	for _, err := range s.Unusable {
 		f.observer.Signal(SignalUnusable)
-		f.noteSignal(now, u, "signal not usable", "answer_to", to, "err", err)
+		f.logSignal(now, u, "signal not usable", "answer_to", to, "err", err)
 	}
 	if s.Leaving {
 		f.observer.Signal(SignalLeaving)
@@ -65,20 +65,20 @@
 	if s.RetryAfter > 0 {
 		f.observer.Signal(SignalBackoff)
 		if f.recordBackoff(now, u, s.RetryAfter) {
-			f.noteSignal(now, u, "upstream asks for backoff", "answer_to", to, "for", s.RetryAfter, "asked_ago", now.Sub(sent))
+			f.logSignal(now, u, "upstream asks for backoff", "answer_to", to, "for", s.RetryAfter, "asked_ago", now.Sub(sent))
 		}
 	}
-	if s.Limit.Named {
+	if s.Limit.Announced {
 		f.observer.Signal(SignalLimit)
 	}
 	// Only its own answer to a request that names no limit ends one.
-	if s.Limit.Named || s.Limit.Err != nil || s.Own && to == answerToRequest {
-		f.receiveLimit(sent, u, s.Limit)
+	if s.Limit.Announced || s.Limit.Err != nil || s.FromUpstream && to == answerToRequest {
+		f.recordAnswerLimit(sent, u, s.Limit)
 	}
 }
 
-// noteSignal writes a line about an upstream's signal, unless there was one just now.
-func (f *Forwarder) noteSignal(now time.Time, u Upstream, event string, keyvals ...any) {
+// logSignal writes a line about an upstream's signal, unless there was one just now.
+func (f *Forwarder) logSignal(now time.Time, u Upstream, event string, keyvals ...any) {
 	if f.signalLogLimiter.allow(now, u.ID) {
 		f.journal.HostEvent(event, append([]any{"upstream", u.ID, "life", u.Incarnation}, keyvals...)...)
 	}
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -17,8 +17,8 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// TestSignalOfTheLifeBefore has an answer from before a restart say nothing of the new life.
-func TestSignalOfTheLifeBefore(t *testing.T) {
+// TestSignalOfOldIncarnation has an answer from before a restart say nothing of the new life.
+func TestSignalOfOldIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := newForwarder(t, &fakeTransport{})
 	old, _ := f.fleet.Upstream("app1")
@@ -27,18 +27,18 @@
 	next := old
 	next.Incarnation, next.Revision = 2, rev(3)
 	f.fleet.Apply(time.Now(), []Change{{Upstream: next}}, rev(3))
-	f.takeSignals(time.Now(), old, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, Own: true})
+	f.applySignals(time.Now(), old, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, FromUpstream: true})
 	u, _ := f.fleet.Upstream("app1")
 	is.True(!u.Leaving)
 	is.Equal(f.backoffs.Delay(time.Now(), "app1"), time.Duration(0))
-	f.takeSignals(time.Now(), next, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, Own: true})
+	f.applySignals(time.Now(), next, answerToRequest, Signals{Leaving: true, RetryAfter: time.Minute, FromUpstream: true})
 	u, _ = f.fleet.Upstream("app1")
 	is.True(u.Leaving)
 	is.True(f.backoffs.Delay(time.Now(), "app1") > 0)
 }
 
-// TestRequestJudgedBySeveralSends has a trial of a quarantined request go out, whichever send is judged first.
-func TestRequestJudgedBySeveralSends(t *testing.T) {
+// TestConcurrentSendsOfQuarantineTrial has a trial of a quarantined request go out, whichever send is judged first.
+func TestConcurrentSendsOfQuarantineTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newForwarder(t, &fakeTransport{})
@@ -46,24 +46,24 @@
 		for _, id := range []string{"e1", "e2", "e3"} {
 			x.crashes.Crashed(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: member.UpstreamID(id)})
 		}
-		is.True(x.held(f.now()))
+		is.True(x.mustHoldBack(f.now()))
 		time.Sleep(2 * time.Minute)
 		var sends sync.WaitGroup
 		for range 8 {
-			sends.Go(func() { is.True(!x.held(f.now())) })
+			sends.Go(func() { is.True(!x.mustHoldBack(f.now())) })
 		}
 		sends.Wait()
 	})
 }
 
-// TestBackoffsFloodPeers has hosts tell each other of many backoffs in few shares.
-func TestBackoffsFloodPeers(t *testing.T) {
+// TestBackoffsDoNotFloodPeers has hosts tell each other of many backoffs in few shares.
+func TestBackoffsDoNotFloodPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		s := newCrashSiteOf(newFakeFleet(), 3, 3, 60)
 		s.serveAll(ctx)
-		time.Sleep(settled)
+		time.Sleep(siteSettleTime)
 		callsIn := func(play func()) (shares, follows int64) {
 			beforeShares, beforeFollows := s.shareCalls.Load(), s.followCalls.Load()
 			play()
@@ -74,7 +74,7 @@
 			for n := range 60 {
 				for _, f := range s.hosts {
 					u, _ := f.fleet.Upstream(member.UpstreamID(fmt.Sprintf("app%02d", n)))
-					f.takeSignals(time.Now(), u, answerToRequest, Signals{RetryAfter: 100 * time.Millisecond, Own: true})
+					f.applySignals(time.Now(), u, answerToRequest, Signals{RetryAfter: 100 * time.Millisecond, FromUpstream: true})
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -95,7 +95,7 @@
 			return
 		}
 		if ctx.Err() == nil && err != nil && !errors.Is(err, ErrNotSent) {
-			s.noteAnswer(s.now(), u, rollout.First, true, 0)
+			s.recordRolloutAnswer(s.now(), u, rollout.First, true, 0)
 		}
 		s.releasePlace(false)
 		last = s.classifyFailure(ctx, u, answer, err)
@@ -103,7 +103,7 @@
 			break
 		}
 	}
-	s.refuse(s.truly(x.now(), s.markMayHaveRun(last)), "service", x.service.Name, "sent", s.attempts)
+	s.refuse(s.withQuarantineCode(x.now(), s.markMayHaveRun(last)), "service", x.service.Name, "sent", s.attempts)
 }
 
 // mayTryAnother reports whether the request may be sent to another engine after u brought no
@@ -111,7 +111,7 @@
 func (s *streamExchange) mayTryAnother(ctx context.Context, u Upstream, last Refusal, notRun bool) bool {
 	s.mayHaveRun = s.mayHaveRun || last.MayHaveRun
 	switch {
-	case last.Code == CodeCallerLeft, last.MayHaveRun && !s.mayRunAgain(ctx, last.Code), s.held(s.now()):
+	case last.Code == CodeCallerLeft, last.MayHaveRun && !s.mayRunAgain(ctx, last.Code), s.mustHoldBack(s.now()):
 		return false
 	case !last.MayHaveRun && !notRun:
 		// The request never reached the engine.
@@ -174,12 +174,12 @@
 	}
 	if !s.hasUntriedEngine(now) {
 		takers := s.acceptingUpstreams(now)
-		return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
+		return Upstream{}, s.refuseNoUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 	}
 	if s.backoffs.HasUpstreams() {
 		candidates := s.Forwarder.candidates(now, s.service.Name)
 		if takers := s.acceptingUpstreams(now); len(takers) > 0 && len(candidates) == 0 {
-			return Upstream{}, s.noUpstream(now, takers, s.shortestWait(now, takers, nil)), false
+			return Upstream{}, s.refuseNoUpstream(now, takers, s.shortestWait(now, takers, nil)), false
 		}
 		// An engine whose backoff has just ended is missing from the list until the next refresh.
 		layout, own := s.peers.cellLayout()
@@ -227,7 +227,7 @@
 	case endHostStopped:
 		return Refusal{Code: cause.code(), RetryAfter: s.stoppingRetryAfter(s.now())}
 	case endQuarantined:
-		return heldRefusal
+		return quarantineRefusal
 	}
 	wait := min(max(d.RetryAfter, minRetryAfter), maxRetryAfter)
 	if d.Reason == policy.ReasonNoEngine {
@@ -274,9 +274,9 @@
 	kept, isKept := notSentVerdict(err)
 	switch {
 	case isKept && kept.Reason == eligibility.Quarantined:
-		return heldRefusal
+		return quarantineRefusal
 	case isKept && ctx.Err() == nil:
-		return s.noUpstream(now, s.acceptingUpstreams(now), kept.Wait)
+		return s.refuseNoUpstream(now, s.acceptingUpstreams(now), kept.Wait)
 	case errors.Is(err, ErrNotSent) && ctx.Err() == nil:
 		s.fleet.Suspect(now, u.ID)
 		s.excludeUnreachable(now, u)
@@ -299,6 +299,6 @@
 		s.excluded = append(s.excluded, u.ID)
 		return Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter}
 	default:
-		return s.rejectedEverywhere(now)
+		return s.refuseRejected(now)
 	}
 }
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -115,7 +115,7 @@
 			},
 			"the list is up to date": {
 				func(f *Forwarder) { f.originProvedAt.advance(f.now()) },
-				func(f *Forwarder) bool { return f.listKnown(f.now()) }, listLate,
+				func(f *Forwarder) bool { return f.isListCurrent(f.now()) }, maxListAge,
 			},
 			"the budget is spent": {
 				func(f *Forwarder) {
@@ -125,8 +125,8 @@
 				func(f *Forwarder) bool { return !f.retries.takeRetry(f.now(), "app") }, 10 * time.Second,
 			},
 			"another host has the turn": {
-				func(f *Forwarder) { f.turns.try(f.now(), TurnRequest{Engine: engine, Run: "r9"}) },
-				func(f *Forwarder) bool { return !f.turns.try(f.now(), TurnRequest{Engine: engine, Run: "r8"}) }, turnLasts,
+				func(f *Forwarder) { f.turns.tryAcquire(f.now(), TurnRequest{Engine: engine, Run: "r9"}) },
+				func(f *Forwarder) bool { return !f.turns.tryAcquire(f.now(), TurnRequest{Engine: engine, Run: "r8"}) }, turnTTL,
 			},
 			"an upstream wants nothing": {
 				func(f *Forwarder) { f.backoffs.Record(f.now(), engine, 0, 10*time.Second, 0) },
--- a/forward/throttledselection.go
+++ b/forward/throttledselection.go
@@ -27,7 +27,7 @@
 	accepting := x.candidates(now, x.service.Name)
 	if len(accepting) == 0 {
 		accepting = x.acceptingUpstreams(now)
-		return Upstream{}, x.noUpstream(now, accepting, x.shortestWait(now, accepting, nil)), false
+		return Upstream{}, x.refuseNoUpstream(now, accepting, x.shortestWait(now, accepting, nil)), false
 	}
 	throttled := x.throttledAmong(now, accepting)
 	x.skippedUpstreams = len(throttled)
@@ -37,7 +37,7 @@
 		u, found := x.plainChooser.pick(now, accepting, excluded)
 		if !found {
 			accepting = x.acceptingUpstreams(now)
-			return u, x.noUpstream(now, accepting, minNonZero(refusalWait, x.shortestWait(now, accepting, tried))), false
+			return u, x.refuseNoUpstream(now, accepting, minNonZero(refusalWait, x.shortestWait(now, accepting, tried))), false
 		}
 		v := x.authorizeSend(ctx, u, isRetry)
 		if v.OK() {
@@ -121,12 +121,12 @@
 // throttledEngines returns the service's engines to which this host may not send now.
 func (x *exchange) throttledEngines(now time.Time) throttledSet {
 	var throttled throttledSet
-	if !x.anyBound(now, &x.service) {
+	if !x.mayBeThrottled(now, &x.service) {
 		return throttled
 	}
 	throttled.accepting = x.acceptingUpstreams(now)
 	for _, u := range throttled.accepting {
-		if wait := x.keptBack(now, &x.service, u); wait > 0 {
+		if wait := x.sendDelay(now, &x.service, u); wait > 0 {
 			throttled.add(u, x.peers.self.Zone, wait)
 		}
 	}
@@ -159,12 +159,12 @@
 
 // throttledAmong returns the given upstreams to which this host may not send now.
 func (x *exchange) throttledAmong(now time.Time, upstreams []Upstream) []member.UpstreamID {
-	if !x.anyBound(now, &x.service) {
+	if !x.mayBeThrottled(now, &x.service) {
 		return nil
 	}
 	var ids []member.UpstreamID
 	for _, u := range upstreams {
-		if x.keptBack(now, &x.service, u) > 0 {
+		if x.sendDelay(now, &x.service, u) > 0 {
 			ids = append(ids, u.ID)
 		}
 	}
@@ -174,7 +174,7 @@
 // throttledCount returns the number of upstreams that accept new work but to which this host
 // may not send now.
 func (x *exchange) throttledCount(now time.Time) int {
-	if !x.anyBound(now, &x.service) {
+	if !x.mayBeThrottled(now, &x.service) {
 		return 0
 	}
 	return len(x.throttledAmong(now, x.acceptingUpstreams(now)))
@@ -185,7 +185,7 @@
 func (x *exchange) shortestWait(now time.Time, upstreams []Upstream, tried []member.UpstreamID) time.Duration {
 	shortest := time.Duration(0)
 	for _, u := range upstreams {
-		wait := x.keptBack(now, &x.service, u)
+		wait := x.sendDelay(now, &x.service, u)
 		if wait > 0 && !wasTried(tried, u.ID) && (shortest == 0 || wait < shortest) {
 			shortest = wait
 		}
--- a/forward/turns.go
+++ b/forward/turns.go
@@ -21,68 +21,68 @@
 type TurnRequest struct {
 	Engine member.UpstreamID
 	Run    policy.RunID
-	// Worth orders those that wait: the highest goes first.
-	Worth int
-	// AtOnce asks only whether the turn is free.
-	AtOnce bool
+	// Priority orders those that wait: the highest goes first.
+	Priority int
+	// NoWait asks only whether the turn is free.
+	NoWait bool
 }
 
-// turns gives out the turns of the engines that this host arbitrates. The zero
+// turnQueues gives out the turnQueues of the engines that this host arbitrates. The zero
 // value works. It is soft: a turn that isn't ended runs out.
-type turns struct {
+type turnQueues struct {
 	// clock tells the present time; nil is the usual one.
 	clock *clock.Clock
 
-	mu      sync.Mutex
-	engines map[member.UpstreamID]*turnLine
+	mu       sync.Mutex
+	byEngine map[member.UpstreamID]*turnQueue
 }
 
-// turnLine is one engine's line.
-type turnLine struct {
+// turnQueue is one engine's line.
+type turnQueue struct {
 	// holder has the turn until then; empty when nobody has.
-	holder policy.RunID
-	until  time.Time
-	// opened is when the first request came.
-	opened  time.Time
-	waiting []*turnWaiter
+	holder    policy.RunID
+	expiresAt time.Time
+	// openedAt is when the first request came.
+	openedAt time.Time
+	waiting  []*turnWaiter
 }
 
 type turnWaiter struct {
 	TurnRequest
-	// granted closes when the turn is this waiter's, dropped when it isn't in the
+	// granted closes when the turn is this waiter's, removed when it isn't in the
 	// line any more.
-	granted, dropped chan struct{}
+	granted, removed chan struct{}
 }
 
 const (
-	// turnGather is how long the first request for an engine waits for others,
+	// turnGatherDelay is how long the first request for an engine waits for others,
 	// so that the order matters: hosts learn of a leaving within milliseconds.
-	turnGather = 8 * time.Millisecond
-	// turnLasts is the longest turn; a move takes less.
-	turnLasts = 900 * time.Millisecond
-	// turnIdle is when a line that nobody uses is forgotten.
-	turnIdle = 10 * time.Second
-	// turnCheck is how often a waiter looks whether the holder's turn ran out.
-	turnCheck = 20 * time.Millisecond
+	turnGatherDelay = 8 * time.Millisecond
+	// turnTTL is the longest turn; a move takes less.
+	turnTTL = 900 * time.Millisecond
+	// turnQueueRetention is when a line that nobody uses is forgotten.
+	turnQueueRetention = 10 * time.Second
+	// turnCheckInterval is how often a waiter looks whether the holder's turn ran out.
+	turnCheckInterval = 20 * time.Millisecond
 )
 
-func (t *turns) now() time.Time { return t.clock.Now() }
+func (t *turnQueues) now() time.Time { return t.clock.Now() }
 
-// take waits for the turn. The error is the context's, or errNoTurn when the run's
+// acquire waits for the turn. The error is the context's, or errNoTurn when the run's
 // host doesn't want the turn any more.
-func (t *turns) take(ctx context.Context, r TurnRequest) error {
-	w := &turnWaiter{TurnRequest: r, granted: make(chan struct{}), dropped: make(chan struct{})}
-	line := t.join(t.now(), w)
-	PauseFor(ctx, turnGather)
-	tick := time.NewTicker(turnCheck)
+func (t *turnQueues) acquire(ctx context.Context, r TurnRequest) error {
+	w := &turnWaiter{TurnRequest: r, granted: make(chan struct{}), removed: make(chan struct{})}
+	line := t.enqueue(t.now(), w)
+	PauseFor(ctx, turnGatherDelay)
+	tick := time.NewTicker(turnCheckInterval)
 	defer tick.Stop()
 	for {
-		t.grant(t.now(), line)
+		t.grantNext(t.now(), line)
 		select {
 		case <-w.granted:
 			return nil
-		case <-w.dropped:
-			return errNoTurn
+		case <-w.removed:
+			return errTurnNotGranted
 		case <-ctx.Done():
 			t.withdraw(line, w)
 			return ctx.Err()
@@ -91,92 +91,92 @@
 	}
 }
 
-// try takes the turn if nobody has it or waits for it.
-func (t *turns) try(now time.Time, r TurnRequest) bool {
-	line := t.line(now, r.Engine)
+// tryAcquire takes the turn if nobody has it or waits for it.
+func (t *turnQueues) tryAcquire(now time.Time, r TurnRequest) bool {
+	line := t.queueFor(now, r.Engine)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if line.holder != "" && now.Before(line.until) || len(line.waiting) > 0 {
+	if line.holder != "" && now.Before(line.expiresAt) || len(line.waiting) > 0 {
 		return false
 	}
-	line.holder, line.until = r.Run, now.Add(turnLasts)
+	line.holder, line.expiresAt = r.Run, now.Add(turnTTL)
 	return true
 }
 
-func (t *turns) join(now time.Time, w *turnWaiter) *turnLine {
-	line := t.line(now, w.Engine)
+func (t *turnQueues) enqueue(now time.Time, w *turnWaiter) *turnQueue {
+	line := t.queueFor(now, w.Engine)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	line.waiting = append(line.waiting, w)
 	return line
 }
 
-// line returns an engine's line, and forgets those that nobody uses.
-func (t *turns) line(now time.Time, engine member.UpstreamID) *turnLine {
+// queueFor returns an engine's queueFor, and forgets those that nobody uses.
+func (t *turnQueues) queueFor(now time.Time, engine member.UpstreamID) *turnQueue {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.engines == nil {
-		t.engines = map[member.UpstreamID]*turnLine{}
+	if t.byEngine == nil {
+		t.byEngine = map[member.UpstreamID]*turnQueue{}
 	}
-	for id, l := range t.engines {
-		if id != engine && len(l.waiting) == 0 && now.Sub(l.until) > turnIdle && now.Sub(l.opened) > turnIdle {
-			delete(t.engines, id)
+	for id, l := range t.byEngine {
+		if id != engine && len(l.waiting) == 0 && now.Sub(l.expiresAt) > turnQueueRetention && now.Sub(l.openedAt) > turnQueueRetention {
+			delete(t.byEngine, id)
 		}
 	}
-	line := t.engines[engine]
+	line := t.byEngine[engine]
 	if line == nil {
-		line = &turnLine{opened: now}
-		t.engines[engine] = line
+		line = &turnQueue{openedAt: now}
+		t.byEngine[engine] = line
 	}
 	return line
 }
 
-// grant gives the turn to the one that is worth most, if nobody has it.
-func (t *turns) grant(now time.Time, line *turnLine) {
+// grantNext gives the turn to the one that is worth most, if nobody has it.
+func (t *turnQueues) grantNext(now time.Time, line *turnQueue) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if line.holder != "" && now.Before(line.until) || len(line.waiting) == 0 || now.Sub(line.opened) < turnGather {
+	if line.holder != "" && now.Before(line.expiresAt) || len(line.waiting) == 0 || now.Sub(line.openedAt) < turnGatherDelay {
 		return
 	}
 	best := 0
 	for i, w := range line.waiting {
-		if w.Worth > line.waiting[best].Worth {
+		if w.Priority > line.waiting[best].Priority {
 			best = i
 		}
 	}
 	w := line.waiting[best]
 	line.waiting = slices.Delete(line.waiting, best, best+1)
-	line.holder, line.until = w.Run, now.Add(turnLasts)
+	line.holder, line.expiresAt = w.Run, now.Add(turnTTL)
 	close(w.granted)
 }
 
-func (t *turns) withdraw(line *turnLine, w *turnWaiter) {
+func (t *turnQueues) withdraw(line *turnQueue, w *turnWaiter) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	line.drop(w.Run)
+	line.remove(w.Run)
 }
 
-// end gives a turn back, or the place in the line of a run that still waits.
-func (t *turns) end(now time.Time, engine member.UpstreamID, run policy.RunID) {
+// release gives a turn back, or the place in the line of a run that still waits.
+func (t *turnQueues) release(now time.Time, engine member.UpstreamID, run policy.RunID) {
 	t.mu.Lock()
-	line := t.engines[engine]
+	line := t.byEngine[engine]
 	if line == nil {
 		t.mu.Unlock()
 		return
 	}
-	line.drop(run)
+	line.remove(run)
 	t.mu.Unlock()
-	t.grant(now, line)
+	t.grantNext(now, line)
 }
 
-// drop takes a run out of the line, whether it has the turn or waits for it.
-func (l *turnLine) drop(run policy.RunID) {
+// remove takes a run out of the line, whether it has the turn or waits for it.
+func (l *turnQueue) remove(run policy.RunID) {
 	if l.holder == run {
 		l.holder = ""
 	}
 	l.waiting = slices.DeleteFunc(l.waiting, func(w *turnWaiter) bool {
 		if w.Run == run {
-			close(w.dropped)
+			close(w.removed)
 		}
 		return w.Run == run
 	})
@@ -203,39 +203,39 @@
 	return member.HighestRanked("moves off "+string(u.ID), near)
 }
 
-// errNoTurn is an arbiter's word that another has the turn.
-var errNoTurn = errors.New("another has the turn")
+// errTurnNotGranted is an arbiter's word that another has the turn.
+var errTurnNotGranted = errors.New("another has the turn")
 
-// takeTurn asks for the turn of an engine's link and returns how to end it. When
+// acquireTurn asks for the turn of an engine's link and returns how to end it. When
 // the arbiter can't be reached, or the turn doesn't come in time, the error says
 // so, and the run may go without.
-func (f *Forwarder) takeTurn(ctx context.Context, at Upstream, r TurnRequest) (end func(), err error) {
+func (f *Forwarder) acquireTurn(ctx context.Context, at Upstream, r TurnRequest) (end func(), err error) {
 	nothing := func() {}
 	arbiter := f.peers.arbiter(f.now(), at)
 	if arbiter.ID == f.peers.self.ID {
 		if err := f.OnTurn(ctx, r); err != nil {
 			return nothing, err
 		}
-		return func() { f.turns.end(f.now(), r.Engine, r.Run) }, nil
+		return func() { f.turns.release(f.now(), r.Engine, r.Run) }, nil
 	}
 	peers := f.loadPeerPort()
 	if peers == nil {
-		return nothing, errNoTurn
+		return nothing, errTurnNotGranted
 	}
 	if err := peers.Turn(ctx, arbiter, r); err != nil {
 		if ctx.Err() != nil {
 			// The arbiter doesn't know that nobody waits any more. A run that ends
 			// by itself while it waits would get the turn and hold the others up
 			// until it runs out: 0.9 s of a notice of 1.7 s.
-			go f.endTurn(peers, arbiter, r)
+			go f.releaseTurn(peers, arbiter, r)
 		}
 		return nothing, err
 	}
-	return func() { go f.endTurn(peers, arbiter, r) }, nil
+	return func() { go f.releaseTurn(peers, arbiter, r) }, nil
 }
 
-// endTurn tells an arbiter that a run neither has nor wants a turn any more.
-func (f *Forwarder) endTurn(peers Peers, arbiter Peer, r TurnRequest) {
+// releaseTurn tells an arbiter that a run neither has nor wants a turn any more.
+func (f *Forwarder) releaseTurn(peers Peers, arbiter Peer, r TurnRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), shareTimeout)
 	defer cancel()
 	if err := peers.EndTurn(ctx, arbiter, r); err != nil {
@@ -246,17 +246,17 @@
 
 // OnTurn serves a peer that asks for a turn.
 func (f *Forwarder) OnTurn(ctx context.Context, r TurnRequest) error {
-	if r.AtOnce {
-		if !f.turns.try(f.now(), r) {
-			return errNoTurn
+	if r.NoWait {
+		if !f.turns.tryAcquire(f.now(), r) {
+			return errTurnNotGranted
 		}
 		return nil
 	}
-	if err := f.turns.take(ctx, r); err != nil {
-		return errNoTurn
+	if err := f.turns.acquire(ctx, r); err != nil {
+		return errTurnNotGranted
 	}
 	return nil
 }
 
 // OnEndTurn serves a peer that ends its turn.
-func (f *Forwarder) OnEndTurn(r TurnRequest) { f.turns.end(f.now(), r.Engine, r.Run) }
+func (f *Forwarder) OnEndTurn(r TurnRequest) { f.turns.release(f.now(), r.Engine, r.Run) }
--- a/forward/unary.go
+++ b/forward/unary.go
@@ -148,7 +148,7 @@
 	}
 	now := p.now()
 	t.elapsed = now.Sub(startedAt)
-	p.noteVersion(ctx, now, u, &t)
+	p.recordRolloutAttempt(ctx, now, u, &t)
 	switch {
 	case errors.Is(t.err, ErrNotSent), t.err == nil && (t.response.WrongInstance || t.response.Signals.RetryAfter > 0):
 		// A response that asks for backoff doesn't count against the upstream's latency or
@@ -166,7 +166,7 @@
 	now := p.now()
 	if t.executed() {
 		// Error responses count too: the upstream is still alive after running the request.
-		p.survived(now)
+		p.recordSurvival(now)
 	}
 	if t.succeeded() {
 		p.deliver(t)
@@ -178,7 +178,7 @@
 	case "kept_back":
 		p.sent--
 		p.lastCode = CodeOverloaded
-		if ctx.Err() == nil && !p.held(now) {
+		if ctx.Err() == nil && !p.mustHoldBack(now) {
 			p.startAttempt(ctx, p.sent+p.rejected > 0)
 		}
 	case "not_sent":
@@ -254,7 +254,7 @@
 // retry sends the request to another upstream if the route's attempts and the retry budget allow
 // it.
 func (p *unaryExchange) retry(ctx context.Context, why string) {
-	if ctx.Err() != nil || p.sent >= p.route.Attempts || p.held(p.now()) {
+	if ctx.Err() != nil || p.sent >= p.route.Attempts || p.mustHoldBack(p.now()) {
 		return
 	}
 	if !p.retries.takeRetry(p.now(), p.service.Name) {
@@ -312,13 +312,13 @@
 	case p.upstreamFailure != nil:
 		p.deliver(p.upstreamFailure)
 	case p.mayHaveRun:
-		p.refuse(p.truly(now, Refusal{Code: p.lastCode, MayHaveRun: true}), "tries", len(p.tried))
-	case p.held(now):
-		p.refuse(heldRefusal, "tries", len(p.tried))
+		p.refuse(p.withQuarantineCode(now, Refusal{Code: p.lastCode, MayHaveRun: true}), "tries", len(p.tried))
+	case p.mustHoldBack(now):
+		p.refuse(quarantineRefusal, "tries", len(p.tried))
 	default:
 		refusal := Refusal{Code: p.lastCode, RetryAfter: defaultRetryAfter}
 		if p.lastCode == CodeOverloaded {
-			refusal = p.rejectedEverywhere(now)
+			refusal = p.refuseRejected(now)
 		}
 		p.refuse(refusal, "tries", len(p.tried), "kept_back", p.throttledCount(now))
 	}
--- a/forward/unserved.go
+++ b/forward/unserved.go
@@ -11,24 +11,24 @@
 
 // What callers are told that no upstream serves now, and when they return.
 
-// retryKeptMost bounds what a caller is told to wait for upstreams that get nothing now:
+// maxThrottledRetryAfter bounds what a caller is told to wait for upstreams that get nothing now:
 // others may come in place of them meanwhile.
-const retryKeptMost = 10 * time.Second
+const maxThrottledRetryAfter = 10 * time.Second
 
-// retryKeptSpread is the most over which callers return that wait for the same upstream.
-const retryKeptSpread = time.Second
+// throttledRetrySpread is the most over which callers return that wait for the same upstream.
+const throttledRetrySpread = time.Second
 
-// noUpstream refuses where no upstream takes the request. wait is how long it is until one
+// refuseNoUpstream refuses where no upstream takes the request. wait is how long it is until one
 // of those may get it that don't now; zero when there are none.
-func (x *exchange) noUpstream(now time.Time, takers []Upstream, wait time.Duration) Refusal {
+func (x *exchange) refuseNoUpstream(now time.Time, takers []Upstream, wait time.Duration) Refusal {
 	if wait <= 0 {
 		return Refusal{Code: CodeNoUpstream, RetryAfter: defaultRetryAfter}
 	}
 	wait = max(wait, x.pickReturnTime(now, takers))
-	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), retryKeptMost) + rand.N(min(wait, retryKeptSpread)+1)}
+	r := Refusal{Code: CodeOverloaded, RetryAfter: min(max(wait, minRetryAfter), maxThrottledRetryAfter) + rand.N(min(wait, throttledRetrySpread)+1)}
 	// Near its end every host may be alone with some upstream's.
 	alone := func(u Upstream) bool {
-		return x.backoffs.OnlyThisHost(now, u.ID) && x.backoffs.Remaining(now, u.ID) > retryKeptSpread
+		return x.backoffs.OnlyThisHost(now, u.ID) && x.backoffs.Remaining(now, u.ID) > throttledRetrySpread
 	}
 	if slices.ContainsFunc(takers, alone) && x.peers.hasPeerInZone(now) {
 		r.RetryAfter = otherHostRetryAfter
@@ -50,18 +50,18 @@
 		return 0
 	}
 	slices.Sort(ends)
-	last, _ := slices.BinarySearch(ends, ends[0]+2*retryKeptSpread)
+	last, _ := slices.BinarySearch(ends, ends[0]+2*throttledRetrySpread)
 	return ends[rand.IntN(last)]
 }
 
-// rejectedEverywhere refuses a request that upstreams rejected and that isn't sent on.
-func (x *exchange) rejectedEverywhere(now time.Time) Refusal {
+// refuseRejected refuses a request that upstreams rejected and that isn't sent on.
+func (x *exchange) refuseRejected(now time.Time) Refusal {
 	takers := x.acceptingUpstreams(now)
 	kept := len(x.throttledAmong(now, takers))
 	r := Refusal{Code: CodeOverloaded, RetryAfter: defaultRetryAfter}
 	switch {
 	case kept > 0 && kept == len(takers):
-		r = x.noUpstream(now, takers, x.shortestWait(now, takers, nil))
+		r = x.refuseNoUpstream(now, takers, x.shortestWait(now, takers, nil))
 	case kept > 0:
 		// Others take requests, and a caller that comes back draws on no budget of ours.
 		r.RetryAfter = otherHostRetryAfter
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -82,7 +82,7 @@
 		if r.Withdrawn {
 			phase = "withdrawn"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%.1f\t%s\n", r.Service, r.Target, phase, r.Age.Round(time.Millisecond), r.Lasts, r.Against, r.Decides)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%.1f\t%s\n", r.Service, r.Target, phase, r.Age.Round(time.Millisecond), r.Lasts, r.EvidenceAgainst, r.DecidingHost)
 	}
 	return w.Flush()
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -163,9 +163,9 @@
 	d.store = consul.New(s.Platform, consul.WithBudget(d.budget), consul.WithObserver(d.metrics.PlatformCall))
 	d.mesh = peer.NewMesh(s.Host, []byte(s.PeerKey), peer.WithClock(d.clock))
 	d.entry = entry.New(entry.Settings{
-		Self: d.self(), Seeds: s.Peers, GenerationKey: derive(s.PeerKey, "generation ids"), Alone: s.Alone,
-		HostListEvery: s.HostListEvery, ConfigPollEvery: s.ConfigPollEvery, LoadEvery: s.LoadEvery, Clock: d.clock,
-	}, entry.Ports{
+		Self: d.self(), Seeds: s.Peers, GenerationKey: derive(s.PeerKey, "generation ids"), LocalPlacement: s.Alone,
+		HostListInterval: s.HostListEvery, ConfigPollInterval: s.ConfigPollEvery, LoadInterval: s.LoadEvery, Clock: d.clock,
+	}, entry.Dependencies{
 		Store: d.store, Claims: d.store.Class(consul.ClaimCalls), Outcomes: d.store.Class(consul.StatusCalls),
 		Hosts: d.store, Leases: d.store, Peers: d.mesh,
 		Engines: engine.New(), Services: service.New(), Upstreams: upstreams{},
@@ -310,7 +310,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.budget.SetDaemons(d.entry.Daemons())
+			d.budget.SetDaemons(d.entry.KnownEntries())
 		}
 	}
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -128,7 +128,7 @@
 func refusal(answer *http.Response) error {
 	defer answer.Body.Close()
 	if answer.StatusCode == http.StatusNotFound {
-		return trace.Wrap(entry.ErrRunGone)
+		return trace.Wrap(entry.ErrRunNotFound)
 	}
 	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxRefusalBytes))
 	refused := &entry.EngineRefusal{Status: answer.StatusCode, Text: strings.TrimSpace(string(text))}
--- a/internal/engine/contract_test.go
+++ b/internal/engine/contract_test.go
@@ -51,7 +51,7 @@
 }
 
 // collect reads a stream to its end.
-func collect(s entry.Stream) (indexes []int, end *entry.Ending, err error) {
+func collect(s entry.Stream) (indexes []int, end *entry.RunResult, err error) {
 	defer s.Close()
 	for event, err := range s.Events(func() {}) {
 		if err != nil {
@@ -74,15 +74,15 @@
 	indexes, end, err := collect(stream)
 	is.NoErr(err)
 	is.Equal(len(indexes), 20)
-	is.Equal(*end, entry.Ending{Whole: true, PromptTokens: 1, CompletionTokens: 20})
+	is.Equal(*end, entry.RunResult{Complete: true, PromptTokens: 1, CompletionTokens: 20})
 	stream, err = c.Resume(t.Context(), u, "r1", 15)
 	is.NoErr(err)
 	indexes, end, err = collect(stream)
 	is.NoErr(err)
 	is.Equal(indexes, []int{16, 17, 18, 19, 20})
-	is.True(end.Whole)
+	is.True(end.Complete)
 	_, err = c.Resume(t.Context(), u, "none", 0)
-	is.True(errors.Is(err, entry.ErrRunGone))
+	is.True(errors.Is(err, entry.ErrRunNotFound))
 }
 
 func TestSameRunTwiceIsRefused(t *testing.T) {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -121,8 +121,8 @@
 		return event, trace.Wrap(err, "the end mark can't be read")
 	}
 	event.Kind = entry.EventEnd
-	event.End = entry.Ending{
-		Whole: mark.State == wholeMark, PromptTokens: mark.PromptTokens, CompletionTokens: mark.CompletionTokens,
+	event.End = entry.RunResult{
+		Complete: mark.State == wholeMark, PromptTokens: mark.PromptTokens, CompletionTokens: mark.CompletionTokens,
 	}
 	return event, nil
 }
--- a/internal/peer/places.go
+++ b/internal/peer/places.go
@@ -23,11 +23,11 @@
 }
 
 func toWireTurn(r forward.TurnRequest) wireTurn {
-	return wireTurn{Engine: string(r.Engine), Run: string(r.Run), Worth: r.Worth, AtOnce: r.AtOnce}
+	return wireTurn{Engine: string(r.Engine), Run: string(r.Run), Worth: r.Priority, AtOnce: r.NoWait}
 }
 
 func (w wireTurn) request() forward.TurnRequest {
-	return forward.TurnRequest{Engine: member.UpstreamID(w.Engine), Run: policy.RunID(w.Run), Worth: w.Worth, AtOnce: w.AtOnce}
+	return forward.TurnRequest{Engine: member.UpstreamID(w.Engine), Run: policy.RunID(w.Run), Priority: w.Worth, NoWait: w.AtOnce}
 }
 
 // Turn waits at an arbiter for the turn to move a run.
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -153,7 +153,7 @@
 	var all []forward.RolloutEntry
 	for _, w := range answer {
 		all = append(all, forward.RolloutEntry{
-			Status: w.Status.status(), Decides: member.HostID(w.Decides), Against: w.Against, Evidence: w.Seen.report().Evidence,
+			Status: w.Status.status(), DecidingHost: member.HostID(w.Decides), EvidenceAgainst: w.Against, Evidence: w.Seen.report().Evidence,
 		})
 	}
 	return all, nil
@@ -163,7 +163,7 @@
 	var w []wireRolloutEntry
 	for _, e := range f.Rollouts() {
 		w = append(w, wireRolloutEntry{
-			Status: toWireRollout(e.Status), Decides: string(e.Decides), Against: e.Against, Seen: toWireRolloutReport(rollout.Report{Evidence: e.Evidence}),
+			Status: toWireRollout(e.Status), Decides: string(e.DecidingHost), Against: e.EvidenceAgainst, Seen: toWireRolloutReport(rollout.Report{Evidence: e.Evidence}),
 		})
 	}
 	return w, nil
--- a/internal/web/admin.go
+++ b/internal/web/admin.go
@@ -93,8 +93,8 @@
 
 func zoneAnswerOf(z entry.ZoneState, at time.Time, wanted resource.Revision) zoneAnswer {
 	answer := zoneAnswer{InForce: inForceUnknown, Revision: z.Revision, Entries: z.Entries}
-	if !z.Seen.IsZero() {
-		seen := z.Seen.UTC()
+	if !z.ReportedAt.IsZero() {
+		seen := z.ReportedAt.UTC()
 		answer.Seen = &seen
 	}
 	switch {
@@ -231,12 +231,12 @@
 		writeProblem(w, http.StatusUnprocessableEntity, "the resource is not valid", findings)
 	case errors.As(err, &conflict):
 		answer := problemAnswer{Message: conflict.Error()}
-		if conflict.Now.Revision > 0 {
-			there := a.answerOf(conflict.Now)
+		if conflict.Current.Revision > 0 {
+			there := a.answerOf(conflict.Current)
 			answer.Now = &there
 		}
 		writeJSON(w, http.StatusConflict, answer)
-	case errors.Is(err, entry.ErrUnsure):
+	case errors.Is(err, entry.ErrOutcomeUnknown):
 		writeProblem(w, http.StatusGatewayTimeout, err.Error(), nil)
 	default:
 		w.Header().Set("Retry-After", "1")
--- a/internal/web/answer.go
+++ b/internal/web/answer.go
@@ -32,24 +32,24 @@
 
 // statuses gives the HTTP status of each code; the others are 502.
 var statuses = map[entry.Code]int{
-	entry.CodeBadRequest:    http.StatusBadRequest,
-	entry.CodeUnauthorized:  http.StatusUnauthorized,
-	entry.CodeUnknownModel:  http.StatusNotFound,
-	entry.CodeUnknownRoute:  http.StatusNotFound,
-	entry.CodePromptTooLong: http.StatusBadRequest,
-	entry.CodeTooLarge:      http.StatusRequestEntityTooLarge,
-	entry.CodeRateLimited:   http.StatusTooManyRequests,
-	entry.CodeOverloaded:    http.StatusServiceUnavailable,
-	entry.CodeNoEngine:      http.StatusServiceUnavailable,
-	entry.CodeLeaving:       http.StatusServiceUnavailable,
-	entry.CodeNotReady:      http.StatusServiceUnavailable,
-	entry.CodeBadID:         http.StatusBadRequest,
-	entry.CodeGone:          http.StatusGone,
-	entry.CodeDuplicate:     http.StatusConflict,
-	entry.CodeKeyReused:     http.StatusUnprocessableEntity,
-	entry.CodeNoClaim:       http.StatusServiceUnavailable,
-	entry.CodeTimeout:       http.StatusGatewayTimeout,
-	entry.CodeCancelled:     499,
+	entry.CodeBadRequest:           http.StatusBadRequest,
+	entry.CodeUnauthorized:         http.StatusUnauthorized,
+	entry.CodeUnknownModel:         http.StatusNotFound,
+	entry.CodeUnknownRoute:         http.StatusNotFound,
+	entry.CodePromptTooLong:        http.StatusBadRequest,
+	entry.CodeRequestTooLarge:      http.StatusRequestEntityTooLarge,
+	entry.CodeRateLimited:          http.StatusTooManyRequests,
+	entry.CodeOverloaded:           http.StatusServiceUnavailable,
+	entry.CodeNoEngine:             http.StatusServiceUnavailable,
+	entry.CodeLeaving:              http.StatusServiceUnavailable,
+	entry.CodeNotReady:             http.StatusServiceUnavailable,
+	entry.CodeBadGenerationID:      http.StatusBadRequest,
+	entry.CodeGenerationGone:       http.StatusGone,
+	entry.CodeDuplicateRequest:     http.StatusConflict,
+	entry.CodeIdempotencyKeyReused: http.StatusUnprocessableEntity,
+	entry.CodeClaimUnavailable:     http.StatusServiceUnavailable,
+	entry.CodeTimeout:              http.StatusGatewayTimeout,
+	entry.CodeCancelled:            499,
 	// Clients' libraries send a 5xx again by themselves.
 	entry.CodeQuarantined: http.StatusUnprocessableEntity,
 }
@@ -67,7 +67,7 @@
 		kind = "invalid_request_error"
 	}
 	return errorAnswer{Error: errorBody{
-		Message: f.Message, Type: kind, Code: f.Code, Run: f.Run, RetryAfterMs: f.RetryAfter.Milliseconds(),
+		Message: f.Message, Type: kind, Code: f.Code, Run: f.RunState, RetryAfterMs: f.RetryAfter.Milliseconds(),
 	}}
 }
 
@@ -77,7 +77,7 @@
 	if errors.As(err, &f) {
 		return f
 	}
-	return &entry.Failure{Code: "internal", Run: entry.Unknown, Message: err.Error()}
+	return &entry.Failure{Code: "internal", RunState: entry.Unknown, Message: err.Error()}
 }
 
 func writeFailure(w http.ResponseWriter, f *entry.Failure) {
@@ -97,11 +97,11 @@
 }
 
 func badRequest(message string) *entry.Failure {
-	return &entry.Failure{Code: entry.CodeBadRequest, Run: entry.NotRun, Message: message}
+	return &entry.Failure{Code: entry.CodeBadRequest, RunState: entry.NotRun, Message: message}
 }
 
 var errUnauthorized = &entry.Failure{
-	Code: entry.CodeUnauthorized, Run: entry.NotRun, Message: "give a valid key as 'Authorization: Bearer KEY'",
+	Code: entry.CodeUnauthorized, RunState: entry.NotRun, Message: "give a valid key as 'Authorization: Bearer KEY'",
 }
 
 // notReadyRetry is when to come back to an entry without a configuration.
--- a/internal/web/caller.go
+++ b/internal/web/caller.go
@@ -36,7 +36,7 @@
 		c.router.Handle(method, "/services/:route/*path", c.authenticated(c.callService))
 	}
 	c.router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		writeFailure(w, &entry.Failure{Code: entry.CodeUnknownRoute, Run: entry.NotRun, Message: "there is no such path"})
+		writeFailure(w, &entry.Failure{Code: entry.CodeUnknownRoute, RunState: entry.NotRun, Message: "there is no such path"})
 	})
 	return c
 }
@@ -61,7 +61,7 @@
 		account, known := c.entry.Authenticate(key)
 		if !isBearer || !known {
 			if !c.entry.Ready() {
-				writeFailure(w, &entry.Failure{Code: entry.CodeNotReady, Run: entry.NotRun, Message: "this entry has no configuration yet", RetryAfter: notReadyRetry})
+				writeFailure(w, &entry.Failure{Code: entry.CodeNotReady, RunState: entry.NotRun, Message: "this entry has no configuration yet", RetryAfter: notReadyRetry})
 				return
 			}
 			w.Header().Set("WWW-Authenticate", "Bearer")
@@ -108,7 +108,7 @@
 	finish(w, sink, generationBody{}, ending, err)
 }
 
-func finish(w http.ResponseWriter, sink *eventSink, asked generationBody, ending entry.Ending, err error) {
+func finish(w http.ResponseWriter, sink *eventSink, asked generationBody, ending entry.RunResult, err error) {
 	switch {
 	case err == nil:
 		sink.end(asked, ending)
@@ -124,9 +124,9 @@
 	ending, err := c.entry.Generate(r.Context(), request, &sink)
 	if err != nil {
 		failure := asFailure(err)
-		if failure.Run == entry.Partial {
+		if failure.RunState == entry.Partial {
 			// This caller has seen nothing of the answer.
-			failure.Run = entry.Unknown
+			failure.RunState = entry.Unknown
 		}
 		writeFailure(w, failure)
 		return
--- a/internal/web/request.go
+++ b/internal/web/request.go
@@ -51,7 +51,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, &entry.Failure{Code: entry.CodeTooLarge, Run: entry.NotRun, Message: "the request body is too large"}
+		return nil, &entry.Failure{Code: entry.CodeRequestTooLarge, RunState: entry.NotRun, Message: "the request body is too large"}
 	case err != nil:
 		return nil, badRequest("the request body can't be read: " + err.Error())
 	}
@@ -59,7 +59,7 @@
 }
 
 // errCallerLeft is told to nobody: the connection is closed.
-var errCallerLeft = &entry.Failure{Code: entry.CodeCancelled, Run: entry.NotRun, Message: "the caller has left"}
+var errCallerLeft = &entry.Failure{Code: entry.CodeCancelled, RunState: entry.NotRun, Message: "the caller has left"}
 
 // readCall reads the body of something that upstreams are to work on, unless its caller has
 // left meanwhile: they would be at work for nobody.
--- a/internal/web/request_test.go
+++ b/internal/web/request_test.go
@@ -42,7 +42,7 @@
 				return
 			}
 			is.Equal(failure.Code, entry.CodeBadRequest)
-			is.Equal(failure.Run, entry.NotRun)
+			is.Equal(failure.RunState, entry.NotRun)
 			is.True(strings.Contains(failure.Message, c.names))
 		})
 	}
--- a/internal/web/sink.go
+++ b/internal/web/sink.go
@@ -54,7 +54,7 @@
 func (s *eventSink) Flush() error { return s.controller.Flush() }
 
 // end sends the last events of an answer that is whole.
-func (s *eventSink) end(asked generationBody, ending entry.Ending) {
+func (s *eventSink) end(asked generationBody, ending entry.RunResult) {
 	if asked.StreamOptions != nil && asked.StreamOptions.IncludeUsage {
 		usage, _ := json.Marshal(usageChunk{ID: string(s.id), Model: asked.Model, Choices: []struct{}{}, Usage: usageOf(ending)})
 		s.event(string(usage))
@@ -80,7 +80,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-func usageOf(e entry.Ending) usage {
+func usageOf(e entry.RunResult) usage {
 	return usage{PromptTokens: e.PromptTokens, CompletionTokens: e.CompletionTokens, TotalTokens: e.PromptTokens + e.CompletionTokens}
 }
 
@@ -156,7 +156,7 @@
 	Usage       usage    `json:"usage"`
 }
 
-func (s *wholeSink) answer(shape entry.Shape, model string, ending entry.Ending) wholeAnswer {
+func (s *wholeSink) answer(shape entry.Shape, model string, ending entry.RunResult) wholeAnswer {
 	text := s.text.String()
 	one := choice{FinishReason: "stop"}
 	if len(s.last.Choices) > 0 && s.last.Choices[0].FinishReason != "" {
