--- a/forward/leaving.go
+++ b/forward/leaving.go
@@ -9,67 +9,77 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// LeavingSource says who told that an upstream leaves.
+// LeavingSource is the source that first reported that an upstream leaves.
 type LeavingSource string
 
-// The sources.
+// The sources of a report that an upstream leaves.
 const (
+	// SourceList is the list of upstreams.
 	SourceList LeavingSource = "list"
-	// SourceUpstream is its own, in an answer.
+	// SourceUpstream is the upstream itself, in an answer.
 	SourceUpstream LeavingSource = "upstream"
-	// SourceHost is this host's finding, such as a failed health check.
+	// SourceHost is this host's own observation, such as a failed health check.
 	SourceHost LeavingSource = "host"
+	// SourcePeer is another host.
 	SourcePeer LeavingSource = "peer"
-	// SourceRollout is that its version is not in service any more.
+	// SourceRollout is a rollout that has taken the upstream's version out of service.
 	SourceRollout LeavingSource = "rollout"
 )
 
-// LeavingMark is a host's word that an upstream leaves, for its peers.
+// LeavingMark is a host's report to its peers that an upstream leaves.
 type LeavingMark struct {
-	Engine member.UpstreamID
-	Life   Incarnation
-	// In is how long it will still serve; zero when that isn't known.
-	In time.Duration
-	// Said says that the upstream told so itself.
-	Said bool
+	Upstream    member.UpstreamID
+	Incarnation Incarnation
+	// Remaining is how long the upstream will still serve; zero if unknown.
+	Remaining time.Duration
+	// Declared says that the upstream itself or the list reported that it leaves, rather than
+	// that a host observed a sign of it.
+	Declared bool
 }
 
 const (
-	// markShared is how long a finding is told to peers.
-	markShared = 3 * time.Second
-	// saidShared is how long an upstream's own word is, while the list doesn't have it.
-	saidShared = 30 * time.Second
-	// forgetSaid is how long an upstream that said that it leaves is remembered after the
-	// list dropped it: its entry may lapse and come back while it still serves.
-	forgetSaid = 5 * time.Minute
+	// observedLeavingShareTime is how long a host shares its own observation that an upstream
+	// leaves, or passes on a peer's report.
+	observedLeavingShareTime = 3 * time.Second
+	// declaredLeavingShareTime is how long a host shares a declared leaving that other hosts
+	// may not have from the list.
+	declaredLeavingShareTime = 30 * time.Second
+	// selfReportRetention is how long an upstream that reported that it leaves is remembered
+	// after the list dropped it. Its entry may lapse and be listed again while the upstream
+	// still serves.
+	selfReportRetention = 5 * time.Minute
 )
 
-// SaidLeaving takes in an upstream's own word, to this host or with own unset to a peer,
-// that it leaves. The list doesn't take that back. It reports whether it is new.
-func (f *Fleet) SaidLeaving(now time.Time, id member.UpstreamID, life Incarnation, own bool) bool {
+// RecordSelfReportedLeaving records that an upstream itself reported that it leaves: to this
+// host with toThisHost, otherwise to a peer. A report from another incarnation is ignored. The
+// list can't take the report back. RecordSelfReportedLeaving reports whether the report is
+// new.
+func (f *Fleet) RecordSelfReportedLeaving(now time.Time, id member.UpstreamID, incarnation Incarnation, toThisHost bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.upstreams[id]
-	if k == nil || k.leavingSelfReported || life != 0 && k.Incarnation != life {
+	if k == nil || k.leavingSelfReported || incarnation != 0 && k.Incarnation != incarnation {
 		return false
 	}
 	k.leavingSelfReported, k.leavingDeclared, k.leavingUnconfirmed = true, true, false
-	if own && !k.gone {
-		f.tellPeers(k, now.Add(saidShared))
+	if toThisHost && !k.gone {
+		f.shareLeaving(k, now.Add(declaredLeavingShareTime))
 	}
 	k.startLeaving(now, SourceUpstream)
 	f.notify(true)
 	return true
 }
 
-// tellPeers has peers be told for a while that an upstream leaves. The mutex is held.
-func (f *Fleet) tellPeers(k *knownUpstream, until time.Time) {
+// shareLeaving has this host tell its peers until the given time that an upstream leaves. The
+// mutex must be held.
+func (f *Fleet) shareLeaving(k *knownUpstream, until time.Time) {
 	k.shareLeavingUntil = until
 	f.shareLeavingUntil = laterOf(f.shareLeavingUntil, until)
 }
 
-// Marks returns this host's own words that upstreams leave.
-func (f *Fleet) Marks(now time.Time) []LeavingMark {
+// LeavingMarks returns the reports about upstreams that leave that this host shares with its
+// peers now.
+func (f *Fleet) LeavingMarks(now time.Time) []LeavingMark {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !now.Before(f.shareLeavingUntil) {
@@ -80,47 +90,48 @@
 		if !now.Before(k.shareLeavingUntil) || k.gone {
 			continue
 		}
-		mark := LeavingMark{Engine: id, Life: k.Incarnation, Said: k.leavingSelfReported || k.leavingDeclared}
+		mark := LeavingMark{Upstream: id, Incarnation: k.Incarnation, Declared: k.leavingSelfReported || k.leavingDeclared}
 		if !k.expectedEnd.IsZero() {
-			mark.In = max(k.expectedEnd.Sub(now), time.Millisecond)
+			mark.Remaining = max(k.expectedEnd.Sub(now), time.Millisecond)
 		}
 		marks = append(marks, mark)
 	}
 	return marks
 }
 
-// receiveLeaving takes in a peer's word that an upstream leaves.
+// receiveLeaving records a peer's report that an upstream leaves.
 func (f *Forwarder) receiveLeaving(now time.Time, from member.HostID, mark LeavingMark) {
-	if !f.fleet.ReceiveIncarnation(mark.Engine, mark.Life) {
+	if !f.fleet.ReceiveIncarnation(mark.Upstream, mark.Incarnation) {
 		return
 	}
 	isNew := false
-	if mark.Said {
-		isNew = f.fleet.SaidLeaving(now, mark.Engine, mark.Life, false)
+	if mark.Declared {
+		isNew = f.fleet.RecordSelfReportedLeaving(now, mark.Upstream, mark.Incarnation, false)
 	} else {
-		isNew = f.fleet.MarkLeaving(now, mark.Engine, mark.In, false)
+		isNew = f.fleet.MarkLeaving(now, mark.Upstream, mark.Remaining, false)
 	}
 	if isNew && f.peers.inOtherCell(from) {
-		// The others of this cell hear it from this host.
-		f.fleet.retell(now, mark.Engine)
+		// The other hosts of this cell receive the report from this host.
+		f.fleet.relayLeaving(now, mark.Upstream)
 		f.peers.notifyOwnCell()
 	}
 	if isNew {
-		f.journal.HostEvent("peer says that an upstream leaves", "upstream", mark.Engine, "peer", from, "in", mark.In, "upstream_said_so", mark.Said)
+		f.journal.HostEvent("peer says that an upstream leaves", "upstream", mark.Upstream, "peer", from, "in", mark.Remaining, "upstream_said_so", mark.Declared)
 	}
 }
 
-// retell has a peer's word that an upstream leaves be told on.
-func (f *Fleet) retell(now time.Time, id member.UpstreamID) {
+// relayLeaving passes a peer's report that an upstream leaves on to other peers.
+func (f *Fleet) relayLeaving(now time.Time, id member.UpstreamID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if k := f.upstreams[id]; k != nil {
-		f.tellPeers(k, laterOf(k.shareLeavingUntil, now.Add(markShared)))
+		f.shareLeaving(k, laterOf(k.shareLeavingUntil, now.Add(observedLeavingShareTime)))
 	}
 }
 
-// LeavingUpstreams counts the upstreams that leave, by who told first.
-func (f *Fleet) LeavingUpstreams() map[LeavingSource]int {
+// LeavingUpstreamCounts returns the number of upstreams that leave by the source that reported
+// it first.
+func (f *Fleet) LeavingUpstreamCounts() map[LeavingSource]int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := map[LeavingSource]int{SourceList: 0, SourceUpstream: 0, SourceHost: 0, SourcePeer: 0, SourceRollout: 0}
--- a/forward/limitfaults_test.go
+++ b/forward/limitfaults_test.go
@@ -21,10 +21,10 @@
 // Rate limits while hosts start, stop, are suspended or cut off, and while upstreams change.
 
 // restartHost replaces a host by a new process that knows nothing of the state of the old one.
-func (s *site) restartHost(ctx context.Context, fleet *needyFleet, old *Forwarder) *Forwarder {
-	f := New(old.settings, &fakeTransport{send: fleet.sendFrom(old.settings.Self.ID), reach: fleet.Reach}, silentJournal{}, silentObserver{})
+func (s *site) restartHost(ctx context.Context, fleet *limitingFleet, old *Forwarder) *Forwarder {
+	f := New(old.settings, &fakeTransport{send: fleet.sendFrom(old.settings.Self.ID), checkReachable: fleet.checkReachable}, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
-	s.replace(f)
+	s.replaceHost(f)
 	s.start(ctx, f)
 	go f.Run(ctx)
 	return f
@@ -50,7 +50,7 @@
 	const until = 40 * time.Second
 	const id, rate = member.UpstreamID("app00"), ratelimit.Rate(6.5)
 	for name, c := range map[string]struct {
-		happens func(ctx context.Context, s *site, fleet *needyFleet)
+		happens func(ctx context.Context, s *site, fleet *limitingFleet)
 		// least is the share of the limit that must be used, from the contact bound on. While
 		// the granting host is away, half of the limit is available through the turns of the
 		// other hosts.
@@ -58,79 +58,79 @@
 		// excused are hosts whose requests don't count against the limit.
 		excused []member.HostID
 	}{
-		"hosts start again, one after the other": {func(ctx context.Context, s *site, fleet *needyFleet) {
+		"hosts start again, one after the other": {func(ctx context.Context, s *site, fleet *limitingFleet) {
 			time.Sleep(8 * time.Second)
 			for n := range 6 {
 				s.restartHost(ctx, fleet, s.nthHost(n))
 				time.Sleep(3 * time.Second)
 			}
 		}, 0.8, nil},
-		"all hosts start again at once": {func(ctx context.Context, s *site, fleet *needyFleet) {
+		"all hosts start again at once": {func(ctx context.Context, s *site, fleet *limitingFleet) {
 			time.Sleep(12 * time.Second)
 			for n := range 6 {
 				s.restartHost(ctx, fleet, s.nthHost(n))
 			}
 		}, 0.8, nil},
-		"the host that grants dies, again and again": {func(ctx context.Context, s *site, fleet *needyFleet) {
+		"the host that grants dies, again and again": {func(ctx context.Context, s *site, fleet *limitingFleet) {
 			for range 5 {
 				time.Sleep(5 * time.Second)
 				f := s.granter(id)
-				s.lose(f.settings.Self.PeerAddress)
+				s.makeUnreachable(f.settings.Self.PeerAddress)
 				time.Sleep(time.Second)
-				s.regain(f.settings.Self.PeerAddress)
+				s.reconnect(f.settings.Self.PeerAddress)
 				s.restartHost(ctx, fleet, f)
 			}
 		}, 0.8, nil},
-		"the host that grants stops": {func(_ context.Context, s *site, _ *needyFleet) {
+		"the host that grants stops": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(12 * time.Second)
 			f := s.granter(id)
 			stop, cancel := context.WithTimeout(context.Background(), 4*time.Second)
 			defer cancel()
 			f.Stop(stop)
 		}, 0.8, nil},
-		"the host that grants doesn't answer for 5 s": {func(_ context.Context, s *site, _ *needyFleet) {
+		"the host that grants doesn't answer for 5 s": {func(_ context.Context, s *site, _ *limitingFleet) {
 			for range 3 {
 				time.Sleep(8 * time.Second)
 				address := s.granter(id).settings.Self.PeerAddress
 				s.freeze(address)
 				time.Sleep(5 * time.Second)
-				s.regain(address)
+				s.reconnect(address)
 			}
 		}, 0.6, nil},
-		"its zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *needyFleet) {
+		"its zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
-			s.cutOff(s.zoneAddresses(1)...)
+			s.isolate(s.zoneAddresses(1)...)
 			time.Sleep(10 * time.Second)
-			s.regain(s.zoneAddresses(1)...)
+			s.reconnect(s.zoneAddresses(1)...)
 		}, 0.6, nil},
 		// Each of these two hosts considers itself the only one of its zone and grants the
 		// whole limit, so together they exceed it. They count as cut off, so their requests
 		// are excused; those of the other hosts must keep to the limit.
-		"its zone's hosts can't be reached, and reach the others": {func(_ context.Context, s *site, _ *needyFleet) {
+		"its zone's hosts can't be reached, and reach the others": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
-			s.lose(s.zoneAddresses(1)...)
+			s.makeUnreachable(s.zoneAddresses(1)...)
 			time.Sleep(10 * time.Second)
-			s.regain(s.zoneAddresses(1)...)
+			s.reconnect(s.zoneAddresses(1)...)
 		}, 0.6, []member.HostID{"z1-h01", "z1-h02"}},
-		"another zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *needyFleet) {
+		"another zone's hosts are cut off from the others": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
-			s.cutOff(s.zoneAddresses(2)...)
+			s.isolate(s.zoneAddresses(2)...)
 			time.Sleep(10 * time.Second)
-			s.regain(s.zoneAddresses(2)...)
+			s.reconnect(s.zoneAddresses(2)...)
 		}, 0.8, nil},
-		"upstreams end again and again, also the one in need": {func(_ context.Context, _ *site, fleet *needyFleet) {
+		"upstreams end again and again, also the one in need": {func(_ context.Context, _ *site, fleet *limitingFleet) {
 			for n := range 10 {
 				time.Sleep(3 * time.Second)
-				fleet.end(member.UpstreamID(fmt.Sprintf("app%02d", n%3)))
+				fleet.endUpstream(member.UpstreamID(fmt.Sprintf("app%02d", n%3)))
 			}
 		}, 0.5, nil},
-		"another upstream leaves": {func(_ context.Context, s *site, _ *needyFleet) {
+		"another upstream leaves": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(12 * time.Second)
 			u, _ := s.firstHost().fleet.Upstream("app02")
 			u.Leaving, u.Revision = true, rev(50)
 			s.origin.publish(Change{Upstream: u})
 		}, 0.8, nil},
-		"it starts again under its id, in need": {func(_ context.Context, s *site, _ *needyFleet) {
+		"it starts again under its id, in need": {func(_ context.Context, s *site, _ *limitingFleet) {
 			for n := range 5 {
 				time.Sleep(5 * time.Second)
 				u, _ := s.firstHost().fleet.Upstream(id)
@@ -138,7 +138,7 @@
 				s.origin.publish(Change{Upstream: u})
 			}
 		}, 0.8, nil},
-		"all are cold at times": {func(_ context.Context, s *site, _ *needyFleet) {
+		"all are cold at times": {func(_ context.Context, s *site, _ *limitingFleet) {
 			for range 3 {
 				time.Sleep(8 * time.Second)
 				for _, f := range s.hosts {
@@ -148,27 +148,27 @@
 				}
 			}
 		}, 0.6, nil},
-		"all hosts are cut off from each other": {func(_ context.Context, s *site, _ *needyFleet) {
+		"all hosts are cut off from each other": {func(_ context.Context, s *site, _ *limitingFleet) {
 			time.Sleep(10 * time.Second)
 			for zone := range 3 {
-				s.cutOff(s.zoneAddresses(zone + 1)...)
+				s.isolate(s.zoneAddresses(zone + 1)...)
 			}
 			time.Sleep(10 * time.Second)
 			for zone := range 3 {
-				s.regain(s.zoneAddresses(zone + 1)...)
+				s.reconnect(s.zoneAddresses(zone + 1)...)
 			}
 		}, 0.6, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limitScenario{
 				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, duration: until,
-				needs: []need{needAfterSettling(id, rate, until)}, disturb: c.happens, coldRate: 10,
-			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
-				rule, aim, used := fleet.rule(id, c.excused...), fleet.aim(id), fleet.used(id, siteSettleTime+contactBound, until, rate)
+				needs: []limitPeriod{needAfterSettling(id, rate, until)}, disturb: c.happens, coldRate: 10,
+			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
+				rule, aim, used := fleet.worstOverTolerance(id, c.excused...), fleet.worstOverLimit(id), fleet.usedFraction(id, siteSettleTime+contactBound, until, rate)
 				t.Logf("%v; used share %.2f; requests %d, served %d", aim, used, tally.requests, tally.served)
-				if rule.broken() {
+				if rule.exceeded() {
 					perHost := map[member.HostID]int{}
-					for _, r := range fleet.got[id] {
+					for _, r := range fleet.requests[id] {
 						if r.at <= rule.at && r.at > rule.at-limitWindow {
 							perHost[r.host]++
 						}
@@ -189,17 +189,17 @@
 func TestChangingLimits(t *testing.T) {
 	const until = 40 * time.Second
 	const id = member.UpstreamID("app00")
-	at := func(from, to time.Duration, rate ratelimit.Rate) need {
-		return need{upstream: id, from: from, until: to, rate: rate}
+	at := func(from, to time.Duration, rate ratelimit.Rate) limitPeriod {
+		return limitPeriod{upstream: id, from: from, until: to, rate: rate}
 	}
 	for name, c := range map[string]struct {
-		needs []need
+		needs []limitPeriod
 		hides func() func() bool
 	}{
-		"8, 2, 8":     {[]need{at(siteSettleTime, 14*time.Second, 8), at(14*time.Second, 24*time.Second, 2), at(24*time.Second, until, 8)}, nil},
-		"0.2 to 20":   {[]need{at(siteSettleTime, 14*time.Second, 0.2), at(14*time.Second, until, 20)}, nil},
-		"none at all": {[]need{at(siteSettleTime, until, 0)}, nil},
-		"named in every other answer": {[]need{at(siteSettleTime, until, 4)}, func() func() bool {
+		"8, 2, 8":     {[]limitPeriod{at(siteSettleTime, 14*time.Second, 8), at(14*time.Second, 24*time.Second, 2), at(24*time.Second, until, 8)}, nil},
+		"0.2 to 20":   {[]limitPeriod{at(siteSettleTime, 14*time.Second, 0.2), at(14*time.Second, until, 20)}, nil},
+		"none at all": {[]limitPeriod{at(siteSettleTime, until, 0)}, nil},
+		"named in every other answer": {[]limitPeriod{at(siteSettleTime, until, 4)}, func() func() bool {
 			var n atomic.Int64
 			return func() bool { return n.Add(1)%2 == 0 }
 		}},
@@ -207,10 +207,10 @@
 		t.Run(name, func(t *testing.T) {
 			limitScenario{
 				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, duration: until, needs: c.needs, hides: c.hides,
-			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
-				rule := fleet.rule(id)
-				t.Logf("%v; %d requests in total", fleet.aim(id), fleet.count(id, siteSettleTime, until))
-				if rule.broken() {
+			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
+				rule := fleet.worstOverTolerance(id)
+				t.Logf("%v; %d requests in total", fleet.worstOverLimit(id), fleet.requestCount(id, siteSettleTime, until))
+				if rule.exceeded() {
 					t.Errorf("upstream %s got too many requests: %v", id, rule)
 				}
 			})
@@ -227,12 +227,12 @@
 			t.Run(name+", "+load, func(t *testing.T) {
 				limitScenario{
 					zones: 3, hostsPerZone: 3, upstreams: 3, path: "/order/", perSecond: 90, duration: until, atOneHost: atOneHost,
-					needs: []need{needAfterSettling("app01", rate, over)},
-				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
+					needs: []limitPeriod{needAfterSettling("app01", rate, over)},
+				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
 					// The third zone's upstream, app02, gets comparable traffic with both
 					// loads.
 					part := func(from, to time.Duration) float64 {
-						return float64(fleet.count("app01", from, to)) / float64(fleet.count("app02", from, to))
+						return float64(fleet.requestCount("app01", from, to)) / float64(fleet.requestCount("app02", from, to))
 					}
 					const step = time.Second
 					fit := time.Duration(0)
@@ -261,7 +261,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		fleet := newNeedyFleet(needAfterSettling("app00", 4, time.Hour), needAfterSettling("app01", 4, time.Hour), needAfterSettling("app02", 4, time.Hour))
+		fleet := newLimitingFleet(needAfterSettling("app00", 4, time.Hour), needAfterSettling("app01", 4, time.Hour), needAfterSettling("app02", 4, time.Hour))
 		s := newLimitSite(fleet, 3, 2, 3)
 		s.serveAll(ctx)
 		time.Sleep(siteSettleTime)
@@ -281,7 +281,7 @@
 			send(s.nthHost(4), 1)
 			time.Sleep(20 * time.Millisecond)
 		}
-		s.regain(address)
+		s.reconnect(address)
 		send(s.firstHost(), 250)
 		for range 300 {
 			send(s.firstHost(), 1)
@@ -289,10 +289,10 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		for _, id := range []member.UpstreamID{"app00", "app01", "app02"} {
-			if rule := fleet.rule(id); rule.broken() {
+			if rule := fleet.worstOverTolerance(id); rule.exceeded() {
 				t.Errorf("upstream %s got too many requests: %v", id, rule)
 			}
-			t.Logf("%s: %v", id, fleet.aim(id))
+			t.Logf("%s: %v", id, fleet.worstOverLimit(id))
 		}
 		cancel()
 		synctest.Wait()
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -41,7 +41,7 @@
 	// hosts, or all at the first host if atOneHost is set.
 	perSecond float64
 	atOneHost bool
-	needs     []need
+	needs     []limitPeriod
 	duration  time.Duration
 	// hides returns the function that decides which responses omit the limit; nil omits it in
 	// none.
@@ -49,7 +49,7 @@
 	// coldRate is the rate limit of a cold plain upstream; zero sets none.
 	coldRate float64
 	// disturb runs during the scenario and causes faults on the site.
-	disturb func(ctx context.Context, s *site, fleet *needyFleet)
+	disturb func(ctx context.Context, s *site, fleet *limitingFleet)
 	// onPermitCount, if set, receives the number of permit requests between hosts.
 	onPermitCount func(n int64)
 }
@@ -101,14 +101,14 @@
 const siteSettleTime = 4 * time.Second
 
 // run runs the scenario with a random seed, and passes the outcome to judge.
-func (d limitScenario) run(t *testing.T, seed uint64, judge func(*testing.T, *needyFleet, *limitTally)) {
+func (d limitScenario) run(t *testing.T, seed uint64, judge func(*testing.T, *limitingFleet, *limitTally)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		fleet, tally := newNeedyFleet(d.needs...), &limitTally{}
+		fleet, tally := newLimitingFleet(d.needs...), &limitTally{}
 		if d.hides != nil {
-			fleet.hides = d.hides()
+			fleet.hidesLimit = d.hides()
 		}
 		s := newLimitSite(fleet, d.zones, d.hostsPerZone, d.upstreams)
 		s.origin.config.Services[0].ColdRate = d.coldRate
@@ -137,7 +137,7 @@
 		}
 		under.Wait()
 		if d.onPermitCount != nil {
-			d.onPermitCount(s.permits.Load())
+			d.onPermitCount(s.permitCalls.Load())
 		}
 		judge(t, fleet, tally)
 		cancel()
@@ -146,10 +146,10 @@
 }
 
 // newLimitSite returns a site with hosts in several zones and upstreams that announce limits.
-func newLimitSite(fleet *needyFleet, zones, hostsPerZone, upstreams int) *site {
+func newLimitSite(fleet *limitingFleet, zones, hostsPerZone, upstreams int) *site {
 	s := newCrashSiteOf(fleet.fakeFleet, zones, hostsPerZone, upstreams)
 	for _, f := range s.hosts {
-		f.transport = &fakeTransport{send: fleet.sendFrom(f.settings.Self.ID), reach: fleet.Reach}
+		f.transport = &fakeTransport{send: fleet.sendFrom(f.settings.Self.ID), checkReachable: fleet.checkReachable}
 	}
 	return s
 }
@@ -174,8 +174,8 @@
 }
 
 // needAfterSettling returns a need that lasts from siteSettleTime until the given time.
-func needAfterSettling(id member.UpstreamID, rate ratelimit.Rate, until time.Duration) need {
-	return need{upstream: id, from: siteSettleTime, until: until, rate: rate}
+func needAfterSettling(id member.UpstreamID, rate ratelimit.Rate, until time.Duration) limitPeriod {
+	return limitPeriod{upstream: id, from: siteSettleTime, until: until, rate: rate}
 }
 
 // TestAnnouncedLimits checks that all hosts together do not send more than the tolerated
@@ -183,10 +183,10 @@
 func TestAnnouncedLimits(t *testing.T) {
 	limitScenario{
 		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 36, duration: 18 * time.Second,
-		needs: []need{needAfterSettling("app00", 4, 18*time.Second), needAfterSettling("app01", 2.8, 18*time.Second)},
-	}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, _ *limitTally) {
+		needs: []limitPeriod{needAfterSettling("app00", 4, 18*time.Second), needAfterSettling("app01", 2.8, 18*time.Second)},
+	}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, _ *limitTally) {
 		for _, id := range []member.UpstreamID{"app00", "app01"} {
-			if w := fleet.rule(id); w.broken() {
+			if w := fleet.worstOverTolerance(id); w.exceeded() {
 				t.Errorf("upstream %s got too many requests: %v", id, w)
 			}
 		}
@@ -211,28 +211,28 @@
 		if d.path == "/llm/" || d.path == "/resumable/" {
 			service, until = "llm", 18*time.Second
 		}
-		at := func(n int, rate ratelimit.Rate) need {
+		at := func(n int, rate ratelimit.Rate) limitPeriod {
 			return needAfterSettling(member.UpstreamID(fmt.Sprintf("%s%02d", service, n)), rate, until)
 		}
 		d.zones, d.hostsPerZone, d.upstreams, d.duration = 3, 3, 5, until
-		for kind, needs := range map[string][]need{
+		for kind, needs := range map[string][]limitPeriod{
 			"one": {at(0, 2)},
 			"two": {at(0, 2.8), at(1, 1.2)},
 			"all": {at(0, 2), at(1, 0.4), at(2, 3.5), at(3, 2), at(4, 2.8)},
 		} {
 			t.Run(name+", "+kind, func(t *testing.T) {
 				d.needs = needs
-				d.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
+				d.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 					got, takes := 0, 0.0
 					for _, n := range needs {
-						got += fleet.count(n.upstream, from, until)
+						got += fleet.requestCount(n.upstream, from, until)
 						takes += float64(n.rate) * (until - from).Seconds()
-						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, from, until, n.rate)
+						rule, aim, used := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream), fleet.usedFraction(n.upstream, from, until, n.rate)
 						t.Logf("upstream %s with a limit of %v per second: %v; used share %.2f", n.upstream, float64(n.rate), aim, used)
-						if rule.broken() {
+						if rule.exceeded() {
 							t.Errorf("upstream %s got too many requests: %v", n.upstream, rule)
 						}
-						if aim.broken() {
+						if aim.exceeded() {
 							t.Errorf("upstream %s got more than its limit: %v", n.upstream, aim)
 						}
 						// The choice of an engine for a stream depends on more than the
@@ -262,18 +262,18 @@
 			continue
 		}
 		t.Run(fmt.Sprintf("%d hosts", size.zones*size.hostsPerZone), func(t *testing.T) {
-			var needs []need
+			var needs []limitPeriod
 			for n := range 10 {
 				needs = append(needs, needAfterSettling(member.UpstreamID(fmt.Sprintf("llm%02d", n)), ratelimit.Rate(1+n%3), until))
 			}
 			limitScenario{
 				zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 10, path: "/llm/", perSecond: 60, needs: needs, duration: until,
-			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
+			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 				got, takes := 0, 0.0
 				for _, n := range needs {
-					got += fleet.count(n.upstream, siteSettleTime+contactBound, until)
+					got += fleet.requestCount(n.upstream, siteSettleTime+contactBound, until)
 					takes += float64(n.rate) * (until - siteSettleTime - contactBound).Seconds()
-					if rule, aim := fleet.rule(n.upstream), fleet.aim(n.upstream); rule.broken() || aim.broken() {
+					if rule, aim := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream); rule.exceeded() || aim.exceeded() {
 						t.Errorf("upstream %s got more than its limit: %v; tolerated maximum: %v", n.upstream, aim, rule)
 					}
 				}
@@ -297,16 +297,16 @@
 		}
 		for load, atOneHost := range map[string]bool{"all hosts": false, "one host": true} {
 			t.Run(fmt.Sprintf("%d hosts, %s", size.zones*size.hostsPerZone, load), func(t *testing.T) {
-				needs := []need{needAfterSettling("app00", 0.2, until), needAfterSettling("app01", 4, until), needAfterSettling("app02", 27, until)}
+				needs := []limitPeriod{needAfterSettling("app00", 0.2, until), needAfterSettling("app01", 4, until), needAfterSettling("app02", 27, until)}
 				var asks int64
 				limitScenario{
 					zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 6, path: "/order/", perSecond: 300, atOneHost: atOneHost,
 					needs: needs, duration: until, onPermitCount: func(n int64) { asks = n },
-				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *needyFleet, tally *limitTally) {
+				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 					for _, n := range needs {
-						rule, aim, used := fleet.rule(n.upstream), fleet.aim(n.upstream), fleet.used(n.upstream, siteSettleTime+contactBound, until, n.rate)
+						rule, aim, used := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream), fleet.usedFraction(n.upstream, siteSettleTime+contactBound, until, n.rate)
 						t.Logf("upstream %s with a limit of %v per second: %v; used share %.2f", n.upstream, float64(n.rate), aim, used)
-						if rule.broken() || aim.broken() {
+						if rule.exceeded() || aim.exceeded() {
 							t.Errorf("upstream %s got more than its limit: %v; tolerated maximum: %v", n.upstream, aim, rule)
 						}
 						if used < minLimitUsage && n.rate >= 1 {
--- a/forward/noupstream.go
+++ b/forward/noupstream.go
@@ -32,7 +32,7 @@
 		return x.backoffs.OnlyThisHost(now, u.ID) && x.backoffs.Remaining(now, u.ID) > throttledRetrySpread
 	}
 	if slices.ContainsFunc(accepting, alone) && x.peers.hasPeerInZone(now) {
-		r.RetryAfter = retryElsewhere
+		r.RetryAfter = otherHostRetryAfter
 	}
 	return r
 }
@@ -68,7 +68,7 @@
 	case throttled > 0:
 		// Other upstreams accept requests, and a caller that retries uses none of this host's
 		// retry budget.
-		r.RetryAfter = retryElsewhere
+		r.RetryAfter = otherHostRetryAfter
 	}
 	return r
 }
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -60,14 +60,14 @@
 		d.send(d.hostAt(n), path, body)
 		time.Sleep(100 * time.Millisecond)
 	}
-	if _, all := d.fleet.after(body, 3, 0); all != 3 {
+	if _, all := d.fleet.arrivalsAfter(body, 3, 0); all != 3 {
 		d.Fatalf("%d upstreams ended under request %q, want 3", all, body)
 	}
 }
 
 // lostWithEngine reports whether a stream was lost together with its engine.
 func lostWithEngine(sink *fakeSink) bool {
-	return sink.cut || sink.refused != nil && sink.refused.MayHaveRun
+	return sink.truncated || sink.refused != nil && sink.refused.MayHaveRun
 }
 
 // heldBackAt reports whether a host refuses a request at once because it is quarantined.
@@ -82,9 +82,9 @@
 func TestQuarantineReachesEveryHost(t *testing.T) {
 	t.Run("at all that reach each other, at once", func(t *testing.T) {
 		runCrashScenario(t, func(d *crashScenario) {
-			d.crashThreeUpstreams("/llm/", crashing)
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			for n := range 6 {
-				if !d.heldBackAt(d.hostAt(n), "/llm/", crashing) {
+				if !d.heldBackAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends the quarantined request", n)
 				}
 			}
@@ -93,44 +93,44 @@
 	t.Run("at one that was cut off, when it is back", func(t *testing.T) {
 		runCrashScenario(t, func(d *crashScenario) {
 			cut := d.hostAt(5)
-			d.lose(cut.settings.Self.PeerAddress)
+			d.makeUnreachable(cut.settings.Self.PeerAddress)
 			d.freeze(cut.settings.Self.PeerAddress)
 			time.Sleep(100 * time.Millisecond)
-			d.crashThreeUpstreams("/llm/", crashing)
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			time.Sleep(10 * time.Second)
-			d.regain(cut.settings.Self.PeerAddress)
+			d.reconnect(cut.settings.Self.PeerAddress)
 			time.Sleep(contactBound)
-			if !d.heldBackAt(cut, "/llm/", crashing) {
+			if !d.heldBackAt(cut, "/llm/", crashingPrefix) {
 				d.Errorf("the host that was cut off sends the quarantined request after its return")
 			}
 		})
 	})
 	t.Run("at one that starts, and under a name that is known", func(t *testing.T) {
 		runCrashScenario(t, func(d *crashScenario) {
-			d.crashThreeUpstreams("/llm/", crashing)
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			time.Sleep(time.Second)
 			old := d.hostAt(5)
 			again := New(old.settings, old.transport, silentJournal{}, silentObserver{})
-			d.replace(again)
+			d.replaceHost(again)
 			d.start(d.ctx, again)
 			go again.Run(d.ctx)
 			time.Sleep(contactBound)
-			if !d.heldBackAt(again, "/llm/", crashing) {
+			if !d.heldBackAt(again, "/llm/", crashingPrefix) {
 				d.Errorf("the restarted host sends the quarantined request")
 			}
 		})
 	})
 	t.Run("at all of them, when all have ended at once", func(t *testing.T) {
 		runCrashScenario(t, func(d *crashScenario) {
-			d.origin.lost.Store(true)
-			d.crashThreeUpstreams("/llm/", crashing)
+			d.origin.unavailable.Store(true)
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			time.Sleep(time.Second)
-			d.origin.lost.Store(false)
+			d.origin.unavailable.Store(false)
 			time.Sleep(3 * time.Second)
 			d.restartAll()
 			time.Sleep(contactBound)
 			for n := range 6 {
-				if !d.heldBackAt(d.hostAt(n), "/llm/", crashing) {
+				if !d.heldBackAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends the quarantined request", n)
 				}
 			}
@@ -138,7 +138,7 @@
 	})
 	t.Run("no more, when it was let through before all ended", func(t *testing.T) {
 		runCrashScenario(t, func(d *crashScenario) {
-			d.crashThreeUpstreams("/llm/", crashing)
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			time.Sleep(time.Second)
 			print := d.hostAt(0).Quarantined()[0].Request
 			if _, released := d.hostAt(3).OnQuarantine(&print); !released {
@@ -147,19 +147,19 @@
 			time.Sleep(time.Second)
 			d.restartAll()
 			time.Sleep(contactBound)
-			if d.heldBackAt(d.hostAt(0), "/llm/", crashing) {
+			if d.heldBackAt(d.hostAt(0), "/llm/", crashingPrefix) {
 				d.Errorf("the released request is held back again after all hosts restarted")
 			}
 		})
 	})
 	t.Run("when the hosts that saw it are gone", func(t *testing.T) {
 		runCrashScenario(t, func(d *crashScenario) {
-			d.crashThreeUpstreams("/llm/", crashing)
+			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			for n := range 3 {
-				d.lose(d.hostAt(n).settings.Self.PeerAddress)
+				d.makeUnreachable(d.hostAt(n).settings.Self.PeerAddress)
 			}
 			for n := 3; n < 6; n++ {
-				if !d.heldBackAt(d.hostAt(n), "/llm/", crashing) {
+				if !d.heldBackAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends the quarantined request", n)
 				}
 			}
@@ -199,7 +199,7 @@
 	for n := range 6 {
 		old := d.hostAt(n)
 		again := New(old.settings, old.transport, silentJournal{}, silentObserver{})
-		d.replace(again)
+		d.replaceHost(again)
 		fresh = append(fresh, again)
 	}
 	for _, f := range fresh {
@@ -214,18 +214,18 @@
 func TestQuarantineOfRequestsInFlight(t *testing.T) {
 	runCrashScenario(t, func(d *crashScenario) {
 		is := is.New(d.T)
-		d.send(d.hostAt(0), "/llm/", crashing)
-		d.send(d.hostAt(1), "/llm/", crashing)
+		d.send(d.hostAt(0), "/llm/", crashingPrefix)
+		d.send(d.hostAt(1), "/llm/", crashingPrefix)
 		// Four more requests arrive at once at different hosts, 200 ms after the one that
 		// ends the third upstream. That upstream ends 190 ms later, before they end theirs.
 		third := make(chan *fakeSink, 1)
-		go func() { third <- d.send(d.hostAt(2), "/llm/", crashing) }()
+		go func() { third <- d.send(d.hostAt(2), "/llm/", crashingPrefix) }()
 		time.Sleep(200 * time.Millisecond)
 		sinks := make(chan *fakeSink, 4)
 		for n := range 4 {
 			go func() {
 				sink := &fakeSink{}
-				d.hostAt(n).Serve(d.ctx, crashCall("/llm/", crashing, 100+n), sink)
+				d.hostAt(n).Serve(d.ctx, crashCall("/llm/", crashingPrefix, 100+n), sink)
 				sinks <- sink
 			}()
 		}
@@ -233,7 +233,7 @@
 		for range 4 {
 			is.Equal((<-sinks).refused.Code, CodeQuarantined)
 		}
-		_, all := d.fleet.after(crashing, 3, 0)
+		_, all := d.fleet.arrivalsAfter(crashingPrefix, 3, 0)
 		is.Equal(all, 3)
 	})
 }
@@ -248,7 +248,7 @@
 			for n := range 3 {
 				only := fmt.Sprintf("llm%02d", n)
 				d.keepOnlyEngines(only)
-				go d.send(d.hostAt(n), "/llm/", crashing)
+				go d.send(d.hostAt(n), "/llm/", crashingPrefix)
 				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
 			d.keepOnlyEngines("llm05")
@@ -262,11 +262,11 @@
 			is := is.New(d.T)
 			for n := range 2 {
 				d.keepOnlyEngines(fmt.Sprintf("llm%02d", n))
-				go d.send(d.hostAt(n), "/llm/", crashing)
+				go d.send(d.hostAt(n), "/llm/", crashingPrefix)
 				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
 			d.keepOnlyEngines("llm05")
-			is.True(lostWithEngine(d.send(d.hostAt(0), "/llm/", crashing)))
+			is.True(lostWithEngine(d.send(d.hostAt(0), "/llm/", crashingPrefix)))
 			time.Sleep(100 * time.Millisecond)
 			for n := range 6 {
 				entries := d.hostAt(n).crashes.Entries(time.Now())
@@ -280,13 +280,13 @@
 			is := is.New(d.T)
 			for n := range 2 {
 				d.keepOnlyEngines(fmt.Sprintf("llm%02d", n))
-				go d.send(d.hostAt(n), "/llm/", crashing)
+				go d.send(d.hostAt(n), "/llm/", crashingPrefix)
 				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
 			d.keepOnlyEngines("llm05")
 			is.Equal(d.send(d.hostAt(3), "/llm/", "good").refused, nil)
 			d.keepOnlyEngines("llm06")
-			go d.send(d.hostAt(0), "/llm/", crashing)
+			go d.send(d.hostAt(0), "/llm/", crashingPrefix)
 			is.True(lostWithEngine(d.send(d.hostAt(0), "/llm/", "good")))
 			d.keepOnlyEngines("llm07")
 			is.Equal(d.send(d.hostAt(4), "/llm/", "good").refused, nil)
@@ -297,8 +297,8 @@
 			is := is.New(d.T)
 			for n := range 5 {
 				go func() {
-					time.Sleep(fakeReads / 2)
-					d.fleet.reset()
+					time.Sleep(fakeFirstEventDelay / 2)
+					d.fleet.breakConnections()
 				}()
 				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
@@ -312,12 +312,12 @@
 				only := fmt.Sprintf("llm%02d", n)
 				d.keepOnlyEngines(only)
 				go func() {
-					time.Sleep(fakeReads / 2)
+					time.Sleep(fakeFirstEventDelay / 2)
 					for _, f := range d.hosts {
 						f.fleet.MarkLeaving(time.Now(), member.UpstreamID(only), 0, false)
 					}
 					time.Sleep(minLeavingNotice)
-					d.fleet.end(member.UpstreamID(only))
+					d.fleet.endUpstream(member.UpstreamID(only))
 				}()
 				is.True(lostWithEngine(d.send(d.hostAt(n), "/llm/", "good")))
 			}
@@ -328,18 +328,18 @@
 	t.Run("long under way when its engines end", func(t *testing.T) {
 		runCrashScenario(t, func(d *crashScenario) {
 			is := is.New(d.T)
-			d.fleet.events = 100
+			d.fleet.eventCount = 100
 			for n := range 4 {
 				only := fmt.Sprintf("llm%02d", n)
 				d.keepOnlyEngines(only)
 				go func() {
-					time.Sleep(fakeReads + crashAttributionWindow + time.Second)
-					d.fleet.end(member.UpstreamID(only))
+					time.Sleep(fakeFirstEventDelay + crashAttributionWindow + time.Second)
+					d.fleet.endUpstream(member.UpstreamID(only))
 				}()
-				is.True(d.send(d.hostAt(n), "/llm/", "good").cut)
+				is.True(d.send(d.hostAt(n), "/llm/", "good").truncated)
 			}
 			d.keepOnlyEngines("llm08")
-			is.True(!d.send(d.hostAt(0), "/llm/", "good").cut)
+			is.True(!d.send(d.hostAt(0), "/llm/", "good").truncated)
 		})
 	})
 }
--- a/forward/rollouts_test.go
+++ b/forward/rollouts_test.go
@@ -31,8 +31,8 @@
 func (o *rolloutOrigin) Record(_ context.Context, s rollout.Status, over history.Point) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.lost.Load() {
-		return errGone
+	if o.unavailable.Load() {
+		return errConnectionLost
 	}
 	if o.records[s.Service].Recorded != over {
 		return ErrRecordChanged
@@ -61,8 +61,8 @@
 	o.siteOrigin.mu.Lock()
 	defer o.siteOrigin.mu.Unlock()
 	o.rollouts, o.rolloutRecords = append(o.rollouts, orders...), append(o.rolloutRecords, records...)
-	o.rolloutsAt = rev(int(o.nextRevision))
-	o.tell()
+	o.rolloutsRevision = rev(int(o.nextRevision))
+	o.wakeWatches()
 }
 
 // rolloutScenario moves a service to another version while faults occur on the site.
@@ -117,23 +117,23 @@
 		for range 3 {
 			time.Sleep(2 * time.Second)
 			first := s.firstHost()
-			s.lose(first.settings.Self.PeerAddress)
+			s.makeUnreachable(first.settings.Self.PeerAddress)
 			time.Sleep(time.Second)
-			s.regain(first.settings.Self.PeerAddress)
+			s.reconnect(first.settings.Self.PeerAddress)
 			s.restartRolloutHost(ctx, o, first)
 		}
 	}
 	cut.disturb = func(_ context.Context, s *site, _ *rolloutOrigin) {
 		time.Sleep(2 * time.Second)
-		s.cutOff(s.zoneAddresses(2)...)
+		s.isolate(s.zoneAddresses(2)...)
 		time.Sleep(4 * time.Second)
-		s.regain(s.zoneAddresses(2)...)
+		s.reconnect(s.zoneAddresses(2)...)
 	}
 	storeAway.disturb = func(_ context.Context, _ *site, o *rolloutOrigin) {
 		time.Sleep(time.Second)
-		o.lost.Store(true)
+		o.unavailable.Store(true)
 		time.Sleep(4 * time.Second)
-		o.lost.Store(false)
+		o.unavailable.Store(false)
 	}
 	later := bad(base)
 	later.failsFrom = 8 * time.Second
@@ -154,7 +154,7 @@
 func (s *site) restartRolloutHost(ctx context.Context, o *rolloutOrigin, old *Forwarder) {
 	f := New(old.settings, old.transport, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 1000, Window: 10 * time.Second})
-	s.replace(f)
+	s.replaceHost(f)
 	s.start(ctx, f)
 	go f.Run(ctx)
 	go f.RunRollouts(ctx, o)
@@ -166,7 +166,7 @@
 	random, failures := rand.New(rand.NewPCG(1, 2)), rand.New(rand.NewPCG(3, 4))
 	var failuresMu sync.Mutex
 	fleet, tally := newFakeFleet(), &rolloutTally{}
-	fleet.events = 40 // runs that are not moved end by themselves
+	fleet.eventCount = 40 // runs that are not moved end by themselves
 	s := newCrashSiteOf(fleet, d.zones, d.hostsPerZone, 6)
 	o := &rolloutOrigin{siteOrigin: s.origin, records: map[ServiceName]rollout.Status{}, recordedAt: map[rollout.Phase]time.Time{}, nextRevision: 100}
 	var given time.Time
@@ -193,13 +193,13 @@
 			tally.mu.Lock()
 			tally.failedAt = append(tally.failedAt, now)
 			tally.mu.Unlock()
-			time.Sleep(fakeCallTakes)
+			time.Sleep(fakeCallDuration)
 			return answer(500, "broken"), nil
 		}
 		return fleet.Send(ctx, u, out)
 	}
 	for _, f := range s.hosts {
-		f.transport = &fakeTransport{send: send, reach: fleet.Reach}
+		f.transport = &fakeTransport{send: send, checkReachable: fleet.checkReachable}
 		f.settings.RolloutLimits = rollout.Limits{Share: 0.1, Slack: 50}
 		go f.RunRollouts(ctx, o)
 	}
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -17,23 +17,24 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Upstreams that tell about themselves, while hosts and upstreams start again, hosts are cut
-// off and entries of the list lapse.
+// Tests of upstreams that signal that they leave or ask for backoff, while hosts and upstreams
+// restart, hosts are cut off and entries of the list lapse.
 
-// startAgain has another process be in a host's place, which knows nothing.
-func (s *site) startAgain(ctx context.Context, fleet *signalFleet, old *Forwarder) {
-	f := New(old.settings, signalTransport{fleet, old.settings.Self.ID}, silentJournal{}, silentObserver{})
+// replaceWithNewProcess replaces a host by a new process that knows nothing.
+func (s *site) replaceWithNewProcess(ctx context.Context, fleet *signalFleet, replaced *Forwarder) {
+	f := New(replaced.settings, signalTransport{fleet, replaced.settings.Self.ID}, silentJournal{}, silentObserver{})
 	f.SetRetryLimit(RetryLimit{Ratio: 0.2, Slack: 60, Window: 10 * time.Second})
-	s.replace(f)
+	s.replaceHost(f)
 	s.start(ctx, f)
 	go f.Run(ctx)
 }
 
-// TestLeavingIsBelievedUnderFaults has an upstream that leaves get nothing until it starts again.
-func TestLeavingIsBelievedUnderFaults(t *testing.T) {
+// TestLeavingHoldsUnderFaults checks that an upstream that leaves gets no requests until it
+// restarts.
+func TestLeavingHoldsUnderFaults(t *testing.T) {
 	const from, until = 5 * time.Second, 16 * time.Second
 	const id = member.UpstreamID("app00")
-	lapse := func(back time.Duration) func(context.Context, *site, *signalFleet) {
+	lapseFor := func(back time.Duration) func(context.Context, *site, *signalFleet) {
 		return func(_ context.Context, s *site, _ *signalFleet) {
 			time.Sleep(6 * time.Second)
 			u, _ := s.firstHost().fleet.Upstream(id)
@@ -44,7 +45,7 @@
 			s.origin.publish(Change{Upstream: u})
 		}
 	}
-	again := func(before, after Incarnation, address string) func(context.Context, *site, *signalFleet) {
+	restart := func(before, after Incarnation, address string) func(context.Context, *site, *signalFleet) {
 		return func(_ context.Context, s *site, fleet *signalFleet) {
 			time.Sleep(3 * time.Second)
 			u, _ := s.firstHost().fleet.Upstream(id)
@@ -52,93 +53,95 @@
 			s.origin.publish(Change{Upstream: u})
 			time.Sleep(5 * time.Second)
 			fleet.mu.Lock()
-			fleet.spells = nil
-			fleet.told = map[member.UpstreamID]map[member.HostID][]toldSignal{}
+			fleet.periods = nil
+			fleet.received = map[member.UpstreamID]map[member.HostID][]receivedSignal{}
 			fleet.mu.Unlock()
 			u.Incarnation, u.Revision, u.Address = after, rev(50), address
 			s.origin.publish(Change{Upstream: u})
 		}
 	}
 	for name, c := range map[string]struct {
-		happens              func(context.Context, *site, *signalFleet)
-		storeLost, storeBack time.Duration
-		// quietFrom is from when no host sends anything to the upstream, told or not; zero
-		// doesn't ask that.
+		disturb                  func(context.Context, *site, *signalFleet)
+		storeLostAt, storeBackAt time.Duration
+		// quietFrom is from when no host may send requests to the upstream, whether it
+		// received the signal or not; zero skips the check.
 		quietFrom time.Duration
-		// returns says that the upstream has to get requests at the end.
-		returns bool
+		// servesAgain says that the upstream has to get requests at the end.
+		servesAgain bool
 	}{
 		"hosts hear it from each other":             {quietFrom: from + contactBound},
-		"its entry lapses for 1 s":                  {happens: lapse(time.Second)},
-		"its entry lapses for 5 s":                  {happens: lapse(5 * time.Second)},
-		"the store is away until it has long ended": {storeLost: 3 * time.Second, storeBack: 15 * time.Second, quietFrom: from + contactBound},
+		"its entry lapses for 1 s":                  {disturb: lapseFor(time.Second)},
+		"its entry lapses for 5 s":                  {disturb: lapseFor(5 * time.Second)},
+		"the store is away until it has long ended": {storeLostAt: 3 * time.Second, storeBackAt: 15 * time.Second, quietFrom: from + contactBound},
 		"hosts start again while the store is away": {
-			storeLost: 3 * time.Second, storeBack: 15 * time.Second, quietFrom: 12 * time.Second,
-			happens: func(ctx context.Context, s *site, fleet *signalFleet) {
+			storeLostAt: 3 * time.Second, storeBackAt: 15 * time.Second, quietFrom: 12 * time.Second,
+			disturb: func(ctx context.Context, s *site, fleet *signalFleet) {
 				time.Sleep(8 * time.Second)
 				for n := range 3 {
-					s.startAgain(ctx, fleet, s.nthHost(n))
+					s.replaceWithNewProcess(ctx, fleet, s.nthHost(n))
 					time.Sleep(time.Second)
 				}
 			},
 		},
 		"hosts are cut off from each other and the store": {
-			storeLost: 3 * time.Second, storeBack: 15 * time.Second,
-			happens: func(_ context.Context, s *site, _ *signalFleet) {
+			storeLostAt: 3 * time.Second, storeBackAt: 15 * time.Second,
+			disturb: func(_ context.Context, s *site, _ *signalFleet) {
 				time.Sleep(4 * time.Second)
 				for zone := range 3 {
-					s.cutOff(s.zoneAddresses(zone + 1)...)
+					s.isolate(s.zoneAddresses(zone + 1)...)
 				}
 			},
 		},
-		"it starts again under its id":   {returns: true, happens: again(1, 2, "10.9.9.1:80")},
-		"it starts again at its address": {returns: true, happens: again(1, 2, "10.9.0.1:80")},
+		"it starts again under its id":   {servesAgain: true, disturb: restart(1, 2, "10.9.9.1:80")},
+		"it starts again at its address": {servesAgain: true, disturb: restart(1, 2, "10.9.0.1:80")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := signalDay{
-				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 30, lasts: until,
-				spells:    []spell{{upstream: id, leaving: true, from: from, until: until}},
-				storeLost: c.storeLost, storeBack: c.storeBack, happens: c.happens,
+				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", requestsPerSecond: 30, duration: until,
+				periods:     []signalPeriod{{upstream: id, leaving: true, from: from, until: until}},
+				storeLostAt: c.storeLostAt, storeBackAt: c.storeBackAt, disturb: c.disturb,
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
 				t.Log(tally)
-				report(t, "rule", fleet.drainRule())
-				if n := fleet.got(id, c.quietFrom, until); c.quietFrom > 0 && n > 0 {
-					t.Errorf("it got %d requests from %v on", n, c.quietFrom)
+				reportViolations(t, "after the drain time", fleet.drainViolations())
+				if n := fleet.requestCount(id, c.quietFrom, until); c.quietFrom > 0 && n > 0 {
+					t.Errorf("upstream %s got %d requests from %v on, expected none", id, n, c.quietFrom)
 				}
-				if n := fleet.got(id, until-4*time.Second, until); c.returns && n < 15 {
-					t.Errorf("it got only %d requests after it had started again", n)
+				if n := fleet.requestCount(id, until-4*time.Second, until); c.servesAgain && n < 15 {
+					t.Errorf("upstream %s got %d requests in the last 4 s, after its restart, expected at least 15", id, n)
 				}
-				if tally.good < tally.asked {
-					t.Errorf("not all were served: %v", tally)
+				if tally.served < tally.calls {
+					t.Errorf("callers served: %d of %d (%v)", tally.served, tally.calls, tally)
 				}
 			})
 		})
 	}
 }
 
-// TestRunsLeaveAnEngineThatSaysItLeaves has no stream cut when the engine ends after the drain time.
-func TestRunsLeaveAnEngineThatSaysItLeaves(t *testing.T) {
+// TestRunsMoveOffLeavingEngine checks that no stream is cut when an engine that reported that
+// it leaves ends after the drain time.
+func TestRunsMoveOffLeavingEngine(t *testing.T) {
 	const from = 6 * time.Second
 	d := signalDay{
-		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/llm/", perSecond: 6, lasts: 12 * time.Second,
-		spells:    []spell{{upstream: "llm00", leaving: true, from: from, until: from + drainBound}},
-		storeLost: 4 * time.Second, storeBack: 14 * time.Second,
-		happens: func(_ context.Context, _ *site, fleet *signalFleet) {
-			time.Sleep(from + drainBound)
-			fleet.end("llm00")
+		zones: 3, hostsPerZone: 2, upstreams: 3, path: "/llm/", requestsPerSecond: 6, duration: 12 * time.Second,
+		periods:     []signalPeriod{{upstream: "llm00", leaving: true, from: from, until: from + leavingDrainTime}},
+		storeLostAt: 4 * time.Second, storeBackAt: 14 * time.Second,
+		disturb: func(_ context.Context, _ *site, fleet *signalFleet) {
+			time.Sleep(from + leavingDrainTime)
+			fleet.endUpstream("llm00")
 		},
 	}
 	d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-		t.Log(tally, "calls about runs", len(fleet.arrivals["llm00"])-fleet.got("llm00", 0, d.lasts))
-		report(t, "rule", fleet.drainRule())
-		if tally.cut > 0 {
-			t.Errorf("callers: %v", tally)
+		t.Log(tally, "calls of the hosts themselves to llm00", len(fleet.arrivals["llm00"])-fleet.requestCount("llm00", 0, d.duration))
+		reportViolations(t, "after the drain time", fleet.drainViolations())
+		if tally.truncated > 0 {
+			t.Errorf("%d streams were cut, expected none (%v)", tally.truncated, tally)
 		}
 	})
 }
 
-// TestLeavingReachesEveryHost has all hosts stop sending within the contact bound, with the store away.
+// TestLeavingReachesEveryHost checks that all hosts stop sending to an upstream that leaves
+// within the contact bound while the store is unavailable.
 func TestLeavingReachesEveryHost(t *testing.T) {
 	const from, until = 5 * time.Second, 12 * time.Second
 	for _, size := range []struct{ zones, hostsPerZone int }{{3, 3}, {3, 20}, {5, 60}} {
@@ -148,26 +151,27 @@
 		t.Run(fmt.Sprint(size.zones*size.hostsPerZone, " hosts"), func(t *testing.T) {
 			d := signalDay{
 				zones: size.zones, hostsPerZone: size.hostsPerZone, upstreams: 2 * size.zones, path: "/order/",
-				perSecond: 40 * float64(size.zones), lasts: until, storeLost: 4 * time.Second, storeBack: 14 * time.Second,
-				spells: []spell{{upstream: "app00", leaving: true, from: from, until: until}},
+				requestsPerSecond: 40 * float64(size.zones), duration: until, storeLostAt: 4 * time.Second, storeBackAt: 14 * time.Second,
+				periods: []signalPeriod{{upstream: "app00", leaving: true, from: from, until: until}},
 			}
 			d.play(t, *signalSeedFlag, func(t *testing.T, fleet *signalFleet, tally *signalTally) {
-				t.Logf("%v; it got %d requests after it had told the first host", tally, fleet.got("app00", from, until))
-				report(t, "rule", fleet.drainRule())
-				report(t, "aim", fleet.drainAim())
-				if n := fleet.got("app00", from+contactBound, until); n > 0 {
-					t.Errorf("it got %d requests later than the contact bound", n)
+				t.Logf("%v; app00 got %d requests from the start of its signal on", tally, fleet.requestCount("app00", from, until))
+				reportViolations(t, "after the drain time", fleet.drainViolations())
+				reportViolations(t, "after the signal", fleet.strictDrainViolations())
+				if n := fleet.requestCount("app00", from+contactBound, until); n > 0 {
+					t.Errorf("app00 got %d requests later than the contact bound after the start of its signal, expected none", n)
 				}
-				if tally.good < tally.asked {
-					t.Errorf("not all were served: %v", tally)
+				if tally.served < tally.calls {
+					t.Errorf("callers served: %d of %d (%v)", tally.served, tally.calls, tally)
 				}
 			})
 		})
 	}
 }
 
-// TestMoveToAnEngineThatAsksForBackoff has a run go elsewhere, and not be cut.
-func TestMoveToAnEngineThatAsksForBackoff(t *testing.T) {
+// TestMoveAvoidsEngineInBackoff checks that a run moves to another engine, and is not cut, if
+// the target of the move asks for backoff.
+func TestMoveAvoidsEngineInBackoff(t *testing.T) {
 	for name, duringStop := range map[string]bool{"during the first copy": false, "during the last part": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -191,7 +195,7 @@
 					f.updatePlacementEngines(time.Now(), f.Table())
 				})
 				f.Serve(t.Context(), call("/llm/"), sink)
-				is.True(!sink.cut)
+				is.True(!sink.truncated)
 				is.True(resting != "")
 				is.True(!slices.Contains(transport.sentTo(), resting))
 				is.Equal(strings.Count(sink.body.String(), "data"), 60)
@@ -201,8 +205,9 @@
 	}
 }
 
-// TestFailingEngineInBackoffGetsCopies has a run stay on a failing engine that wants no more calls.
-func TestFailingEngineInBackoffGetsCopies(t *testing.T) {
+// TestFailingEngineInBackoffGetsNoMoves checks that a run stays on a failing engine that asks
+// for backoff, and that the engine gets no move calls.
+func TestFailingEngineInBackoffGetsNoMoves(t *testing.T) {
 	for name, backoff := range map[string]time.Duration{"no backoff": 0, "backoff": 10 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -223,7 +228,7 @@
 					}
 				})
 				f.Serve(t.Context(), call("/llm/"), sink)
-				is.True(!sink.cut)
+				is.True(!sink.truncated)
 				is.Equal(moves > 0, backoff == 0)
 				synctest.Wait()
 			})
