--- a/e2e/placement_bench_test.go
+++ b/e2e/placement_bench_test.go
@@ -88,7 +88,7 @@
 		time.AfterFunc(placementSpan/2, func() { victim.signal(syscall.SIGKILL) })
 	}
 	report := load.Run(b.Context(), load.Settings{
-		Entries: survivors, Key: callerKey, Rate: placementRate, For: placementSpan, Seed: 1,
+		Entries: survivors, Key: callerKey, Rate: placementRate, Duration: placementSpan, Seed: 1,
 		Mix: load.Mix{Kinds: []load.Kind{{Name: "quote", Share: 1, Model: "quote", PromptTokens: 300, MaxTokens: 1500}}},
 	})
 	thrown := 0
@@ -102,8 +102,8 @@
 	b.ReportMetric(quote.FirstToken.P95, "first-p95-ms")
 	b.ReportMetric(100*float64(quote.Refused)/float64(quote.Calls), "refused-%")
 	b.ReportMetric(float64(quote.Tokens)/report.Seconds, "tokens/s")
-	if quote.Disorder+quote.Broken > 0 {
-		b.Errorf("%d streams out of order, %d broken", quote.Disorder, quote.Broken)
+	if quote.OutOfOrder+quote.Broken > 0 {
+		b.Errorf("%d streams out of order, %d broken", quote.OutOfOrder, quote.Broken)
 	}
 }
 
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -30,59 +30,59 @@
 	Seeds int
 }
 
-// builder makes a decider for one run.
-type builder func(seed uint64, s *simulation) decider
+// deciderFactory makes a decider for one run.
+type deciderFactory func(seed uint64, s *simulation) decider
 
-func settingsWith(change func(*policy.Settings)) policy.Settings {
-	s := policy.Settings{MaxQueueLength: 512, MaxStepTime: betweenTokens}
+func policySettings(change func(*policy.Settings)) policy.Settings {
+	s := policy.Settings{MaxQueueLength: 512, MaxStepTime: maxStepTime}
 	if change != nil {
 		change(&s)
 	}
 	return s
 }
 
-func withDeviations(z float64) builder {
+func withHeadroomDeviations(z float64) deciderFactory {
 	return func(uint64, *simulation) decider {
-		return newPooled(engineIDs(), settingsWith(func(s *policy.Settings) { s.HeadroomDeviations = z }))
+		return newPoolDecider(engineIDs(), policySettings(func(s *policy.Settings) { s.HeadroomDeviations = z }))
 	}
 }
 
-func withMark(mark float64) builder {
+func withMaxMemoryFraction(mark float64) deciderFactory {
 	return func(uint64, *simulation) decider {
-		return newPooled(engineIDs(), settingsWith(func(s *policy.Settings) { s.MaxMemoryFraction = mark }))
+		return newPoolDecider(engineIDs(), policySettings(func(s *policy.Settings) { s.MaxMemoryFraction = mark }))
 	}
 }
 
 // policies are what can be measured, by name; "ours" is what the daemon runs.
-var policies = map[string]builder{
+var policies = map[string]deciderFactory{
 	"random": func(seed uint64, _ *simulation) decider {
-		return &random{engines: engineIDs(), source: rand.New(rand.NewPCG(seed, 1))}
+		return &randomDecider{engines: engineIDs(), source: rand.New(rand.NewPCG(seed, 1))}
 	},
-	"least-loaded": func(seed uint64, _ *simulation) decider { return leastLoadedAlone(seed, 0) },
-	"reserve-20":   func(seed uint64, _ *simulation) decider { return leastLoadedAlone(seed, 0.2) },
-	"reserve-40":   func(seed uint64, _ *simulation) decider { return leastLoadedAlone(seed, 0.4) },
-	"ours":         func(uint64, *simulation) decider { return newPooled(engineIDs(), settingsWith(nil)) },
+	"least-loaded": func(seed uint64, _ *simulation) decider { return newLeastLoadedPerEntry(seed, 0) },
+	"reserve-20":   func(seed uint64, _ *simulation) decider { return newLeastLoadedPerEntry(seed, 0.2) },
+	"reserve-40":   func(seed uint64, _ *simulation) decider { return newLeastLoadedPerEntry(seed, 0.4) },
+	"ours":         func(uint64, *simulation) decider { return newPoolDecider(engineIDs(), policySettings(nil)) },
 	"ours-local": func(uint64, *simulation) decider {
-		return newAlone(entryCount, func() decider {
-			d := newPooled(engineIDs(), settingsWith(nil))
+		return newPerEntryDecider(entryCount, func() decider {
+			d := newPoolDecider(engineIDs(), policySettings(nil))
 			d.pool.SetDeciderCount(entryCount)
 			return d
 		})
 	},
 	"ours-mean": func(uint64, *simulation) decider {
-		return newPooled(engineIDs(), settingsWith(nil), policy.WithLengthModel(&meanLengths{}))
+		return newPoolDecider(engineIDs(), policySettings(nil), policy.WithLengthModel(&meanLengthModel{}))
 	},
-	"z0.5": withDeviations(0.5), "z1": withDeviations(1), "z1.5": withDeviations(1.5),
-	"z2": withDeviations(2), "z2.5": withDeviations(2.5), "z3": withDeviations(3), "z4": withDeviations(4),
-	"mark90": withMark(0.90), "mark94": withMark(0.94), "mark96": withMark(0.96), "mark98": withMark(0.98),
+	"z0.5": withHeadroomDeviations(0.5), "z1": withHeadroomDeviations(1), "z1.5": withHeadroomDeviations(1.5),
+	"z2": withHeadroomDeviations(2), "z2.5": withHeadroomDeviations(2.5), "z3": withHeadroomDeviations(3), "z4": withHeadroomDeviations(4),
+	"mark90": withMaxMemoryFraction(0.90), "mark94": withMaxMemoryFraction(0.94), "mark96": withMaxMemoryFraction(0.96), "mark98": withMaxMemoryFraction(0.98),
 	"oracle": func(_ uint64, s *simulation) decider { return &oracle{sim: s} },
 }
 
-func leastLoadedAlone(seed uint64, reserve float64) decider {
-	return newAlone(entryCount, func() decider {
+func newLeastLoadedPerEntry(seed uint64, reserve float64) decider {
+	return newPerEntryDecider(entryCount, func() decider {
 		seed++
-		return &leastLoaded{
-			reports: map[member.UpstreamID]policy.Report{}, reserve: reserve, source: rand.New(rand.NewPCG(seed, 2)),
+		return &leastLoadedDecider{
+			reports: map[member.UpstreamID]policy.Report{}, reservedFraction: reserve, source: rand.New(rand.NewPCG(seed, 2)),
 		}
 	})
 }
@@ -101,7 +101,7 @@
 type row struct {
 	policy, workload string
 	load             float64
-	tallies          []tally
+	measurements     []measurement
 }
 
 // Run measures every combination and writes a table of medians to out.
@@ -114,13 +114,13 @@
 	workers := pool.New().WithMaxGoroutines(runtime.GOMAXPROCS(0))
 	for i := range rows {
 		r := &rows[i]
-		r.tallies = make([]tally, s.Seeds)
+		r.measurements = make([]measurement, s.Seeds)
 		for seed := range s.Seeds {
-			workers.Go(func() { r.tallies[seed] = measure(r.policy, r.workload, r.load*rates[r.workload], uint64(seed)+1) })
+			workers.Go(func() { r.measurements[seed] = measure(r.policy, r.workload, r.load*rates[r.workload], uint64(seed)+1) })
 		}
 	}
 	workers.Wait()
-	return write(out, rows, rates)
+	return writeTable(out, rows, rates)
 }
 
 // calibrate finds the load 1.0 of each workload. Those that differ only in what
@@ -135,13 +135,13 @@
 		mix := fmt.Sprint(w.shares, w.kinds[0].route)
 		byMix[mix] = append(byMix[mix], name)
 	}
-	for _, alike := range byMix {
+	for _, sameMix := range byMix {
 		workers.Go(func() {
-			w, _ := findWorkload(alike[0])
+			w, _ := findWorkload(sameMix[0])
 			rate := capacity(w)
 			mu.Lock()
 			defer mu.Unlock()
-			for _, name := range alike {
+			for _, name := range sameMix {
 				rates[name] = rate
 			}
 		})
@@ -168,9 +168,9 @@
 	return rows, nil
 }
 
-func measure(name, workload string, rate float64, seed uint64) tally {
+func measure(name, workload string, rate float64, seed uint64) measurement {
 	w, _ := findWorkload(workload)
-	arrivals := w.arrivals(seed, rate, span)
+	arrivals := w.arrivals(seed, rate, arrivalPeriod)
 	build := func(s *simulation) decider { return policies[name](seed, s) }
 	return newSimulation(w, arrivals, build).run()
 }
@@ -178,14 +178,14 @@
 // capacity is the arrivals a second of a workload that the pool can carry: the
 // most at which the bound lets nearly all in.
 func capacity(w workload) float64 {
-	const seed, steps, refusedAtMost = 99, 8, 0.01
-	w.event, w.burst, w.flood = noEvent, 0, 0
+	const seed, steps, maxRefused = 99, 8, 0.01
+	w.event, w.burstFactor, w.floodFraction = noEvent, 0, 0
 	low, high := 0.0, 128.0
 	for range steps {
 		rate := (low + high) / 2
-		arrivals := w.arrivals(seed, rate, span)
+		arrivals := w.arrivals(seed, rate, arrivalPeriod)
 		t := newSimulation(w, arrivals, func(s *simulation) decider { return &oracle{sim: s} }).run()
-		if t.refused <= refusedAtMost {
+		if t.refusedFraction <= maxRefused {
 			low = rate
 		} else {
 			high = rate
@@ -194,7 +194,7 @@
 	return low
 }
 
-func medianOf[T cmp.Ordered](tallies []tally, value func(t tally) T) T {
+func median[T cmp.Ordered](tallies []measurement, value func(t measurement) T) T {
 	values := make([]T, len(tallies))
 	for i, t := range tallies {
 		values[i] = value(t)
@@ -203,23 +203,23 @@
 	return values[len(values)/2]
 }
 
-func write(out io.Writer, rows []row, rates map[string]float64) error {
+func writeTable(out io.Writer, rows []row, rates map[string]float64) error {
 	table := tabwriter.NewWriter(out, 0, 8, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "workload\tload\tpolicy\tpreempt/1000\tstall p99\tstall mean\tgap p99\tfirst p95\trefused\tback in\tlost\ttokens/s\tleast share\twasted\t")
 	for _, r := range rows {
 		fmt.Fprintf(table, "%s\t%.1f\t%s\t%.1f\t%s\t%s\t%s\t%s\t%.1f%%\t%.0f%%\t%.1f%%\t%.0f\t%.2f\t%.2f\t\n",
 			r.workload, r.load, r.policy,
-			medianOf(r.tallies, func(t tally) float64 { return t.preemptions }),
-			seconds(medianOf(r.tallies, func(t tally) time.Duration { return t.stallTail })),
-			seconds(medianOf(r.tallies, func(t tally) time.Duration { return t.stallSum })),
-			seconds(medianOf(r.tallies, func(t tally) time.Duration { return t.gapTail })),
-			seconds(medianOf(r.tallies, func(t tally) time.Duration { return t.firstTail })),
-			100*medianOf(r.tallies, func(t tally) float64 { return t.refused }),
-			100*medianOf(r.tallies, func(t tally) float64 { return t.returned }),
-			100*medianOf(r.tallies, func(t tally) float64 { return t.lost }),
-			medianOf(r.tallies, func(t tally) float64 { return t.finishedPerSecond }),
-			medianOf(r.tallies, func(t tally) float64 { return t.least }),
-			medianOf(r.tallies, func(t tally) float64 { return t.wasted }),
+			median(r.measurements, func(t measurement) float64 { return t.preemptionsPer1000 }),
+			formatSeconds(median(r.measurements, func(t measurement) time.Duration { return t.stallP99 })),
+			formatSeconds(median(r.measurements, func(t measurement) time.Duration { return t.stallMean })),
+			formatSeconds(median(r.measurements, func(t measurement) time.Duration { return t.longestGapP99 })),
+			formatSeconds(median(r.measurements, func(t measurement) time.Duration { return t.firstTokenP95 })),
+			100*median(r.measurements, func(t measurement) float64 { return t.refusedFraction }),
+			100*median(r.measurements, func(t measurement) float64 { return t.retryGrantedFraction }),
+			100*median(r.measurements, func(t measurement) float64 { return t.lostFraction }),
+			median(r.measurements, func(t measurement) float64 { return t.finishedPerSecond }),
+			median(r.measurements, func(t measurement) float64 { return t.minShare }),
+			median(r.measurements, func(t measurement) float64 { return t.wastedPerToken }),
 		)
 	}
 	if err := table.Flush(); err != nil {
@@ -236,4 +236,4 @@
 	return nil
 }
 
-func seconds(d time.Duration) string { return fmt.Sprintf("%.2fs", d.Seconds()) }
+func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.2fs", d.Seconds()) }
--- a/internal/bench/deciders.go
+++ b/internal/bench/deciders.go
@@ -22,45 +22,45 @@
 	advance(now time.Time) []policy.Decision
 }
 
-// random sends each request to any engine at once.
-type random struct {
+// randomDecider sends each request to any engine at once.
+type randomDecider struct {
 	engines []member.UpstreamID
 	source  *rand.Rand
 }
 
-func (d *random) submit(_ time.Time, _ int, r policy.Request) []policy.Decision {
+func (d *randomDecider) submit(_ time.Time, _ int, r policy.Request) []policy.Decision {
 	return []policy.Decision{{Run: r.Run, Verdict: policy.Granted, Engine: d.engines[d.source.IntN(len(d.engines))]}}
 }
-func (*random) finish(time.Time, policy.Finish)     {}
-func (*random) report(time.Time, policy.Report)     {}
-func (*random) advance(time.Time) []policy.Decision { return nil }
+func (*randomDecider) finish(time.Time, policy.Finish)     {}
+func (*randomDecider) report(time.Time, policy.Report)     {}
+func (*randomDecider) advance(time.Time) []policy.Decision { return nil }
 
-// leastLoaded sends each request to the engine that reported the least memory
+// leastLoadedDecider sends each request to the engine that reported the least memory
 // in use and waiting, each entry alone. With a reserve it holds requests back
 // until an engine reports room beyond it.
-type leastLoaded struct {
+type leastLoadedDecider struct {
 	reports map[member.UpstreamID]policy.Report
 	source  *rand.Rand
-	// reserve is the part of the memory to be kept free; zero holds nothing
+	// reservedFraction is the part of the memory to be kept free; zero holds nothing
 	// back.
-	reserve float64
-	held    []policy.Request
+	reservedFraction float64
+	held             []policy.Request
 }
 
-func (d *leastLoaded) submit(now time.Time, _ int, r policy.Request) []policy.Decision {
+func (d *leastLoadedDecider) submit(now time.Time, _ int, r policy.Request) []policy.Decision {
 	d.held = append(d.held, r)
 	return d.advance(now)
 }
 
-func (*leastLoaded) finish(time.Time, policy.Finish) {}
+func (*leastLoadedDecider) finish(time.Time, policy.Finish) {}
 
-func (d *leastLoaded) report(_ time.Time, r policy.Report) { d.reports[r.Engine] = r }
+func (d *leastLoadedDecider) report(_ time.Time, r policy.Report) { d.reports[r.Engine] = r }
 
-func (d *leastLoaded) advance(now time.Time) []policy.Decision {
+func (d *leastLoadedDecider) advance(now time.Time) []policy.Decision {
 	var decided []policy.Decision
 	for len(d.held) > 0 {
 		r := d.held[0]
-		engine, room := d.least(r)
+		engine, room := d.pickEngine(r)
 		switch {
 		case room:
 			decided = append(decided, policy.Decision{Run: r.Run, Verdict: policy.Granted, Engine: engine})
@@ -74,7 +74,7 @@
 	return decided
 }
 
-func (d *leastLoaded) least(r policy.Request) (member.UpstreamID, bool) {
+func (d *leastLoadedDecider) pickEngine(r policy.Request) (member.UpstreamID, bool) {
 	var best []policy.Report
 	for _, report := range d.reports {
 		load := report.UsedMemory + 1000*policy.Tokens(report.Waiting)
@@ -95,72 +95,74 @@
 		return 1
 	})
 	chosen := best[d.source.IntN(len(best))]
-	if d.reserve > 0 {
-		return chosen.Engine, float64(chosen.UsedMemory+r.PromptTokens) <= (1-d.reserve)*float64(chosen.TotalMemory) && chosen.Waiting == 0
+	if d.reservedFraction > 0 {
+		return chosen.Engine, float64(chosen.UsedMemory+r.PromptTokens) <= (1-d.reservedFraction)*float64(chosen.TotalMemory) && chosen.Waiting == 0
 	}
 	return chosen.Engine, true
 }
 
-// alone gives each entry a decider of its own.
-type alone struct {
-	each []decider
-	// of remembers which entry has a run.
-	of map[policy.RunID]int
+// perEntryDecider gives each entry a decider of its own.
+type perEntryDecider struct {
+	deciders []decider
+	// entryByRun remembers which entry has a run.
+	entryByRun map[policy.RunID]int
 }
 
-func newAlone(entries int, make func() decider) *alone {
-	d := &alone{of: map[policy.RunID]int{}}
+func newPerEntryDecider(entries int, newDecider func() decider) *perEntryDecider {
+	d := &perEntryDecider{entryByRun: map[policy.RunID]int{}}
 	for range entries {
-		d.each = append(d.each, make())
+		d.deciders = append(d.deciders, newDecider())
 	}
 	return d
 }
 
-func (d *alone) submit(now time.Time, entry int, r policy.Request) []policy.Decision {
-	d.of[r.Run] = entry
-	return d.each[entry].submit(now, entry, r)
+func (d *perEntryDecider) submit(now time.Time, entry int, r policy.Request) []policy.Decision {
+	d.entryByRun[r.Run] = entry
+	return d.deciders[entry].submit(now, entry, r)
 }
 
-func (d *alone) finish(now time.Time, f policy.Finish) { d.each[d.of[f.Run]].finish(now, f) }
+func (d *perEntryDecider) finish(now time.Time, f policy.Finish) {
+	d.deciders[d.entryByRun[f.Run]].finish(now, f)
+}
 
-func (d *alone) report(now time.Time, r policy.Report) {
-	for _, one := range d.each {
+func (d *perEntryDecider) report(now time.Time, r policy.Report) {
+	for _, one := range d.deciders {
 		one.report(now, r)
 	}
 }
 
-func (d *alone) advance(now time.Time) []policy.Decision {
+func (d *perEntryDecider) advance(now time.Time) []policy.Decision {
 	var decided []policy.Decision
-	for _, one := range d.each {
+	for _, one := range d.deciders {
 		decided = append(decided, one.advance(now)...)
 	}
 	return decided
 }
 
-// without takes an engine away.
-func (d *alone) without(id member.UpstreamID, alive []member.UpstreamID) {
-	for _, one := range d.each {
+// removeEngine takes an engine away.
+func (d *perEntryDecider) removeEngine(id member.UpstreamID, alive []member.UpstreamID) {
+	for _, one := range d.deciders {
 		switch o := one.(type) {
-		case *leastLoaded:
+		case *leastLoadedDecider:
 			delete(o.reports, id)
-		case *pooled:
+		case *poolDecider:
 			o.pool.SetEngines(alive)
 		}
 	}
 }
 
-// pooled is the product's policy: one Pool that decides for all entries.
-type pooled struct {
+// poolDecider is the product's policy: one Pool that decides for all entries.
+type poolDecider struct {
 	pool *policy.Pool
 }
 
-func newPooled(engines []member.UpstreamID, s policy.Settings, opts ...policy.Option) *pooled {
-	d := &pooled{pool: policy.NewPool(s, opts...)}
+func newPoolDecider(engines []member.UpstreamID, s policy.Settings, opts ...policy.Option) *poolDecider {
+	d := &poolDecider{pool: policy.NewPool(s, opts...)}
 	d.pool.SetEngines(engines)
 	return d
 }
 
-func (d *pooled) submit(now time.Time, _ int, r policy.Request) []policy.Decision {
+func (d *poolDecider) submit(now time.Time, _ int, r policy.Request) []policy.Decision {
 	first := d.pool.Submit(now, r)
 	if first.Verdict == policy.Queued {
 		return nil
@@ -168,13 +170,13 @@
 	return []policy.Decision{first}
 }
 
-func (d *pooled) finish(now time.Time, f policy.Finish)   { d.pool.Finish(now, f) }
-func (d *pooled) report(now time.Time, r policy.Report)   { d.pool.Report(now, r) }
-func (d *pooled) advance(now time.Time) []policy.Decision { return d.pool.Advance(now) }
+func (d *poolDecider) finish(now time.Time, f policy.Finish)   { d.pool.Finish(now, f) }
+func (d *poolDecider) report(now time.Time, r policy.Report)   { d.pool.Report(now, r) }
+func (d *poolDecider) advance(now time.Time) []policy.Decision { return d.pool.Advance(now) }
 
-// meanLengths is the plain-mean length model, to be compared with the tail: an
+// meanLengthModel is the plain-mean length model, to be compared with the tail: an
 // answer goes on until the mean of its route.
-type meanLengths struct {
+type meanLengthModel struct {
 	learned policy.LearnedLengths
 }
 
@@ -193,14 +195,14 @@
 }
 
 // SurvivalCurve returns the mean as a curve.
-func (m *meanLengths) SurvivalCurve(r *policy.Request) policy.SurvivalCurve {
+func (m *meanLengthModel) SurvivalCurve(r *policy.Request) policy.SurvivalCurve {
 	return meanCurve(m.learned.MeanLength(r))
 }
 
 // MeanLength is the learned mean.
-func (m *meanLengths) MeanLength(r *policy.Request) policy.Tokens { return m.learned.MeanLength(r) }
+func (m *meanLengthModel) MeanLength(r *policy.Request) policy.Tokens { return m.learned.MeanLength(r) }
 
 // Observe learns.
-func (m *meanLengths) Observe(account resource.Account, route resource.Name, n policy.Tokens) {
+func (m *meanLengthModel) Observe(account resource.Account, route resource.Name, n policy.Tokens) {
 	m.learned.Observe(account, route, n)
 }
--- a/internal/bench/measurement.go
+++ b/internal/bench/measurement.go
@@ -10,115 +10,115 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// tally is what one run measured.
-type tally struct {
+// measurement is what one run measured.
+type measurement struct {
 	generations int
 	// finishedPerSecond are tokens of answers that ended, a second.
 	finishedPerSecond float64
-	// preemptions are a thousand generations'.
-	preemptions float64
-	// stallTail is the 99th percentile and stallSum the mean of the stall time
+	// preemptionsPer1000 are a thousand generations'.
+	preemptionsPer1000 float64
+	// stallP99 is the 99th percentile and stallMean the mean of the stall time
 	// of a generation.
-	stallTail, stallSum time.Duration
-	// gapTail is the 99th percentile of each generation's longest gap.
-	gapTail time.Duration
-	// firstTail is the 95th percentile of the time to the first token.
-	firstTail time.Duration
-	// refused is the part that got no answer by its first asking; returned the
+	stallP99, stallMean time.Duration
+	// longestGapP99 is the 99th percentile of each generation's longest gap.
+	longestGapP99 time.Duration
+	// firstTokenP95 is the 95th percentile of the time to the first token.
+	firstTokenP95 time.Duration
+	// refusedFraction is the part that got no answer by its first asking; retryGrantedFraction the
 	// part of those told to come back that were then let in.
-	refused, returned float64
-	lost              float64
-	// least is the least any account got of what it asked for or of its fair
+	refusedFraction, retryGrantedFraction float64
+	lostFraction                          float64
+	// minShare is the minShare any account got of what it asked for or of its fair
 	// share, whichever is less.
-	least float64
-	// wasted are the tokens read or made again for those made, at most 1 a
+	minShare float64
+	// wastedPerToken are the tokens read or made again for those made, at most 1 a
 	// token.
-	wasted float64
+	wastedPerToken float64
 }
 
-func (s *simulation) tally() tally {
-	var r tally
+func (s *simulation) tally() measurement {
+	var r measurement
 	var stalls, gaps, firsts []time.Duration
 	var refused, returned, taken, lost, preempted, finished int
 	begin := s.start.Add(warmUp)
-	for _, t := range s.order {
-		if s.start.Add(t.at).Before(begin) {
+	for _, t := range s.generations {
+		if s.start.Add(t.offset).Before(begin) {
 			continue
 		}
 		r.generations++
-		preempted += t.preempted
+		preempted += t.preemptions
 		switch {
-		case t.returned || t.refused:
+		case t.retried || t.refused:
 			refused++
 		case t.lost:
 			lost++
 		}
-		if t.returned {
+		if t.retried {
 			returned++
-			if t.taken {
+			if t.retryGranted {
 				taken++
 			}
 		}
-		if t.first.IsZero() {
+		if t.firstTokenAt.IsZero() {
 			continue
 		}
 		if t.done {
-			finished += t.made
+			finished += t.generatedTokens
 		}
-		stalls = append(stalls, t.stall)
-		gaps = append(gaps, t.worst)
-		firsts = append(firsts, t.first.Sub(s.start.Add(t.at)))
-		r.stallSum += t.stall
+		stalls = append(stalls, t.stallTime)
+		gaps = append(gaps, t.longestGap)
+		firsts = append(firsts, t.firstTokenAt.Sub(s.start.Add(t.offset)))
+		r.stallMean += t.stallTime
 	}
 	n := max(r.generations, 1)
 	r.finishedPerSecond = float64(finished) / s.busySpan().Seconds()
-	r.preemptions = 1000 * float64(preempted) / float64(n)
-	r.stallSum /= time.Duration(n)
-	r.stallTail, r.gapTail, r.firstTail = percentile(stalls, 99), percentile(gaps, 99), percentile(firsts, 95)
-	r.refused, r.lost = float64(refused)/float64(n), float64(lost)/float64(n)
-	r.returned = float64(taken) / float64(max(returned, 1))
-	r.least = s.leastShare(begin)
-	r.wasted = s.wasted()
+	r.preemptionsPer1000 = 1000 * float64(preempted) / float64(n)
+	r.stallMean /= time.Duration(n)
+	r.stallP99, r.longestGapP99, r.firstTokenP95 = percentile(stalls, 99), percentile(gaps, 99), percentile(firsts, 95)
+	r.refusedFraction, r.lostFraction = float64(refused)/float64(n), float64(lost)/float64(n)
+	r.retryGrantedFraction = float64(taken) / float64(max(returned, 1))
+	r.minShare = s.minShare(begin)
+	r.wastedPerToken = s.wastedPerToken()
 	return r
 }
 
 // busySpan is from the end of the warm-up to the last token.
 func (s *simulation) busySpan() time.Duration {
-	last := s.start.Add(span)
-	for _, t := range s.order {
-		if t.last.After(last) {
-			last = t.last
+	last := s.start.Add(arrivalPeriod)
+	for _, t := range s.generations {
+		if t.lastTokenAt.After(last) {
+			last = t.lastTokenAt
 		}
 	}
 	return last.Sub(s.start) - warmUp
 }
 
-func (s *simulation) wasted() float64 {
+func (s *simulation) wastedPerToken() float64 {
 	recomputed, made := 0, 0
-	for _, h := range s.hosts {
+	for _, h := range s.engines {
 		recomputed += h.model.Load().Recomputed
 	}
-	for _, t := range s.order {
-		made += t.made
+	for _, t := range s.generations {
+		made += t.generatedTokens
 		if t.lost {
-			recomputed += t.made
+			recomputed += t.generatedTokens
 		}
 	}
 	return float64(recomputed) / float64(max(made, 1))
 }
 
-// leastShare compares what each account got with what it is due.
-func (s *simulation) leastShare(begin time.Time) float64 {
+// minShare compares what each account got with what it is due.
+func (s *simulation) minShare(begin time.Time) float64 {
 	asked, got := map[resource.Account]float64{}, map[resource.Account]float64{}
 	total := 0.0
-	for _, t := range s.order {
-		if s.start.Add(t.at).Before(begin) {
+	for _, t := range s.generations {
+		if s.start.Add(t.offset).Before(begin) {
 			continue
 		}
-		asked[t.request.Account] += float64(t.length)
+		asked[t.request.Account] += float64(t.outputTokens)
 		if t.done {
-			got[t.request.Account] += float64(t.length)
-			total += float64(t.length)
+			got[t.request.Account] += float64(t.outputTokens)
+			total += float64(t.outputTokens)
 		}
 	}
 	share := total / float64(max(len(asked), 1))
--- a/internal/bench/oracle.go
+++ b/internal/bench/oracle.go
@@ -15,31 +15,31 @@
 // state, and admits a run exactly when no run will have to be thrown back.
 type oracle struct {
 	sim  *simulation
-	held []*track
+	held []*generation
 }
 
 func (*oracle) finish(time.Time, policy.Finish) {}
 func (*oracle) report(time.Time, policy.Report) {}
 
 func (o *oracle) submit(now time.Time, _ int, r policy.Request) []policy.Decision {
-	o.held = append(o.held, o.sim.tracks[r.Run])
+	o.held = append(o.held, o.sim.generationByRun[r.Run])
 	return o.advance(now)
 }
 
 func (o *oracle) advance(now time.Time) []policy.Decision {
 	var decided []policy.Decision
-	var kept []*track
+	var kept []*generation
 	for i, t := range o.held {
-		if len(kept) >= oracleTries {
+		if len(kept) >= maxBlockedRequests {
 			kept = append(kept, o.held[i:]...)
 			break
 		}
-		t.request.Deadline = t.asked.Add(waitLimit)
+		t.request.Deadline = t.submitAt.Add(firstTokenTimeout)
 		if now.After(t.request.Deadline) {
 			decided = append(decided, policy.Decision{Run: t.request.Run, Verdict: policy.Refused, RetryAfter: time.Second})
 			continue
 		}
-		h := o.choose(t)
+		h := o.pickEngine(t)
 		if h == nil {
 			kept = append(kept, t)
 			continue
@@ -51,20 +51,20 @@
 	return decided
 }
 
-// oracleTries is how many requests that find no room let others pass.
-const oracleTries = 16
+// maxBlockedRequests is how many requests that find no room let others pass.
+const maxBlockedRequests = 16
 
-func (o *oracle) choose(t *track) *host {
-	var best *host
+func (o *oracle) pickEngine(t *generation) *simulatedEngine {
+	var best *simulatedEngine
 	lowest := 0
-	for _, h := range o.sim.hosts {
+	for _, h := range o.sim.engines {
 		if h.dead {
 			continue
 		}
-		peak, batch := o.peak(h, t)
+		peak, batch := o.peakMemory(h, t)
 		s := benchSettings()
 		step := s.StepBase + time.Duration(batch)*s.StepPerRun
-		if peak > s.MemoryTokens || step*time.Duration(h.slow) > betweenTokens {
+		if peak > s.MemoryTokens || step*time.Duration(h.slowdown) > maxStepTime {
 			continue
 		}
 		if best == nil || peak < lowest {
@@ -74,28 +74,28 @@
 	return best
 }
 
-// growing is a run with what it holds and how many tokens it has still to make.
-type growing struct {
-	held, left int
+// projectedRun is a run with what it holds and how many tokens it has still to make.
+type projectedRun struct {
+	heldTokens, tokensLeft int
 }
 
-// peak is the most memory that an engine will need with one more run, and the
+// peakMemory is the most memory that an engine will need with one more run, and the
 // size of its batch.
-func (o *oracle) peak(h *host, candidate *track) (peak, batch int) {
-	runs := []growing{{held: int(candidate.request.PromptTokens) + 1, left: candidate.length}}
+func (o *oracle) peakMemory(h *simulatedEngine, candidate *generation) (peak, batch int) {
+	runs := []projectedRun{{heldTokens: int(candidate.request.PromptTokens) + 1, tokensLeft: candidate.outputTokens}}
 	for _, t := range h.running {
 		if !t.done {
-			runs = append(runs, growing{held: int(t.request.PromptTokens) + t.made + 1, left: t.length - t.made})
+			runs = append(runs, projectedRun{heldTokens: int(t.request.PromptTokens) + t.generatedTokens + 1, tokensLeft: t.outputTokens - t.generatedTokens})
 		}
 	}
-	slices.SortFunc(runs, func(a, b growing) int { return cmp.Compare(a.left, b.left) })
+	slices.SortFunc(runs, func(a, b projectedRun) int { return cmp.Compare(a.tokensLeft, b.tokensLeft) })
 	held := 0
 	for _, r := range runs {
-		held += r.held
+		held += r.heldTokens
 	}
 	for i, r := range runs {
-		peak = max(peak, held+(len(runs)-i)*r.left)
-		held -= r.held
+		peak = max(peak, held+(len(runs)-i)*r.tokensLeft)
+		held -= r.heldTokens
 	}
 	return peak, len(runs)
 }
--- a/internal/bench/simulation.go
+++ b/internal/bench/simulation.go
@@ -18,22 +18,22 @@
 	engineCount  = 4
 	entryCount   = 3
 	engineMemory = 24_000
-	// reportEvery and reportLag are how often the load is had and how old it
+	// reportInterval and reportLag are how often the load is had and how old it
 	// is then.
-	reportEvery  = 250 * time.Millisecond
-	reportLag    = 500 * time.Millisecond
-	advanceEvery = 20 * time.Millisecond
-	// waitLimit is how long a caller waits for its first token.
-	waitLimit = 10 * time.Second
+	reportInterval  = 250 * time.Millisecond
+	reportLag       = 500 * time.Millisecond
+	advanceInterval = 20 * time.Millisecond
+	// firstTokenTimeout is how long a caller waits for its first token.
+	firstTokenTimeout = 10 * time.Second
 	// warmUp is left out of the measurement, span is how long work comes in,
 	// and settle how long it may take to end after that.
 	warmUp        = 10 * time.Second
-	span          = 70 * time.Second
-	settle        = 60 * time.Second
-	betweenTokens = 70 * time.Millisecond
-	// pauseLength is how long a lost or paused coordinator is missed.
-	pauseLength = time.Second
-	slowedBy    = 3
+	arrivalPeriod = 70 * time.Second
+	settlePeriod  = 60 * time.Second
+	maxStepTime   = 70 * time.Millisecond
+	// pauseDuration is how long a lost or paused coordinator is missed.
+	pauseDuration  = time.Second
+	slowdownFactor = 3
 )
 
 func benchSettings() engine.Settings {
@@ -42,66 +42,66 @@
 	return s
 }
 
-// host is one engine of the pool.
-type host struct {
+// simulatedEngine is one engine of the pool.
+type simulatedEngine struct {
 	id    member.UpstreamID
 	model *engine.Model
-	// next is when the step under way ends; zero while idle.
-	next   time.Time
-	events []engine.Event
-	slow   int
-	dead   bool
+	// stepEnd is when the step under way ends; zero while idle.
+	stepEnd  time.Time
+	events   []engine.Event
+	slowdown int
+	dead     bool
 	// running are the generations placed here, with some that have ended.
-	running []*track
+	running []*generation
 }
 
-// datedReport is a load report on its way.
-type datedReport struct {
-	due    time.Time
-	report policy.Report
+// delayedReport is a load report on its way.
+type delayedReport struct {
+	deliverAt time.Time
+	report    policy.Report
 }
 
-// track is what is known of one generation.
-type track struct {
+// generation is what is known of one generation.
+type generation struct {
 	arrival
-	asked   time.Time
-	host    *host
-	granted bool
-	first   time.Time
-	last    time.Time
-	made    int
-	done    bool
-	refused bool
-	lost    bool
-	// returned says that the caller came back when it was told to, taken that
+	submitAt        time.Time
+	engine          *simulatedEngine
+	granted         bool
+	firstTokenAt    time.Time
+	lastTokenAt     time.Time
+	generatedTokens int
+	done            bool
+	refused         bool
+	lost            bool
+	// retried says that the caller came back when it was told to, retryGranted that
 	// it was let in then.
-	returned, taken bool
-	stall           time.Duration
-	worst           time.Duration
-	preempted       int
+	retried, retryGranted bool
+	stallTime             time.Duration
+	longestGap            time.Duration
+	preemptions           int
 }
 
 // simulation is one run of one policy.
 type simulation struct {
-	start   time.Time
-	now     time.Time
-	work    workload
-	decider decider
-	hosts   []*host
-	byID    map[member.UpstreamID]*host
-	pending []arrival
-	// comeBack are refused callers that will try again, in order of time.
-	comeBack []*track
-	tracks   map[policy.RunID]*track
-	order    []*track
-	reports  []datedReport
-	// paused is until when nobody decides.
-	paused time.Time
-	// rebuild makes a decider afresh, for a lost coordinator.
-	rebuild func() decider
-	held    []*track
-	// nextLook is when to look again whether everything has ended.
-	nextLook time.Time
+	start           time.Time
+	now             time.Time
+	workload        workload
+	decider         decider
+	engines         []*simulatedEngine
+	engineByID      map[member.UpstreamID]*simulatedEngine
+	pendingArrivals []arrival
+	// retries are refused callers that will try again, in order of time.
+	retries         []*generation
+	generationByRun map[policy.RunID]*generation
+	generations     []*generation
+	reports         []delayedReport
+	// pausedUntil is until when nobody decides.
+	pausedUntil time.Time
+	// newDecider makes a decider afresh, for a lost coordinator.
+	newDecider func() decider
+	held       []*generation
+	// nextFinishedCheck is when to look again whether everything has ended.
+	nextFinishedCheck time.Time
 }
 
 // engineIDs names the pool's engines.
@@ -116,53 +116,53 @@
 func newSimulation(w workload, arrivals []arrival, build func(s *simulation) decider) *simulation {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := &simulation{
-		start: start, now: start, work: w, pending: arrivals,
-		byID: map[member.UpstreamID]*host{}, tracks: map[policy.RunID]*track{},
+		start: start, now: start, workload: w, pendingArrivals: arrivals,
+		engineByID: map[member.UpstreamID]*simulatedEngine{}, generationByRun: map[policy.RunID]*generation{},
 	}
-	s.rebuild = func() decider { return build(s) }
-	s.decider = s.rebuild()
+	s.newDecider = func() decider { return build(s) }
+	s.decider = s.newDecider()
 	for _, id := range engineIDs() {
-		h := &host{id: id, model: engine.NewModel(benchSettings()), slow: 1}
-		s.hosts = append(s.hosts, h)
-		s.byID[id] = h
-		s.decider.report(start, s.reportOf(h))
+		h := &simulatedEngine{id: id, model: engine.NewModel(benchSettings()), slowdown: 1}
+		s.engines = append(s.engines, h)
+		s.engineByID[id] = h
+		s.decider.report(start, s.loadReport(h))
 	}
 	return s
 }
 
-func (s *simulation) reportOf(h *host) policy.Report {
+func (s *simulation) loadReport(h *simulatedEngine) policy.Report {
 	load := h.model.Load()
 	return policy.Report{
 		Engine: h.id, TotalMemory: policy.Tokens(load.MemoryTokens), UsedMemory: policy.Tokens(load.UsedTokens),
-		Running: load.Running, Waiting: load.Waiting, StepTime: load.Step * time.Duration(h.slow),
+		Running: load.Running, Waiting: load.Waiting, StepTime: load.Step * time.Duration(h.slowdown),
 	}
 }
 
 // run goes through virtual time to the end of the settling.
-func (s *simulation) run() tally {
-	end := s.start.Add(span + settle)
+func (s *simulation) run() measurement {
+	end := s.start.Add(arrivalPeriod + settlePeriod)
 	nextReport, nextAdvance := s.start, s.start
-	happened := s.work.event == noEvent
+	happened := s.workload.event == noEvent
 	for s.now.Before(end) {
-		if !happened && s.now.Sub(s.start) >= eventAt {
+		if !happened && s.now.Sub(s.start) >= eventOffset {
 			happened = true
-			s.strike()
+			s.triggerEvent()
 		}
-		s.arrive()
-		s.stepHosts()
+		s.submitArrivals()
+		s.stepEngines()
 		if !s.now.Before(nextReport) {
-			nextReport = s.now.Add(reportEvery)
-			s.takeReports()
+			nextReport = s.now.Add(reportInterval)
+			s.collectReports()
 		}
 		if !s.now.Before(nextAdvance) {
-			nextAdvance = s.now.Add(advanceEvery)
+			nextAdvance = s.now.Add(advanceInterval)
 			s.deliverReports()
-			if !s.now.Before(s.paused) {
-				s.releaseHeld()
+			if !s.now.Before(s.pausedUntil) {
+				s.submitHeld()
 				s.apply(s.decider.advance(s.now))
 			}
 		}
-		s.now = s.nextMoment(nextReport, nextAdvance)
+		s.now = s.nextEventTime(nextReport, nextAdvance)
 		if s.finished() {
 			break
 		}
@@ -171,11 +171,11 @@
 }
 
 func (s *simulation) finished() bool {
-	if len(s.pending) > 0 || len(s.comeBack) > 0 || s.now.Before(s.nextLook) {
+	if len(s.pendingArrivals) > 0 || len(s.retries) > 0 || s.now.Before(s.nextFinishedCheck) {
 		return false
 	}
-	s.nextLook = s.now.Add(time.Second)
-	for _, t := range s.order {
+	s.nextFinishedCheck = s.now.Add(time.Second)
+	for _, t := range s.generations {
 		if !t.done && !t.refused && !t.lost {
 			return false
 		}
@@ -183,19 +183,19 @@
 	return true
 }
 
-func (s *simulation) nextMoment(moments ...time.Time) time.Time {
+func (s *simulation) nextEventTime(moments ...time.Time) time.Time {
 	next := moments[0]
 	for _, m := range moments[1:] {
 		if m.Before(next) {
 			next = m
 		}
 	}
-	if len(s.pending) > 0 {
-		next = earlier(next, s.start.Add(s.pending[0].at))
+	if len(s.pendingArrivals) > 0 {
+		next = earlier(next, s.start.Add(s.pendingArrivals[0].offset))
 	}
-	for _, h := range s.hosts {
-		if !h.next.IsZero() {
-			next = earlier(next, h.next)
+	for _, h := range s.engines {
+		if !h.stepEnd.IsZero() {
+			next = earlier(next, h.stepEnd)
 		}
 	}
 	return next
@@ -208,28 +208,28 @@
 	return a
 }
 
-// strike is the workload's mishap.
-func (s *simulation) strike() {
-	switch s.work.event {
+// triggerEvent is the workload's mishap.
+func (s *simulation) triggerEvent() {
+	switch s.workload.event {
 	case engineLost:
-		s.loseEngine(s.hosts[0])
+		s.loseEngine(s.engines[0])
 	case engineSlowed:
-		s.hosts[0].slow = slowedBy
+		s.engines[0].slowdown = slowdownFactor
 	case coordinatorLost:
-		s.paused = s.now.Add(pauseLength)
-		if _, ours := s.decider.(*pooled); ours {
+		s.pausedUntil = s.now.Add(pauseDuration)
+		if _, ours := s.decider.(*poolDecider); ours {
 			s.replaceCoordinator()
 		}
 	case coordinatorPaused:
-		s.paused = s.now.Add(pauseLength)
+		s.pausedUntil = s.now.Add(pauseDuration)
 	}
 }
 
 // loseEngine ends an engine. Generations that gave a token are lost with it;
 // the others are asked for again.
-func (s *simulation) loseEngine(h *host) {
+func (s *simulation) loseEngine(h *simulatedEngine) {
 	h.dead = true
-	h.next = time.Time{}
+	h.stepEnd = time.Time{}
 	var alive []member.UpstreamID
 	for _, id := range engineIDs() {
 		if id != h.id {
@@ -237,20 +237,20 @@
 		}
 	}
 	switch d := s.decider.(type) {
-	case *pooled:
+	case *poolDecider:
 		d.pool.SetEngines(alive)
-	case *random:
+	case *randomDecider:
 		d.engines = alive
-	case *alone:
-		d.without(h.id, alive)
+	case *perEntryDecider:
+		d.removeEngine(h.id, alive)
 	}
-	for _, t := range s.order {
-		if t.host != h || t.done {
+	for _, t := range s.generations {
+		if t.engine != h || t.done {
 			continue
 		}
-		s.decider.finish(s.now, policy.Finish{Run: t.request.Run, GeneratedTokens: policy.Tokens(t.made)})
-		t.host, t.granted = nil, false
-		if t.made > 0 {
+		s.decider.finish(s.now, policy.Finish{Run: t.request.Run, GeneratedTokens: policy.Tokens(t.generatedTokens)})
+		t.engine, t.granted = nil, false
+		if t.generatedTokens > 0 {
 			t.lost = true
 			continue
 		}
@@ -261,25 +261,25 @@
 // replaceCoordinator has a new pool take over: it knows nothing but what the
 // entries tell it of their runs.
 func (s *simulation) replaceCoordinator() {
-	s.decider = s.rebuild()
-	fresh, ours := s.decider.(*pooled)
+	s.decider = s.newDecider()
+	fresh, ours := s.decider.(*poolDecider)
 	if !ours {
 		return
 	}
-	for _, h := range s.hosts {
-		fresh.report(s.now, s.reportOf(h))
+	for _, h := range s.engines {
+		fresh.report(s.now, s.loadReport(h))
 	}
-	for _, t := range s.order {
+	for _, t := range s.generations {
 		switch {
-		case t.host != nil && !t.done:
-			fresh.pool.Adopt(s.now, t.request, t.host.id, policy.Tokens(t.made))
+		case t.engine != nil && !t.done:
+			fresh.pool.Adopt(s.now, t.request, t.engine.id, policy.Tokens(t.generatedTokens))
 		case !t.granted && !t.refused && !t.lost:
 			s.held = append(s.held, t)
 		}
 	}
 }
 
-func (s *simulation) releaseHeld() {
+func (s *simulation) submitHeld() {
 	held := s.held
 	s.held = nil
 	for _, t := range held {
@@ -287,27 +287,27 @@
 	}
 }
 
-func (s *simulation) arrive() {
-	for len(s.pending) > 0 && !s.start.Add(s.pending[0].at).After(s.now) {
-		a := s.pending[0]
-		s.pending = s.pending[1:]
-		t := &track{arrival: a, asked: s.now}
-		t.request.Deadline = s.now.Add(waitLimit)
-		s.tracks[a.request.Run] = t
-		s.order = append(s.order, t)
+func (s *simulation) submitArrivals() {
+	for len(s.pendingArrivals) > 0 && !s.start.Add(s.pendingArrivals[0].offset).After(s.now) {
+		a := s.pendingArrivals[0]
+		s.pendingArrivals = s.pendingArrivals[1:]
+		t := &generation{arrival: a, submitAt: s.now}
+		t.request.Deadline = s.now.Add(firstTokenTimeout)
+		s.generationByRun[a.request.Run] = t
+		s.generations = append(s.generations, t)
 		s.submit(t)
 	}
-	for len(s.comeBack) > 0 && !s.comeBack[0].asked.After(s.now) {
-		t := s.comeBack[0]
-		s.comeBack = s.comeBack[1:]
+	for len(s.retries) > 0 && !s.retries[0].submitAt.After(s.now) {
+		t := s.retries[0]
+		s.retries = s.retries[1:]
 		t.refused = false
-		t.request.Deadline = s.now.Add(waitLimit)
+		t.request.Deadline = s.now.Add(firstTokenTimeout)
 		s.submit(t)
 	}
 }
 
-func (s *simulation) submit(t *track) {
-	if s.now.Before(s.paused) {
+func (s *simulation) submit(t *generation) {
+	if s.now.Before(s.pausedUntil) {
 		s.held = append(s.held, t)
 		return
 	}
@@ -316,7 +316,7 @@
 
 func (s *simulation) apply(decisions []policy.Decision) {
 	for _, d := range decisions {
-		t := s.tracks[d.Run]
+		t := s.generationByRun[d.Run]
 		switch d.Verdict {
 		case policy.Granted:
 			s.grant(t, d)
@@ -327,25 +327,25 @@
 	}
 }
 
-func (s *simulation) grant(t *track, d policy.Decision) {
-	t.granted, t.host = true, s.byID[d.Engine]
-	t.taken = t.returned
-	if t.host.dead {
+func (s *simulation) grant(t *generation, d policy.Decision) {
+	t.granted, t.engine = true, s.engineByID[d.Engine]
+	t.retryGranted = t.retried
+	if t.engine.dead {
 		t.lost = true
 		return
 	}
 	work := engine.Work{
-		ID: engine.RunID(d.Run), Prompt: int(t.request.PromptTokens), Length: t.length, Priority: d.Priority,
+		ID: engine.RunID(d.Run), Prompt: int(t.request.PromptTokens), Length: t.outputTokens, Priority: d.Priority,
 		Prefix: prefixOf(t), PrefixTokens: int(t.request.PrefixTokens),
 	}
-	t.host.model.Submit(work)
-	t.host.running = append(slices.DeleteFunc(t.host.running, func(t *track) bool { return t.done }), t)
-	if t.host.next.IsZero() {
-		t.host.next = s.now
+	t.engine.model.Submit(work)
+	t.engine.running = append(slices.DeleteFunc(t.engine.running, func(t *generation) bool { return t.done }), t)
+	if t.engine.stepEnd.IsZero() {
+		t.engine.stepEnd = s.now
 	}
 }
 
-func prefixOf(t *track) string {
+func prefixOf(t *generation) string {
 	if t.request.Prefix == 0 {
 		return ""
 	}
@@ -353,46 +353,46 @@
 }
 
 // refuse has a caller that was told when to come back do so, once.
-func (s *simulation) refuse(t *track, d policy.Decision) {
+func (s *simulation) refuse(t *generation, d policy.Decision) {
 	t.refused = true
-	if t.returned || d.RetryAfter == 0 {
+	if t.retried || d.RetryAfter == 0 {
 		return
 	}
-	t.returned = true
-	t.asked = s.now.Add(d.RetryAfter)
-	at := len(s.comeBack)
-	for at > 0 && s.comeBack[at-1].asked.After(t.asked) {
+	t.retried = true
+	t.submitAt = s.now.Add(d.RetryAfter)
+	at := len(s.retries)
+	for at > 0 && s.retries[at-1].submitAt.After(t.submitAt) {
 		at--
 	}
-	s.comeBack = append(s.comeBack, nil)
-	copy(s.comeBack[at+1:], s.comeBack[at:])
-	s.comeBack[at] = t
+	s.retries = append(s.retries, nil)
+	copy(s.retries[at+1:], s.retries[at:])
+	s.retries[at] = t
 }
 
-func (s *simulation) stepHosts() {
-	for _, h := range s.hosts {
-		for !h.dead && !h.next.IsZero() && !h.next.After(s.now) {
-			s.take(h)
+func (s *simulation) stepEngines() {
+	for _, h := range s.engines {
+		for !h.dead && !h.stepEnd.IsZero() && !h.stepEnd.After(s.now) {
+			s.processEvents(h)
 			events, took := h.model.Step()
 			h.events = append(h.events[:0], events...)
 			if took == 0 {
-				h.next = time.Time{}
+				h.stepEnd = time.Time{}
 				break
 			}
-			h.next = s.now.Add(took * time.Duration(h.slow))
+			h.stepEnd = s.now.Add(took * time.Duration(h.slowdown))
 		}
 	}
 }
 
-// take accounts for the step that has just ended.
-func (s *simulation) take(h *host) {
+// processEvents accounts for the step that has just ended.
+func (s *simulation) processEvents(h *simulatedEngine) {
 	for _, event := range h.events {
-		t := s.tracks[policy.RunID(event.Run)]
+		t := s.generationByRun[policy.RunID(event.Run)]
 		switch event.Kind {
 		case engine.Token:
-			t.token(s.now, event.Index)
+			t.recordToken(s.now, event.Index)
 		case engine.Preempted:
-			t.preempted++
+			t.preemptions++
 		case engine.Ended:
 			t.done = true
 			s.decider.finish(s.now, policy.Finish{Run: t.request.Run, GeneratedTokens: policy.Tokens(event.Index), Complete: true})
@@ -402,37 +402,37 @@
 	h.events = h.events[:0]
 }
 
-// stallAfter is the gap between tokens that counts as a stall.
-const stallAfter = 250 * time.Millisecond
+// stallThreshold is the gap between tokens that counts as a stall.
+const stallThreshold = 250 * time.Millisecond
 
-func (t *track) token(now time.Time, index int) {
-	t.made = index
-	if t.first.IsZero() {
-		t.first = now
+func (t *generation) recordToken(now time.Time, index int) {
+	t.generatedTokens = index
+	if t.firstTokenAt.IsZero() {
+		t.firstTokenAt = now
 	} else {
-		gap := now.Sub(t.last)
-		t.worst = max(t.worst, gap)
-		if gap >= stallAfter {
-			t.stall += gap
+		gap := now.Sub(t.lastTokenAt)
+		t.longestGap = max(t.longestGap, gap)
+		if gap >= stallThreshold {
+			t.stallTime += gap
 		}
 	}
-	t.last = now
+	t.lastTokenAt = now
 }
 
-func (s *simulation) takeReports() {
-	for _, h := range s.hosts {
+func (s *simulation) collectReports() {
+	for _, h := range s.engines {
 		if !h.dead {
-			s.reports = append(s.reports, datedReport{due: s.now.Add(reportLag), report: s.reportOf(h)})
+			s.reports = append(s.reports, delayedReport{deliverAt: s.now.Add(reportLag), report: s.loadReport(h)})
 		}
 	}
 }
 
 func (s *simulation) deliverReports() {
-	for len(s.reports) > 0 && !s.reports[0].due.After(s.now) {
+	for len(s.reports) > 0 && !s.reports[0].deliverAt.After(s.now) {
 		report := s.reports[0].report
 		s.reports = s.reports[1:]
 		// A lost engine is known at once to all, for every policy alike.
-		if !s.byID[report.Engine].dead {
+		if !s.engineByID[report.Engine].dead {
 			s.decider.report(s.now, report)
 		}
 	}
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -23,20 +23,20 @@
 
 // arrival is one generation on its way in.
 type arrival struct {
-	at      time.Duration
+	offset  time.Duration
 	request policy.Request
-	// length is the answer's true length.
-	length int
+	// outputTokens is the answer's true outputTokens.
+	outputTokens int
 }
 
-// kind is a sort of generation.
-type kind struct {
-	route  resource.Name
-	prompt func(r *rand.Rand) int
-	length func(r *rand.Rand) int
-	// prefixes is how many different beginnings the prompts have; each is
+// generationKind is a sort of generation.
+type generationKind struct {
+	route        resource.Name
+	promptTokens func(r *rand.Rand) int
+	outputTokens func(r *rand.Rand) int
+	// prefixCount is how many different beginnings the prompts have; each is
 	// prefixTokens long.
-	prefixes, prefixTokens int
+	prefixCount, prefixTokens int
 }
 
 func logNormal(median, spread float64, least, most int) func(r *rand.Rand) int {
@@ -47,24 +47,24 @@
 }
 
 // counterKind is the counter staff's: short prompts, three to forty lines.
-var counterKind = kind{
-	route: "quote", prompt: logNormal(300, 0.5, 50, 2000), length: logNormal(120, 0.9, 30, 2000),
-	prefixes: 8, prefixTokens: 200,
+var counterKind = generationKind{
+	route: "quote", promptTokens: logNormal(300, 0.5, 50, 2000), outputTokens: logNormal(120, 0.9, 30, 2000),
+	prefixCount: 8, prefixTokens: 200,
 }
 
 // catalogueKind summarises long texts in short replies.
-var catalogueKind = kind{
-	route: "catalogue", prompt: logNormal(2000, 0.5, 500, 8000), length: logNormal(60, 0.4, 15, 300),
-	prefixes: 20, prefixTokens: 500,
+var catalogueKind = generationKind{
+	route: "catalogue", promptTokens: logNormal(2000, 0.5, 500, 8000), outputTokens: logNormal(60, 0.4, 15, 300),
+	prefixCount: 20, prefixTokens: 500,
 }
 
 // statementKind reads very long histories; most verdicts are a line, a few run
 // very long.
-var statementKind = kind{
-	route: "statement", prompt: logNormal(6000, 0.5, 1500, 14000), length: verdictLength,
+var statementKind = generationKind{
+	route: "statement", promptTokens: logNormal(6000, 0.5, 1500, 14000), outputTokens: statementLength,
 }
 
-func verdictLength(r *rand.Rand) int {
+func statementLength(r *rand.Rand) int {
 	switch p := r.Float64(); {
 	case p < 0.90:
 		return logNormal(30, 0.4, 8, 120)(r)
@@ -78,14 +78,14 @@
 // workload is a mix of kinds with what happens to the pool.
 type workload struct {
 	name  string
-	kinds []kind
+	kinds []generationKind
 	// shares are the kinds' parts of the arrivals.
 	shares []float64
-	// burst multiplies the rate between burstFrom and burstTo.
-	burst float64
-	// flood is the part of the arrivals that one account sends.
-	flood float64
-	event event
+	// burstFactor multiplies the rate between burstFrom and burstTo.
+	burstFactor float64
+	// floodFraction is the part of the arrivals that one account sends.
+	floodFraction float64
+	event         event
 }
 
 // event is a mishap at eventAt.
@@ -100,24 +100,24 @@
 )
 
 const (
-	burstFrom = 25 * time.Second
-	burstTo   = 35 * time.Second
-	eventAt   = 30 * time.Second
-	accounts  = 10
+	burstFrom    = 25 * time.Second
+	burstTo      = 35 * time.Second
+	eventOffset  = 30 * time.Second
+	accountCount = 10
 )
 
 // Workloads are those that the brief names, by name.
 var workloads = []workload{
-	{name: "counter", kinds: []kind{counterKind}, shares: []float64{1}},
-	{name: "catalogue", kinds: []kind{catalogueKind}, shares: []float64{1}},
-	{name: "statement", kinds: []kind{statementKind}, shares: []float64{1}},
-	{name: "mixture", kinds: []kind{counterKind, catalogueKind, statementKind}, shares: []float64{0.7, 0.2, 0.1}},
-	{name: "burst", kinds: []kind{counterKind}, shares: []float64{1}, burst: 3},
-	{name: "flood", kinds: []kind{counterKind}, shares: []float64{1}, flood: 0.7},
-	{name: "engine-lost", kinds: []kind{counterKind}, shares: []float64{1}, event: engineLost},
-	{name: "engine-slowed", kinds: []kind{counterKind}, shares: []float64{1}, event: engineSlowed},
-	{name: "coordinator-lost", kinds: []kind{counterKind}, shares: []float64{1}, event: coordinatorLost},
-	{name: "coordinator-paused", kinds: []kind{counterKind}, shares: []float64{1}, event: coordinatorPaused},
+	{name: "counter", kinds: []generationKind{counterKind}, shares: []float64{1}},
+	{name: "catalogue", kinds: []generationKind{catalogueKind}, shares: []float64{1}},
+	{name: "statement", kinds: []generationKind{statementKind}, shares: []float64{1}},
+	{name: "mixture", kinds: []generationKind{counterKind, catalogueKind, statementKind}, shares: []float64{0.7, 0.2, 0.1}},
+	{name: "burst", kinds: []generationKind{counterKind}, shares: []float64{1}, burstFactor: 3},
+	{name: "flood", kinds: []generationKind{counterKind}, shares: []float64{1}, floodFraction: 0.7},
+	{name: "engine-lost", kinds: []generationKind{counterKind}, shares: []float64{1}, event: engineLost},
+	{name: "engine-slowed", kinds: []generationKind{counterKind}, shares: []float64{1}, event: engineSlowed},
+	{name: "coordinator-lost", kinds: []generationKind{counterKind}, shares: []float64{1}, event: coordinatorLost},
+	{name: "coordinator-paused", kinds: []generationKind{counterKind}, shares: []float64{1}, event: coordinatorPaused},
 }
 
 // WorkloadNames lists the workloads.
@@ -143,38 +143,38 @@
 	var all []arrival
 	for at := time.Duration(0); ; {
 		now := rate
-		if w.burst > 0 && at >= burstFrom && at < burstTo {
-			now *= w.burst
+		if w.burstFactor > 0 && at >= burstFrom && at < burstTo {
+			now *= w.burstFactor
 		}
 		at += time.Duration(r.ExpFloat64() / now * float64(time.Second))
 		if at >= span {
 			return all
 		}
-		all = append(all, w.draw(r, at, len(all)))
+		all = append(all, w.drawArrival(r, at, len(all)))
 	}
 }
 
-func (w workload) draw(r *rand.Rand, at time.Duration, n int) arrival {
-	k := w.pick(r)
-	account := r.IntN(accounts)
-	if w.flood > 0 && r.Float64() < w.flood {
+func (w workload) drawArrival(r *rand.Rand, at time.Duration, n int) arrival {
+	k := w.pickKind(r)
+	account := r.IntN(accountCount)
+	if w.floodFraction > 0 && r.Float64() < w.floodFraction {
 		account = 0
 	}
-	a := arrival{at: at, length: k.length(r)}
+	a := arrival{offset: at, outputTokens: k.outputTokens(r)}
 	a.request = policy.Request{
 		Run: policy.RunID(fmt.Sprintf("r%d", n)), Route: k.route, Account: resource.Account(fmt.Sprintf("a%d", account)),
-		PromptTokens: policy.Tokens(k.prompt(r)), MaxOutputTokens: maxAnswer,
+		PromptTokens: policy.Tokens(k.promptTokens(r)), MaxOutputTokens: maxOutputTokens,
 	}
-	if k.prefixes > 0 {
-		a.request.Prefix = uint64(r.IntN(k.prefixes) + 1)
+	if k.prefixCount > 0 {
+		a.request.Prefix = uint64(r.IntN(k.prefixCount) + 1)
 		a.request.PrefixTokens = policy.Tokens(min(k.prefixTokens, int(a.request.PromptTokens)))
 	}
 	return a
 }
 
-const maxAnswer = 8000
+const maxOutputTokens = 8000
 
-func (w workload) pick(r *rand.Rand) kind {
+func (w workload) pickKind(r *rand.Rand) generationKind {
 	p := r.Float64()
 	for i, share := range w.shares {
 		if p < share {
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -148,9 +148,9 @@
 	one, err := daemon.New(ctx, daemon.Settings{
 		Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", PeerListen: "127.0.0.1:0",
 		Host: member.HostID(fmt.Sprintf("e%d", n)), Zone: member.Zone(zone), Platform: platformURL,
-		PlatformWrites: platformclient.PlatformWrites, PlatformReads: platformclient.PlatformReads,
+		PlatformWriteRate: platformclient.PlatformWrites, PlatformReadRate: platformclient.PlatformReads,
 		Register: true, PeerKey: demoPeerKey, AdminToken: demoAdminToken,
-		HostListEvery: time.Second,
+		HostListInterval: time.Second,
 	}, log.NewNopLogger(), d.out)
 	if err != nil {
 		return err
--- a/internal/cli/entry.go
+++ b/internal/cli/entry.go
@@ -36,8 +36,8 @@
 	s.required(s.text("host-id", "", "name of this host, unique in the site", &f.host))
 	s.required(s.text("zone", "", "availability zone of this host", &f.zone))
 	s.required(s.url("platform", "", "URL of the platform's key-value service", &f.Platform))
-	s.number("platform-writes", consul.PlatformWrites, "writes a second that the service takes from all hosts", &f.PlatformWrites)
-	s.number("platform-reads", consul.PlatformReads, "reads a second that the service takes from all hosts", &f.PlatformReads)
+	s.number("platform-writes", consul.PlatformWrites, "writes a second that the service takes from all hosts", &f.PlatformWriteRate)
+	s.number("platform-reads", consul.PlatformReads, "reads a second that the service takes from all hosts", &f.PlatformReadRate)
 	s.truth("register", "put this host on the host list itself, where the platform doesn't", &f.Register)
 	s.peers("peers", "peers to know from the start, as HOST@ZONE=IP:port,...", &f.Peers)
 	s.secret("peer-key", "key shared by all entries of the site", leastPeerKey, &f.PeerKey)
@@ -49,12 +49,12 @@
 	}, &f.trace)
 	s.url("trace-endpoint", "", "URL of the OTLP collector", &f.TraceEndpoint)
 	s.choice("log-level", "info", "least level of the log", []string{"debug", "info", "warn", "error"}, &f.logLevel)
-	s.duration("stop-grace", 5*time.Second, "how long calls are still taken after a stop was asked for", &f.StopGrace)
+	s.duration("stop-grace", 5*time.Second, "how long calls are still taken after a stop was asked for", &f.StopGracePeriod)
 	s.duration("stop-timeout", 0, "when a stop cuts what still runs; 0s never does", &f.StopTimeout)
-	s.truth("alone", "place without a coordinator, for comparison; give it to all entries or none", &f.Alone)
-	s.duration("host-list-every", 5*time.Second, "period of reading the host list", &f.HostListEvery)
-	s.duration("config-poll-every", 20*time.Second, "period of looking for configuration without a watch", &f.ConfigPollEvery)
-	s.duration("load-every", 250*time.Millisecond, "period of asking engines for their load", &f.LoadEvery)
+	s.truth("alone", "place without a coordinator, for comparison; give it to all entries or none", &f.LocalPlacement)
+	s.duration("host-list-every", 5*time.Second, "period of reading the host list", &f.HostListInterval)
+	s.duration("config-poll-every", 20*time.Second, "period of looking for configuration without a watch", &f.ConfigPollInterval)
+	s.duration("load-every", 250*time.Millisecond, "period of asking engines for their load", &f.LoadInterval)
 }
 
 // settle finds what is wrong across settings and fills in the typed ones.
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -30,10 +30,10 @@
 	s.required(s.text("entries", "", "URLs of entries' caller sides, with commas between", &entries))
 	s.required(s.text("key", "", "client account's key", &chosen.Key))
 	s.number("rate", 2, "calls a second", &chosen.Rate)
-	s.duration("for", 10*time.Second, "how long calls are sent", &chosen.For)
+	s.duration("for", 10*time.Second, "how long calls are sent", &chosen.Duration)
 	s.count("seed", 1, "seed of the calls and their times", &seed)
 	s.text("mix", "", "YAML file with the kinds of call; see examples/mix.yaml", &file)
-	s.truth("come-back", "have refused callers come back once, when they were told to", &chosen.ComeBack)
+	s.truth("come-back", "have refused callers come back once, when they were told to", &chosen.RetryRefused)
 	s.choice("output", formTable, "form of the report", []string{formTable, formJSON}, &form)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		if err := s.load(system); err != nil {
@@ -78,7 +78,7 @@
 		return err
 	}
 	for _, k := range r.Kinds {
-		if k.Disorder > 0 {
+		if k.OutOfOrder > 0 {
 			fmt.Fprintln(system.Stderr, "shedpath: a stream had a token missing, twice or out of order")
 			return errSilent
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -47,9 +47,9 @@
 	Zone          member.Zone
 	// Platform is the base URL of the platform's service.
 	Platform string
-	// PlatformWrites and PlatformReads are the service's rates, which all
+	// PlatformWriteRate and PlatformReadRate are the service's rates, which all
 	// daemons share.
-	PlatformWrites, PlatformReads float64
+	PlatformWriteRate, PlatformReadRate float64
 	// Register puts the entry on the host list itself.
 	Register   bool
 	Peers      []member.Entry
@@ -60,14 +60,14 @@
 	TLSCertificate, TLSKey string
 	Trace                  telemetry.TraceTarget
 	TraceEndpoint          string
-	// StopGrace is how long new calls are taken after the stop was asked for.
-	StopGrace time.Duration
+	// StopGracePeriod is how long new calls are taken after the stop was asked for.
+	StopGracePeriod time.Duration
 	// StopTimeout cuts what still runs then; zero never does.
 	StopTimeout time.Duration
-	// Alone has the entry place without a coordinator.
-	Alone bool
-	// HostListEvery, ConfigPollEvery and LoadEvery are the polls' periods.
-	HostListEvery, ConfigPollEvery, LoadEvery time.Duration
+	// LocalPlacement has the entry place without a coordinator.
+	LocalPlacement bool
+	// HostListInterval, ConfigPollInterval and LoadInterval are the polls' periods.
+	HostListInterval, ConfigPollInterval, LoadInterval time.Duration
 }
 
 // Addresses are where a running entry listens.
@@ -82,16 +82,16 @@
 	output    io.Writer
 	addresses Addresses
 
-	clock   *clock.Clock
-	entry   *entry.Entry
-	mesh    *peer.Mesh
-	store   *consul.Client
-	budget  *consul.Budget
-	metrics *telemetry.Metrics
+	clock          *clock.Clock
+	entry          *entry.Entry
+	mesh           *peer.Mesh
+	platformClient *consul.Client
+	platformBudget *consul.Budget
+	metrics        *telemetry.Metrics
 
 	callerListener, adminListener, peerListener net.Listener
-	// callers is callerListener, or what that secures.
-	callers                   *accept.Listener
+	// callerAcceptor is callerListener, or what that secures.
+	callerAcceptor            *accept.Listener
 	callerServer, adminServer *http.Server
 	shutdownTraces            func(context.Context) error
 }
@@ -133,8 +133,8 @@
 	if len(problems) > 0 {
 		return trace.NewAggregate(problems...)
 	}
-	d.callers = &accept.Listener{Listener: d.callerListener, Clock: d.clock}
-	d.callerListener = d.callers
+	d.callerAcceptor = &accept.Listener{Listener: d.callerListener, Clock: d.clock}
+	d.callerListener = d.callerAcceptor
 	d.addresses = Addresses{
 		Caller: d.callerListener.Addr().String(), Admin: d.adminListener.Addr().String(), Peer: d.peerListener.Addr().String(),
 	}
@@ -159,37 +159,37 @@
 	}
 	d.shutdownTraces = shutdown
 	d.metrics = telemetry.NewMetrics()
-	d.budget = consul.NewBudget(s.PlatformWrites, s.PlatformReads)
-	d.store = consul.New(s.Platform, consul.WithBudget(d.budget), consul.WithObserver(d.metrics.PlatformCall))
+	d.platformBudget = consul.NewBudget(s.PlatformWriteRate, s.PlatformReadRate)
+	d.platformClient = consul.New(s.Platform, consul.WithBudget(d.platformBudget), consul.WithObserver(d.metrics.PlatformCall))
 	d.mesh = peer.NewMesh(s.Host, []byte(s.PeerKey), peer.WithClock(d.clock))
 	d.entry = entry.New(entry.Settings{
-		Self: d.self(), Seeds: s.Peers, GenerationKey: derive(s.PeerKey, "generation ids"), LocalPlacement: s.Alone,
-		HostListInterval: s.HostListEvery, ConfigPollInterval: s.ConfigPollEvery, LoadInterval: s.LoadEvery, Clock: d.clock,
+		Self: d.selfEntry(), Seeds: s.Peers, GenerationKey: deriveKey(s.PeerKey, "generation ids"), LocalPlacement: s.LocalPlacement,
+		HostListInterval: s.HostListInterval, ConfigPollInterval: s.ConfigPollInterval, LoadInterval: s.LoadInterval, Clock: d.clock,
 	}, entry.Dependencies{
-		Store: d.store, Claims: d.store.Class(consul.ClaimCalls), Outcomes: d.store.Class(consul.StatusCalls),
-		Hosts: d.store, Leases: d.store, Peers: d.mesh,
-		Engines: engine.New(), Services: service.New(), Upstreams: upstreams{},
+		Store: d.platformClient, Claims: d.platformClient.Class(consul.ClaimCalls), Outcomes: d.platformClient.Class(consul.StatusCalls),
+		Hosts: d.platformClient, Leases: d.platformClient, Peers: d.mesh,
+		Engines: engine.New(), Services: service.New(), Upstreams: upstreamProber{},
 		Observer: d.metrics, Logger: d.logger, Tracer: tracer,
 	})
-	d.gauges()
-	return d.serveHTTP(web.NewCaller(d.entry, tracer), web.NewAdmin(d.entry, s.AdminToken, d.callers.Stuck, d.metrics.Handler()))
+	d.registerGauges()
+	return d.newHTTPServers(web.NewCaller(d.entry, tracer), web.NewAdmin(d.entry, s.AdminToken, d.callerAcceptor.Stuck, d.metrics.Handler()))
 }
 
-// upstreams looks at upstreams' ports.
-type upstreams struct{}
+// upstreamProber looks at upstreamProber' ports.
+type upstreamProber struct{}
 
-func (upstreams) Closed(ctx context.Context, u member.Upstream) (bool, error) {
+func (upstreamProber) Closed(ctx context.Context, u member.Upstream) (bool, error) {
 	return reach.Closed(ctx, u.Address)
 }
 
-// derive makes a key for one use out of the site's shared key.
-func derive(key, use string) []byte {
+// deriveKey makes a key for one use out of the site's shared key.
+func deriveKey(key, use string) []byte {
 	mac := hmac.New(sha256.New, []byte(key))
 	mac.Write([]byte("shedpath " + use))
 	return mac.Sum(nil)
 }
 
-func (d *Daemon) self() member.Entry {
+func (d *Daemon) selfEntry() member.Entry {
 	address := d.settings.PeerAdvertise
 	if address == "" {
 		address = d.addresses.Peer
@@ -197,7 +197,7 @@
 	return member.Entry{ID: d.settings.Host, Zone: d.settings.Zone, PeerAddress: address}
 }
 
-func (d *Daemon) gauges() {
+func (d *Daemon) registerGauges() {
 	d.metrics.Gauge("config_revision", "Configuration revision in force.", func() float64 {
 		return float64(d.entry.Catalog().Revision())
 	})
@@ -220,7 +220,7 @@
 	maxHeaderBytes    = 64 << 10
 )
 
-func (d *Daemon) serveHTTP(caller, admin http.Handler) error {
+func (d *Daemon) newHTTPServers(caller, admin http.Handler) error {
 	newServer := func(h http.Handler) *http.Server {
 		return &http.Server{
 			Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -243,21 +243,23 @@
 
 // Run serves until stop ends, then stops without cutting a running call; the
 // end of cut cuts what still runs.
-func (d *Daemon) Run(stop, cut context.Context) error {
-	running, cancel := context.WithCancel(cut)
+func (d *Daemon) Run(stop, abort context.Context) error {
+	running, cancel := context.WithCancel(abort)
 	defer cancel()
 	var parts conc.WaitGroup
 	parts.Go(func() { d.entry.Run(running) })
-	parts.Go(func() { d.report("peer listener", d.mesh.Serve(running, d.peerListener, d.entry, d.refusedPeer)) })
-	parts.Go(func() { d.report("caller listener", d.callerServer.Serve(d.callerListener)) })
-	parts.Go(func() { d.report("admin listener", d.adminServer.Serve(d.adminListener)) })
-	parts.Go(func() { d.shareBudget(running) })
+	parts.Go(func() {
+		d.logServeError("peer listener", d.mesh.Serve(running, d.peerListener, d.entry, d.logRefusedPeer))
+	})
+	parts.Go(func() { d.logServeError("caller listener", d.callerServer.Serve(d.callerListener)) })
+	parts.Go(func() { d.logServeError("admin listener", d.adminServer.Serve(d.adminListener)) })
+	parts.Go(func() { d.updateBudgetShare(running) })
 	if d.settings.Register {
-		parts.Go(func() { d.register(running) })
+		parts.Go(func() { d.registerWithRetry(running) })
 	}
 	_ = level.Info(d.logger).Log("msg", "listening", "caller", d.addresses.Caller, "admin", d.addresses.Admin, "peer", d.addresses.Peer)
 	<-stop.Done()
-	d.stop(cut)
+	d.shutDown(abort)
 	cancel()
 	d.mesh.Close()
 	parts.Wait()
@@ -265,30 +267,30 @@
 	return nil
 }
 
-func (d *Daemon) report(part string, err error) {
+func (d *Daemon) logServeError(part string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
 		_ = level.Error(d.logger).Log("msg", part+" failed", "err", err)
 	}
 }
 
-func (d *Daemon) refusedPeer(err error) {
+func (d *Daemon) logRefusedPeer(err error) {
 	_ = level.Warn(d.logger).Log("msg", "refused a peer", "err", err)
 }
 
-// stop lets every running call end.
-func (d *Daemon) stop(cut context.Context) {
-	ctx := cut
+// shutDown lets every running call end.
+func (d *Daemon) shutDown(abort context.Context) {
+	ctx := abort
 	if d.settings.StopTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(cut, d.settings.StopTimeout)
+		ctx, cancel = context.WithTimeout(abort, d.settings.StopTimeout)
 		defer cancel()
 	}
-	if d.settings.Register && cut.Err() == nil {
+	if d.settings.Register && abort.Err() == nil {
 		quick, cancel := context.WithTimeout(ctx, time.Second)
-		_ = d.store.Deregister(quick, string(d.settings.Host))
+		_ = d.platformClient.Deregister(quick, string(d.settings.Host))
 		cancel()
 	}
-	d.entry.Stop(ctx, d.settings.StopGrace)
+	d.entry.Stop(ctx, d.settings.StopGracePeriod)
 	for _, server := range []*http.Server{d.callerServer, d.adminServer} {
 		quick, cancel := context.WithTimeout(ctx, time.Second)
 		if server.Shutdown(quick) != nil {
@@ -301,8 +303,8 @@
 	_ = d.shutdownTraces(quick)
 }
 
-// shareBudget keeps this daemon to its part of the platform's rates.
-func (d *Daemon) shareBudget(ctx context.Context) {
+// updateBudgetShare keeps this daemon to its part of the platform's rates.
+func (d *Daemon) updateBudgetShare(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -310,14 +312,14 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.budget.SetDaemons(d.entry.KnownEntries())
+			d.platformBudget.SetDaemons(d.entry.KnownEntries())
 		}
 	}
 }
 
-// register puts the entry on the host list, and again while that fails.
-func (d *Daemon) register(ctx context.Context) {
-	for d.store.RegisterEntry(ctx, d.self()) != nil {
+// registerWithRetry puts the entry on the host list, and again while that fails.
+func (d *Daemon) registerWithRetry(ctx context.Context) {
+	for d.platformClient.RegisterEntry(ctx, d.selfEntry()) != nil {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -17,50 +17,50 @@
 
 // outcome is how one call ended.
 type outcome struct {
-	// run is the entry's word on a call that failed; empty when it was whole.
-	run  string
-	code string
+	// runState is the entry's word on a call that failed; empty when it was whole.
+	runState string
+	code     string
 	// broken says that the answer ended without a word.
-	broken     bool
-	disorder   bool
-	tokens     int
-	first      time.Duration
-	gaps       []time.Duration
-	took       time.Duration
-	retryAfter time.Duration
+	broken           bool
+	outOfOrder       bool
+	tokens           int
+	timeToFirstToken time.Duration
+	tokenGaps        []time.Duration
+	duration         time.Duration
+	retryAfter       time.Duration
 }
 
-func (o outcome) whole() bool { return o.run == "" && !o.broken }
+func (o outcome) complete() bool { return o.runState == "" && !o.broken }
 
 // caller makes the calls of a run.
 type caller struct {
-	settings Settings
-	gather   *gatherer
-	http     *http.Client
+	settings  Settings
+	collector *collector
+	http      *http.Client
 }
 
-func newCaller(s Settings, g *gatherer) *caller {
+func newCaller(s Settings, g *collector) *caller {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.MaxIdleConnsPerHost = 1024
-	return &caller{settings: s, gather: g, http: &http.Client{Transport: transport}}
+	return &caller{settings: s, collector: g, http: &http.Client{Transport: transport}}
 }
 
 // call makes one call and, when it is refused and callers come back, a second.
 func (c *caller) call(ctx context.Context, entry string, k Kind, prompt string) {
-	first := c.try(ctx, entry, k, prompt)
-	c.gather.add(k, first)
-	if !c.settings.ComeBack || first.run != "not_run" || first.retryAfter == 0 {
+	first := c.send(ctx, entry, k, prompt)
+	c.collector.add(k, first)
+	if !c.settings.RetryRefused || first.runState != "not_run" || first.retryAfter == 0 {
 		return
 	}
 	if !waitUntil(ctx, time.Now().Add(first.retryAfter)) {
 		return
 	}
-	c.gather.addBack(k, c.try(ctx, entry, k, prompt))
+	c.collector.addRetry(k, c.send(ctx, entry, k, prompt))
 }
 
-func (c *caller) try(ctx context.Context, entry string, k Kind, prompt string) outcome {
+func (c *caller) send(ctx context.Context, entry string, k Kind, prompt string) outcome {
 	began := time.Now()
-	req, err := c.request(ctx, entry, k, prompt)
+	req, err := c.newRequest(ctx, entry, k, prompt)
 	if err != nil {
 		return outcome{broken: true, code: "bad_url"}
 	}
@@ -72,14 +72,14 @@
 	var o outcome
 	switch {
 	case answer.StatusCode != http.StatusOK:
-		o = failed(answer)
+		o = readFailure(answer)
 	case k.Model != "":
 		o = readStream(answer.Body, began)
 	default:
 		_, err := io.Copy(io.Discard, answer.Body)
 		o.broken = err != nil
 	}
-	o.took = time.Since(began)
+	o.duration = time.Since(began)
 	return o
 }
 
@@ -91,12 +91,12 @@
 	IgnoreEOS bool   `json:"ignore_eos,omitempty"`
 }
 
-func (c *caller) request(ctx context.Context, entry string, k Kind, prompt string) (*http.Request, error) {
+func (c *caller) newRequest(ctx context.Context, entry string, k Kind, prompt string) (*http.Request, error) {
 	path, body := "/services/"+k.Service+"/load", []byte(prompt)
 	if k.Model != "" {
 		path = "/v1/completions"
 		body, _ = json.Marshal(generationRequest{
-			Model: k.Model, Prompt: prompt, Stream: true, MaxTokens: k.MaxTokens, IgnoreEOS: k.Exact,
+			Model: k.Model, Prompt: prompt, Stream: true, MaxTokens: k.MaxTokens, IgnoreEOS: k.ExactLength,
 		})
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, entry+path, strings.NewReader(string(body)))
@@ -115,19 +115,19 @@
 	} `json:"error"`
 }
 
-func failed(answer *http.Response) outcome {
+func readFailure(answer *http.Response) outcome {
 	var body failureBody
 	if err := json.NewDecoder(answer.Body).Decode(&body); err != nil || body.Error.Run == "" {
 		return outcome{broken: true, code: strconv.Itoa(answer.StatusCode)}
 	}
 	return outcome{
-		run: body.Error.Run, code: body.Error.Code,
+		runState: body.Error.Run, code: body.Error.Code,
 		retryAfter: time.Duration(body.Error.RetryAfterMs) * time.Millisecond,
 	}
 }
 
-// doneMark ends a stream that is whole.
-const doneMark = "[DONE]"
+// streamEndData ends a stream that is whole.
+const streamEndData = "[DONE]"
 
 // readStream reads an answer token by token and checks that each comes once and
 // in order.
@@ -138,25 +138,25 @@
 		if err != nil {
 			return o
 		}
-		if event.Data == doneMark {
+		if event.Data == streamEndData {
 			o.broken = false
 			return o
 		}
 		var failure failureBody
 		if json.Unmarshal([]byte(event.Data), &failure) == nil && failure.Error.Run != "" {
-			o.broken, o.run, o.code = false, failure.Error.Run, failure.Error.Code
+			o.broken, o.runState, o.code = false, failure.Error.Run, failure.Error.Code
 			return o
 		}
 		now := time.Now()
 		o.tokens++
 		_, index, _ := strings.Cut(event.LastEventID, ":")
 		if index != strconv.Itoa(o.tokens) {
-			o.disorder = true
+			o.outOfOrder = true
 		}
 		if o.tokens == 1 {
-			o.first = now.Sub(began)
+			o.timeToFirstToken = now.Sub(began)
 		} else {
-			o.gaps = append(o.gaps, now.Sub(last))
+			o.tokenGaps = append(o.tokenGaps, now.Sub(last))
 		}
 		last = now
 	}
--- a/internal/load/collector.go
+++ b/internal/load/collector.go
@@ -14,29 +14,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// gatherer adds up the outcomes of a run.
-type gatherer struct {
+// collector adds up the outcomes of a run.
+type collector struct {
 	mu    sync.Mutex
 	kinds map[string]*kindTotals
 }
 
 type kindTotals struct {
-	report                   KindReport
-	first, between, duration *hdrhistogram.Histogram
+	report                              KindReport
+	firstToken, betweenTokens, duration *hdrhistogram.Histogram
 }
 
-func newGatherer(m Mix) *gatherer {
-	g := &gatherer{kinds: map[string]*kindTotals{}}
+func newCollector(m Mix) *collector {
+	g := &collector{kinds: map[string]*kindTotals{}}
 	for _, k := range m.Kinds {
 		g.kinds[k.Name] = &kindTotals{
-			report: KindReport{Codes: map[string]int64{}},
-			first:  newHistogram(), between: newHistogram(), duration: newHistogram(),
+			report:     KindReport{Codes: map[string]int64{}},
+			firstToken: newHistogram(), betweenTokens: newHistogram(), duration: newHistogram(),
 		}
 	}
 	return g
 }
 
-func (g *gatherer) add(k Kind, o outcome) {
+func (g *collector) add(k Kind, o outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t := g.kinds[k.Name]
@@ -45,14 +45,14 @@
 	t.measure(o)
 }
 
-// addBack adds the outcome of a caller that came back.
-func (g *gatherer) addBack(k Kind, o outcome) {
+// addRetry adds the outcome of a caller that came back.
+func (g *collector) addRetry(k Kind, o outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t := g.kinds[k.Name]
-	t.report.CameBack++
-	if o.whole() {
-		t.report.TakenBack++
+	t.report.Retried++
+	if o.complete() {
+		t.report.RetriedComplete++
 	}
 	t.measure(o)
 }
@@ -62,14 +62,14 @@
 	switch {
 	case o.broken:
 		r.Broken++
-	case o.run == "not_run":
+	case o.runState == "not_run":
 		r.Refused++
-	case o.run == "partial":
+	case o.runState == "partial":
 		r.Partial++
-	case o.run == "unknown":
+	case o.runState == "unknown":
 		r.Unknown++
 	default:
-		r.Whole++
+		r.Complete++
 	}
 	if o.code != "" {
 		r.Codes[o.code]++
@@ -80,41 +80,41 @@
 // as the bound.
 func (t *kindTotals) measure(o outcome) {
 	record := func(h *hdrhistogram.Histogram, d time.Duration) {
-		_ = h.RecordValue(min(max(d.Microseconds(), leastMicros), mostMicros))
+		_ = h.RecordValue(min(max(d.Microseconds(), minMicroseconds), maxMicroseconds))
 	}
 	t.report.Tokens += int64(o.tokens)
-	if o.disorder {
-		t.report.Disorder++
+	if o.outOfOrder {
+		t.report.OutOfOrder++
 	}
 	if o.tokens > 0 {
-		record(t.first, o.first)
+		record(t.firstToken, o.timeToFirstToken)
 	}
-	for _, gap := range o.gaps {
-		record(t.between, gap)
-		if gap >= StallAfter {
+	for _, gap := range o.tokenGaps {
+		record(t.betweenTokens, gap)
+		if gap >= StallThreshold {
 			t.report.Stalls++
 			t.report.StallMillis += gap.Milliseconds()
 		}
 	}
-	if o.whole() {
-		record(t.duration, o.took)
+	if o.complete() {
+		record(t.duration, o.duration)
 	}
 }
 
-func (g *gatherer) report(took time.Duration, rate float64) Report {
+func (g *collector) report(took time.Duration, rate float64) Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r := Report{Seconds: took.Seconds(), Rate: rate, Kinds: map[string]KindReport{}}
 	for name, t := range g.kinds {
 		one := t.report
-		one.FirstToken, one.BetweenTokens, one.Duration = quantilesOf(t.first), quantilesOf(t.between), quantilesOf(t.duration)
+		one.FirstToken, one.BetweenTokens, one.Duration = newQuantiles(t.firstToken), newQuantiles(t.betweenTokens), newQuantiles(t.duration)
 		r.Kinds[name] = one
 	}
 	return r
 }
 
 // progress writes a line a second until the run is finished.
-func (g *gatherer) progress(out io.Writer, began time.Time, finished <-chan struct{}) {
+func (g *collector) progress(out io.Writer, began time.Time, finished <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -126,14 +126,14 @@
 			g.mu.Lock()
 			for _, t := range g.kinds {
 				total.Calls += t.report.Calls
-				total.Whole += t.report.Whole
+				total.Complete += t.report.Complete
 				total.Refused += t.report.Refused
 				total.Broken += t.report.Broken
 				total.Tokens += t.report.Tokens
 			}
 			g.mu.Unlock()
 			fmt.Fprintf(out, "%4.0fs  ended %d  whole %d  refused %d  broken %d  tokens %d\n",
-				now.Sub(began).Seconds(), total.Calls, total.Whole, total.Refused, total.Broken, total.Tokens)
+				now.Sub(began).Seconds(), total.Calls, total.Complete, total.Refused, total.Broken, total.Tokens)
 		}
 	}
 }
@@ -150,8 +150,8 @@
 	fmt.Fprintln(table, "kind\tcalls\twhole\trefused\tcame back\ttaken\tpartial\tunknown\tbroken\tdisorder\ttokens\tstalls\tstall s\t")
 	for _, name := range names {
 		k := r.Kinds[name]
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t\n", name, k.Calls, k.Whole, k.Refused,
-			k.CameBack, k.TakenBack, k.Partial, k.Unknown, k.Broken, k.Disorder, k.Tokens, k.Stalls, float64(k.StallMillis)/1000)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t\n", name, k.Calls, k.Complete, k.Refused,
+			k.Retried, k.RetriedComplete, k.Partial, k.Unknown, k.Broken, k.OutOfOrder, k.Tokens, k.Stalls, float64(k.StallMillis)/1000)
 	}
 	if err := table.Flush(); err != nil {
 		return err
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -34,8 +34,8 @@
 	// twice of it.
 	PromptTokens int `json:"promptTokens,omitempty"`
 	// MaxTokens bounds the answer; with Exact it is its length on a stand-in.
-	MaxTokens int  `json:"maxTokens,omitempty"`
-	Exact     bool `json:"exact,omitempty"`
+	MaxTokens   int  `json:"maxTokens,omitempty"`
+	ExactLength bool `json:"exact,omitempty"`
 }
 
 // Mix is the workload of a run.
@@ -82,14 +82,14 @@
 // Settings are those of a run.
 type Settings struct {
 	// Entries are the URLs of entries' caller sides, used in turn.
-	Entries []string
-	Key     string
-	Rate    float64
-	For     time.Duration
-	Seed    uint64
-	Mix     Mix
-	// ComeBack has refused callers come back once, when they were told to.
-	ComeBack bool
+	Entries  []string
+	Key      string
+	Rate     float64
+	Duration time.Duration
+	Seed     uint64
+	Mix      Mix
+	// RetryRefused has refused callers come back once, when they were told to.
+	RetryRefused bool
 	// Progress takes a line a second; nil writes none.
 	Progress io.Writer
 }
@@ -105,21 +105,21 @@
 
 // KindReport is what the callers of one kind saw.
 type KindReport struct {
-	Calls int64 `json:"calls"`
-	Whole int64 `json:"whole"`
+	Calls    int64 `json:"calls"`
+	Complete int64 `json:"whole"`
 	// Refused, Partial, Unknown and Broken are how the others ended: with
 	// not_run, with partial, with unknown, and without a word.
 	Refused int64 `json:"refused"`
 	Partial int64 `json:"partial"`
 	Unknown int64 `json:"unknown"`
 	Broken  int64 `json:"broken"`
-	// CameBack are the refused that came back, and TakenBack those of them
+	// Retried are the refused that came back, and TakenBack those of them
 	// that were then answered whole.
-	CameBack  int64 `json:"cameBack"`
-	TakenBack int64 `json:"takenBack"`
-	// Disorder are streams with a token missing, twice or out of order.
-	Disorder int64 `json:"disorder"`
-	Tokens   int64 `json:"tokens"`
+	Retried         int64 `json:"cameBack"`
+	RetriedComplete int64 `json:"takenBack"`
+	// OutOfOrder are streams with a token missing, twice or out of order.
+	OutOfOrder int64 `json:"disorder"`
+	Tokens     int64 `json:"tokens"`
 	// Stalls are pauses between tokens of StallAfter and more.
 	Stalls        int64            `json:"stalls"`
 	StallMillis   int64            `json:"stallMillis"`
@@ -136,19 +136,21 @@
 	Kinds   map[string]KindReport `json:"kinds"`
 }
 
-// StallAfter is the pause between tokens that counts as a stall.
-const StallAfter = 500 * time.Millisecond
+// StallThreshold is the pause between tokens that counts as a stall.
+const StallThreshold = 500 * time.Millisecond
 
 // Bounds of the histograms, in microseconds.
 const (
-	leastMicros = 1
-	mostMicros  = int64(10 * time.Minute / time.Microsecond)
-	digits      = 3
+	minMicroseconds   = 1
+	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(leastMicros, mostMicros, digits) }
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits)
+}
 
-func quantilesOf(h *hdrhistogram.Histogram) Quantiles {
+func newQuantiles(h *hdrhistogram.Histogram) Quantiles {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
 }
@@ -156,7 +158,7 @@
 // Run sends calls at the rate until the time is over or the context ends, waits
 // for those under way and reports.
 func Run(ctx context.Context, s Settings) Report {
-	gather := newGatherer(s.Mix)
+	gather := newCollector(s.Mix)
 	caller := newCaller(s, gather)
 	random := rand.New(rand.NewPCG(s.Seed, 3))
 	began := time.Now()
@@ -168,11 +170,11 @@
 	next := began
 	for n := 0; ; n++ {
 		next = next.Add(time.Duration(random.ExpFloat64() / s.Rate * float64(time.Second)))
-		if next.Sub(began) >= s.For || !waitUntil(ctx, next) {
+		if next.Sub(began) >= s.Duration || !waitUntil(ctx, next) {
 			break
 		}
-		kind := pick(random, s.Mix)
-		prompt := promptOf(random, kind)
+		kind := pickKind(random, s.Mix)
+		prompt := randomPrompt(random, kind)
 		entry := s.Entries[n%len(s.Entries)]
 		calls.Go(func() { caller.call(ctx, entry, kind, prompt) })
 	}
@@ -193,7 +195,7 @@
 	}
 }
 
-func pick(random *rand.Rand, m Mix) Kind {
+func pickKind(random *rand.Rand, m Mix) Kind {
 	total := 0.0
 	for _, k := range m.Kinds {
 		total += k.Share
@@ -208,9 +210,9 @@
 	return m.Kinds[len(m.Kinds)-1]
 }
 
-// promptOf makes up a prompt, different for each call, so that the stand-in's
+// randomPrompt makes up a prompt, different for each call, so that the stand-in's
 // made-up lengths differ.
-func promptOf(random *rand.Rand, k Kind) string {
+func randomPrompt(random *rand.Rand, k Kind) string {
 	words := max(k.PromptTokens, 1)
 	words = words/2 + random.IntN(words+words/2+1)
 	var text strings.Builder
