--- a/cmd/shedpath/main.go
+++ b/cmd/shedpath/main.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Command shedpath serves model generations and plain service calls from entry
-// hosts; see its help.
+// hosts. Its help lists the subcommands.
 package main
 
 import (
--- a/internal/bench/bench.go
+++ b/internal/bench/bench.go
@@ -20,17 +20,17 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// Settings say what to measure. The zero value measures nothing.
+// Settings selects the combinations to measure. The zero value measures nothing.
 type Settings struct {
 	Policies  []string
 	Workloads []string
-	// Loads are multiples of what the pool can carry.
+	// Loads are arrival rates as multiples of the pool's capacity.
 	Loads []float64
-	// Seeds is how many seeds each combination is run on.
+	// Seeds is the number of seeds that each combination runs with.
 	Seeds int
 }
 
-// deciderFactory makes a decider for one run.
+// deciderFactory creates the decider of one simulation.
 type deciderFactory func(seed uint64, s *simulation) decider
 
 func policySettings(change func(*policy.Settings)) policy.Settings {
@@ -53,7 +53,7 @@
 	}
 }
 
-// policies are what can be measured, by name; "ours" is what the daemon runs.
+// policies holds the policies that can be measured by name; "ours" is the daemon's.
 var policies = map[string]deciderFactory{
 	"random": func(seed uint64, _ *simulation) decider {
 		return &randomDecider{engines: engineIDs(), source: rand.New(rand.NewPCG(seed, 1))}
@@ -87,7 +87,7 @@
 	})
 }
 
-// PolicyNames lists the policies.
+// PolicyNames returns the sorted names of all policies.
 func PolicyNames() []string {
 	names := make([]string, 0, len(policies))
 	for name := range policies {
@@ -97,14 +97,15 @@
 	return names
 }
 
-// row is one combination's measurement on all seeds.
+// row holds the measurements of one combination, one per seed.
 type row struct {
 	policy, workload string
 	load             float64
 	measurements     []measurement
 }
 
-// Run measures every combination and writes a table of medians to out.
+// Run measures every combination and writes a table of the medians over all seeds to
+// out. It fails if a policy or workload is unknown.
 func Run(out io.Writer, s Settings) error {
 	rows, err := combinations(s)
 	if err != nil {
@@ -123,8 +124,8 @@
 	return writeTable(out, rows, rates)
 }
 
-// calibrate finds the load 1.0 of each workload. Those that differ only in what
-// happens to the pool have the same.
+// calibrate returns the arrival rate per second of load 1.0 for each workload.
+// Workloads that differ only in burst, flood or event share one rate.
 func calibrate(names []string) map[string]float64 {
 	rates := map[string]float64{}
 	var mu sync.Mutex
@@ -175,8 +176,9 @@
 	return newSimulation(w, arrivals, build).run()
 }
 
-// capacity is the arrivals a second of a workload that the pool can carry: the
-// most at which the bound lets nearly all in.
+// capacity returns the highest arrival rate per second at which the oracle refuses at
+// most maxRefused of the generations, found by bisection and without the workload's
+// burst, flood or event.
 func capacity(w workload) float64 {
 	const seed, steps, maxRefused = 99, 8, 0.01
 	w.event, w.burstFactor, w.floodFraction = noEvent, 0, 0
--- a/internal/bench/deciders.go
+++ b/internal/bench/deciders.go
@@ -13,8 +13,8 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// decider is a placement policy under measurement. Each call may decide about
-// requests, the one it is about or others.
+// decider is a placement policy under measurement. submit and advance may return
+// decisions on any undecided requests, not just on the one submitted.
 type decider interface {
 	submit(now time.Time, entry int, r policy.Request) []policy.Decision
 	finish(now time.Time, f policy.Finish)
@@ -22,7 +22,7 @@
 	advance(now time.Time) []policy.Decision
 }
 
-// randomDecider sends each request to any engine at once.
+// randomDecider grants each request at once on a random engine.
 type randomDecider struct {
 	engines []member.UpstreamID
 	source  *rand.Rand
@@ -35,14 +35,15 @@
 func (*randomDecider) report(time.Time, policy.Report)     {}
 func (*randomDecider) advance(time.Time) []policy.Decision { return nil }
 
-// leastLoadedDecider sends each request to the engine that reported the least memory
-// in use and waiting, each entry alone. With a reserve it holds requests back
-// until an engine reports room beyond it.
+// leastLoadedDecider sends each request to the engine that reported the lowest load,
+// counting memory in use and waiting requests. With a reserve it holds requests back
+// until that engine reports enough free memory beyond the reserve and no waiting
+// requests.
 type leastLoadedDecider struct {
 	reports map[member.UpstreamID]policy.Report
 	source  *rand.Rand
-	// reservedFraction is the part of the memory to be kept free; zero holds nothing
-	// back.
+	// reservedFraction is the fraction of an engine's memory to keep free. Zero means
+	// that requests are never held back.
 	reservedFraction float64
 	held             []policy.Request
 }
@@ -74,6 +75,8 @@
 	return decided
 }
 
+// pickEngine returns a random one of the least loaded engines and whether the request
+// may be sent there now.
 func (d *leastLoadedDecider) pickEngine(r policy.Request) (member.UpstreamID, bool) {
 	var best []policy.Report
 	for _, report := range d.reports {
@@ -101,10 +104,11 @@
 	return chosen.Engine, true
 }
 
-// perEntryDecider gives each entry a decider of its own.
+// perEntryDecider gives each entry a decider of its own, so that entries decide
+// without knowledge of each other's placements.
 type perEntryDecider struct {
 	deciders []decider
-	// entryByRun remembers which entry has a run.
+	// entryByRun maps each run to the index of its entry.
 	entryByRun map[policy.RunID]int
 }
 
@@ -139,7 +143,8 @@
 	return decided
 }
 
-// removeEngine takes an engine away.
+// removeEngine removes the engine id from every decider; alive are the remaining
+// engines.
 func (d *perEntryDecider) removeEngine(id member.UpstreamID, alive []member.UpstreamID) {
 	for _, one := range d.deciders {
 		switch o := one.(type) {
@@ -151,7 +156,8 @@
 	}
 }
 
-// poolDecider is the product's policy: one Pool that decides for all entries.
+// poolDecider is the daemon's policy: a policy.Pool that decides on all requests that it
+// receives.
 type poolDecider struct {
 	pool *policy.Pool
 }
@@ -174,16 +180,18 @@
 func (d *poolDecider) report(now time.Time, r policy.Report)   { d.pool.Report(now, r) }
 func (d *poolDecider) advance(now time.Time) []policy.Decision { return d.pool.Advance(now) }
 
-// meanLengthModel is the plain-mean length model, to be compared with the tail: an
-// answer goes on until the mean of its route.
+// meanLengthModel is a length model for comparison with the learned tail: it assumes
+// that every answer ends at the learned mean length.
 type meanLengthModel struct {
 	learned policy.LearnedLengths
 }
 
-// meanCurve ends every answer at its mean.
+// meanCurve is the survival curve of an answer that ends exactly at the mean length.
 type meanCurve policy.Tokens
 
-// SurvivalAfter tells whether the mean answer would still be going.
+// SurvivalAfter returns 1 for each horizon at which an answer of mean length is still
+// being generated, and 0 for the others. An answer that has reached the mean is
+// assumed to end with its next token.
 func (m meanCurve) SurvivalAfter(made policy.Tokens) policy.Survival {
 	var alive policy.Survival
 	for k, ahead := range policy.Horizons() {
@@ -194,15 +202,15 @@
 	return alive
 }
 
-// SurvivalCurve returns the mean as a curve.
+// SurvivalCurve returns the curve of an answer of the mean length for r.
 func (m *meanLengthModel) SurvivalCurve(r *policy.Request) policy.SurvivalCurve {
 	return meanCurve(m.learned.MeanLength(r))
 }
 
-// MeanLength is the learned mean.
+// MeanLength returns the learned mean length for r.
 func (m *meanLengthModel) MeanLength(r *policy.Request) policy.Tokens { return m.learned.MeanLength(r) }
 
-// Observe learns.
+// Observe records the length n of a finished answer.
 func (m *meanLengthModel) Observe(account resource.Account, route resource.Name, n policy.Tokens) {
 	m.learned.Observe(account, route, n)
 }
--- a/internal/bench/measurement.go
+++ b/internal/bench/measurement.go
@@ -10,125 +10,133 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// measurement is what one run measured.
+// measurement holds the results of one simulation. Arrivals during the warm-up don't
+// count, except in wastedPerToken.
 type measurement struct {
 	generations int
-	// finishedPerSecond are tokens of answers that ended, a second.
+	// finishedPerSecond is the number of tokens of finished answers per second.
 	finishedPerSecond float64
-	// preemptionsPer1000 are a thousand generations'.
+	// preemptionsPer1000 is the number of preemptions per 1000 generations.
 	preemptionsPer1000 float64
-	// stallP99 is the 99th percentile and stallMean the mean of the stall time
-	// of a generation.
+	// stallP99 and stallMean are the 99th percentile and the mean of the generations'
+	// total stall time.
 	stallP99, stallMean time.Duration
-	// longestGapP99 is the 99th percentile of each generation's longest gap.
+	// longestGapP99 is the 99th percentile of the generations' longest gaps between
+	// tokens.
 	longestGapP99 time.Duration
 	// firstTokenP95 is the 95th percentile of the time to the first token.
 	firstTokenP95 time.Duration
-	// refusedFraction is the part that got no answer by its first asking; retryGrantedFraction the
-	// part of those told to come back that were then let in.
+	// refusedFraction is the fraction of generations whose first attempt was refused,
+	// and retryGrantedFraction the fraction of retries that were granted.
 	refusedFraction, retryGrantedFraction float64
 	lostFraction                          float64
-	// minShare is the minShare any account got of what it asked for or of its fair
-	// share, whichever is less.
+	// minShare is the lowest ratio, over all accounts, of the tokens that an account
+	// received to the tokens it requested or its fair share, whichever is less. It is
+	// at most 1.
 	minShare float64
-	// wastedPerToken are the tokens read or made again for those made, at most 1 a
-	// token.
+	// wastedPerToken is the number of tokens recomputed or lost per generated token.
 	wastedPerToken float64
 }
 
-func (s *simulation) tally() measurement {
+// results computes the measurement of a finished simulation.
+func (s *simulation) results() measurement {
 	var r measurement
 	var stalls, gaps, firsts []time.Duration
-	var refused, returned, taken, lost, preempted, finished int
+	var refused, retried, retriesGranted, lost, preemptions, finished int
 	begin := s.start.Add(warmUp)
-	for _, t := range s.generations {
-		if s.start.Add(t.offset).Before(begin) {
+	for _, g := range s.generations {
+		if s.start.Add(g.offset).Before(begin) {
 			continue
 		}
 		r.generations++
-		preempted += t.preemptions
+		preemptions += g.preemptions
 		switch {
-		case t.retried || t.refused:
+		case g.retried || g.refused:
 			refused++
-		case t.lost:
+		case g.lost:
 			lost++
 		}
-		if t.retried {
-			returned++
-			if t.retryGranted {
-				taken++
+		if g.retried {
+			retried++
+			if g.retryGranted {
+				retriesGranted++
 			}
 		}
-		if t.firstTokenAt.IsZero() {
+		if g.firstTokenAt.IsZero() {
 			continue
 		}
-		if t.done {
-			finished += t.generatedTokens
+		if g.done {
+			finished += g.generatedTokens
 		}
-		stalls = append(stalls, t.stallTime)
-		gaps = append(gaps, t.longestGap)
-		firsts = append(firsts, t.firstTokenAt.Sub(s.start.Add(t.offset)))
-		r.stallMean += t.stallTime
+		stalls = append(stalls, g.stallTime)
+		gaps = append(gaps, g.longestGap)
+		firsts = append(firsts, g.firstTokenAt.Sub(s.start.Add(g.offset)))
+		r.stallMean += g.stallTime
 	}
 	n := max(r.generations, 1)
 	r.finishedPerSecond = float64(finished) / s.busySpan().Seconds()
-	r.preemptionsPer1000 = 1000 * float64(preempted) / float64(n)
+	r.preemptionsPer1000 = 1000 * float64(preemptions) / float64(n)
 	r.stallMean /= time.Duration(n)
 	r.stallP99, r.longestGapP99, r.firstTokenP95 = percentile(stalls, 99), percentile(gaps, 99), percentile(firsts, 95)
 	r.refusedFraction, r.lostFraction = float64(refused)/float64(n), float64(lost)/float64(n)
-	r.retryGrantedFraction = float64(taken) / float64(max(returned, 1))
+	r.retryGrantedFraction = float64(retriesGranted) / float64(max(retried, 1))
 	r.minShare = s.minShare(begin)
 	r.wastedPerToken = s.wastedPerToken()
 	return r
 }
 
-// busySpan is from the end of the warm-up to the last token.
+// busySpan returns the time from the end of the warm-up to the last token, or to the
+// end of the arrivals if that is later.
 func (s *simulation) busySpan() time.Duration {
 	last := s.start.Add(arrivalPeriod)
-	for _, t := range s.generations {
-		if t.lastTokenAt.After(last) {
-			last = t.lastTokenAt
+	for _, g := range s.generations {
+		if g.lastTokenAt.After(last) {
+			last = g.lastTokenAt
 		}
 	}
 	return last.Sub(s.start) - warmUp
 }
 
+// wastedPerToken counts the tokens that engines recomputed and those of lost answers,
+// per generated token.
 func (s *simulation) wastedPerToken() float64 {
-	recomputed, made := 0, 0
-	for _, h := range s.engines {
-		recomputed += h.model.Load().Recomputed
+	recomputed, generated := 0, 0
+	for _, e := range s.engines {
+		recomputed += e.model.Load().Recomputed
 	}
-	for _, t := range s.generations {
-		made += t.generatedTokens
-		if t.lost {
-			recomputed += t.generatedTokens
+	for _, g := range s.generations {
+		generated += g.generatedTokens
+		if g.lost {
+			recomputed += g.generatedTokens
 		}
 	}
-	return float64(recomputed) / float64(max(made, 1))
+	return float64(recomputed) / float64(max(generated, 1))
 }
 
-// minShare compares what each account got with what it is due.
+// minShare returns the lowest ratio of received to due tokens over all accounts. An
+// account is due what it requested, but no more than an equal share of all tokens.
 func (s *simulation) minShare(begin time.Time) float64 {
-	asked, got := map[resource.Account]float64{}, map[resource.Account]float64{}
+	requested, received := map[resource.Account]float64{}, map[resource.Account]float64{}
 	total := 0.0
-	for _, t := range s.generations {
-		if s.start.Add(t.offset).Before(begin) {
+	for _, g := range s.generations {
+		if s.start.Add(g.offset).Before(begin) {
 			continue
 		}
-		asked[t.request.Account] += float64(t.outputTokens)
-		if t.done {
-			got[t.request.Account] += float64(t.outputTokens)
-			total += float64(t.outputTokens)
+		requested[g.request.Account] += float64(g.outputTokens)
+		if g.done {
+			received[g.request.Account] += float64(g.outputTokens)
+			total += float64(g.outputTokens)
 		}
 	}
-	share := total / float64(max(len(asked), 1))
+	fairShare := total / float64(max(len(requested), 1))
 	least := 1.0
-	for account, wanted := range asked {
-		least = min(least, got[account]/min(wanted, share))
+	for account, accountRequested := range requested {
+		least = min(least, received[account]/min(accountRequested, fairShare))
 	}
 	return least
 }
 
+// percentile sorts d and returns its p-th percentile, or zero if d is empty.
 func percentile(d []time.Duration, p int) time.Duration {
 	if len(d) == 0 {
 		return 0
--- a/internal/bench/oracle.go
+++ b/internal/bench/oracle.go
@@ -11,8 +11,9 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// oracle is the bound: it knows every answer's length and every engine's true
-// state, and admits a run exactly when no run will have to be thrown back.
+// oracle is the upper bound for any policy: it knows the length of every answer and
+// the true state of every engine, and admits a run only if no run will be preempted
+// and the step time stays within maxStepTime.
 type oracle struct {
 	sim  *simulation
 	held []*generation
@@ -28,64 +29,68 @@
 
 func (o *oracle) advance(now time.Time) []policy.Decision {
 	var decided []policy.Decision
-	var kept []*generation
-	for i, t := range o.held {
-		if len(kept) >= maxBlockedRequests {
-			kept = append(kept, o.held[i:]...)
+	var stillHeld []*generation
+	for i, g := range o.held {
+		if len(stillHeld) >= maxBlockedRequests {
+			stillHeld = append(stillHeld, o.held[i:]...)
 			break
 		}
-		t.request.Deadline = t.submitAt.Add(firstTokenTimeout)
-		if now.After(t.request.Deadline) {
-			decided = append(decided, policy.Decision{Run: t.request.Run, Verdict: policy.Refused, RetryAfter: time.Second})
+		g.request.Deadline = g.submitAt.Add(firstTokenTimeout)
+		if now.After(g.request.Deadline) {
+			decided = append(decided, policy.Decision{Run: g.request.Run, Verdict: policy.Refused, RetryAfter: time.Second})
 			continue
 		}
-		h := o.pickEngine(t)
-		if h == nil {
-			kept = append(kept, t)
+		e := o.pickEngine(g)
+		if e == nil {
+			stillHeld = append(stillHeld, g)
 			continue
 		}
-		// The next one held is to see this one on its engine.
-		o.sim.grant(t, policy.Decision{Run: t.request.Run, Engine: h.id})
+		// Grant at once, so that the choice for the next held request counts this run.
+		o.sim.grant(g, policy.Decision{Run: g.request.Run, Engine: e.id})
 	}
-	o.held = kept
+	o.held = stillHeld
 	return decided
 }
 
-// maxBlockedRequests is how many requests that find no room let others pass.
+// maxBlockedRequests is the number of held requests without a suitable engine after
+// which advance tries no further ones. Up to then, later requests may overtake them.
 const maxBlockedRequests = 16
 
-func (o *oracle) pickEngine(t *generation) *simulatedEngine {
+// pickEngine returns the engine with the lowest peak memory among those that have room
+// for the run, or nil.
+func (o *oracle) pickEngine(g *generation) *simulatedEngine {
 	var best *simulatedEngine
 	lowest := 0
-	for _, h := range o.sim.engines {
-		if h.dead {
+	for _, e := range o.sim.engines {
+		if e.dead {
 			continue
 		}
-		peak, batch := o.peakMemory(h, t)
+		peak, batch := o.peakMemory(e, g)
 		s := benchSettings()
 		step := s.StepBase + time.Duration(batch)*s.StepPerRun
-		if peak > s.MemoryTokens || step*time.Duration(h.slowdown) > maxStepTime {
+		if peak > s.MemoryTokens || step*time.Duration(e.slowdown) > maxStepTime {
 			continue
 		}
 		if best == nil || peak < lowest {
-			best, lowest = h, peak
+			best, lowest = e, peak
 		}
 	}
 	return best
 }
 
-// projectedRun is a run with what it holds and how many tokens it has still to make.
+// projectedRun is a run with the memory that it holds, in tokens, and the number of
+// tokens that it has yet to generate.
 type projectedRun struct {
 	heldTokens, tokensLeft int
 }
 
-// peakMemory is the most memory that an engine will need with one more run, and the
-// size of its batch.
-func (o *oracle) peakMemory(h *simulatedEngine, candidate *generation) (peak, batch int) {
+// peakMemory returns the highest memory use in tokens that the engine will reach with
+// candidate added, and the size of its batch then.
+func (o *oracle) peakMemory(e *simulatedEngine, candidate *generation) (peak, batch int) {
 	runs := []projectedRun{{heldTokens: int(candidate.request.PromptTokens) + 1, tokensLeft: candidate.outputTokens}}
-	for _, t := range h.running {
-		if !t.done {
-			runs = append(runs, projectedRun{heldTokens: int(t.request.PromptTokens) + t.generatedTokens + 1, tokensLeft: t.outputTokens - t.generatedTokens})
+	for _, g := range e.running {
+		if !g.done {
+			runs = append(runs, projectedRun{heldTokens: int(g.request.PromptTokens) + g.generatedTokens + 1, tokensLeft: g.outputTokens - g.generatedTokens})
 		}
 	}
 	slices.SortFunc(runs, func(a, b projectedRun) int { return cmp.Compare(a.tokensLeft, b.tokensLeft) })
--- a/internal/bench/simulation.go
+++ b/internal/bench/simulation.go
@@ -13,26 +13,30 @@
 	"github.com/shedpath/shedpath/standin/engine"
 )
 
-// The pool under measurement.
+// Parameters of the simulated pool.
 const (
 	engineCount  = 4
 	entryCount   = 3
 	engineMemory = 24_000
-	// reportInterval and reportLag are how often the load is had and how old it
-	// is then.
+	// reportInterval is the interval between load reports, and reportLag their age on
+	// delivery.
 	reportInterval  = 250 * time.Millisecond
 	reportLag       = 500 * time.Millisecond
 	advanceInterval = 20 * time.Millisecond
-	// firstTokenTimeout is how long a caller waits for its first token.
+	// firstTokenTimeout is how long a request may wait to be granted.
 	firstTokenTimeout = 10 * time.Second
-	// warmUp is left out of the measurement, span is how long work comes in,
-	// and settle how long it may take to end after that.
+	// warmUp is excluded from the measurement. Requests arrive during arrivalPeriod,
+	// which includes the warm-up, and have settlePeriod after that to finish.
 	warmUp        = 10 * time.Second
 	arrivalPeriod = 70 * time.Second
 	settlePeriod  = 60 * time.Second
-	maxStepTime   = 70 * time.Millisecond
-	// pauseDuration is how long a lost or paused coordinator is missed.
-	pauseDuration  = time.Second
+	// maxStepTime is the longest step that placement may cause; each step is a gap
+	// between tokens.
+	maxStepTime = 70 * time.Millisecond
+	// pauseDuration is how long no decisions are made after the coordinator is lost or
+	// paused.
+	pauseDuration = time.Second
+	// slowdownFactor multiplies the step time of a slowed engine.
 	slowdownFactor = 3
 )
 
@@ -46,22 +50,24 @@
 type simulatedEngine struct {
 	id    member.UpstreamID
 	model *engine.Model
-	// stepEnd is when the step under way ends; zero while idle.
-	stepEnd  time.Time
+	// stepEnd is when the current step ends; zero while the engine is idle.
+	stepEnd time.Time
+	// events are those of the current step.
 	events   []engine.Event
 	slowdown int
 	dead     bool
-	// running are the generations placed here, with some that have ended.
+	// running holds the generations placed on this engine. It may include finished
+	// ones.
 	running []*generation
 }
 
-// delayedReport is a load report on its way.
+// delayedReport is a load report that has yet to be delivered.
 type delayedReport struct {
 	deliverAt time.Time
 	report    policy.Report
 }
 
-// generation is what is known of one generation.
+// generation is the state of one generation in the simulation.
 type generation struct {
 	arrival
 	submitAt        time.Time
@@ -73,15 +79,15 @@
 	done            bool
 	refused         bool
 	lost            bool
-	// retried says that the caller came back when it was told to, retryGranted that
-	// it was let in then.
+	// retried is set if the caller retries after a refusal, retryGranted if that retry
+	// is granted.
 	retried, retryGranted bool
 	stallTime             time.Duration
 	longestGap            time.Duration
 	preemptions           int
 }
 
-// simulation is one run of one policy.
+// simulation simulates one policy under one workload in virtual time.
 type simulation struct {
 	start           time.Time
 	now             time.Time
@@ -90,21 +96,22 @@
 	engines         []*simulatedEngine
 	engineByID      map[member.UpstreamID]*simulatedEngine
 	pendingArrivals []arrival
-	// retries are refused callers that will try again, in order of time.
+	// retries are the refused generations to submit again, ordered by submitAt.
 	retries         []*generation
 	generationByRun map[policy.RunID]*generation
 	generations     []*generation
 	reports         []delayedReport
-	// pausedUntil is until when nobody decides.
+	// pausedUntil is the time until which no decisions are made.
 	pausedUntil time.Time
-	// newDecider makes a decider afresh, for a lost coordinator.
+	// newDecider creates a new decider when a coordinator is lost.
 	newDecider func() decider
-	held       []*generation
-	// nextFinishedCheck is when to look again whether everything has ended.
+	// held are the generations to submit after the pause.
+	held []*generation
+	// nextFinishedCheck is when to check again whether all generations have ended.
 	nextFinishedCheck time.Time
 }
 
-// engineIDs names the pool's engines.
+// engineIDs returns the IDs of the pool's engines.
 func engineIDs() []member.UpstreamID {
 	ids := make([]member.UpstreamID, engineCount)
 	for i := range ids {
@@ -122,30 +129,30 @@
 	s.newDecider = func() decider { return build(s) }
 	s.decider = s.newDecider()
 	for _, id := range engineIDs() {
-		h := &simulatedEngine{id: id, model: engine.NewModel(benchSettings()), slowdown: 1}
-		s.engines = append(s.engines, h)
-		s.engineByID[id] = h
-		s.decider.report(start, s.loadReport(h))
+		e := &simulatedEngine{id: id, model: engine.NewModel(benchSettings()), slowdown: 1}
+		s.engines = append(s.engines, e)
+		s.engineByID[id] = e
+		s.decider.report(start, s.loadReport(e))
 	}
 	return s
 }
 
-func (s *simulation) loadReport(h *simulatedEngine) policy.Report {
-	load := h.model.Load()
+func (s *simulation) loadReport(e *simulatedEngine) policy.Report {
+	load := e.model.Load()
 	return policy.Report{
-		Engine: h.id, TotalMemory: policy.Tokens(load.MemoryTokens), UsedMemory: policy.Tokens(load.UsedTokens),
-		Running: load.Running, Waiting: load.Waiting, StepTime: load.Step * time.Duration(h.slowdown),
+		Engine: e.id, TotalMemory: policy.Tokens(load.MemoryTokens), UsedMemory: policy.Tokens(load.UsedTokens),
+		Running: load.Running, Waiting: load.Waiting, StepTime: load.Step * time.Duration(e.slowdown),
 	}
 }
 
-// run goes through virtual time to the end of the settling.
+// run advances virtual time until all generations have ended or settlePeriod is over.
 func (s *simulation) run() measurement {
 	end := s.start.Add(arrivalPeriod + settlePeriod)
 	nextReport, nextAdvance := s.start, s.start
-	happened := s.workload.event == noEvent
+	eventTriggered := s.workload.event == noEvent
 	for s.now.Before(end) {
-		if !happened && s.now.Sub(s.start) >= eventOffset {
-			happened = true
+		if !eventTriggered && s.now.Sub(s.start) >= eventOffset {
+			eventTriggered = true
 			s.triggerEvent()
 		}
 		s.submitArrivals()
@@ -167,7 +174,7 @@
 			break
 		}
 	}
-	return s.tally()
+	return s.results()
 }
 
 func (s *simulation) finished() bool {
@@ -175,14 +182,16 @@
 		return false
 	}
 	s.nextFinishedCheck = s.now.Add(time.Second)
-	for _, t := range s.generations {
-		if !t.done && !t.refused && !t.lost {
+	for _, g := range s.generations {
+		if !g.done && !g.refused && !g.lost {
 			return false
 		}
 	}
 	return true
 }
 
+// nextEventTime returns the earliest of the given times, the next arrival and the ends
+// of the current steps.
 func (s *simulation) nextEventTime(moments ...time.Time) time.Time {
 	next := moments[0]
 	for _, m := range moments[1:] {
@@ -193,9 +202,9 @@
 	if len(s.pendingArrivals) > 0 {
 		next = earlier(next, s.start.Add(s.pendingArrivals[0].offset))
 	}
-	for _, h := range s.engines {
-		if !h.stepEnd.IsZero() {
-			next = earlier(next, h.stepEnd)
+	for _, e := range s.engines {
+		if !e.stepEnd.IsZero() {
+			next = earlier(next, e.stepEnd)
 		}
 	}
 	return next
@@ -208,7 +217,7 @@
 	return a
 }
 
-// triggerEvent is the workload's mishap.
+// triggerEvent makes the workload's event happen.
 func (s *simulation) triggerEvent() {
 	switch s.workload.event {
 	case engineLost:
@@ -217,7 +226,7 @@
 		s.engines[0].slowdown = slowdownFactor
 	case coordinatorLost:
 		s.pausedUntil = s.now.Add(pauseDuration)
-		if _, ours := s.decider.(*poolDecider); ours {
+		if _, isPool := s.decider.(*poolDecider); isPool {
 			s.replaceCoordinator()
 		}
 	case coordinatorPaused:
@@ -225,14 +234,14 @@
 	}
 }
 
-// loseEngine ends an engine. Generations that gave a token are lost with it;
-// the others are asked for again.
-func (s *simulation) loseEngine(h *simulatedEngine) {
-	h.dead = true
-	h.stepEnd = time.Time{}
+// loseEngine takes an engine out of service. Its generations that have produced a token
+// are lost; the others are submitted again.
+func (s *simulation) loseEngine(e *simulatedEngine) {
+	e.dead = true
+	e.stepEnd = time.Time{}
 	var alive []member.UpstreamID
 	for _, id := range engineIDs() {
-		if id != h.id {
+		if id != e.id {
 			alive = append(alive, id)
 		}
 	}
@@ -242,39 +251,40 @@
 	case *randomDecider:
 		d.engines = alive
 	case *perEntryDecider:
-		d.removeEngine(h.id, alive)
+		d.removeEngine(e.id, alive)
 	}
-	for _, t := range s.generations {
-		if t.engine != h || t.done {
+	for _, g := range s.generations {
+		if g.engine != e || g.done {
 			continue
 		}
-		s.decider.finish(s.now, policy.Finish{Run: t.request.Run, GeneratedTokens: policy.Tokens(t.generatedTokens)})
-		t.engine, t.granted = nil, false
-		if t.generatedTokens > 0 {
-			t.lost = true
+		s.decider.finish(s.now, policy.Finish{Run: g.request.Run, GeneratedTokens: policy.Tokens(g.generatedTokens)})
+		g.engine, g.granted = nil, false
+		if g.generatedTokens > 0 {
+			g.lost = true
 			continue
 		}
-		s.submit(t)
+		s.submit(g)
 	}
 }
 
-// replaceCoordinator has a new pool take over: it knows nothing but what the
-// entries tell it of their runs.
+// replaceCoordinator replaces the decider by a new pool. The new pool knows only the
+// load reports and what the entries report of their runs: it adopts the running
+// generations, and undecided ones are submitted again after the pause.
 func (s *simulation) replaceCoordinator() {
 	s.decider = s.newDecider()
-	fresh, ours := s.decider.(*poolDecider)
-	if !ours {
+	fresh, isPool := s.decider.(*poolDecider)
+	if !isPool {
 		return
 	}
-	for _, h := range s.engines {
-		fresh.report(s.now, s.loadReport(h))
+	for _, e := range s.engines {
+		fresh.report(s.now, s.loadReport(e))
 	}
-	for _, t := range s.generations {
+	for _, g := range s.generations {
 		switch {
-		case t.engine != nil && !t.done:
-			fresh.pool.Adopt(s.now, t.request, t.engine.id, policy.Tokens(t.generatedTokens))
-		case !t.granted && !t.refused && !t.lost:
-			s.held = append(s.held, t)
+		case g.engine != nil && !g.done:
+			fresh.pool.Adopt(s.now, g.request, g.engine.id, policy.Tokens(g.generatedTokens))
+		case !g.granted && !g.refused && !g.lost:
+			s.held = append(s.held, g)
 		}
 	}
 }
@@ -282,8 +292,8 @@
 func (s *simulation) submitHeld() {
 	held := s.held
 	s.held = nil
-	for _, t := range held {
-		s.submit(t)
+	for _, g := range held {
+		s.submit(g)
 	}
 }
 
@@ -291,11 +301,11 @@
 	for len(s.pendingArrivals) > 0 && !s.start.Add(s.pendingArrivals[0].offset).After(s.now) {
 		a := s.pendingArrivals[0]
 		s.pendingArrivals = s.pendingArrivals[1:]
-		t := &generation{arrival: a, submitAt: s.now}
-		t.request.Deadline = s.now.Add(firstTokenTimeout)
-		s.generationByRun[a.request.Run] = t
-		s.generations = append(s.generations, t)
-		s.submit(t)
+		g := &generation{arrival: a, submitAt: s.now}
+		g.request.Deadline = s.now.Add(firstTokenTimeout)
+		s.generationByRun[a.request.Run] = g
+		s.generations = append(s.generations, g)
+		s.submit(g)
 	}
 	for len(s.retries) > 0 && !s.retries[0].submitAt.After(s.now) {
 		t := s.retries[0]
@@ -306,123 +316,124 @@
 	}
 }
 
-func (s *simulation) submit(t *generation) {
+func (s *simulation) submit(g *generation) {
 	if s.now.Before(s.pausedUntil) {
-		s.held = append(s.held, t)
+		s.held = append(s.held, g)
 		return
 	}
-	s.apply(s.decider.submit(s.now, len(t.request.Run)%entryCount, t.request))
+	s.apply(s.decider.submit(s.now, len(g.request.Run)%entryCount, g.request))
 }
 
 func (s *simulation) apply(decisions []policy.Decision) {
 	for _, d := range decisions {
-		t := s.generationByRun[d.Run]
+		g := s.generationByRun[d.Run]
 		switch d.Verdict {
 		case policy.Granted:
-			s.grant(t, d)
+			s.grant(g, d)
 		case policy.Refused:
-			s.refuse(t, d)
+			s.refuse(g, d)
 		case policy.Queued:
 		}
 	}
 }
 
-func (s *simulation) grant(t *generation, d policy.Decision) {
-	t.granted, t.engine = true, s.engineByID[d.Engine]
-	t.retryGranted = t.retried
-	if t.engine.dead {
-		t.lost = true
+func (s *simulation) grant(g *generation, d policy.Decision) {
+	g.granted, g.engine = true, s.engineByID[d.Engine]
+	g.retryGranted = g.retried
+	if g.engine.dead {
+		g.lost = true
 		return
 	}
 	work := engine.Work{
-		ID: engine.RunID(d.Run), Prompt: int(t.request.PromptTokens), Length: t.outputTokens, Priority: d.Priority,
-		Prefix: prefixOf(t), PrefixTokens: int(t.request.PrefixTokens),
+		ID: engine.RunID(d.Run), Prompt: int(g.request.PromptTokens), Length: g.outputTokens, Priority: d.Priority,
+		Prefix: prefixOf(g), PrefixTokens: int(g.request.PrefixTokens),
 	}
-	t.engine.model.Submit(work)
-	t.engine.running = append(slices.DeleteFunc(t.engine.running, func(t *generation) bool { return t.done }), t)
-	if t.engine.stepEnd.IsZero() {
-		t.engine.stepEnd = s.now
+	g.engine.model.Submit(work)
+	g.engine.running = append(slices.DeleteFunc(g.engine.running, func(t *generation) bool { return t.done }), g)
+	if g.engine.stepEnd.IsZero() {
+		g.engine.stepEnd = s.now
 	}
 }
 
-func prefixOf(t *generation) string {
-	if t.request.Prefix == 0 {
+func prefixOf(g *generation) string {
+	if g.request.Prefix == 0 {
 		return ""
 	}
-	return fmt.Sprint(t.request.Prefix)
+	return fmt.Sprint(g.request.Prefix)
 }
 
-// refuse has a caller that was told when to come back do so, once.
-func (s *simulation) refuse(t *generation, d policy.Decision) {
-	t.refused = true
-	if t.retried || d.RetryAfter == 0 {
+// refuse marks a generation as refused and, if the refusal gives a retry delay, schedules
+// its one retry.
+func (s *simulation) refuse(g *generation, d policy.Decision) {
+	g.refused = true
+	if g.retried || d.RetryAfter == 0 {
 		return
 	}
-	t.retried = true
-	t.submitAt = s.now.Add(d.RetryAfter)
-	at := len(s.retries)
-	for at > 0 && s.retries[at-1].submitAt.After(t.submitAt) {
-		at--
+	g.retried = true
+	g.submitAt = s.now.Add(d.RetryAfter)
+	index := len(s.retries)
+	for index > 0 && s.retries[index-1].submitAt.After(g.submitAt) {
+		index--
 	}
 	s.retries = append(s.retries, nil)
-	copy(s.retries[at+1:], s.retries[at:])
-	s.retries[at] = t
+	copy(s.retries[index+1:], s.retries[index:])
+	s.retries[index] = g
 }
 
 func (s *simulation) stepEngines() {
-	for _, h := range s.engines {
-		for !h.dead && !h.stepEnd.IsZero() && !h.stepEnd.After(s.now) {
-			s.processEvents(h)
-			events, took := h.model.Step()
-			h.events = append(h.events[:0], events...)
+	for _, e := range s.engines {
+		for !e.dead && !e.stepEnd.IsZero() && !e.stepEnd.After(s.now) {
+			s.processEvents(e)
+			events, took := e.model.Step()
+			e.events = append(e.events[:0], events...)
 			if took == 0 {
-				h.stepEnd = time.Time{}
+				e.stepEnd = time.Time{}
 				break
 			}
-			h.stepEnd = s.now.Add(took * time.Duration(h.slowdown))
+			e.stepEnd = s.now.Add(took * time.Duration(e.slowdown))
 		}
 	}
 }
 
-// processEvents accounts for the step that has just ended.
-func (s *simulation) processEvents(h *simulatedEngine) {
-	for _, event := range h.events {
-		t := s.generationByRun[policy.RunID(event.Run)]
+// processEvents processes the events of the step that has just ended.
+func (s *simulation) processEvents(e *simulatedEngine) {
+	for _, event := range e.events {
+		g := s.generationByRun[policy.RunID(event.Run)]
 		switch event.Kind {
 		case engine.Token:
-			t.recordToken(s.now, event.Index)
+			g.recordToken(s.now, event.Index)
 		case engine.Preempted:
-			t.preemptions++
+			g.preemptions++
 		case engine.Ended:
-			t.done = true
-			s.decider.finish(s.now, policy.Finish{Run: t.request.Run, GeneratedTokens: policy.Tokens(event.Index), Complete: true})
+			g.done = true
+			s.decider.finish(s.now, policy.Finish{Run: g.request.Run, GeneratedTokens: policy.Tokens(event.Index), Complete: true})
 		case engine.Admitted:
 		}
 	}
-	h.events = h.events[:0]
+	e.events = e.events[:0]
 }
 
-// stallThreshold is the gap between tokens that counts as a stall.
+// stallThreshold is the shortest gap between two tokens that counts as a stall.
 const stallThreshold = 250 * time.Millisecond
 
-func (t *generation) recordToken(now time.Time, index int) {
-	t.generatedTokens = index
-	if t.firstTokenAt.IsZero() {
-		t.firstTokenAt = now
+func (g *generation) recordToken(now time.Time, index int) {
+	g.generatedTokens = index
+	if g.firstTokenAt.IsZero() {
+		g.firstTokenAt = now
 	} else {
-		gap := now.Sub(t.lastTokenAt)
-		t.longestGap = max(t.longestGap, gap)
+		gap := now.Sub(g.lastTokenAt)
+		g.longestGap = max(g.longestGap, gap)
 		if gap >= stallThreshold {
-			t.stallTime += gap
+			g.stallTime += gap
 		}
 	}
-	t.lastTokenAt = now
+	g.lastTokenAt = now
 }
 
 func (s *simulation) collectReports() {
-	for _, h := range s.engines {
-		if !h.dead {
-			s.reports = append(s.reports, delayedReport{deliverAt: s.now.Add(reportLag), report: s.loadReport(h)})
+	for _, e := range s.engines {
+		if !e.dead {
+			s.reports = append(s.reports, delayedReport{deliverAt: s.now.Add(reportLag), report: s.loadReport(e)})
 		}
 	}
 }
@@ -431,7 +442,7 @@
 	for len(s.reports) > 0 && !s.reports[0].deliverAt.After(s.now) {
 		report := s.reports[0].report
 		s.reports = s.reports[1:]
-		// A lost engine is known at once to all, for every policy alike.
+		// Every policy learns of a lost engine at once, so its late reports are dropped.
 		if !s.engineByID[report.Engine].dead {
 			s.decider.report(s.now, report)
 		}
--- a/internal/bench/workload.go
+++ b/internal/bench/workload.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package bench measures placement policies: one pool of one zone, with the
-// stand-in engine's memory and step model stepped in virtual time, load reports
-// that lag, and several entries deciding. It runs the same policy code as the
-// daemon, on the same seeded arrivals for each policy.
+// Package bench compares placement policies in a simulation of one pool in one zone.
+// The simulation steps the stand-in engine's memory and step-time model in virtual
+// time, delays load reports and has several entries decide. It runs the same policy
+// code as the daemon, and every policy gets the same seeded arrivals.
 //
-// It has no network and simulates no cluster; membership, peers and the
-// platform aren't in it.
+// There is no network and no cluster: membership, peers and the platform are not
+// simulated.
 package bench
 
 import (
@@ -21,24 +21,27 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// arrival is one generation on its way in.
+// arrival is a generation that a caller requests at a given time.
 type arrival struct {
 	offset  time.Duration
 	request policy.Request
-	// outputTokens is the answer's true outputTokens.
+	// outputTokens is the true length of the answer, which only the oracle knows
+	// beforehand.
 	outputTokens int
 }
 
-// generationKind is a sort of generation.
+// generationKind describes the prompts and answers of one kind of generation.
 type generationKind struct {
 	route        resource.Name
 	promptTokens func(r *rand.Rand) int
 	outputTokens func(r *rand.Rand) int
-	// prefixCount is how many different beginnings the prompts have; each is
-	// prefixTokens long.
+	// prefixCount is the number of different shared prompt prefixes, each of
+	// prefixTokens tokens. Zero means that prompts share no prefix.
 	prefixCount, prefixTokens int
 }
 
+// logNormal returns a function that draws from a log-normal distribution, clamped to
+// [least, most]. spread is the standard deviation of the logarithm.
 func logNormal(median, spread float64, least, most int) func(r *rand.Rand) int {
 	return func(r *rand.Rand) int {
 		n := int(median * math.Exp(r.NormFloat64()*spread))
@@ -46,24 +49,25 @@
 	}
 }
 
-// counterKind is the counter staff's: short prompts, three to forty lines.
+// counterKind models counter staff: short prompts of three to forty lines.
 var counterKind = generationKind{
 	route: "quote", promptTokens: logNormal(300, 0.5, 50, 2000), outputTokens: logNormal(120, 0.9, 30, 2000),
 	prefixCount: 8, prefixTokens: 200,
 }
 
-// catalogueKind summarises long texts in short replies.
+// catalogueKind models summaries: long prompts and short answers.
 var catalogueKind = generationKind{
 	route: "catalogue", promptTokens: logNormal(2000, 0.5, 500, 8000), outputTokens: logNormal(60, 0.4, 15, 300),
 	prefixCount: 20, prefixTokens: 500,
 }
 
-// statementKind reads very long histories; most verdicts are a line, a few run
-// very long.
+// statementKind models verdicts on very long histories: most answers are one line, a
+// few are very long.
 var statementKind = generationKind{
 	route: "statement", promptTokens: logNormal(6000, 0.5, 1500, 14000), outputTokens: statementLength,
 }
 
+// statementLength draws the answer length of a statementKind generation.
 func statementLength(r *rand.Rand) int {
 	switch p := r.Float64(); {
 	case p < 0.90:
@@ -75,20 +79,22 @@
 	}
 }
 
-// workload is a mix of kinds with what happens to the pool.
+// workload is a mix of generation kinds, with an optional burst, flood or event.
 type workload struct {
 	name  string
 	kinds []generationKind
-	// shares are the kinds' parts of the arrivals.
+	// shares are the fractions of the arrivals by kind, in the order of kinds.
 	shares []float64
-	// burstFactor multiplies the rate between burstFrom and burstTo.
+	// burstFactor multiplies the rate between burstFrom and burstTo; zero means no
+	// burst.
 	burstFactor float64
-	// floodFraction is the part of the arrivals that one account sends.
+	// floodFraction is the fraction of the arrivals that is assigned to account 0, in
+	// addition to its regular share of the others.
 	floodFraction float64
 	event         event
 }
 
-// event is a mishap at eventAt.
+// event is a failure of an engine or of the coordinator at eventOffset.
 type event int
 
 const (
@@ -106,7 +112,7 @@
 	accountCount = 10
 )
 
-// Workloads are those that the brief names, by name.
+// workloads are the workloads that can be run.
 var workloads = []workload{
 	{name: "counter", kinds: []generationKind{counterKind}, shares: []float64{1}},
 	{name: "catalogue", kinds: []generationKind{catalogueKind}, shares: []float64{1}},
@@ -120,7 +126,7 @@
 	{name: "coordinator-paused", kinds: []generationKind{counterKind}, shares: []float64{1}, event: coordinatorPaused},
 }
 
-// WorkloadNames lists the workloads.
+// WorkloadNames returns the names of all workloads.
 func WorkloadNames() []string {
 	names := make([]string, len(workloads))
 	for i, w := range workloads {
@@ -137,16 +143,16 @@
 	return workloads[i], true
 }
 
-// arrivals draws what comes in within a time at a mean rate a second.
+// arrivals draws the arrivals within span at a mean rate per second.
 func (w workload) arrivals(seed uint64, rate float64, span time.Duration) []arrival {
 	r := rand.New(rand.NewPCG(seed, 7))
 	var all []arrival
 	for at := time.Duration(0); ; {
-		now := rate
+		currentRate := rate
 		if w.burstFactor > 0 && at >= burstFrom && at < burstTo {
-			now *= w.burstFactor
+			currentRate *= w.burstFactor
 		}
-		at += time.Duration(r.ExpFloat64() / now * float64(time.Second))
+		at += time.Duration(r.ExpFloat64() / currentRate * float64(time.Second))
 		if at >= span {
 			return all
 		}
@@ -172,6 +178,7 @@
 	return a
 }
 
+// maxOutputTokens is the output limit that every request states.
 const maxOutputTokens = 8000
 
 func (w workload) pickKind(r *rand.Rand) generationKind {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package daemon puts an entry together with its adapters and runs it: the
-// listeners, the platform and engine clients, the peers, metrics and traces.
+// Package daemon assembles and runs an entry process: the entry itself, its
+// listeners, the platform and engine clients, the peer mesh, metrics and traces.
 package daemon
 
 import (
@@ -34,48 +34,51 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Settings are all that an entry process is told at its start. Unlike most
-// types here, its zero value doesn't run: hosts, keys and the platform have no
-// defaults.
+// Settings configures an entry process. Its zero value is not usable: hosts, keys
+// and the platform have no defaults.
 type Settings struct {
-	// Listen, AdminListen and PeerListen are IP:port.
+	// Listen, AdminListen and PeerListen are listen addresses in the form IP:port.
 	Listen, AdminListen, PeerListen string
-	// PeerAdvertise is where peers reach this host; empty takes the address
-	// that PeerListen got.
+	// PeerAdvertise is the address at which peers reach this host. If it is empty,
+	// the address that the peer listener is bound to is used.
 	PeerAdvertise string
 	Host          member.HostID
 	Zone          member.Zone
 	// Platform is the base URL of the platform's service.
 	Platform string
-	// PlatformWriteRate and PlatformReadRate are the service's rates, which all
-	// daemons share.
+	// PlatformWriteRate and PlatformReadRate are the requests per second that the
+	// platform's service allows. All daemons share them.
 	PlatformWriteRate, PlatformReadRate float64
-	// Register puts the entry on the host list itself.
+	// Register makes the daemon add its entry to the platform's host list.
 	Register   bool
 	Peers      []member.Entry
 	PeerKey    string
 	AdminToken string
-	// TLSCertificate and TLSKey are PEM files for the two HTTP listeners;
-	// empty means no TLS.
+	// TLSCertificate and TLSKey are the paths of PEM files for the caller and admin
+	// listeners. If TLSCertificate is empty, both serve without TLS.
 	TLSCertificate, TLSKey string
 	Trace                  telemetry.TraceTarget
 	TraceEndpoint          string
-	// StopGracePeriod is how long new calls are taken after the stop was asked for.
+	// StopGracePeriod is how long new calls are still accepted after a stop is
+	// requested.
 	StopGracePeriod time.Duration
-	// StopTimeout cuts what still runs then; zero never does.
+	// StopTimeout bounds the whole stop; calls that still run then are aborted. Zero
+	// means no limit.
 	StopTimeout time.Duration
-	// LocalPlacement has the entry place without a coordinator.
+	// LocalPlacement makes the entry place calls without a coordinator.
 	LocalPlacement bool
-	// HostListInterval, ConfigPollInterval and LoadInterval are the polls' periods.
+	// HostListInterval, ConfigPollInterval and LoadInterval are the intervals between
+	// polls of the host list, the configuration and the engines' load.
 	HostListInterval, ConfigPollInterval, LoadInterval time.Duration
 }
 
-// Addresses are where a running entry listens.
+// Addresses holds the addresses that a running entry listens on.
 type Addresses struct {
 	Caller, Admin, Peer string
 }
 
-// Daemon is one entry process's worth of parts. Use New.
+// Daemon is an entry process: the entry with its listeners, servers and clients. Use
+// New to create one.
 type Daemon struct {
 	settings  Settings
 	logger    log.Logger
@@ -90,14 +93,15 @@
 	metrics        *telemetry.Metrics
 
 	callerListener, adminListener, peerListener net.Listener
-	// callerAcceptor is callerListener, or what that secures.
+	// callerAcceptor accepts the caller connections: callerListener is either
+	// callerAcceptor itself or a TLS listener on top of it.
 	callerAcceptor            *accept.Listener
 	callerServer, adminServer *http.Server
 	shutdownTraces            func(context.Context) error
 }
 
-// New opens the listeners and puts the parts together. Spans for stdout go to
-// output.
+// New opens the listeners and assembles the daemon. Trace spans for stdout are
+// written to output.
 func New(ctx context.Context, s Settings, logger log.Logger, output io.Writer) (*Daemon, error) {
 	d := &Daemon{settings: s, logger: log.With(logger, "host", s.Host, "zone", s.Zone), output: output}
 	d.clock = clock.System()
@@ -112,26 +116,26 @@
 	return d, nil
 }
 
-// Addresses returns where the entry listens.
+// Addresses returns the addresses that the daemon listens on.
 func (d *Daemon) Addresses() Addresses { return d.addresses }
 
-// Entry returns the entry itself.
+// Entry returns the entry that the daemon runs.
 func (d *Daemon) Entry() *entry.Entry { return d.entry }
 
 func (d *Daemon) listen() error {
-	var problems []error
+	var errs []error
 	open := func(address string) net.Listener {
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
-			problems = append(problems, err)
+			errs = append(errs, err)
 		}
 		return listener
 	}
 	d.callerListener = open(d.settings.Listen)
 	d.adminListener = open(d.settings.AdminListen)
 	d.peerListener = open(d.settings.PeerListen)
-	if len(problems) > 0 {
-		return trace.NewAggregate(problems...)
+	if len(errs) > 0 {
+		return trace.NewAggregate(errs...)
 	}
 	d.callerAcceptor = &accept.Listener{Listener: d.callerListener, Clock: d.clock}
 	d.callerListener = d.callerAcceptor
@@ -175,14 +179,14 @@
 	return d.newHTTPServers(web.NewCaller(d.entry, tracer), web.NewAdmin(d.entry, s.AdminToken, d.callerAcceptor.Stuck, d.metrics.Handler()))
 }
 
-// upstreamProber looks at upstreamProber' ports.
+// upstreamProber checks whether an upstream's port is closed.
 type upstreamProber struct{}
 
 func (upstreamProber) Closed(ctx context.Context, u member.Upstream) (bool, error) {
 	return reach.Closed(ctx, u.Address)
 }
 
-// deriveKey makes a key for one use out of the site's shared key.
+// deriveKey derives a key for one purpose from the site's shared key.
 func deriveKey(key, use string) []byte {
 	mac := hmac.New(sha256.New, []byte(key))
 	mac.Write([]byte("shedpath " + use))
@@ -241,35 +245,35 @@
 	return nil
 }
 
-// Run serves until stop ends, then stops without cutting a running call; the
-// end of cut cuts what still runs.
+// Run serves until the context stop ends and then lets running calls finish. Calls
+// that still run are aborted when the context abort ends or StopTimeout passes.
 func (d *Daemon) Run(stop, abort context.Context) error {
-	running, cancel := context.WithCancel(abort)
+	runCtx, cancel := context.WithCancel(abort)
 	defer cancel()
-	var parts conc.WaitGroup
-	parts.Go(func() { d.entry.Run(running) })
-	parts.Go(func() {
-		d.logServeError("peer listener", d.mesh.Serve(running, d.peerListener, d.entry, d.logRefusedPeer))
+	var tasks conc.WaitGroup
+	tasks.Go(func() { d.entry.Run(runCtx) })
+	tasks.Go(func() {
+		d.logServeError("peer listener", d.mesh.Serve(runCtx, d.peerListener, d.entry, d.logRefusedPeer))
 	})
-	parts.Go(func() { d.logServeError("caller listener", d.callerServer.Serve(d.callerListener)) })
-	parts.Go(func() { d.logServeError("admin listener", d.adminServer.Serve(d.adminListener)) })
-	parts.Go(func() { d.updateBudgetShare(running) })
+	tasks.Go(func() { d.logServeError("caller listener", d.callerServer.Serve(d.callerListener)) })
+	tasks.Go(func() { d.logServeError("admin listener", d.adminServer.Serve(d.adminListener)) })
+	tasks.Go(func() { d.updateBudgetShare(runCtx) })
 	if d.settings.Register {
-		parts.Go(func() { d.registerWithRetry(running) })
+		tasks.Go(func() { d.registerWithRetry(runCtx) })
 	}
 	_ = level.Info(d.logger).Log("msg", "listening", "caller", d.addresses.Caller, "admin", d.addresses.Admin, "peer", d.addresses.Peer)
 	<-stop.Done()
 	d.shutDown(abort)
 	cancel()
 	d.mesh.Close()
-	parts.Wait()
+	tasks.Wait()
 	_ = level.Info(d.logger).Log("msg", "stopped")
 	return nil
 }
 
-func (d *Daemon) logServeError(part string, err error) {
+func (d *Daemon) logServeError(listener string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		_ = level.Error(d.logger).Log("msg", part+" failed", "err", err)
+		_ = level.Error(d.logger).Log("msg", listener+" failed", "err", err)
 	}
 }
 
@@ -277,7 +281,8 @@
 	_ = level.Warn(d.logger).Log("msg", "refused a peer", "err", err)
 }
 
-// shutDown lets every running call end.
+// shutDown deregisters the entry, waits for its running calls and closes the HTTP
+// servers. It stops waiting when abort ends or StopTimeout passes.
 func (d *Daemon) shutDown(abort context.Context) {
 	ctx := abort
 	if d.settings.StopTimeout > 0 {
@@ -286,8 +291,8 @@
 		defer cancel()
 	}
 	if d.settings.Register && abort.Err() == nil {
-		quick, cancel := context.WithTimeout(ctx, time.Second)
-		_ = d.platformClient.Deregister(quick, string(d.settings.Host))
+		shortCtx, cancel := context.WithTimeout(ctx, time.Second)
+		_ = d.platformClient.Deregister(shortCtx, string(d.settings.Host))
 		cancel()
 	}
 	d.entry.Stop(ctx, d.settings.StopGracePeriod)
@@ -303,7 +308,8 @@
 	_ = d.shutdownTraces(quick)
 }
 
-// updateBudgetShare keeps this daemon to its part of the platform's rates.
+// updateBudgetShare keeps this daemon to its share of the platform's rates, which
+// depends on the number of known entries.
 func (d *Daemon) updateBudgetShare(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -317,7 +323,8 @@
 	}
 }
 
-// registerWithRetry puts the entry on the host list, and again while that fails.
+// registerWithRetry adds the entry to the host list and retries every second until
+// that succeeds or ctx ends.
 func (d *Daemon) registerWithRetry(ctx context.Context) {
 	for d.platformClient.RegisterEntry(ctx, d.selfEntry()) != nil {
 		select {
--- a/internal/load/caller.go
+++ b/internal/load/caller.go
@@ -15,12 +15,13 @@
 	"github.com/tmaxmax/go-sse"
 )
 
-// outcome is how one call ended.
+// outcome describes how one call ended.
 type outcome struct {
-	// runState is the entry's word on a call that failed; empty when it was whole.
+	// runState is the run state that the entry gives for a failed call: not_run,
+	// partial or unknown. It is empty if the entry reported no failure.
 	runState string
 	code     string
-	// broken says that the answer ended without a word.
+	// broken is set if the call failed without a run state from the entry.
 	broken           bool
 	outOfOrder       bool
 	tokens           int
@@ -32,7 +33,7 @@
 
 func (o outcome) complete() bool { return o.runState == "" && !o.broken }
 
-// caller makes the calls of a run.
+// caller sends the calls of a run and passes their outcomes to a collector.
 type caller struct {
 	settings  Settings
 	collector *collector
@@ -45,7 +46,8 @@
 	return &caller{settings: s, collector: g, http: &http.Client{Transport: transport}}
 }
 
-// call makes one call and, when it is refused and callers come back, a second.
+// call sends one call. If the call is refused with a retry delay and RetryRefused is
+// set, call retries it once after that delay.
 func (c *caller) call(ctx context.Context, entry string, k Kind, prompt string) {
 	first := c.send(ctx, entry, k, prompt)
 	c.collector.add(k, first)
@@ -107,7 +109,8 @@
 	return req, nil
 }
 
-type failureBody struct {
+// errorBody is the body of a failed call and the data of a stream's failure event.
+type errorBody struct {
 	Error struct {
 		Code         string `json:"code"`
 		Run          string `json:"run"`
@@ -115,8 +118,9 @@
 	} `json:"error"`
 }
 
+// readFailure reads the outcome from an answer whose status isn't 200.
 func readFailure(answer *http.Response) outcome {
-	var body failureBody
+	var body errorBody
 	if err := json.NewDecoder(answer.Body).Decode(&body); err != nil || body.Error.Run == "" {
 		return outcome{broken: true, code: strconv.Itoa(answer.StatusCode)}
 	}
@@ -126,11 +130,11 @@
 	}
 }
 
-// streamEndData ends a stream that is whole.
+// streamEndData is the data of the event that ends a complete stream.
 const streamEndData = "[DONE]"
 
-// readStream reads an answer token by token and checks that each comes once and
-// in order.
+// readStream reads a streamed answer until its end or its failure event. It checks by
+// the index in the event IDs that each token arrives once and in order.
 func readStream(body io.Reader, began time.Time) outcome {
 	o := outcome{broken: true}
 	last := began
@@ -142,7 +146,7 @@
 			o.broken = false
 			return o
 		}
-		var failure failureBody
+		var failure errorBody
 		if json.Unmarshal([]byte(event.Data), &failure) == nil && failure.Error.Run != "" {
 			o.broken, o.runState, o.code = false, failure.Error.Run, failure.Error.Code
 			return o
--- a/internal/load/collector.go
+++ b/internal/load/collector.go
@@ -14,12 +14,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// collector adds up the outcomes of a run.
+// collector adds up the outcomes of a run by kind. It is safe for concurrent use.
 type collector struct {
 	mu    sync.Mutex
 	kinds map[string]*kindTotals
 }
 
+// kindTotals holds the counts and the latency histograms of one kind.
 type kindTotals struct {
 	report                              KindReport
 	firstToken, betweenTokens, duration *hdrhistogram.Histogram
@@ -45,7 +46,7 @@
 	t.measure(o)
 }
 
-// addRetry adds the outcome of a caller that came back.
+// addRetry adds the outcome of a retry. It doesn't count as another call.
 func (g *collector) addRetry(k Kind, o outcome) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -76,8 +77,8 @@
 	}
 }
 
-// measure records the times. A value beyond the histogram's bounds is recorded
-// as the bound.
+// measure records an outcome's tokens and durations. A duration outside the range of
+// the histogram is recorded as the nearest bound.
 func (t *kindTotals) measure(o outcome) {
 	record := func(h *hdrhistogram.Histogram, d time.Duration) {
 		_ = h.RecordValue(min(max(d.Microseconds(), minMicroseconds), maxMicroseconds))
@@ -101,19 +102,19 @@
 	}
 }
 
-func (g *collector) report(took time.Duration, rate float64) Report {
+func (g *collector) report(elapsed time.Duration, rate float64) Report {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r := Report{Seconds: took.Seconds(), Rate: rate, Kinds: map[string]KindReport{}}
+	r := Report{Seconds: elapsed.Seconds(), Rate: rate, Kinds: map[string]KindReport{}}
 	for name, t := range g.kinds {
-		one := t.report
-		one.FirstToken, one.BetweenTokens, one.Duration = newQuantiles(t.firstToken), newQuantiles(t.betweenTokens), newQuantiles(t.duration)
-		r.Kinds[name] = one
+		kindReport := t.report
+		kindReport.FirstToken, kindReport.BetweenTokens, kindReport.Duration = newQuantiles(t.firstToken), newQuantiles(t.betweenTokens), newQuantiles(t.duration)
+		r.Kinds[name] = kindReport
 	}
 	return r
 }
 
-// progress writes a line a second until the run is finished.
+// progress writes one line per second to out until finished is closed.
 func (g *collector) progress(out io.Writer, began time.Time, finished <-chan struct{}) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -138,7 +139,7 @@
 	}
 }
 
-// WriteText writes the report as tables.
+// WriteText writes the report to out as text tables.
 func (r Report) WriteText(out io.Writer) error {
 	fmt.Fprintf(out, "%.1f s at %.1f calls a second\n\n", r.Seconds, r.Rate)
 	names := make([]string, 0, len(r.Kinds))
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package load sends generations and service calls to entries at a steady rate,
-// whatever becomes of the earlier ones, reads every stream token by token, and
-// reports what its callers saw.
+// Package load is an open-loop load generator: it sends generations and service calls
+// to entries at a fixed mean rate, regardless of how earlier calls fare. It reads
+// every stream token by token and reports the outcomes as callers see them.
 package load
 
 import (
@@ -22,29 +22,31 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Kind is one sort of call in a mix.
+// Kind describes one kind of call in a mix.
 type Kind struct {
 	Name string `json:"name"`
-	// Share is its part of the calls, relative to the others'.
+	// Share is the weight of this kind relative to the other kinds.
 	Share float64 `json:"share"`
-	// Model makes it a generation and Service a call of a plain service.
+	// Model is the model of a generation, Service the name of a plain service.
+	// Exactly one of them is set.
 	Model   string `json:"model,omitempty"`
 	Service string `json:"service,omitempty"`
-	// PromptTokens is about how long the prompt is, drawn between half and
-	// twice of it.
+	// PromptTokens is the typical prompt length. Each prompt's length is drawn between
+	// half and twice this value.
 	PromptTokens int `json:"promptTokens,omitempty"`
-	// MaxTokens bounds the answer; with Exact it is its length on a stand-in.
+	// MaxTokens limits the length of the answer. With ExactLength, a stand-in engine
+	// generates exactly that many tokens.
 	MaxTokens   int  `json:"maxTokens,omitempty"`
 	ExactLength bool `json:"exact,omitempty"`
 }
 
-// Mix is the workload of a run.
+// Mix holds the kinds of calls that a run sends.
 type Mix struct {
 	Kinds []Kind `json:"kinds"`
 }
 
-// DefaultMix is the counter staff's: short prompts, and now and then a look at
-// the stock.
+// DefaultMix returns the mix of counter staff: generations with short prompts and, as
+// a fifth of the calls, stock look-ups.
 func DefaultMix() Mix {
 	return Mix{Kinds: []Kind{
 		{Name: "quote", Share: 4, Model: "quote", PromptTokens: 300},
@@ -52,7 +54,7 @@
 	}}
 }
 
-// ParseMix reads a mix from YAML or JSON and reports everything wrong with it.
+// ParseMix parses a mix from YAML or JSON. Its error lists all invalid fields.
 func ParseMix(text []byte) (Mix, error) {
 	var m Mix
 	if err := yaml.UnmarshalStrict(text, &m); err != nil {
@@ -79,22 +81,23 @@
 	return m, found.Err()
 }
 
-// Settings are those of a run.
+// Settings configures a run.
 type Settings struct {
-	// Entries are the URLs of entries' caller sides, used in turn.
+	// Entries are the base URLs of the entries' caller listeners, used in turn.
 	Entries  []string
 	Key      string
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
 	Mix      Mix
-	// RetryRefused has refused callers come back once, when they were told to.
+	// RetryRefused makes a caller retry a refused call once, after the delay that the
+	// refusal gives.
 	RetryRefused bool
-	// Progress takes a line a second; nil writes none.
+	// Progress receives one line per second; nil disables progress output.
 	Progress io.Writer
 }
 
-// Quantiles are a distribution in milliseconds.
+// Quantiles summarises a distribution of durations, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -103,24 +106,26 @@
 	Max   float64 `json:"max"`
 }
 
-// KindReport is what the callers of one kind saw.
+// KindReport summarises the outcomes of the calls of one kind.
 type KindReport struct {
 	Calls    int64 `json:"calls"`
 	Complete int64 `json:"whole"`
-	// Refused, Partial, Unknown and Broken are how the others ended: with
-	// not_run, with partial, with unknown, and without a word.
+	// Refused, Partial, Unknown and Broken count the calls that failed: with the run
+	// state not_run, partial or unknown, or without any run state.
 	Refused int64 `json:"refused"`
 	Partial int64 `json:"partial"`
 	Unknown int64 `json:"unknown"`
 	Broken  int64 `json:"broken"`
-	// Retried are the refused that came back, and TakenBack those of them
-	// that were then answered whole.
+	// Retried counts the refused calls that were retried, and RetriedComplete those
+	// retries that got a complete answer.
 	Retried         int64 `json:"cameBack"`
 	RetriedComplete int64 `json:"takenBack"`
-	// OutOfOrder are streams with a token missing, twice or out of order.
+	// OutOfOrder counts streams with a token that is missing, duplicated or out of
+	// order.
 	OutOfOrder int64 `json:"disorder"`
 	Tokens     int64 `json:"tokens"`
-	// Stalls are pauses between tokens of StallAfter and more.
+	// Stalls counts gaps between tokens of at least StallThreshold, and StallMillis is
+	// their sum in milliseconds.
 	Stalls        int64            `json:"stalls"`
 	StallMillis   int64            `json:"stallMillis"`
 	FirstToken    Quantiles        `json:"firstTokenMs"`
@@ -129,17 +134,17 @@
 	Codes         map[string]int64 `json:"codes,omitempty"`
 }
 
-// Report is what a run saw, by kind.
+// Report holds the outcomes of a run by the name of the kind.
 type Report struct {
 	Seconds float64               `json:"seconds"`
 	Rate    float64               `json:"rate"`
 	Kinds   map[string]KindReport `json:"kinds"`
 }
 
-// StallThreshold is the pause between tokens that counts as a stall.
+// StallThreshold is the shortest gap between two tokens that counts as a stall.
 const StallThreshold = 500 * time.Millisecond
 
-// Bounds of the histograms, in microseconds.
+// Range of the histograms in microseconds, and their precision.
 const (
 	minMicroseconds   = 1
 	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
@@ -155,8 +160,9 @@
 	return Quantiles{Count: h.TotalCount(), P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / 1000}
 }
 
-// Run sends calls at the rate until the time is over or the context ends, waits
-// for those under way and reports.
+// Run sends calls at the mean rate s.Rate, with exponentially distributed gaps, until
+// s.Duration has passed or ctx ends. It then waits for the calls in flight and returns
+// the report.
 func Run(ctx context.Context, s Settings) Report {
 	gather := newCollector(s.Mix)
 	caller := newCaller(s, gather)
@@ -184,6 +190,8 @@
 	return gather.report(time.Since(began), s.Rate)
 }
 
+// waitUntil waits until the given time and reports whether it was reached before ctx
+// ended.
 func waitUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
@@ -210,8 +218,8 @@
 	return m.Kinds[len(m.Kinds)-1]
 }
 
-// randomPrompt makes up a prompt, different for each call, so that the stand-in's
-// made-up lengths differ.
+// randomPrompt returns a prompt that differs for each call. The stand-in engine derives
+// the answer's length from the prompt, so that the lengths differ too.
 func randomPrompt(random *rand.Rand, k Kind) string {
 	words := max(k.PromptTokens, 1)
 	words = words/2 + random.IntN(words+words/2+1)
@@ -223,7 +231,7 @@
 	return text.String()
 }
 
-// WriteJSON writes the report as JSON.
+// WriteJSON writes the report to out as indented JSON.
 func (r Report) WriteJSON(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
