--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -134,7 +134,7 @@
 	load := h.model.Load()
 	return policy.Report{
 		Engine: h.id, TotalMemory: policy.Tokens(load.MemoryTokens), UsedMemory: policy.Tokens(load.UsedTokens),
-		Running: load.Running, Waiting: load.Waiting, StepTime: load.Step * time.Duration(h.slow),
+		Running: load.Running, Waiting: load.Waiting, StepTime: load.StepDuration * time.Duration(h.slow),
 	}
 }
 
@@ -334,8 +334,8 @@
 		t.lost = true
 		return
 	}
-	work := engine.Work{
-		ID: engine.RunID(d.Run), Prompt: int(t.request.PromptTokens), Length: t.length, Priority: d.Priority,
+	work := engine.Generation{
+		ID: engine.RunID(d.Run), PromptTokens: int(t.request.PromptTokens), OutputTokens: t.length, Priority: d.Priority,
 		Prefix: prefixOf(t), PrefixTokens: int(t.request.PrefixTokens),
 	}
 	t.host.model.Submit(work)
--- a/internal/bench/tally.go
+++ b/internal/bench/tally.go
@@ -96,7 +96,7 @@
 func (s *simulation) wasted() float64 {
 	recomputed, made := 0, 0
 	for _, h := range s.hosts {
-		recomputed += h.model.Load().Recomputed
+		recomputed += h.model.Load().RecomputedTokens
 	}
 	for _, t := range s.order {
 		made += t.made
--- a/internal/cli/dev.go
+++ b/internal/cli/dev.go
@@ -111,7 +111,7 @@
 func newDevEngine(system *System) *cobra.Command {
 	var flags upstreamFlags
 	settings := engine.DefaultSettings()
-	linger := engine.DefaultLinger
+	linger := engine.DefaultUnreadTimeout
 	cmd := &cobra.Command{
 		Use: "engine", Short: "Run a stand-in for a model engine", Args: cobra.NoArgs,
 		Example: "  shedpath dev engine --id g1 --zone az1 --pool desk --platform http://127.0.0.1:8500",
@@ -131,7 +131,7 @@
 		if err != nil {
 			return err
 		}
-		server := engine.New(engine.WithSettings(settings), engine.WithLinger(linger))
+		server := engine.New(engine.WithSettings(settings), engine.WithUnreadTimeout(linger))
 		fmt.Fprintf(system.Stdout, "listen=%s\n", listener.Addr())
 		serveUntilSignal(system, cmd.Context(), listener, server, func(ctx context.Context) {
 			var parts conc.WaitGroup
--- a/internal/consul/contract_test.go
+++ b/internal/consul/contract_test.go
@@ -131,7 +131,7 @@
 		written bool
 	}{
 		"outage":      {faults: standin.Faults{Outage: true}},
-		"lost answer": {faults: standin.Faults{DropAnswers: 1}, written: true},
+		"lost answer": {faults: standin.Faults{DropResponses: 1}, written: true},
 		"over rate":   {options: []standin.Option{standin.WithRates(1e-9, 1e9)}, notSent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -227,7 +227,7 @@
 func TestTokenGoesBackAfterARestore(t *testing.T) {
 	is := is.New(t)
 	client, server := newContract(t)
-	copied := server.Copy()
+	copied := server.Snapshot()
 	first, err := client.Acquire(t.Context(), "k", "e1", time.Minute)
 	is.NoErr(err)
 	server.Restore(copied)
@@ -243,7 +243,7 @@
 	client, server := newContract(t)
 	_, err := client.Swap(t.Context(), "copied", []byte("v"), 0)
 	is.NoErr(err)
-	copied := server.Copy()
+	copied := server.Snapshot()
 	_, err = client.Swap(t.Context(), "k", []byte("v"), 0)
 	is.NoErr(err)
 	before, err := client.Get(t.Context(), "other")
--- a/internal/engine/contract_test.go
+++ b/internal/engine/contract_test.go
@@ -95,7 +95,7 @@
 	var refused *entry.EngineRefusal
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Status, http.StatusConflict)
-	is.Equal(model.Runs(), 1)
+	is.Equal(model.RunsStarted(), 1)
 }
 
 func TestSilentStream(t *testing.T) {
--- a/internal/service/client_test.go
+++ b/internal/service/client_test.go
@@ -190,7 +190,7 @@
 	is.NoErr(err)
 	is.Equal(answer.Status, http.StatusOK)
 	is.True(strings.Contains(string(answer.Body), `"path":"/confirm"`))
-	is.Equal(upstream.Total(), 1)
+	is.Equal(upstream.TotalExecutions(), 1)
 	empty := call("GET")
 	empty.Body = nil
 	_, err = New().Call(t.Context(), u, empty)
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -46,13 +46,13 @@
 	}
 }
 
-// Work is one generation as the engine is asked for it.
-type Work struct {
-	ID     RunID
-	Prompt int
-	// Length is the answer's true length, which nobody else knows.
-	Length   int
-	Priority int
+// Generation is one generation as the engine is asked for it.
+type Generation struct {
+	ID           RunID
+	PromptTokens int
+	// OutputTokens is the answer's true length, which nobody else knows.
+	OutputTokens int
+	Priority     int
 	// Prefix names the first PrefixTokens of the prompt; empty means that
 	// nothing of it can be reused.
 	Prefix       string
@@ -61,15 +61,15 @@
 
 // run is the state of one piece of work.
 type run struct {
-	Work
-	// arrived orders the runs of one priority.
-	arrived int
-	// made counts the tokens given out; 0 <= made <= Length.
-	made int
-	// unread counts the tokens still to be read before the run can decode.
-	unread int
-	// held is the memory that the run takes; 0 while it waits.
-	held int
+	Generation
+	// arrivalSeq orders the runs of one priority.
+	arrivalSeq int
+	// generated counts the tokens given out; 0 <= generated <= Length.
+	generated int
+	// pendingPrefill counts the tokens still to be read before the run can decode.
+	pendingPrefill int
+	// heldTokens is the memory that the run takes; 0 while it waits.
+	heldTokens int
 }
 
 // EventKind says what happened to a run.
@@ -99,55 +99,55 @@
 	Added  bool   `json:"added"`
 }
 
-type cached struct {
+type cachedPrefix struct {
 	tokens int
-	// used orders the prefixes by their last use.
-	used int
+	// lastUse orders the prefixes by their last use.
+	lastUse int
 }
 
 // Model is the state of one engine. It isn't safe for use by several
 // goroutines. Use NewModel.
 type Model struct {
-	settings Settings
-	clock    int
+	settings     Settings
+	logicalClock int
 	// running is in the order of admission; waiting in the order in which
 	// runs will be admitted.
 	running, waiting []*run
-	// batch is the running runs at the start of a step, kept for its memory.
-	batch []*run
-	// used is the sum of held over running, and never above MemoryTokens at
+	// batchBuffer is the running runs at the start of a step, kept for its memory.
+	batchBuffer []*run
+	// usedTokens is the sum of held over running, and never above MemoryTokens at
 	// the end of a step.
-	used        int
-	cache       map[string]*cached
-	cacheUsed   int
-	cacheEvents []CacheEvent
-	cacheSeq    uint64
-	lastStep    time.Duration
-	preemptions int
-	recomputed  int
-	events      []Event
+	usedTokens       int
+	prefixCache      map[string]*cachedPrefix
+	cachedTokens     int
+	cacheEvents      []CacheEvent
+	cacheSeq         uint64
+	lastStepDuration time.Duration
+	preemptions      int
+	recomputedTokens int
+	events           []Event
 }
 
 // NewModel returns an idle engine.
 func NewModel(s Settings) *Model {
-	return &Model{settings: s, cache: map[string]*cached{}}
+	return &Model{settings: s, prefixCache: map[string]*cachedPrefix{}}
 }
 
 // Submit takes work in; it starts in a later step.
-func (m *Model) Submit(w Work) {
-	m.clock++
-	m.enqueue(&run{Work: w, arrived: m.clock})
+func (m *Model) Submit(w Generation) {
+	m.logicalClock++
+	m.enqueue(&run{Generation: w, arrivalSeq: m.logicalClock})
 }
 
 // enqueue puts a run behind those of its priority that arrived before it.
 func (m *Model) enqueue(r *run) {
-	at, _ := slices.BinarySearchFunc(m.waiting, r, func(a, b *run) int {
+	position, _ := slices.BinarySearchFunc(m.waiting, r, func(a, b *run) int {
 		if a.Priority != b.Priority {
 			return cmp.Compare(b.Priority, a.Priority)
 		}
-		return cmp.Compare(a.arrived, b.arrived)
+		return cmp.Compare(a.arrivalSeq, b.arrivalSeq)
 	})
-	m.waiting = slices.Insert(m.waiting, at, r)
+	m.waiting = slices.Insert(m.waiting, position, r)
 }
 
 // Cancel drops a run wherever it is, and reports whether it was there.
@@ -169,9 +169,9 @@
 }
 
 // SetPriority changes what a run is worth when memory is full.
-func (m *Model) SetPriority(id RunID, priority int) {
+func (m *Model) SetPriority(runID RunID, priority int) {
 	for _, r := range m.running {
-		if r.ID == id {
+		if r.ID == runID {
 			r.Priority = priority
 		}
 	}
@@ -188,11 +188,11 @@
 	if len(m.running) == 0 {
 		return m.events, 0
 	}
-	read := m.readPrompts()
+	prefilled := m.readPrompts()
 	decoded := m.decode()
 	s := m.settings
-	m.lastStep = s.StepBase + time.Duration(decoded)*s.StepPerRun + time.Duration(read)*s.PrefillPerToken
-	return m.events, m.lastStep
+	m.lastStepDuration = s.StepBase + time.Duration(decoded)*s.StepPerRun + time.Duration(prefilled)*s.PrefillPerToken
+	return m.events, m.lastStepDuration
 }
 
 func (m *Model) emit(kind EventKind, id RunID, index int) {
@@ -204,55 +204,55 @@
 func (m *Model) admit() {
 	for len(m.waiting) > 0 && len(m.running) < m.settings.MaxBatch {
 		r := m.waiting[0]
-		need := min(r.Prompt+r.made+1, m.settings.MemoryTokens)
-		if m.used+need > m.settings.MemoryTokens {
+		need := min(r.PromptTokens+r.generated+1, m.settings.MemoryTokens)
+		if m.usedTokens+need > m.settings.MemoryTokens {
 			return
 		}
 		m.waiting = m.waiting[1:]
-		r.held = need
-		r.unread = need - m.reuse(r)
-		m.used += need
+		r.heldTokens = need
+		r.pendingPrefill = need - m.reusePrefix(r)
+		m.usedTokens += need
 		m.evict()
 		m.running = append(m.running, r)
-		m.emit(Admitted, r.ID, r.made)
+		m.emit(Admitted, r.ID, r.generated)
 	}
 }
 
-// reuse returns how many tokens of the run's prompt needn't be read.
-func (m *Model) reuse(r *run) int {
-	c := m.cache[r.Prefix]
+// reusePrefix returns how many tokens of the run's prompt needn't be read.
+func (m *Model) reusePrefix(r *run) int {
+	c := m.prefixCache[r.Prefix]
 	if c == nil || r.Prefix == "" {
 		return 0
 	}
-	m.clock++
-	c.used = m.clock
-	return min(c.tokens, r.Prompt)
+	m.logicalClock++
+	c.lastUse = m.logicalClock
+	return min(c.tokens, r.PromptTokens)
 }
 
 func (m *Model) readPrompts() int {
-	left := m.settings.PrefillChunk
+	budget := m.settings.PrefillChunk
 	for _, r := range m.running {
-		n := min(left, r.unread)
-		r.unread -= n
-		left -= n
+		n := min(budget, r.pendingPrefill)
+		r.pendingPrefill -= n
+		budget -= n
 	}
-	return m.settings.PrefillChunk - left
+	return m.settings.PrefillChunk - budget
 }
 
 // decode gives each run that has been read one token, throwing runs back when
 // the memory doesn't hold it, and ends those that are done.
 func (m *Model) decode() int {
 	decoded := 0
-	m.batch = append(m.batch[:0], m.running...)
-	for _, r := range m.batch {
-		if r.unread > 0 || r.held == 0 {
+	m.batchBuffer = append(m.batchBuffer[:0], m.running...)
+	for _, r := range m.batchBuffer {
+		if r.pendingPrefill > 0 || r.heldTokens == 0 {
 			continue
 		}
 		if !m.makeRoom(r) {
 			continue
 		}
 		decoded++
-		m.giveToken(r)
+		m.emitToken(r)
 	}
 	m.evict()
 	return decoded
@@ -262,36 +262,36 @@
 // whether r itself is still there to take it. A run that fills the memory
 // alone ends with what it has.
 func (m *Model) makeRoom(r *run) bool {
-	for m.used+1 > m.settings.MemoryTokens && r.held > 0 {
+	for m.usedTokens+1 > m.settings.MemoryTokens && r.heldTokens > 0 {
 		if len(m.running) == 1 {
-			m.end(r)
+			m.finish(r)
 			return false
 		}
-		m.throwBack()
+		m.preemptLowest()
 	}
-	return r.held > 0
+	return r.heldTokens > 0
 }
 
-func (m *Model) giveToken(r *run) {
-	r.made++
-	r.held++
-	m.used++
-	m.emit(Token, r.ID, r.made)
-	if r.made >= r.Length {
-		m.end(r)
+func (m *Model) emitToken(r *run) {
+	r.generated++
+	r.heldTokens++
+	m.usedTokens++
+	m.emit(Token, r.ID, r.generated)
+	if r.generated >= r.OutputTokens {
+		m.finish(r)
 	}
 }
 
-func (m *Model) end(r *run) {
-	m.emit(Ended, r.ID, r.made)
+func (m *Model) finish(r *run) {
+	m.emit(Ended, r.ID, r.generated)
 	m.running = slices.DeleteFunc(m.running, func(other *run) bool { return other == r })
 	m.release(r)
-	m.keepPrefix(r)
+	m.cachePrefix(r)
 }
 
-// throwBack preempts the run of the lowest priority, among equals the one
+// preemptLowest preempts the run of the lowest priority, among equals the one
 // admitted last; what it held must be read again.
-func (m *Model) throwBack() {
+func (m *Model) preemptLowest() {
 	victim := len(m.running) - 1
 	for i := victim; i >= 0; i-- {
 		if m.running[i].Priority < m.running[victim].Priority {
@@ -300,83 +300,83 @@
 	}
 	r := m.running[victim]
 	m.running = slices.Delete(m.running, victim, victim+1)
-	m.recomputed += r.Prompt + r.made
+	m.recomputedTokens += r.PromptTokens + r.generated
 	m.preemptions++
 	m.release(r)
 	m.enqueue(r)
-	m.emit(Preempted, r.ID, r.made)
+	m.emit(Preempted, r.ID, r.generated)
 }
 
 func (m *Model) release(r *run) {
-	m.used -= r.held
-	r.held = 0
+	m.usedTokens -= r.heldTokens
+	r.heldTokens = 0
 }
 
-func (m *Model) keepPrefix(r *run) {
+func (m *Model) cachePrefix(r *run) {
 	if !m.settings.CachesPrefixes || r.Prefix == "" {
 		return
 	}
-	m.clock++
-	if c := m.cache[r.Prefix]; c != nil {
-		c.used = m.clock
+	m.logicalClock++
+	if c := m.prefixCache[r.Prefix]; c != nil {
+		c.lastUse = m.logicalClock
 		return
 	}
-	m.cache[r.Prefix] = &cached{tokens: r.PrefixTokens, used: m.clock}
-	m.cacheUsed += r.PrefixTokens
-	m.cacheEvent(r.Prefix, r.PrefixTokens, true)
+	m.prefixCache[r.Prefix] = &cachedPrefix{tokens: r.PrefixTokens, lastUse: m.logicalClock}
+	m.cachedTokens += r.PrefixTokens
+	m.recordCacheEvent(r.Prefix, r.PrefixTokens, true)
 }
 
 // evict drops the prefixes used longest ago until runs and cache fit together.
 func (m *Model) evict() {
-	for m.used+m.cacheUsed > m.settings.MemoryTokens && len(m.cache) > 0 {
+	for m.usedTokens+m.cachedTokens > m.settings.MemoryTokens && len(m.prefixCache) > 0 {
 		oldest := ""
-		for prefix, c := range m.cache {
-			if oldest == "" || c.used < m.cache[oldest].used {
+		for prefix, c := range m.prefixCache {
+			if oldest == "" || c.lastUse < m.prefixCache[oldest].lastUse {
 				oldest = prefix
 			}
 		}
-		m.cacheUsed -= m.cache[oldest].tokens
-		m.cacheEvent(oldest, m.cache[oldest].tokens, false)
-		delete(m.cache, oldest)
+		m.cachedTokens -= m.prefixCache[oldest].tokens
+		m.recordCacheEvent(oldest, m.prefixCache[oldest].tokens, false)
+		delete(m.prefixCache, oldest)
 	}
 }
 
-// keptCacheEvents bounds the events that a reader may come late for.
-const keptCacheEvents = 256
+// maxCacheEvents bounds the events that a reader may come late for.
+const maxCacheEvents = 256
 
-func (m *Model) cacheEvent(prefix string, tokens int, added bool) {
+func (m *Model) recordCacheEvent(prefix string, tokens int, added bool) {
 	m.cacheSeq++
 	m.cacheEvents = append(m.cacheEvents, CacheEvent{Seq: m.cacheSeq, Prefix: prefix, Tokens: tokens, Added: added})
-	if n := len(m.cacheEvents); n > keptCacheEvents {
-		m.cacheEvents = slices.Delete(m.cacheEvents, 0, n-keptCacheEvents)
+	if n := len(m.cacheEvents); n > maxCacheEvents {
+		m.cacheEvents = slices.Delete(m.cacheEvents, 0, n-maxCacheEvents)
 	}
 }
 
 // CacheEvents returns the kept events after seq. A gap in the numbers says
 // that some were lost.
-func (m *Model) CacheEvents(after uint64) []CacheEvent {
-	at, _ := slices.BinarySearchFunc(m.cacheEvents, after+1, func(e CacheEvent, seq uint64) int {
+func (m *Model) CacheEvents(afterSeq uint64) []CacheEvent {
+	first, _ := slices.BinarySearchFunc(m.cacheEvents, afterSeq+1, func(e CacheEvent, seq uint64) int {
 		return cmp.Compare(e.Seq, seq)
 	})
-	return slices.Clone(m.cacheEvents[at:])
+	return slices.Clone(m.cacheEvents[first:])
 }
 
 // Load is what an engine reports of itself.
 type Load struct {
-	MemoryTokens int           `json:"memory_tokens"`
-	UsedTokens   int           `json:"used_tokens"`
-	Running      int           `json:"running"`
-	Waiting      int           `json:"waiting"`
-	Step         time.Duration `json:"step_ns"`
-	Preemptions  int           `json:"preemptions"`
-	Recomputed   int           `json:"recomputed_tokens"`
+	MemoryTokens     int           `json:"memory_tokens"`
+	UsedTokens       int           `json:"used_tokens"`
+	Running          int           `json:"running"`
+	Waiting          int           `json:"waiting"`
+	StepDuration     time.Duration `json:"step_ns"`
+	Preemptions      int           `json:"preemptions"`
+	RecomputedTokens int           `json:"recomputed_tokens"`
 }
 
 // Load returns the present load.
 func (m *Model) Load() Load {
 	return Load{
-		MemoryTokens: m.settings.MemoryTokens, UsedTokens: m.used,
-		Running: len(m.running), Waiting: len(m.waiting), Step: m.lastStep,
-		Preemptions: m.preemptions, Recomputed: m.recomputed,
+		MemoryTokens: m.settings.MemoryTokens, UsedTokens: m.usedTokens,
+		Running: len(m.running), Waiting: len(m.waiting), StepDuration: m.lastStepDuration,
+		Preemptions: m.preemptions, RecomputedTokens: m.recomputedTokens,
 	}
 }
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// datedLoad is the load as it stood at a time.
-type datedLoad struct {
+// loadSample is the load as it stood at a time.
+type loadSample struct {
 	at   time.Time
 	load Load
 }
 
-// keptLoads is how many steps back a lagging report can look.
-const keptLoads = 512
+// loadHistorySteps is how many steps back a lagging report can look.
+const loadHistorySteps = 512
 
-func keepLoad(loads []datedLoad, next datedLoad) []datedLoad {
+func appendLoad(loads []loadSample, next loadSample) []loadSample {
 	loads = append(loads, next)
-	if len(loads) > 2*keptLoads {
-		loads = slices.Delete(loads, 0, keptLoads)
+	if len(loads) > 2*loadHistorySteps {
+		loads = slices.Delete(loads, 0, loadHistorySteps)
 	}
 	return loads
 }
 
 // loadAt returns the last load known at a time.
-func loadAt(loads []datedLoad, at time.Time) (Load, bool) {
+func loadAt(loads []loadSample, at time.Time) (Load, bool) {
 	for i := len(loads) - 1; i >= 0; i-- {
 		if !loads[i].at.After(at) {
 			return loads[i].load, true
@@ -37,7 +37,7 @@
 	return Load{}, false
 }
 
-type loadAnswer struct {
+type loadResponse struct {
 	Load
 	Leaving bool              `json:"leaving"`
 	Models  map[string]string `json:"models"`
@@ -46,29 +46,29 @@
 func (e *Server) getLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	reported := loadAnswer{Leaving: e.leaving, Models: e.orders.models}
+	response := loadResponse{Leaving: e.leaving, Models: e.orders.models}
 	lag := time.Duration(e.faults.LoadLagMillis) * time.Millisecond
-	load, known := loadAt(e.loads, time.Now().Add(-lag))
+	load, known := loadAt(e.loadHistory, time.Now().Add(-lag))
 	if lag == 0 || !known {
 		load = e.model.Load()
 	}
-	reported.Load = load
-	answer(w, reported)
+	response.Load = load
+	writeJSON(w, response)
 }
 
 func (e *Server) getCacheEvents(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	events := e.model.CacheEvents(uint64(queryInt(r, "after")))
-	answer(w, events)
+	writeJSON(w, events)
 }
 
-// orders is what the engine was last told to serve.
-type orders struct {
-	// highest is the highest fencing token seen.
-	highest uint64
-	models  map[string]string
-	taken   int
+// orderState is what the engine was last told to serve.
+type orderState struct {
+	// highestToken is the highestToken fencing token seen.
+	highestToken uint64
+	models       map[string]string
+	appliedCount int
 }
 
 type orderRequest struct {
@@ -77,29 +77,29 @@
 	Version string `json:"version"`
 }
 
-// take carries an order out unless its token is old and tokens are checked.
-func (o *orders) take(asked orderRequest, checks bool) bool {
-	if checks && asked.Token < o.highest {
+// apply carries an order out unless its token is old and tokens are checked.
+func (o *orderState) apply(order orderRequest, checkToken bool) bool {
+	if checkToken && order.Token < o.highestToken {
 		return false
 	}
-	o.highest = max(o.highest, asked.Token)
+	o.highestToken = max(o.highestToken, order.Token)
 	if o.models == nil {
 		o.models = map[string]string{}
 	}
-	o.models[asked.Model] = asked.Version
-	o.taken++
+	o.models[order.Model] = order.Version
+	o.appliedCount++
 	return true
 }
 
-func (e *Server) takeOrder(w http.ResponseWriter, r *http.Request) {
-	var asked orderRequest
-	if err := json.NewDecoder(r.Body).Decode(&asked); err != nil {
+func (e *Server) postOrder(w http.ResponseWriter, r *http.Request) {
+	var order orderRequest
+	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.orders.take(asked, !e.faults.IgnoreTokens) {
+	if !e.orders.apply(order, !e.faults.IgnoreTokens) {
 		http.Error(w, "the fencing token is old", http.StatusConflict)
 	}
 }
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -25,8 +25,8 @@
 	// StallAfter stops the link after that many events, CloseAfter closes it.
 	StallAfter int `json:"stall_after"`
 	CloseAfter int `json:"close_after"`
-	// EndOffBy is added to the count in the end mark.
-	EndOffBy int `json:"end_off_by"`
+	// EndCountOffset is added to the count in the end mark.
+	EndCountOffset int `json:"end_off_by"`
 	// LoadLagMillis is how old the reported load is.
 	LoadLagMillis int `json:"load_lag_ms"`
 	// IgnoreTokens takes orders whatever their fencing token.
@@ -36,21 +36,21 @@
 // Server serves one engine over HTTP. Use New, and Run beside it.
 type Server struct {
 	settings Settings
-	// linger is how long a run goes on that nobody reads.
-	linger time.Duration
+	// unreadTimeout is how long a run goes on that nobody reads.
+	unreadTimeout time.Duration
 
 	mu    sync.Mutex
 	model *Model
 	// streams holds every run of this process, so that a test can count them;
 	// a run that ended long ago keeps only its summary.
-	streams map[RunID]*stream
-	faults  Faults
-	leaving bool
-	loads   []datedLoad
-	orders  orders
-	// work wakes the stepping loop.
-	work chan struct{}
-	mux  *http.ServeMux
+	streams     map[RunID]*stream
+	faults      Faults
+	leaving     bool
+	loadHistory []loadSample
+	orders      orderState
+	// workAvailable wakes the stepping loop.
+	workAvailable chan struct{}
+	mux           *http.ServeMux
 }
 
 // Option changes how a Server is built.
@@ -59,30 +59,30 @@
 // WithSettings sets the engine's size and speed.
 func WithSettings(s Settings) Option { return func(e *Server) { e.settings = s } }
 
-// WithLinger sets how long a run goes on that nobody reads.
-func WithLinger(d time.Duration) Option { return func(e *Server) { e.linger = d } }
+// WithUnreadTimeout sets how long a run goes on that nobody reads.
+func WithUnreadTimeout(d time.Duration) Option { return func(e *Server) { e.unreadTimeout = d } }
 
-// DefaultLinger is long enough for a caller to come back by another entry.
-const DefaultLinger = 5 * time.Second
+// DefaultUnreadTimeout is long enough for a caller to come back by another entry.
+const DefaultUnreadTimeout = 5 * time.Second
 
 // New returns an idle engine.
 func New(opts ...Option) *Server {
 	e := &Server{
-		settings: DefaultSettings(), linger: DefaultLinger,
-		streams: map[RunID]*stream{}, work: make(chan struct{}, 1), mux: http.NewServeMux(),
+		settings: DefaultSettings(), unreadTimeout: DefaultUnreadTimeout,
+		streams: map[RunID]*stream{}, workAvailable: make(chan struct{}, 1), mux: http.NewServeMux(),
 	}
 	for _, opt := range opts {
 		opt(e)
 	}
 	e.model = NewModel(e.settings)
-	e.mux.HandleFunc("POST /v1/completions", e.complete(completionShape))
-	e.mux.HandleFunc("POST /v1/chat/completions", e.complete(chatShape))
+	e.mux.HandleFunc("POST /v1/completions", e.complete(formatCompletionChunk))
+	e.mux.HandleFunc("POST /v1/chat/completions", e.complete(formatChatChunk))
 	e.mux.HandleFunc("GET /v1/runs/{run}/events", e.resume)
 	e.mux.HandleFunc("DELETE /v1/runs/{run}", e.cancel)
 	e.mux.HandleFunc("PUT /v1/runs/{run}/priority", e.setPriority)
 	e.mux.HandleFunc("GET /v1/load", e.getLoad)
 	e.mux.HandleFunc("GET /v1/cache-events", e.getCacheEvents)
-	e.mux.HandleFunc("POST /v1/orders", e.takeOrder)
+	e.mux.HandleFunc("POST /v1/orders", e.postOrder)
 	e.mux.HandleFunc("POST /v1/leave", e.leave)
 	e.mux.HandleFunc("PUT /standin/faults", e.putFaults)
 	e.mux.HandleFunc("GET /standin/runs", e.getRuns)
@@ -117,15 +117,15 @@
 		case <-timer.C:
 		}
 		started := time.Now()
-		took := e.step(started)
-		if took > 0 {
-			timer.Reset(time.Until(started.Add(took)))
+		duration := e.step(started)
+		if duration > 0 {
+			timer.Reset(time.Until(started.Add(duration)))
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.work:
+		case <-e.workAvailable:
 			timer.Reset(0)
 		}
 	}
@@ -134,23 +134,23 @@
 func (e *Server) step(now time.Time) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	events, took := e.model.Step()
+	events, duration := e.model.Step()
 	for _, event := range events {
 		if s := e.streams[event.Run]; s != nil {
-			s.take(now, event)
+			s.apply(now, event)
 		}
 	}
-	e.dropUnread(now)
-	e.loads = keepLoad(e.loads, datedLoad{at: now, load: e.model.Load()})
-	return took
+	e.cancelUnread(now)
+	e.loadHistory = appendLoad(e.loadHistory, loadSample{at: now, load: e.model.Load()})
+	return duration
 }
 
-// dropUnread cancels the runs that nobody has read for longer than linger.
-func (e *Server) dropUnread(now time.Time) {
+// cancelUnread cancels the runs that nobody has read for longer than linger.
+func (e *Server) cancelUnread(now time.Time) {
 	for id, s := range e.streams {
-		if s.state == stateRunning && s.readers == 0 && now.Sub(s.unreadSince) > e.linger {
+		if s.state == stateRunning && s.readers == 0 && now.Sub(s.unreadSince) > e.unreadTimeout {
 			e.model.Cancel(id)
-			s.stop(stateCancelled)
+			s.finish(stateCancelled)
 		}
 	}
 }
@@ -164,10 +164,10 @@
 	IgnoreEOS bool `json:"ignore_eos"`
 }
 
-func (e *Server) complete(shape chunkShape) http.HandlerFunc {
+func (e *Server) complete(format chunkFormatter) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var asked generationRequest
-		if err := json.NewDecoder(r.Body).Decode(&asked); err != nil {
+		var request generationRequest
+		if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -175,34 +175,34 @@
 		if id == "" {
 			id = RunID(uuid.NewString())
 		}
-		s, fresh := e.start(id, asked, shape, r.Header)
+		s, fresh := e.startRun(id, request, format, r.Header)
 		if !fresh {
 			http.Error(w, "the run exists", http.StatusConflict)
 			return
 		}
-		e.serve(w, r, s, 0)
+		e.serveEvents(w, r, s, 0)
 	}
 }
 
-func (e *Server) start(id RunID, asked generationRequest, shape chunkShape, header http.Header) (*stream, bool) {
+func (e *Server) startRun(id RunID, request generationRequest, format chunkFormatter, header http.Header) (*stream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.streams[id] != nil {
 		return nil, false
 	}
-	text := string(asked.Prompt) + string(asked.Messages)
-	work := Work{
-		ID: id, Prompt: CountTokens(len(text)), Length: lengthOf(text, asked.MaxTokens, asked.IgnoreEOS),
+	text := string(request.Prompt) + string(request.Messages)
+	generation := Generation{
+		ID: id, PromptTokens: CountTokens(len(text)), OutputTokens: outputLength(text, request.MaxTokens, request.IgnoreEOS),
 		Priority: headerInt(header, "X-Priority"),
 		Prefix:   header.Get("X-Prefix"), PrefixTokens: headerInt(header, "X-Prefix-Tokens"),
 	}
-	s := newStream(id, text, asked.Model, shape, work)
+	s := newStream(id, text, request.Model, format, generation)
 	s.requestID = header.Get("X-Request-Id")
 	s.unreadSince = time.Now()
 	e.streams[id] = s
-	e.model.Submit(work)
+	e.model.Submit(generation)
 	select {
-	case e.work <- struct{}{}:
+	case e.workAvailable <- struct{}{}:
 	default:
 	}
 	return s, true
@@ -216,7 +216,7 @@
 		http.Error(w, "no such run", http.StatusNotFound)
 		return
 	}
-	e.serve(w, r, s, queryInt(r, "after"))
+	e.serveEvents(w, r, s, queryInt(r, "after"))
 }
 
 func (e *Server) cancel(w http.ResponseWriter, r *http.Request) {
@@ -230,21 +230,21 @@
 	}
 	e.model.Cancel(id)
 	if s.state == stateRunning {
-		s.stop(stateCancelled)
+		s.finish(stateCancelled)
 	}
 }
 
 func (e *Server) setPriority(w http.ResponseWriter, r *http.Request) {
-	var asked struct {
+	var request struct {
 		Priority int `json:"priority"`
 	}
-	if err := json.NewDecoder(r.Body).Decode(&asked); err != nil {
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.model.SetPriority(RunID(r.PathValue("run")), asked.Priority)
+	e.model.SetPriority(RunID(r.PathValue("run")), request.Priority)
 }
 
 func (e *Server) leave(http.ResponseWriter, *http.Request) { e.Leave() }
@@ -258,31 +258,31 @@
 	e.SetFaults(faults)
 }
 
-type runAnswer struct {
+type runStatus struct {
 	Run       RunID  `json:"run"`
 	RequestID string `json:"request_id"`
 	State     string `json:"state"`
-	Made      int    `json:"made"`
+	Generated int    `json:"made"`
 }
 
 func (e *Server) getRuns(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	runs := []runAnswer{}
+	runs := []runStatus{}
 	for id, s := range e.streams {
-		runs = append(runs, runAnswer{Run: id, RequestID: s.requestID, State: string(s.state), Made: s.made})
+		runs = append(runs, runStatus{Run: id, RequestID: s.requestID, State: string(s.state), Generated: s.generated})
 	}
-	answer(w, runs)
+	writeJSON(w, runs)
 }
 
-// Runs counts the runs started so far.
-func (e *Server) Runs() int {
+// RunsStarted counts the runs started so far.
+func (e *Server) RunsStarted() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.streams)
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	// A caller that went away is no matter of the stand-in's.
 	_ = json.NewEncoder(w).Encode(v)
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -23,33 +23,33 @@
 	stateCancelled streamState = "cancelled"
 )
 
-// chunkShape writes one token the way an OpenAI endpoint does.
-type chunkShape func(s *stream, text string, last bool) []byte
+// chunkFormatter writes one token the way an OpenAI endpoint does.
+type chunkFormatter func(s *stream, text string, last bool) []byte
 
 // stream is one run as its readers see it. The server's mutex guards it.
 type stream struct {
-	run       RunID
+	runID     RunID
 	requestID string
 	// fingerprint tells the prompt, so that a reader can see whose answer
 	// it has.
 	fingerprint string
 	model       string
-	shape       chunkShape
-	work        Work
-	// made counts the tokens given out; the text of each follows from its
+	formatChunk chunkFormatter
+	generation  Generation
+	// generated counts the tokens given out; the text of each follows from its
 	// index, so none is kept.
-	made        int
+	generated   int
 	state       streamState
 	readers     int
-	attached    int
+	attachCount int
 	unreadSince time.Time
 	// changed is closed and replaced whenever made or state changes.
 	changed chan struct{}
 }
 
-func newStream(run RunID, prompt, model string, shape chunkShape, w Work) *stream {
+func newStream(runID RunID, prompt, model string, format chunkFormatter, generation Generation) *stream {
 	return &stream{
-		run: run, fingerprint: Fingerprint(prompt), model: model, shape: shape, work: w,
+		runID: runID, fingerprint: Fingerprint(prompt), model: model, formatChunk: format, generation: generation,
 		state: stateRunning, changed: make(chan struct{}),
 	}
 }
@@ -65,12 +65,12 @@
 	return fmt.Sprintf(" w%s.%d", strconv.FormatUint(xxhash.Sum64String(string(run))&0xffff, 16), index)
 }
 
-func (s *stream) take(now time.Time, event Event) {
+func (s *stream) apply(now time.Time, event Event) {
 	switch event.Kind {
 	case Token:
-		s.made = event.Index
+		s.generated = event.Index
 	case Ended:
-		s.stop(stateDone)
+		s.finish(stateDone)
 		return
 	case Preempted, Admitted:
 		return
@@ -78,31 +78,31 @@
 	if s.readers > 0 {
 		s.unreadSince = now
 	}
-	s.wake()
+	s.notifyReaders()
 }
 
-func (s *stream) stop(state streamState) {
+func (s *stream) finish(state streamState) {
 	s.state = state
-	s.wake()
+	s.notifyReaders()
 }
 
-func (s *stream) wake() {
+func (s *stream) notifyReaders() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func completionShape(s *stream, text string, last bool) []byte {
+func formatCompletionChunk(s *stream, text string, last bool) []byte {
 	return fmt.Appendf(nil, `{"id":%q,"object":"text_completion","created":%d,"model":%q,"system_fingerprint":%q,"choices":[{"index":0,"text":%q,"finish_reason":%s}]}`,
-		s.requestID, created, s.model, s.fingerprint, text, finishReason(last))
+		s.requestID, createdUnixSeconds, s.model, s.fingerprint, text, finishReason(last))
 }
 
-func chatShape(s *stream, text string, last bool) []byte {
+func formatChatChunk(s *stream, text string, last bool) []byte {
 	return fmt.Appendf(nil, `{"id":%q,"object":"chat.completion.chunk","created":%d,"model":%q,"system_fingerprint":%q,"choices":[{"index":0,"delta":{"role":"assistant","content":%q},"finish_reason":%s}]}`,
-		s.requestID, created, s.model, s.fingerprint, text, finishReason(last))
+		s.requestID, createdUnixSeconds, s.model, s.fingerprint, text, finishReason(last))
 }
 
-// created stands in for the time of creation, which no reader needs.
-const created = 1750000000
+// createdUnixSeconds stands in for the time of creation, which no reader needs.
+const createdUnixSeconds = 1750000000
 
 func finishReason(last bool) string {
 	if last {
@@ -117,19 +117,19 @@
 
 // Shape of the answers' made-up lengths: most are short, some very long.
 const (
-	medianLength = 120
-	lengthSpread = 1.0
-	maxLength    = 8000
+	medianOutputLength = 120
+	outputLengthSigma  = 1.0
+	maxOutputLength    = 8000
 )
 
-// lengthOf makes up an answer's length from its prompt.
-func lengthOf(prompt string, maxTokens int, exact bool) int {
-	if exact && maxTokens > 0 {
+// outputLength makes up an answer's length from its prompt.
+func outputLength(prompt string, maxTokens int, ignoreEOS bool) int {
+	if ignoreEOS && maxTokens > 0 {
 		return maxTokens
 	}
 	random := rand.New(rand.NewPCG(xxhash.Sum64String(prompt), 1))
-	n := int(medianLength * math.Exp(random.NormFloat64()*lengthSpread))
-	n = min(max(n, 1), maxLength)
+	n := int(medianOutputLength * math.Exp(random.NormFloat64()*outputLengthSigma))
+	n = min(max(n, 1), maxOutputLength)
 	if maxTokens > 0 {
 		n = min(n, maxTokens)
 	}
@@ -146,18 +146,18 @@
 	return n
 }
 
-// pingEvery is how often a reader hears from an engine whose run makes no
+// pingInterval is how often a reader hears from an engine whose run makes no
 // tokens, so that it can tell a waiting run from a stalled link.
-const pingEvery = 500 * time.Millisecond
+const pingInterval = 500 * time.Millisecond
 
-// serve writes a run's events after an index until it ends, the reader leaves
+// serveEvents writes a run's events after an index until it ends, the reader leaves
 // or the faults cut the link.
-func (e *Server) serve(w http.ResponseWriter, r *http.Request, s *stream, after int) {
+func (e *Server) serveEvents(w http.ResponseWriter, r *http.Request, s *stream, sentIndex int) {
 	e.mu.Lock()
 	s.readers++
-	s.attached++
+	s.attachCount++
 	faults := Faults{}
-	if s.attached == 1 {
+	if s.attachCount == 1 {
 		faults = e.faults
 	}
 	e.mu.Unlock()
@@ -169,19 +169,19 @@
 	}()
 	w.Header().Set("Content-Type", "text/event-stream")
 	out := &eventWriter{w: w, flush: http.NewResponseController(w).Flush, stream: s, faults: faults}
-	ping := time.NewTicker(pingEvery)
+	ping := time.NewTicker(pingInterval)
 	defer ping.Stop()
 	// A write that fails ends the reading at the next turn by its context.
 	_ = out.flush()
 	for {
 		e.mu.Lock()
-		made, state, changed := s.made, s.state, s.changed
+		generated, state, changed := s.generated, s.state, s.changed
 		e.mu.Unlock()
-		for ; after < made && r.Context().Err() == nil; after++ {
-			out.token(r, after+1, state == stateDone && after+1 == made || after+1 == s.work.Length)
+		for ; sentIndex < generated && r.Context().Err() == nil; sentIndex++ {
+			out.writeToken(r, sentIndex+1, state == stateDone && sentIndex+1 == generated || sentIndex+1 == s.generation.OutputTokens)
 		}
 		if state != stateRunning {
-			out.end(state, made)
+			out.writeEnd(state, generated)
 			return
 		}
 		_ = out.flush()
@@ -202,13 +202,13 @@
 	stream *stream
 	faults Faults
 	sent   int
-	// held is an event kept back to be sent after its successor.
-	held []byte
+	// delayed is an event kept back to be sent after its successor.
+	delayed []byte
 }
 
-func every(n, index int) bool { return n > 0 && index%n == 0 }
+func isMultiple(n, index int) bool { return n > 0 && index%n == 0 }
 
-func (o *eventWriter) token(r *http.Request, index int, last bool) {
+func (o *eventWriter) writeToken(r *http.Request, index int, last bool) {
 	s, f := o.stream, o.faults
 	if f.CloseAfter > 0 && o.sent >= f.CloseAfter {
 		panic(http.ErrAbortHandler)
@@ -219,34 +219,34 @@
 		return
 	}
 	o.sent++
-	run := s.run
-	if every(f.ForeignEvery, index) {
-		run = "foreign"
+	runID := s.runID
+	if isMultiple(f.ForeignEvery, index) {
+		runID = "foreign"
 	}
-	event := fmt.Appendf(nil, "id: %s/%d\ndata: %s\n\n", run, index, s.shape(s, TokenText(s.run, index), last))
+	event := fmt.Appendf(nil, "id: %s/%d\ndata: %s\n\n", runID, index, s.formatChunk(s, TokenText(s.runID, index), last))
 	switch {
-	case every(f.SkipEvery, index):
+	case isMultiple(f.SkipEvery, index):
 		return
-	case every(f.SwapEvery, index) && !last:
-		o.held = event
+	case isMultiple(f.SwapEvery, index) && !last:
+		o.delayed = event
 		return
-	case every(f.DuplicateEvery, index):
+	case isMultiple(f.DuplicateEvery, index):
 		event = append(event, event...)
 	}
-	_, _ = o.w.Write(append(event, o.held...))
-	o.held = nil
+	_, _ = o.w.Write(append(event, o.delayed...))
+	o.delayed = nil
 }
 
-type endMark struct {
+type endEvent struct {
 	State            string `json:"state"`
 	PromptTokens     int    `json:"prompt_tokens"`
 	CompletionTokens int    `json:"completion_tokens"`
 }
 
-func (o *eventWriter) end(state streamState, made int) {
-	mark, _ := json.Marshal(endMark{
-		State: string(state), PromptTokens: o.stream.work.Prompt, CompletionTokens: made + o.faults.EndOffBy,
+func (o *eventWriter) writeEnd(state streamState, generated int) {
+	event, _ := json.Marshal(endEvent{
+		State: string(state), PromptTokens: o.stream.generation.PromptTokens, CompletionTokens: generated + o.faults.EndCountOffset,
 	})
-	_, _ = fmt.Fprintf(o.w, "event: end\nid: %s/%d\ndata: %s\n\n", o.stream.run, made, mark)
+	_, _ = fmt.Fprintf(o.w, "event: end\nid: %s/%d\ndata: %s\n\n", o.stream.runID, generated, event)
 	_ = o.flush()
 }
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -19,9 +19,9 @@
 type Faults struct {
 	// Outage answers every call with 503.
 	Outage bool `json:"outage"`
-	// DropAnswers lets that many more writes take effect and then breaks the
+	// DropResponses lets that many more writes take effect and then breaks the
 	// connection in place of an answer.
-	DropAnswers int `json:"drop_answers"`
+	DropResponses int `json:"drop_answers"`
 	// DelayMillis holds back every answer.
 	DelayMillis int `json:"delay_ms"`
 	// ListLagMillis is how far the host list lags behind.
@@ -57,11 +57,11 @@
 // rate unbounded.
 func WithRates(writes, reads float64) Option {
 	return func(s *Server) {
-		s.writes, s.reads = limiter(writes), limiter(reads)
+		s.writes, s.reads = newLimiter(writes), newLimiter(reads)
 	}
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
@@ -97,31 +97,31 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
 // headerEra tells the era in all answers.
 const headerEra = "Store-Era"
 
-// Copy is the service's state at a time.
-type Copy struct{ store store }
+// Snapshot is the service's state at a time.
+type Snapshot struct{ store store }
 
-// Copy returns a copy of the present state, for Restore.
-func (s *Server) Copy() Copy {
+// Snapshot returns a copy of the present state, for Restore.
+func (s *Server) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Copy{s.store.copy()}
+	return Snapshot{s.store.clone()}
 }
 
 // Restore has the service come back from a copy: what it has acknowledged since is lost, and its
 // index goes back.
-func (s *Server) Restore(c Copy) {
+func (s *Server) Restore(snapshot Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	restored := c.store.copy()
+	restored := snapshot.store.clone()
 	s.store = &restored
 	s.era++
-	s.wake()
+	s.notifyWatches()
 }
 
 // Counts returns the calls served so far.
@@ -131,7 +131,7 @@
 	return s.counts
 }
 
-func (s *Server) wake() {
+func (s *Server) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -151,25 +151,25 @@
 			return
 		}
 		s.mu.Lock()
-		lose := s.faults.DropAnswers > 0
-		if lose {
-			s.faults.DropAnswers--
+		dropResponse := s.faults.DropResponses > 0
+		if dropResponse {
+			s.faults.DropResponses--
 		}
 		s.mu.Unlock()
-		if lose {
-			next(lostAnswer{}, r)
+		if dropResponse {
+			next(discardResponse{}, r)
 			panic(http.ErrAbortHandler)
 		}
 		next(w, r)
 	}
 }
 
-// lostAnswer takes an answer that nobody will read.
-type lostAnswer struct{}
+// discardResponse takes an answer that nobody will read.
+type discardResponse struct{}
 
-func (lostAnswer) Header() http.Header         { return http.Header{} }
-func (lostAnswer) Write(p []byte) (int, error) { return len(p), nil }
-func (lostAnswer) WriteHeader(int)             {}
+func (discardResponse) Header() http.Header         { return http.Header{} }
+func (discardResponse) Write(p []byte) (int, error) { return len(p), nil }
+func (discardResponse) WriteHeader(int)             {}
 
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, limit *rate.Limiter, count func(*Counts)) bool {
 	s.mu.Lock()
@@ -198,7 +198,7 @@
 	return true
 }
 
-type keyAnswer struct {
+type keyResponse struct {
 	Key         string
 	Value       []byte
 	CreateIndex uint64
@@ -207,7 +207,7 @@
 	Session     string `json:",omitempty"`
 }
 
-const longestWait = 10 * time.Minute
+const maxWait = 10 * time.Minute
 
 // getKey answers at once, or with ?index= waits until the key's modify index
 // has passed it.
@@ -219,14 +219,14 @@
 	}
 	after, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
-	if err != nil || wait > longestWait {
-		wait = longestWait
+	if err != nil || wait > maxWait {
+		wait = maxWait
 	}
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		it, found := s.store.get(time.Now(), key)
+		entry, found := s.store.get(time.Now(), key)
 		index, changed, outage := s.store.index, s.changed, s.faults.Outage
 		w.Header().Set(headerEra, strconv.FormatUint(s.era, 10))
 		s.mu.Unlock()
@@ -234,14 +234,14 @@
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
-		if after == 0 || it.modifyIndex > after || after > max(index, 1) {
-			answerKey(w, key, it, found, index)
+		if after == 0 || entry.modifyIndex > after || after > max(index, 1) {
+			writeKey(w, key, entry, found, index)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			answerKey(w, key, it, found, index)
+			writeKey(w, key, entry, found, index)
 			return
 		case <-r.Context().Done():
 			return
@@ -249,31 +249,31 @@
 	}
 }
 
-func answerKey(w http.ResponseWriter, key string, it item, found bool, index uint64) {
+func writeKey(w http.ResponseWriter, key string, entry kvEntry, found bool, index uint64) {
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(max(index, 1), 10))
 	if !found {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, []keyAnswer{asAnswer(key, it)})
+	writeJSON(w, []keyResponse{newKeyResponse(key, entry)})
 }
 
-func asAnswer(key string, it item) keyAnswer {
-	return keyAnswer{
-		Key: key, Value: it.value, CreateIndex: it.createIndex,
-		ModifyIndex: it.modifyIndex, LockIndex: it.lockIndex, Session: it.session,
+func newKeyResponse(key string, entry kvEntry) keyResponse {
+	return keyResponse{
+		Key: key, Value: entry.value, CreateIndex: entry.createIndex,
+		ModifyIndex: entry.modifyIndex, LockIndex: entry.lockIndex, Session: entry.session,
 	}
 }
 
 func (s *Server) listKeys(w http.ResponseWriter, prefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answers := []keyAnswer{}
+	responses := []keyResponse{}
 	for _, key := range s.store.list(time.Now(), prefix) {
-		answers = append(answers, asAnswer(key, s.store.items[key]))
+		responses = append(responses, newKeyResponse(key, s.store.entries[key]))
 	}
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(max(s.store.index, 1), 10))
-	answer(w, answers)
+	writeJSON(w, responses)
 }
 
 const maxValueBytes = 1 << 20
@@ -287,43 +287,43 @@
 	key, query := r.PathValue("key"), r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	done, now := true, time.Now()
+	ok, now := true, time.Now()
 	switch {
 	case query.Has("acquire"):
-		done = s.store.acquire(now, key, value, query.Get("acquire"))
+		ok = s.store.acquire(now, key, value, query.Get("acquire"))
 	case query.Has("cas"):
-		want, _ := strconv.ParseUint(query.Get("cas"), 10, 64)
-		done = s.store.compareAndSwap(now, key, value, want)
+		wantIndex, _ := strconv.ParseUint(query.Get("cas"), 10, 64)
+		ok = s.store.compareAndSwap(now, key, value, wantIndex)
 	default:
 		s.store.put(now, key, value)
 	}
-	s.wake()
-	answer(w, done)
+	s.notifyWatches()
+	writeJSON(w, ok)
 }
 
 func (s *Server) deleteKey(w http.ResponseWriter, r *http.Request) {
-	want, _ := strconv.ParseUint(r.URL.Query().Get("cas"), 10, 64)
+	wantIndex, _ := strconv.ParseUint(r.URL.Query().Get("cas"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	done := s.store.remove(time.Now(), r.PathValue("key"), want)
-	s.wake()
-	answer(w, done)
+	ok := s.store.remove(time.Now(), r.PathValue("key"), wantIndex)
+	s.notifyWatches()
+	writeJSON(w, ok)
 }
 
 func (s *Server) createSession(w http.ResponseWriter, r *http.Request) {
-	var asked struct{ TTL, Behavior string }
-	if err := json.NewDecoder(r.Body).Decode(&asked); err != nil {
+	var request struct{ TTL, Behavior string }
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ttl, err := time.ParseDuration(asked.TTL)
+	ttl, err := time.ParseDuration(request.TTL)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer(w, map[string]string{"ID": s.store.createSession(time.Now(), ttl, asked.Behavior == "delete")})
+	writeJSON(w, map[string]string{"ID": s.store.createSession(time.Now(), ttl, request.Behavior == "delete")})
 }
 
 func (s *Server) renewSession(w http.ResponseWriter, r *http.Request) {
@@ -333,15 +333,15 @@
 		http.Error(w, "no such session", http.StatusNotFound)
 		return
 	}
-	answer(w, []string{})
+	writeJSON(w, []string{})
 }
 
 func (s *Server) destroySession(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.store.destroySession(r.PathValue("id"))
-	s.wake()
-	answer(w, true)
+	s.notifyWatches()
+	writeJSON(w, true)
 }
 
 func (s *Server) register(w http.ResponseWriter, r *http.Request) {
@@ -361,7 +361,7 @@
 	s.store.deregister(time.Now(), r.PathValue("id"))
 }
 
-type serviceAnswer struct {
+type serviceResponse struct {
 	ServiceID      string
 	ServiceName    string
 	ServiceAddress string
@@ -373,14 +373,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	lag := time.Duration(s.faults.ListLagMillis) * time.Millisecond
-	answers := []serviceAnswer{}
+	responses := []serviceResponse{}
 	for _, sv := range s.store.services(time.Now().Add(-lag), r.PathValue("name")) {
-		answers = append(answers, serviceAnswer{
+		responses = append(responses, serviceResponse{
 			ServiceID: sv.ID, ServiceName: sv.Name, ServiceAddress: sv.Address,
 			ServicePort: sv.Port, ServiceMeta: sv.Meta,
 		})
 	}
-	answer(w, answers)
+	writeJSON(w, responses)
 }
 
 func (s *Server) putFaults(w http.ResponseWriter, r *http.Request) {
@@ -392,9 +392,9 @@
 	s.SetFaults(faults)
 }
 
-func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) { answer(w, s.Counts()) }
+func (s *Server) getCounts(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Counts()) }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	// A caller that went away is no matter of the stand-in's.
 	_ = json.NewEncoder(w).Encode(v)
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -20,8 +20,8 @@
 	"github.com/google/uuid"
 )
 
-// item is one key's state.
-type item struct {
+// kvEntry is one key's state.
+type kvEntry struct {
 	value []byte
 	// createIndex, modifyIndex and lockIndex follow Consul: the store's index
 	// at creation and at the last write, and the number of acquisitions.
@@ -45,9 +45,9 @@
 	Meta    map[string]string `json:"Meta"`
 }
 
-// listing is the host list as it stood from a time on.
-type listing struct {
-	from     time.Time
+// catalogSnapshot is the host list as it stood from a time on.
+type catalogSnapshot struct {
+	since    time.Time
 	services map[string]service
 }
 
@@ -56,30 +56,30 @@
 type store struct {
 	// index rises with every write and never falls.
 	index    uint64
-	items    map[string]item
+	entries  map[string]kvEntry
 	sessions map[string]session
-	// listings stand in the order of their times; the last is the present.
-	listings []listing
+	// catalogHistory stand in the order of their times; the last is the present.
+	catalogHistory []catalogSnapshot
 }
 
 func newStore() *store {
-	return &store{items: map[string]item{}, sessions: map[string]session{}}
+	return &store{entries: map[string]kvEntry{}, sessions: map[string]session{}}
 }
 
-func (s *store) copy() store {
-	return store{index: s.index, items: maps.Clone(s.items), sessions: maps.Clone(s.sessions), listings: slices.Clone(s.listings)}
+func (s *store) clone() store {
+	return store{index: s.index, entries: maps.Clone(s.entries), sessions: maps.Clone(s.sessions), catalogHistory: slices.Clone(s.catalogHistory)}
 }
 
-func (s *store) get(now time.Time, key string) (item, bool) {
-	s.expire(now)
-	it, ok := s.items[key]
-	return it, ok
+func (s *store) get(now time.Time, key string) (kvEntry, bool) {
+	s.expireSessions(now)
+	entry, ok := s.entries[key]
+	return entry, ok
 }
 
 func (s *store) list(now time.Time, prefix string) []string {
-	s.expire(now)
+	s.expireSessions(now)
 	var keys []string
-	for key := range s.items {
+	for key := range s.entries {
 		if strings.HasPrefix(key, prefix) {
 			keys = append(keys, key)
 		}
@@ -89,15 +89,15 @@
 }
 
 func (s *store) put(now time.Time, key string, value []byte) {
-	s.expire(now)
+	s.expireSessions(now)
 	s.write(key, value)
 }
 
 // compareAndSwap writes when the key's modify index is want; zero wants a key
 // that isn't there.
-func (s *store) compareAndSwap(now time.Time, key string, value []byte, want uint64) bool {
-	s.expire(now)
-	if s.items[key].modifyIndex != want {
+func (s *store) compareAndSwap(now time.Time, key string, value []byte, wantIndex uint64) bool {
+	s.expireSessions(now)
+	if s.entries[key].modifyIndex != wantIndex {
 		return false
 	}
 	s.write(key, value)
@@ -106,124 +106,124 @@
 
 func (s *store) write(key string, value []byte) {
 	s.index++
-	it := s.items[key]
-	if it.createIndex == 0 {
-		it.createIndex = s.index
+	entry := s.entries[key]
+	if entry.createIndex == 0 {
+		entry.createIndex = s.index
 	}
-	it.value, it.modifyIndex = value, s.index
-	s.items[key] = it
+	entry.value, entry.modifyIndex = value, s.index
+	s.entries[key] = entry
 }
 
-func (s *store) remove(now time.Time, key string, want uint64) bool {
-	s.expire(now)
-	it, ok := s.items[key]
+func (s *store) remove(now time.Time, key string, wantIndex uint64) bool {
+	s.expireSessions(now)
+	entry, ok := s.entries[key]
 	if !ok {
 		return true
 	}
-	if want != 0 && it.modifyIndex != want {
+	if wantIndex != 0 && entry.modifyIndex != wantIndex {
 		return false
 	}
 	s.index++
-	delete(s.items, key)
+	delete(s.entries, key)
 	return true
 }
 
 // acquire locks the key for the session; it fails while another holds it.
-func (s *store) acquire(now time.Time, key string, value []byte, id string) bool {
-	s.expire(now)
-	if _, alive := s.sessions[id]; !alive {
+func (s *store) acquire(now time.Time, key string, value []byte, sessionID string) bool {
+	s.expireSessions(now)
+	if _, alive := s.sessions[sessionID]; !alive {
 		return false
 	}
-	it := s.items[key]
-	if it.session != "" && it.session != id {
+	entry := s.entries[key]
+	if entry.session != "" && entry.session != sessionID {
 		return false
 	}
 	s.write(key, value)
-	if it.session == "" {
-		it = s.items[key]
-		it.session, it.lockIndex = id, it.lockIndex+1
-		s.items[key] = it
+	if entry.session == "" {
+		entry = s.entries[key]
+		entry.session, entry.lockIndex = sessionID, entry.lockIndex+1
+		s.entries[key] = entry
 	}
 	return true
 }
 
 func (s *store) createSession(now time.Time, ttl time.Duration, deleteKeys bool) string {
-	s.expire(now)
+	s.expireSessions(now)
 	id := uuid.NewString()
 	s.sessions[id] = session{ttl: ttl, expires: now.Add(ttl), deleteKeys: deleteKeys}
 	return id
 }
 
 func (s *store) renewSession(now time.Time, id string) bool {
-	s.expire(now)
-	held, ok := s.sessions[id]
+	s.expireSessions(now)
+	sess, ok := s.sessions[id]
 	if !ok {
 		return false
 	}
-	held.expires = now.Add(held.ttl)
-	s.sessions[id] = held
+	sess.expires = now.Add(sess.ttl)
+	s.sessions[id] = sess
 	return true
 }
 
 func (s *store) destroySession(id string) {
-	held, ok := s.sessions[id]
+	sess, ok := s.sessions[id]
 	if !ok {
 		return
 	}
 	delete(s.sessions, id)
-	for key, it := range s.items {
-		if it.session != id {
+	for key, entry := range s.entries {
+		if entry.session != id {
 			continue
 		}
 		s.index++
-		if held.deleteKeys {
-			delete(s.items, key)
+		if sess.deleteKeys {
+			delete(s.entries, key)
 			continue
 		}
-		it.session, it.modifyIndex = "", s.index
-		s.items[key] = it
+		entry.session, entry.modifyIndex = "", s.index
+		s.entries[key] = entry
 	}
 }
 
-func (s *store) expire(now time.Time) {
-	for id, held := range s.sessions {
-		if now.After(held.expires) {
+func (s *store) expireSessions(now time.Time) {
+	for id, sess := range s.sessions {
+		if now.After(sess.expires) {
 			s.destroySession(id)
 		}
 	}
 }
 
 func (s *store) register(now time.Time, sv service) {
-	s.relist(now, func(services map[string]service) { services[sv.ID] = sv })
+	s.updateCatalog(now, func(services map[string]service) { services[sv.ID] = sv })
 }
 
 func (s *store) deregister(now time.Time, id string) {
-	s.relist(now, func(services map[string]service) { delete(services, id) })
+	s.updateCatalog(now, func(services map[string]service) { delete(services, id) })
 }
 
-// keptListings bounds how far back a lagging host list can look.
-const keptListings = 256
+// maxCatalogSnapshots bounds how far back a lagging host list can look.
+const maxCatalogSnapshots = 256
 
-func (s *store) relist(now time.Time, change func(map[string]service)) {
+func (s *store) updateCatalog(now time.Time, change func(map[string]service)) {
 	services := map[string]service{}
-	if n := len(s.listings); n > 0 {
-		services = maps.Clone(s.listings[n-1].services)
+	if n := len(s.catalogHistory); n > 0 {
+		services = maps.Clone(s.catalogHistory[n-1].services)
 	}
 	change(services)
-	s.listings = append(s.listings, listing{from: now, services: services})
-	if len(s.listings) > keptListings {
-		s.listings = slices.Delete(s.listings, 0, len(s.listings)-keptListings)
+	s.catalogHistory = append(s.catalogHistory, catalogSnapshot{since: now, services: services})
+	if len(s.catalogHistory) > maxCatalogSnapshots {
+		s.catalogHistory = slices.Delete(s.catalogHistory, 0, len(s.catalogHistory)-maxCatalogSnapshots)
 	}
 }
 
 // services returns the host list as it stood at the given time.
 func (s *store) services(at time.Time, name string) []service {
 	var listed []service
-	for i := len(s.listings) - 1; i >= 0; i-- {
-		if s.listings[i].from.After(at) {
+	for i := len(s.catalogHistory) - 1; i >= 0; i-- {
+		if s.catalogHistory[i].since.After(at) {
 			continue
 		}
-		for _, sv := range s.listings[i].services {
+		for _, sv := range s.catalogHistory[i].services {
 			if sv.Name == name {
 				listed = append(listed, sv)
 			}
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -27,16 +27,16 @@
 
 // Server counts the executions by request id. The zero value works.
 type Server struct {
-	mu     sync.Mutex
-	counts map[string]int
-	faults Faults
+	mu              sync.Mutex
+	executionCounts map[string]int
+	faults          Faults
 }
 
 // maxBodyBytes bounds what is read of a request.
 const maxBodyBytes = 8 << 20
 
-// echo is the service's answer.
-type echo struct {
+// echoResponse is the service's answer.
+type echoResponse struct {
 	Method     string `json:"method"`
 	Path       string `json:"path"`
 	Body       string `json:"body"`
@@ -50,7 +50,7 @@
 	case "/standin/counts":
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(s.counts)
+		_ = json.NewEncoder(w).Encode(s.executionCounts)
 		return
 	case "/standin/faults":
 		s.putFaults(w, r)
@@ -80,15 +80,15 @@
 func (s *Server) Executions(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.counts[id]
+	return s.executionCounts[id]
 }
 
-// Total returns how many executions there were in all.
-func (s *Server) Total() int {
+// TotalExecutions returns how many executions there were in all.
+func (s *Server) TotalExecutions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	total := 0
-	for _, n := range s.counts {
+	for _, n := range s.executionCounts {
 		total += n
 	}
 	return total
@@ -106,11 +106,11 @@
 		key = requestID
 	}
 	s.mu.Lock()
-	if s.counts == nil {
-		s.counts = map[string]int{}
+	if s.executionCounts == nil {
+		s.executionCounts = map[string]int{}
 	}
-	s.counts[key]++
-	executions, faults := s.counts[key], s.faults
+	s.executionCounts[key]++
+	executions, faults := s.executionCounts[key], s.faults
 	s.mu.Unlock()
 	select {
 	case <-time.After(time.Duration(faults.DelayMillis) * time.Millisecond):
@@ -120,22 +120,22 @@
 	if faults.WrongRequestID {
 		requestID = "another"
 	}
-	text, _ := json.Marshal(echo{
+	response, _ := json.Marshal(echoResponse{
 		Method: r.Method, Path: r.URL.Path, Body: string(body), RequestID: requestID, Executions: executions,
 	})
-	s.answer(w, faults, requestID, text)
+	s.writeResponse(w, faults, requestID, response)
 }
 
-func (s *Server) answer(w http.ResponseWriter, faults Faults, requestID string, text []byte) {
+func (s *Server) writeResponse(w http.ResponseWriter, faults Faults, requestID string, response []byte) {
 	if faults.CloseAfter == "executed" {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("X-Request-Id", requestID)
 	if faults.CloseAfter == "headers" {
-		_, _ = w.Write(text[:len(text)/2])
+		_, _ = w.Write(response[:len(response)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = w.Write(text)
+	_, _ = w.Write(response)
 }
