--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -1,14 +1,15 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package engine is a stand-in for a model engine, for tests, trials and the
-// policy benchmark: it batches continuously, holds its runs' tokens in limited
-// memory, caches prompt prefixes, and throws runs back when the memory is full.
+// Package engine simulates a model engine for tests, trials and the policy
+// benchmark. The simulated engine uses continuous batching, holds the tokens
+// of its runs in limited memory, caches prompt prefixes, and preempts runs when
+// the memory is full.
 //
-// Model is the engine's memory and step model with the present time as
-// argument, usable without a network; Server puts it behind the HTTP interface
-// that shedpath's engine adapter speaks. It computes no language model: its
-// tokens are made-up words that tell their run and index.
+// Model simulates memory and decoding steps and needs neither a clock nor a
+// network. Server puts a Model behind the HTTP interface that shedpath's engine
+// adapter uses. No language model is computed: each token is a generated word
+// that encodes its run and index.
 package engine
 
 import (
@@ -17,26 +18,27 @@
 	"time"
 )
 
-// RunID names a run on an engine.
+// RunID identifies a run on an engine.
 type RunID string
 
-// Settings are an engine's size and speed. Use DefaultSettings.
+// Settings describe an engine's memory, batch size and speed. Start from
+// DefaultSettings.
 type Settings struct {
-	// MemoryTokens is how many tokens of prompts and answers fit.
+	// MemoryTokens is the memory capacity in prompt and output tokens.
 	MemoryTokens int
-	// MaxBatch is how many runs decode at once.
+	// MaxBatch is the maximum number of admitted runs.
 	MaxBatch int
-	// A step takes StepBase, and StepPerRun for each run that decodes, and
-	// PrefillPerToken for each prompt token read in it.
+	// A step takes StepBase, plus StepPerRun for each run that decodes, plus
+	// PrefillPerToken for each token prefilled in the step.
 	StepBase, StepPerRun, PrefillPerToken time.Duration
-	// PrefillChunk bounds the prompt tokens read in one step.
+	// PrefillChunk is the maximum number of tokens prefilled in one step.
 	PrefillChunk int
-	// CachesPrefixes keeps the memory of ended prompts for reuse while nobody
-	// needs it.
+	// CachesPrefixes keeps the prompt prefixes of finished runs for reuse
+	// until running runs need the memory.
 	CachesPrefixes bool
 }
 
-// DefaultSettings is a mid-sized engine.
+// DefaultSettings returns the settings of a mid-sized engine.
 func DefaultSettings() Settings {
 	return Settings{
 		MemoryTokens: 60_000, MaxBatch: 128,
@@ -46,33 +48,34 @@
 	}
 }
 
-// Generation is one generation as the engine is asked for it.
+// Generation is one generation submitted to the engine.
 type Generation struct {
 	ID           RunID
 	PromptTokens int
-	// OutputTokens is the answer's true length, which nobody else knows.
+	// OutputTokens is the length of the output; clients don't know it in
+	// advance.
 	OutputTokens int
 	Priority     int
-	// Prefix names the first PrefixTokens of the prompt; empty means that
-	// nothing of it can be reused.
+	// Prefix identifies the first PrefixTokens tokens of the prompt. If it is
+	// empty, no part of the prompt is cached or reused.
 	Prefix       string
 	PrefixTokens int
 }
 
-// run is the state of one piece of work.
+// run is the state of one generation.
 type run struct {
 	Generation
-	// arrivalSeq orders the runs of one priority.
+	// arrivalSeq orders runs of the same priority by arrival.
 	arrivalSeq int
-	// generated counts the tokens given out; 0 <= generated <= Length.
+	// generated counts the output tokens; 0 <= generated <= OutputTokens.
 	generated int
-	// pendingPrefill counts the tokens still to be read before the run can decode.
+	// pendingPrefill counts the tokens to prefill before the run can decode.
 	pendingPrefill int
-	// heldTokens is the memory that the run takes; 0 while it waits.
+	// heldTokens is the memory that the run occupies; 0 while it waits.
 	heldTokens int
 }
 
-// EventKind says what happened to a run.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of event.
@@ -83,15 +86,16 @@
 	Admitted
 )
 
-// Event is one thing that happened to a run in a step.
+// Event is a change to a run in a step.
 type Event struct {
 	Kind EventKind
 	Run  RunID
-	// Index is the token's, from 1; with Ended it is the count of tokens.
+	// Index is the index of the token, counted from 1. For the other kinds it
+	// is the number of tokens generated so far.
 	Index int
 }
 
-// CacheEvent tells that a prefix came into the cache or left it.
+// CacheEvent records that a prefix was added to or evicted from the cache.
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Prefix string `json:"prefix"`
@@ -101,22 +105,23 @@
 
 type cachedPrefix struct {
 	tokens int
-	// lastUse orders the prefixes by their last use.
+	// lastUse orders the prefixes by their last use, for eviction.
 	lastUse int
 }
 
-// Model is the state of one engine. It isn't safe for use by several
-// goroutines. Use NewModel.
+// Model is the state of one engine. It isn't safe for concurrent use. Create it
+// with NewModel.
 type Model struct {
 	settings     Settings
 	logicalClock int
-	// running is in the order of admission; waiting in the order in which
-	// runs will be admitted.
+	// running is in order of admission; waiting is in the order in which runs
+	// will be admitted.
 	running, waiting []*run
-	// batchBuffer is the running runs at the start of a step, kept for its memory.
+	// batchBuffer is a copy of running during a decode step. The buffer is
+	// reused to avoid an allocation in each step.
 	batchBuffer []*run
-	// usedTokens is the sum of held over running, and never above MemoryTokens at
-	// the end of a step.
+	// usedTokens is the sum of heldTokens over running; it never exceeds
+	// MemoryTokens at the end of a step.
 	usedTokens       int
 	prefixCache      map[string]*cachedPrefix
 	cachedTokens     int
@@ -128,18 +133,18 @@
 	events           []Event
 }
 
-// NewModel returns an idle engine.
+// NewModel returns a Model of an idle engine.
 func NewModel(s Settings) *Model {
 	return &Model{settings: s, prefixCache: map[string]*cachedPrefix{}}
 }
 
-// Submit takes work in; it starts in a later step.
+// Submit queues a generation, which starts in a later step.
 func (m *Model) Submit(w Generation) {
 	m.logicalClock++
 	m.enqueue(&run{Generation: w, arrivalSeq: m.logicalClock})
 }
 
-// enqueue puts a run behind those of its priority that arrived before it.
+// enqueue inserts a run into waiting by descending priority, then by arrival.
 func (m *Model) enqueue(r *run) {
 	position, _ := slices.BinarySearchFunc(m.waiting, r, func(a, b *run) int {
 		if a.Priority != b.Priority {
@@ -150,7 +155,7 @@
 	m.waiting = slices.Insert(m.waiting, position, r)
 }
 
-// Cancel drops a run wherever it is, and reports whether it was there.
+// Cancel removes a running or waiting run and reports whether it was found.
 func (m *Model) Cancel(id RunID) bool {
 	for i, r := range m.running {
 		if r.ID == id {
@@ -168,7 +173,8 @@
 	return false
 }
 
-// SetPriority changes what a run is worth when memory is full.
+// SetPriority changes the priority of a running run, which decides the run to
+// preempt when memory is full. Waiting runs keep their priority.
 func (m *Model) SetPriority(runID RunID, priority int) {
 	for _, r := range m.running {
 		if r.ID == runID {
@@ -177,11 +183,12 @@
 	}
 }
 
-// Idle reports whether there is nothing to do.
+// Idle reports whether no run is running or waiting.
 func (m *Model) Idle() bool { return len(m.running) == 0 && len(m.waiting) == 0 }
 
-// Step does one step and returns its events, valid until the next step, and
-// how long the step takes. An idle engine's step takes no time.
+// Step performs one step and returns its events, which are valid until the next
+// step, and the duration of the step. The duration is zero if no run is
+// running.
 func (m *Model) Step() ([]Event, time.Duration) {
 	m.events = m.events[:0]
 	m.admit()
@@ -199,8 +206,9 @@
 	m.events = append(m.events, Event{Kind: kind, Run: id, Index: index})
 }
 
-// admit moves waiting runs into the batch while there is memory for what they
-// have and one more token. A run that could never fit is cut to what fits.
+// admit moves waiting runs to running while there is memory for their tokens and
+// one more. A run larger than the whole memory is admitted with the memory size
+// instead of its own.
 func (m *Model) admit() {
 	for len(m.waiting) > 0 && len(m.running) < m.settings.MaxBatch {
 		r := m.waiting[0]
@@ -218,7 +226,8 @@
 	}
 }
 
-// reusePrefix returns how many tokens of the run's prompt needn't be read.
+// reusePrefix marks the run's cached prefix as used and returns the number of
+// prompt tokens that need no prefill.
 func (m *Model) reusePrefix(r *run) int {
 	c := m.prefixCache[r.Prefix]
 	if c == nil || r.Prefix == "" {
@@ -239,8 +248,8 @@
 	return m.settings.PrefillChunk - budget
 }
 
-// decode gives each run that has been read one token, throwing runs back when
-// the memory doesn't hold it, and ends those that are done.
+// decode generates one token for each prefilled run, preempts runs when memory
+// is full, finishes complete runs, and returns the number of tokens generated.
 func (m *Model) decode() int {
 	decoded := 0
 	m.batchBuffer = append(m.batchBuffer[:0], m.running...)
@@ -258,9 +267,9 @@
 	return decoded
 }
 
-// makeRoom throws runs back until r has room for one more token, and reports
-// whether r itself is still there to take it. A run that fills the memory
-// alone ends with what it has.
+// makeRoom preempts runs until there is memory for one more token, and reports
+// whether r itself is still running. A run that fills the memory alone is
+// finished with the tokens generated so far.
 func (m *Model) makeRoom(r *run) bool {
 	for m.usedTokens+1 > m.settings.MemoryTokens && r.heldTokens > 0 {
 		if len(m.running) == 1 {
@@ -289,8 +298,8 @@
 	m.cachePrefix(r)
 }
 
-// preemptLowest preempts the run of the lowest priority, among equals the one
-// admitted last; what it held must be read again.
+// preemptLowest preempts the run of the lowest priority; among equals, the one
+// admitted last. Its tokens must be prefilled again.
 func (m *Model) preemptLowest() {
 	victim := len(m.running) - 1
 	for i := victim; i >= 0; i-- {
@@ -326,7 +335,8 @@
 	m.recordCacheEvent(r.Prefix, r.PrefixTokens, true)
 }
 
-// evict drops the prefixes used longest ago until runs and cache fit together.
+// evict removes the least recently used prefixes until running runs and cache
+// fit in memory.
 func (m *Model) evict() {
 	for m.usedTokens+m.cachedTokens > m.settings.MemoryTokens && len(m.prefixCache) > 0 {
 		oldest := ""
@@ -341,7 +351,7 @@
 	}
 }
 
-// maxCacheEvents bounds the events that a reader may come late for.
+// maxCacheEvents is the number of most recent cache events kept for readers.
 const maxCacheEvents = 256
 
 func (m *Model) recordCacheEvent(prefix string, tokens int, added bool) {
@@ -352,8 +362,8 @@
 	}
 }
 
-// CacheEvents returns the kept events after seq. A gap in the numbers says
-// that some were lost.
+// CacheEvents returns the retained events with a Seq greater than afterSeq. A gap
+// in the sequence numbers means that events were discarded.
 func (m *Model) CacheEvents(afterSeq uint64) []CacheEvent {
 	first, _ := slices.BinarySearchFunc(m.cacheEvents, afterSeq+1, func(e CacheEvent, seq uint64) int {
 		return cmp.Compare(e.Seq, seq)
@@ -361,7 +371,7 @@
 	return slices.Clone(m.cacheEvents[first:])
 }
 
-// Load is what an engine reports of itself.
+// Load is the load that an engine reports.
 type Load struct {
 	MemoryTokens     int           `json:"memory_tokens"`
 	UsedTokens       int           `json:"used_tokens"`
@@ -372,7 +382,7 @@
 	RecomputedTokens int           `json:"recomputed_tokens"`
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (m *Model) Load() Load {
 	return Load{
 		MemoryTokens: m.settings.MemoryTokens, UsedTokens: m.usedTokens,
--- a/standin/engine/report.go
+++ b/standin/engine/report.go
@@ -10,13 +10,14 @@
 	"time"
 )
 
-// loadSample is the load as it stood at a time.
+// loadSample is the load at a point in time.
 type loadSample struct {
 	at   time.Time
 	load Load
 }
 
-// loadHistorySteps is how many steps back a lagging report can look.
+// loadHistorySteps is the minimum number of past steps available to a lagging
+// load report, once that many have run.
 const loadHistorySteps = 512
 
 func appendLoad(loads []loadSample, next loadSample) []loadSample {
@@ -27,7 +28,7 @@
 	return loads
 }
 
-// loadAt returns the last load known at a time.
+// loadAt returns the latest load recorded at or before a time, if there is one.
 func loadAt(loads []loadSample, at time.Time) (Load, bool) {
 	for i := len(loads) - 1; i >= 0; i-- {
 		if !loads[i].at.After(at) {
@@ -63,9 +64,9 @@
 	writeJSON(w, events)
 }
 
-// orderState is what the engine was last told to serve.
+// orderState holds the model versions that the engine was last ordered to serve.
 type orderState struct {
-	// highestToken is the highestToken fencing token seen.
+	// highestToken is the highest fencing token received.
 	highestToken uint64
 	models       map[string]string
 	appliedCount int
@@ -77,7 +78,8 @@
 	Version string `json:"version"`
 }
 
-// apply carries an order out unless its token is old and tokens are checked.
+// apply applies an order and reports whether it did. With checkToken, it refuses
+// an order whose fencing token is lower than the highest received.
 func (o *orderState) apply(order orderRequest, checkToken bool) bool {
 	if checkToken && order.Token < o.highestToken {
 		return false
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -13,59 +13,64 @@
 	"github.com/google/uuid"
 )
 
-// Faults are the troubles that a test or an operator of the stand-in can
-// switch on. All but the last two spoil only the first reading of each run, so
-// that a reader that resumes gets the truth. The zero value is a healthy engine.
+// Faults are the faults that a test or an operator can inject. All but
+// LoadLagMillis and IgnoreTokens affect only the first reader of each run, so
+// that a reader that resumes receives a correct stream. The zero value injects
+// no fault.
 type Faults struct {
-	// Each of these happens to the events whose index it divides.
+	// Each of these faults affects the events whose index is a multiple of its
+	// value; 0 disables it.
 	DuplicateEvery int `json:"duplicate_every"`
 	SkipEvery      int `json:"skip_every"`
 	SwapEvery      int `json:"swap_every"`
 	ForeignEvery   int `json:"foreign_every"`
-	// StallAfter stops the link after that many events, CloseAfter closes it.
+	// StallAfter stalls the stream after that many events; CloseAfter closes
+	// the connection. 0 disables them.
 	StallAfter int `json:"stall_after"`
 	CloseAfter int `json:"close_after"`
-	// EndCountOffset is added to the count in the end mark.
+	// EndCountOffset is added to the token count in the end event.
 	EndCountOffset int `json:"end_off_by"`
-	// LoadLagMillis is how old the reported load is.
+	// LoadLagMillis is the age of the reported load in milliseconds.
 	LoadLagMillis int `json:"load_lag_ms"`
-	// IgnoreTokens takes orders whatever their fencing token.
+	// IgnoreTokens accepts orders regardless of their fencing token.
 	IgnoreTokens bool `json:"ignore_tokens"`
 }
 
-// Server serves one engine over HTTP. Use New, and Run beside it.
+// Server serves one engine over HTTP. Create it with New and call Run in a
+// separate goroutine to generate tokens.
 type Server struct {
 	settings Settings
-	// unreadTimeout is how long a run goes on that nobody reads.
+	// unreadTimeout is how long a run continues without a reader.
 	unreadTimeout time.Duration
 
 	mu    sync.Mutex
 	model *Model
-	// streams holds every run of this process, so that a test can count them;
-	// a run that ended long ago keeps only its summary.
+	// streams holds every run since the start, so that tests can count them.
+	// Token texts aren't stored, so a finished run takes little memory.
 	streams     map[RunID]*stream
 	faults      Faults
 	leaving     bool
 	loadHistory []loadSample
 	orders      orderState
-	// workAvailable wakes the stepping loop.
+	// workAvailable wakes Run when a run is submitted.
 	workAvailable chan struct{}
 	mux           *http.ServeMux
 }
 
-// Option changes how a Server is built.
+// Option configures a Server in New.
 type Option func(*Server)
 
-// WithSettings sets the engine's size and speed.
+// WithSettings sets the engine's memory, batch size and speed.
 func WithSettings(s Settings) Option { return func(e *Server) { e.settings = s } }
 
-// WithUnreadTimeout sets how long a run goes on that nobody reads.
+// WithUnreadTimeout sets how long a run continues without a reader.
 func WithUnreadTimeout(d time.Duration) Option { return func(e *Server) { e.unreadTimeout = d } }
 
-// DefaultUnreadTimeout is long enough for a caller to come back by another entry.
+// DefaultUnreadTimeout leaves a client enough time to resume a run through
+// another host.
 const DefaultUnreadTimeout = 5 * time.Second
 
-// New returns an idle engine.
+// New returns a Server with an idle engine.
 func New(opts ...Option) *Server {
 	e := &Server{
 		settings: DefaultSettings(), unreadTimeout: DefaultUnreadTimeout,
@@ -89,24 +94,24 @@
 	return e
 }
 
-// ServeHTTP serves the engine's paths and the stand-in's own /standin/ paths.
+// ServeHTTP serves the engine API and the control paths under /standin/.
 func (e *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (e *Server) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Leave makes the engine report that it is leaving.
+// Leave makes the engine report that it is shutting down.
 func (e *Server) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// Run steps the engine until the context ends.
+// Run steps the engine until ctx is done.
 func (e *Server) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -145,7 +150,8 @@
 	return duration
 }
 
-// cancelUnread cancels the runs that nobody has read for longer than linger.
+// cancelUnread cancels the runs without a reader for longer than
+// unreadTimeout.
 func (e *Server) cancelUnread(now time.Time) {
 	for id, s := range e.streams {
 		if s.state == stateRunning && s.readers == 0 && now.Sub(s.unreadSince) > e.unreadTimeout {
@@ -159,7 +165,8 @@
 	Prompt   json.RawMessage `json:"prompt"`
 	Messages json.RawMessage `json:"messages"`
 	Model    string          `json:"model"`
-	// MaxTokens bounds the answer; with IgnoreEOS it is the answer's length.
+	// MaxTokens is the maximum output length; with IgnoreEOS it is the exact
+	// length.
 	MaxTokens int  `json:"max_tokens"`
 	IgnoreEOS bool `json:"ignore_eos"`
 }
@@ -275,7 +282,7 @@
 	writeJSON(w, runs)
 }
 
-// RunsStarted counts the runs started so far.
+// RunsStarted returns the number of runs started so far.
 func (e *Server) RunsStarted() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -284,6 +291,6 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that went away is no matter of the stand-in's.
+	// An encoding error here means that the client disconnected; it is ignored.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -23,27 +23,27 @@
 	stateCancelled streamState = "cancelled"
 )
 
-// chunkFormatter writes one token the way an OpenAI endpoint does.
+// chunkFormatter encodes one token as a chunk in the OpenAI format.
 type chunkFormatter func(s *stream, text string, last bool) []byte
 
-// stream is one run as its readers see it. The server's mutex guards it.
+// stream is the state of a run that its readers use. Server.mu guards it.
 type stream struct {
 	runID     RunID
 	requestID string
-	// fingerprint tells the prompt, so that a reader can see whose answer
-	// it has.
+	// fingerprint identifies the prompt, so that a reader can verify that the
+	// output belongs to its request.
 	fingerprint string
 	model       string
 	formatChunk chunkFormatter
 	generation  Generation
-	// generated counts the tokens given out; the text of each follows from its
-	// index, so none is kept.
+	// generated counts the output tokens. The text of a token is computed from
+	// its index and isn't stored.
 	generated   int
 	state       streamState
 	readers     int
 	attachCount int
 	unreadSince time.Time
-	// changed is closed and replaced whenever made or state changes.
+	// changed is closed and replaced whenever generated or state changes.
 	changed chan struct{}
 }
 
@@ -54,13 +54,13 @@
 	}
 }
 
-// Fingerprint is the system_fingerprint of the answers to a prompt, given as
-// the JSON text of the request's prompt or messages.
+// Fingerprint returns the system_fingerprint of the output for a prompt, given as
+// the JSON text of the request's prompt and messages.
 func Fingerprint(promptJSON string) string {
 	return "fp_" + strconv.FormatUint(xxhash.Sum64String(promptJSON), 16)
 }
 
-// TokenText is the word that a run gives out at an index, from 1.
+// TokenText returns the text of a run's token; index counts from 1.
 func TokenText(run RunID, index int) string {
 	return fmt.Sprintf(" w%s.%d", strconv.FormatUint(xxhash.Sum64String(string(run))&0xffff, 16), index)
 }
@@ -101,7 +101,7 @@
 		s.requestID, createdUnixSeconds, s.model, s.fingerprint, text, finishReason(last))
 }
 
-// createdUnixSeconds stands in for the time of creation, which no reader needs.
+// createdUnixSeconds is a fixed creation time; no reader uses it.
 const createdUnixSeconds = 1750000000
 
 func finishReason(last bool) string {
@@ -111,18 +111,21 @@
 	return "null"
 }
 
-// CountTokens estimates the tokens of a prompt of that many bytes, as the
-// stand-in does: one to four bytes.
+// CountTokens estimates the number of tokens in a prompt of the given size: one
+// token per four bytes.
 func CountTokens(bytes int) int { return bytes/4 + 1 }
 
-// Shape of the answers' made-up lengths: most are short, some very long.
+// Parameters of the log-normal distribution of output lengths in tokens: most
+// outputs are short, some very long.
 const (
 	medianOutputLength = 120
 	outputLengthSigma  = 1.0
 	maxOutputLength    = 8000
 )
 
-// outputLength makes up an answer's length from its prompt.
+// outputLength derives an output length in tokens from the prompt, so that a
+// prompt always has the same length. With ignoreEOS it returns maxTokens, if
+// set.
 func outputLength(prompt string, maxTokens int, ignoreEOS bool) int {
 	if ignoreEOS && maxTokens > 0 {
 		return maxTokens
@@ -146,12 +149,12 @@
 	return n
 }
 
-// pingInterval is how often a reader hears from an engine whose run makes no
-// tokens, so that it can tell a waiting run from a stalled link.
+// pingInterval is the interval of the ping comments sent to each reader. They let
+// the reader tell a waiting run from a stalled connection.
 const pingInterval = 500 * time.Millisecond
 
-// serveEvents writes a run's events after an index until it ends, the reader leaves
-// or the faults cut the link.
+// serveEvents writes a run's events after sentIndex until the run ends, the
+// reader disconnects or an injected fault closes the connection.
 func (e *Server) serveEvents(w http.ResponseWriter, r *http.Request, s *stream, sentIndex int) {
 	e.mu.Lock()
 	s.readers++
@@ -171,7 +174,8 @@
 	out := &eventWriter{w: w, flush: http.NewResponseController(w).Flush, stream: s, faults: faults}
 	ping := time.NewTicker(pingInterval)
 	defer ping.Stop()
-	// A write that fails ends the reading at the next turn by its context.
+	// Write errors are ignored: when the client disconnects, the request context
+	// is cancelled and ends the loop.
 	_ = out.flush()
 	for {
 		e.mu.Lock()
@@ -195,14 +199,14 @@
 	}
 }
 
-// eventWriter writes one reader's events, spoilt as the faults say.
+// eventWriter writes events to one reader and injects the faults.
 type eventWriter struct {
 	w      http.ResponseWriter
 	flush  func() error
 	stream *stream
 	faults Faults
 	sent   int
-	// delayed is an event kept back to be sent after its successor.
+	// delayed is an event held back to be sent after the next one.
 	delayed []byte
 }
 
--- a/standin/platform/server.go
+++ b/standin/platform/server.go
@@ -14,47 +14,48 @@
 	"golang.org/x/time/rate"
 )
 
-// Faults are the troubles a test or an operator of the stand-in can switch on.
-// The zero value is a healthy service.
+// Faults are the faults that a test or an operator can inject. The zero value
+// injects no fault.
 type Faults struct {
-	// Outage answers every call with 503.
+	// Outage fails every request with status 503.
 	Outage bool `json:"outage"`
-	// DropResponses lets that many more writes take effect and then breaks the
-	// connection in place of an answer.
+	// DropResponses is the number of following writes that take effect but
+	// whose connection is closed without a response.
 	DropResponses int `json:"drop_answers"`
-	// DelayMillis holds back every answer.
+	// DelayMillis delays every request, in milliseconds.
 	DelayMillis int `json:"delay_ms"`
-	// ListLagMillis is how far the host list lags behind.
+	// ListLagMillis is the age of the returned host list in milliseconds.
 	ListLagMillis int `json:"list_lag_ms"`
 }
 
-// Counts are the calls served so far; a waiting watch is one read.
+// Counts holds the numbers of requests received so far, refused ones included. A
+// blocking query counts as one read.
 type Counts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Refused int64 `json:"refused"`
 }
 
-// Server serves the stand-in over HTTP. Use New.
+// Server serves the simulated platform over HTTP. Create it with New.
 type Server struct {
 	mu    sync.Mutex
 	store *store
-	// era rises with each restore.
+	// era increases by one with each Restore.
 	era    uint64
 	faults Faults
 	counts Counts
-	// changed is closed and replaced at every write, to wake the watches.
+	// changed is closed and replaced at writes, restores and fault changes, to
+	// wake blocking queries.
 	changed chan struct{}
 
 	reads, writes *rate.Limiter
 	mux           *http.ServeMux
 }
 
-// Option changes how a Server is built.
+// Option configures a Server in New.
 type Option func(*Server)
 
-// WithRates sets the calls a second that the service takes; a zero leaves that
-// rate unbounded.
+// WithRates sets the rate limits in requests per second; zero means unlimited.
 func WithRates(writes, reads float64) Option {
 	return func(s *Server) {
 		s.writes, s.reads = newLimiter(writes), newLimiter(reads)
@@ -68,7 +69,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond)+1)
 }
 
-// New returns an empty, healthy stand-in without rate limits.
+// New returns an empty Server, by default without faults or rate limits.
 func New(opts ...Option) *Server {
 	s := &Server{store: newStore(), era: 1, changed: make(chan struct{}), mux: http.NewServeMux()}
 	WithRates(0, 0)(s)
@@ -89,10 +90,10 @@
 	return s
 }
 
-// ServeHTTP serves the Consul paths and the stand-in's own /standin/ paths.
+// ServeHTTP serves the Consul API and the control paths under /standin/.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,21 +101,21 @@
 	s.notifyWatches()
 }
 
-// headerEra tells the era in all answers.
+// headerEra is the response header that carries the store's era.
 const headerEra = "Store-Era"
 
-// Snapshot is the service's state at a time.
+// Snapshot is a copy of the service's state at a point in time.
 type Snapshot struct{ store store }
 
-// Snapshot returns a copy of the present state, for Restore.
+// Snapshot returns a copy of the current state, for Restore.
 func (s *Server) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Snapshot{s.store.clone()}
 }
 
-// Restore has the service come back from a copy: what it has acknowledged since is lost, and its
-// index goes back.
+// Restore replaces the state by a snapshot: writes acknowledged since the
+// snapshot are lost, and the store index goes back.
 func (s *Server) Restore(snapshot Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,7 +125,7 @@
 	s.notifyWatches()
 }
 
-// Counts returns the calls served so far.
+// Counts returns the numbers of requests received so far.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +145,8 @@
 	}
 }
 
-// write runs the handler and loses its answer when the faults say so.
+// write wraps the handler of a write. While DropResponses is positive, the write
+// takes effect and the connection is closed without a response.
 func (s *Server) write(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !s.admit(w, r, s.writes, func(c *Counts) { c.Writes++ }) {
@@ -164,7 +166,7 @@
 	}
 }
 
-// discardResponse takes an answer that nobody will read.
+// discardResponse is a ResponseWriter that discards the response.
 type discardResponse struct{}
 
 func (discardResponse) Header() http.Header         { return http.Header{} }
@@ -209,8 +211,9 @@
 
 const maxWait = 10 * time.Minute
 
-// getKey answers at once, or with ?index= waits until the key's modify index
-// has passed it.
+// getKey returns a key. With ?index= it waits until the key's modify index exceeds
+// the given index or the wait time is over. It returns at once if the given index
+// is above the store's, as after Restore.
 func (s *Server) getKey(w http.ResponseWriter, r *http.Request) {
 	key := r.PathValue("key")
 	if r.URL.Query().Has("recurse") {
@@ -396,6 +399,6 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that went away is no matter of the stand-in's.
+	// An encoding error here means that the client disconnected; it is ignored.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package platform is a stand-in for the platform's key-value service and
-// host list, for tests and trials. It speaks the part of Consul's published
-// HTTP interface that shedpath uses: compare-and-swap, sessions as leases,
-// blocking queries as watches, and the service catalog as the host list.
+// Package platform simulates the platform's key-value service and host list for
+// tests and trials. It implements the part of Consul's HTTP API that shedpath
+// uses: compare-and-swap, sessions as leases, blocking queries as watches, and
+// the service catalog as the host list.
 //
-// It keeps everything in memory and has switches for the faults that the real
-// service shows: outages, slow answers, answers lost after the write took
-// effect, rate limits and a host list that lags.
+// All state is in memory. The faults of the real service can be injected:
+// outages, slow responses, responses lost after the write took effect, rate
+// limits and a stale host list.
 package platform
 
 import (
@@ -20,11 +20,12 @@
 	"github.com/google/uuid"
 )
 
-// kvEntry is one key's state.
+// kvEntry is the state of one key.
 type kvEntry struct {
 	value []byte
-	// createIndex, modifyIndex and lockIndex follow Consul: the store's index
-	// at creation and at the last write, and the number of acquisitions.
+	// createIndex, modifyIndex and lockIndex are as in Consul: the store's index
+	// at creation, the index at the last change, and the number of lock
+	// acquisitions.
 	createIndex, modifyIndex, lockIndex uint64
 	session                             string
 }
@@ -32,11 +33,12 @@
 type session struct {
 	ttl     time.Duration
 	expires time.Time
-	// deleteKeys says that the keys held are deleted, not only released.
+	// deleteKeys deletes the session's locked keys when the session ends; if
+	// false, they are released.
 	deleteKeys bool
 }
 
-// service is one row of the host list.
+// service is one entry of the host list.
 type service struct {
 	ID      string            `json:"ID"`
 	Name    string            `json:"Name"`
@@ -45,20 +47,20 @@
 	Meta    map[string]string `json:"Meta"`
 }
 
-// catalogSnapshot is the host list as it stood from a time on.
+// catalogSnapshot is the host list that is valid from a time on.
 type catalogSnapshot struct {
 	since    time.Time
 	services map[string]service
 }
 
-// store is the state of the key-value service. It isn't safe for use by
-// several goroutines.
+// store is the state of the key-value service and the host list. It isn't safe
+// for concurrent use.
 type store struct {
-	// index rises with every write and never falls.
+	// index increases with every change of a key and never decreases.
 	index    uint64
 	entries  map[string]kvEntry
 	sessions map[string]session
-	// catalogHistory stand in the order of their times; the last is the present.
+	// catalogHistory is in chronological order; the last snapshot is current.
 	catalogHistory []catalogSnapshot
 }
 
@@ -93,8 +95,8 @@
 	s.write(key, value)
 }
 
-// compareAndSwap writes when the key's modify index is want; zero wants a key
-// that isn't there.
+// compareAndSwap writes the value if the key's modify index is wantIndex, and
+// reports whether it did. Zero means that the key must not exist.
 func (s *store) compareAndSwap(now time.Time, key string, value []byte, wantIndex uint64) bool {
 	s.expireSessions(now)
 	if s.entries[key].modifyIndex != wantIndex {
@@ -128,7 +130,8 @@
 	return true
 }
 
-// acquire locks the key for the session; it fails while another holds it.
+// acquire writes the value and locks the key for the session. It reports false if
+// the session doesn't exist or another session holds the lock.
 func (s *store) acquire(now time.Time, key string, value []byte, sessionID string) bool {
 	s.expireSessions(now)
 	if _, alive := s.sessions[sessionID]; !alive {
@@ -201,7 +204,7 @@
 	s.updateCatalog(now, func(services map[string]service) { delete(services, id) })
 }
 
-// maxCatalogSnapshots bounds how far back a lagging host list can look.
+// maxCatalogSnapshots is the number of past host lists kept for ListLagMillis.
 const maxCatalogSnapshots = 256
 
 func (s *store) updateCatalog(now time.Time, change func(map[string]service)) {
@@ -216,7 +219,8 @@
 	}
 }
 
-// services returns the host list as it stood at the given time.
+// services returns the services of the given name, ordered by ID, in the host
+// list that was current at the given time.
 func (s *store) services(at time.Time, name string) []service {
 	var listed []service
 	for i := len(s.catalogHistory) - 1; i >= 0; i-- {
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package service is a stand-in for a plain service: it answers any call with
-// what it was asked, and counts how often each request was executed.
+// Package service simulates a plain HTTP service for tests. It echoes each request
+// and counts how often the request was executed.
 package service
 
 import (
@@ -13,29 +13,31 @@
 	"time"
 )
 
-// Faults are the troubles that can be switched on. The zero value is a healthy
-// service.
+// Faults are the faults that can be injected. The zero value injects no fault.
 type Faults struct {
-	// DelayMillis holds back each answer, after the request was executed.
+	// DelayMillis delays each response after the execution, in milliseconds.
 	DelayMillis int `json:"delay_ms"`
-	// CloseAfter says where the connection breaks: "executed" breaks it after
-	// the execution with no answer, "headers" in the middle of the body.
+	// CloseAfter selects where the connection is closed: "executed" closes it
+	// after the execution without a response, "headers" in the middle of the
+	// body. Any other value disables the fault.
 	CloseAfter string `json:"close_after"`
-	// WrongRequestID answers as if for another request.
+	// WrongRequestID returns the ID of another request.
 	WrongRequestID bool `json:"wrong_request_id"`
 }
 
-// Server counts the executions by request id. The zero value works.
+// Server echoes requests and counts executions by request ID. The zero value is
+// ready to use.
 type Server struct {
 	mu              sync.Mutex
 	executionCounts map[string]int
 	faults          Faults
 }
 
-// maxBodyBytes bounds what is read of a request.
+// maxBodyBytes is the maximum number of bytes read from a request body; the rest
+// is ignored.
 const maxBodyBytes = 8 << 20
 
-// echoResponse is the service's answer.
+// echoResponse is the JSON body of a response.
 type echoResponse struct {
 	Method     string `json:"method"`
 	Path       string `json:"path"`
@@ -44,7 +46,7 @@
 	Executions int    `json:"executions"`
 }
 
-// ServeHTTP executes a call, or serves the stand-in's own /standin/ paths.
+// ServeHTTP executes a request or serves the control paths under /standin/.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/standin/counts":
@@ -68,22 +70,22 @@
 	s.SetFaults(faults)
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Executions returns how often the request was executed. A request is known by
-// its Idempotency-Key or, without one, by its X-Request-Id.
+// Executions returns how often the request was executed. A request is identified
+// by its Idempotency-Key header or, if that is absent, by its X-Request-Id header.
 func (s *Server) Executions(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.executionCounts[id]
 }
 
-// TotalExecutions returns how many executions there were in all.
+// TotalExecutions returns the number of executions of all requests.
 func (s *Server) TotalExecutions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
