--- a/e2e/caller_test.go
+++ b/e2e/caller_test.go
@@ -34,14 +34,14 @@
 	s := newSite(t, 1, 1)
 	e := s.entries[0]
 	client := openai.NewClient(option.WithBaseURL(e.url("caller", "/v1/")), option.WithAPIKey(callerKey))
-	ask := openai.ChatCompletionNewParams{
+	params := openai.ChatCompletionNewParams{
 		Model: "quote", MaxTokens: openai.Int(12),
 		Messages:      []openai.ChatCompletionMessageParamUnion{openai.UserMessage("12 chains")},
 		StreamOptions: openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)},
 	}
 	t.Run("stock client, stream", func(t *testing.T) {
 		is := is.New(t)
-		stream := client.Chat.Completions.NewStreaming(t.Context(), ask)
+		stream := client.Chat.Completions.NewStreaming(t.Context(), params)
 		gathered := openai.ChatCompletionAccumulator{}
 		for stream.Next() {
 			is.True(gathered.AddChunk(stream.Current()))
@@ -52,7 +52,7 @@
 	})
 	t.Run("stock client, whole", func(t *testing.T) {
 		is := is.New(t)
-		whole := ask
+		whole := params
 		whole.StreamOptions = openai.ChatCompletionStreamOptionsParam{}
 		got, err := client.Chat.Completions.New(t.Context(), whole)
 		is.NoErr(err)
@@ -66,10 +66,10 @@
 		is.Equal(len(got.Data), 1)
 		is.Equal(got.Data[0].ID, "quote")
 	})
-	testMistakes(t, e)
+	testInvalidRequests(t, e)
 }
 
-func testMistakes(t *testing.T, e *process) {
+func testInvalidRequests(t *testing.T, e *process) {
 	for name, c := range map[string]struct {
 		key, path, body string
 		status          int
@@ -99,7 +99,7 @@
 			response, err := http.DefaultClient.Do(req)
 			is.NoErr(err)
 			defer response.Body.Close()
-			var body struct{ Error failure }
+			var body struct{ Error apiError }
 			is.NoErr(json.NewDecoder(response.Body).Decode(&body))
 			is.Equal(response.StatusCode, c.status)
 			is.Equal(body.Error.Code, c.code)
@@ -114,19 +114,19 @@
 	is := is.New(t)
 	s := newSite(t, 1, 1)
 	traced := s.startEntry(3, "--trace", "stdout")
-	s.untilServing(traced)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	s.waitUntilServing(traced)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	const traceID = "0af7651916cd43dd8448eb211c80319c"
 	response, err := openGeneration(ctx, traced, completionBody(3), map[string]string{
 		"traceparent": "00-" + traceID + "-b7ad6b7169203331-01",
 	})
 	is.NoErr(err)
-	is.True(readAnswer(response, nil).done)
+	is.True(readGeneration(response, nil).done)
 	traced.signal(syscall.SIGTERM)
-	<-traced.done
+	<-traced.exited
 	spans := map[string]bool{}
-	decoder := json.NewDecoder(&traced.out)
+	decoder := json.NewDecoder(&traced.stdout)
 	for {
 		var span struct {
 			Name        string
@@ -148,15 +148,15 @@
 func TestTLS(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
-	certificate, key, roots := selfSigned(t)
+	certificate, key, roots := selfSignedCertificate(t)
 	e := s.startEntry(3, "--tls-cert", certificate, "--tls-key", key)
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots}}}
 	for _, side := range []string{"caller", "admin"} {
 		path := map[string]string{"caller": "/v1/models", "admin": "/healthz"}[side]
-		req, err := http.NewRequest(http.MethodGet, "https://"+e.at[side]+path, nil)
+		req, err := http.NewRequest(http.MethodGet, "https://"+e.addresses[side]+path, nil)
 		is.NoErr(err)
 		req.Header.Set("Authorization", "Bearer "+callerKey)
-		s.until("an answer by TLS", func() error {
+		s.waitFor("an answer by TLS", func() error {
 			response, err := client.Do(req)
 			if err != nil {
 				return err
@@ -170,7 +170,7 @@
 	}
 }
 
-func selfSigned(t *testing.T) (certificate, key string, roots *x509.CertPool) {
+func selfSignedCertificate(t *testing.T) (certificate, key string, roots *x509.CertPool) {
 	t.Helper()
 	is := is.New(t)
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/e2e/control_bench_test.go
+++ b/e2e/control_bench_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// metric reads one value of an entry's metrics.
-func metric(b *testing.B, e *process, name string) float64 {
+// readMetric reads one value of an entry's metrics.
+func readMetric(b *testing.B, e *process, name string) float64 {
 	b.Helper()
 	response, err := http.Get(e.url("admin", "/metrics"))
 	if err != nil {
@@ -47,8 +47,8 @@
 	return float64(pages * os.Getpagesize())
 }
 
-// controlWindow is how long the idle entries are watched.
-const controlWindow = 10 * time.Second
+// idleWindow is how long the idle entries are watched.
+const idleWindow = 10 * time.Second
 
 // BenchmarkControl is what idle entries of one zone spend on each other, their
 // engines and the platform: the slopes behind docs/CAPACITY.md.
@@ -65,44 +65,44 @@
 				// Every third place is in az1.
 				s.entries = append(s.entries, s.startEntry(3*i, "--host-list-every", "5s"))
 			}
-			s.apply(s.entries[0], "../examples/site.yaml")
+			s.applyFile(s.entries[0], "../examples/site.yaml")
 			for _, e := range s.entries {
-				s.untilServing(e)
+				s.waitUntilServing(e)
 			}
 			for b.Loop() {
-				watchControl(b, s)
+				measureIdleEntries(b, s)
 			}
 		})
 	}
 }
 
-func watchControl(b *testing.B, s *site) {
+func measureIdleEntries(b *testing.B, s *site) {
 	type reading struct{ sent, received, cpu float64 }
 	read := func(e *process) reading {
 		return reading{
-			metric(b, e, "shedpath_peer_sent_bytes"), metric(b, e, "shedpath_peer_received_bytes"),
-			cpuTime(b, e.cmd.Process.Pid).Seconds(),
+			readMetric(b, e, "shedpath_peer_sent_bytes"), readMetric(b, e, "shedpath_peer_received_bytes"),
+			processCPUTime(b, e.cmd.Process.Pid).Seconds(),
 		}
 	}
 	var before []reading
 	for _, e := range s.entries {
 		before = append(before, read(e))
 	}
-	<-time.After(controlWindow)
-	var sum, most reading
+	<-time.After(idleWindow)
+	var sum, maximum reading
 	memory := 0.0
 	for i, e := range s.entries {
-		now := read(e)
-		spent := reading{now.sent - before[i].sent, now.received - before[i].received, now.cpu - before[i].cpu}
-		sum = reading{sum.sent + spent.sent, sum.received + spent.received, sum.cpu + spent.cpu}
-		most = reading{max(most.sent, spent.sent), max(most.received, spent.received), max(most.cpu, spent.cpu)}
+		current := read(e)
+		used := reading{current.sent - before[i].sent, current.received - before[i].received, current.cpu - before[i].cpu}
+		sum = reading{sum.sent + used.sent, sum.received + used.received, sum.cpu + used.cpu}
+		maximum = reading{max(maximum.sent, used.sent), max(maximum.received, used.received), max(maximum.cpu, used.cpu)}
 		memory = max(memory, residentBytes(b, e.cmd.Process.Pid))
 	}
-	n, window := float64(len(s.entries)), controlWindow.Seconds()
+	n, window := float64(len(s.entries)), idleWindow.Seconds()
 	b.ReportMetric(sum.sent/n/window, "sent-B/s")
-	b.ReportMetric(most.sent/window, "most-sent-B/s")
+	b.ReportMetric(maximum.sent/window, "most-sent-B/s")
 	b.ReportMetric(sum.received/n/window, "received-B/s")
 	b.ReportMetric(100*sum.cpu/n/window, "cpu-%")
-	b.ReportMetric(100*most.cpu/window, "most-cpu-%")
+	b.ReportMetric(100*maximum.cpu/window, "most-cpu-%")
 	b.ReportMetric(memory/(1<<20), "most-MiB")
 }
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -15,21 +15,21 @@
 	"github.com/matryer/is"
 )
 
-// longTokens makes a generation long enough for something to happen to it.
-const longTokens = 120
+// longGenerationTokens makes a generation long enough for something to happen to it.
+const longGenerationTokens = 120
 
-// beginLong opens a generation and calls act once, when some tokens have come.
-func beginLong(t *testing.T, e *process, act func()) answer {
+// generateLong opens a generation and calls act once, when some tokens have come.
+func generateLong(t *testing.T, e *process, action func()) generationResult {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	response, err := openGeneration(ctx, e, completionBody(longTokens), nil)
+	response, err := openGeneration(ctx, e, completionBody(longGenerationTokens), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return readAnswer(response, func(n int) {
+	return readGeneration(response, func(n int) {
 		if n == 10 {
-			act()
+			action()
 		}
 	})
 }
@@ -39,16 +39,16 @@
 func TestEntryKilledMidStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 3, 1)
-	first := beginLong(t, s.entries[1], s.entries[1].kill)
+	first := generateLong(t, s.entries[1], s.entries[1].kill)
 	is.True(!first.done)
 	is.True(len(first.texts) >= 10)
-	forged := strings.Replace(first.lastID, "gen_", "gen_A", 1)
+	forged := strings.Replace(first.lastEventID, "gen_", "gen_A", 1)
 	is.Equal(resume(s.entries[0], forged, callerKey).status, http.StatusBadRequest)
-	is.Equal(resume(s.entries[0], first.lastID, "another").status, http.StatusUnauthorized)
-	second := resume(s.entries[0], first.lastID, callerKey)
+	is.Equal(resume(s.entries[0], first.lastEventID, "another").status, http.StatusUnauthorized)
+	second := resume(s.entries[0], first.lastEventID, callerKey)
 	is.Equal(second.failure, nil)
 	is.True(second.done)
-	wantWhole(t, append(first.texts, second.texts...), 1, longTokens)
+	requireConsecutiveTokens(t, append(first.texts, second.texts...), 1, longGenerationTokens)
 }
 
 // TestEngineKilledMidStream ends the stream with a word, and nothing is run
@@ -56,25 +56,25 @@
 func TestEngineKilledMidStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
-	got := beginLong(t, s.entries[0], s.engines[0].kill)
+	got := generateLong(t, s.entries[0], s.engines[0].kill)
 	is.NoErr(got.err)
 	is.True(!got.done)
 	is.True(got.failure != nil) // the stream ends with an error event
 	is.Equal(got.failure.Run, "partial")
-	wantWhole(t, got.texts, 1, len(got.texts))
+	requireConsecutiveTokens(t, got.texts, 1, len(got.texts))
 }
 
 // TestEngineFrozenMidStream resumes the same run when the engine wakes.
 func TestEngineFrozenMidStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1, "--linger", "1m")
-	got := beginLong(t, s.entries[0], func() {
+	got := generateLong(t, s.entries[0], func() {
 		s.engines[0].signal(syscall.SIGSTOP)
 		time.AfterFunc(3*time.Second, func() { s.engines[0].signal(syscall.SIGCONT) })
 	})
 	is.Equal(got.failure, nil)
 	is.True(got.done)
-	wantWhole(t, got.texts, 1, longTokens)
+	requireConsecutiveTokens(t, got.texts, 1, longGenerationTokens)
 }
 
 // TestSpoiltStreams has engines duplicate, skip, swap, foreign, stalled and
@@ -93,16 +93,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s.faults(s.engines[0], faults)
+			s.setFaults(s.engines[0], faults)
 			got := generate(s.entries[0], 40)
 			is.Equal(got.failure, nil)
 			is.True(got.done)
-			wantWhole(t, got.texts, 1, 40)
+			requireConsecutiveTokens(t, got.texts, 1, 40)
 		})
 	}
 	t.Run("long end", func(t *testing.T) {
 		is := is.New(t)
-		s.faults(s.engines[0], `{"end_off_by":-3}`)
+		s.setFaults(s.engines[0], `{"end_off_by":-3}`)
 		got := generate(s.entries[0], 40)
 		is.True(got.failure != nil)
 		is.Equal(got.failure.Run, "partial")
@@ -115,11 +115,11 @@
 	is := is.New(t)
 	// Entries 1 and 4 share az1 with the engine.
 	s := newSite(t, 4, 1)
-	got := beginLong(t, s.entries[0], func() { s.entries[0].signal(syscall.SIGTERM) })
+	got := generateLong(t, s.entries[0], func() { s.entries[0].signal(syscall.SIGTERM) })
 	is.Equal(got.failure, nil)
 	is.True(got.done)
-	wantWhole(t, got.texts, 1, longTokens)
-	<-s.entries[0].done
+	requireConsecutiveTokens(t, got.texts, 1, longGenerationTokens)
+	<-s.entries[0].exited
 	is.True(s.entries[0].cmd.ProcessState.Success())
 	other := generate(s.entries[3], 20)
 	is.Equal(other.failure, nil)
@@ -131,12 +131,12 @@
 func TestZoneWithoutEntries(t *testing.T) {
 	s := newSite(t, 2, 1)
 	s.entries[0].kill()
-	s.until("serving by the other zone", func() error {
+	s.waitFor("serving by the other zone", func() error {
 		got := generate(s.entries[1], 20)
 		if !got.done {
 			return fmt.Errorf("%v %v", got.failure, got.err)
 		}
-		wantWhole(t, got.texts, 1, 20)
+		requireConsecutiveTokens(t, got.texts, 1, 20)
 		return nil
 	})
 }
@@ -144,7 +144,7 @@
 // TestCoordinatorLost kills and freezes the entry that coordinates the pool of
 // its zone; the other one goes on placing.
 func TestCoordinatorLost(t *testing.T) {
-	for name, strike := range map[string]func(p *process){
+	for name, disrupt := range map[string]func(p *process){
 		"killed": func(p *process) { p.kill() },
 		"frozen": func(p *process) { p.signal(syscall.SIGSTOP) },
 	} {
@@ -153,26 +153,26 @@
 			// Entries 1 and 4 share az1 with engine 1.
 			s := newSite(t, 4, 1)
 			pair := []*process{s.entries[0], s.entries[3]}
-			s.until("both knowing the coordinator", func() error {
+			s.waitFor("both knowing the coordinator", func() error {
 				for _, e := range pair {
-					if out, err := s.operator(e, "status"); err != nil || strings.Count(out, "az1") == 0 || !strings.Contains(out, "desk  ") {
+					if out, err := s.runOperatorCommand(e, "status"); err != nil || strings.Count(out, "az1") == 0 || !strings.Contains(out, "desk  ") {
 						return fmt.Errorf("status: %s %v", out, err)
 					}
 				}
 				return nil
 			})
-			out, err := s.operator(pair[0], "status")
+			out, err := s.runOperatorCommand(pair[0], "status")
 			is.NoErr(err)
 			coordinator, other := pair[0], pair[1]
 			if strings.Contains(out, "desk  e4") {
 				coordinator, other = other, coordinator
 			}
-			strike(coordinator)
+			disrupt(coordinator)
 			for range 5 {
 				got := generate(other, 20)
 				is.Equal(got.failure, nil)
 				is.True(got.done)
-				wantWhole(t, got.texts, 1, 20)
+				requireConsecutiveTokens(t, got.texts, 1, 20)
 			}
 		})
 	}
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -18,9 +18,9 @@
 // balancer sends each call to an entry that says that it is ready, and to the
 // next when the call was surely not run, as the platform's does.
 type balancer struct {
-	mu      sync.Mutex
-	entries []*process
-	next    int
+	mu        sync.Mutex
+	entries   []*process
+	nextIndex int
 }
 
 func (b *balancer) replace(i int, e *process) {
@@ -29,15 +29,15 @@
 	b.entries[i] = e
 }
 
-func (b *balancer) order() []*process {
+func (b *balancer) nextOrder() []*process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.next++
-	at := b.next % len(b.entries)
-	return slices.Concat(b.entries[at:], b.entries[:at])
+	b.nextIndex++
+	offset := b.nextIndex % len(b.entries)
+	return slices.Concat(b.entries[offset:], b.entries[:offset])
 }
 
-func ready(e *process) bool {
+func isReady(e *process) bool {
 	response, err := http.Get(e.url("admin", "/readyz"))
 	if err != nil {
 		return false
@@ -46,10 +46,10 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (b *balancer) generate(tokens int) answer {
-	var got answer
-	for _, e := range b.order() {
-		if !ready(e) {
+func (b *balancer) generate(tokens int) generationResult {
+	var got generationResult
+	for _, e := range b.nextOrder() {
+		if !isReady(e) {
 			continue
 		}
 		got = generate(e, tokens)
@@ -60,9 +60,9 @@
 	return got
 }
 
-// rollingTokens make an answer of about three seconds, longer than any part of a
+// rollingRestartTokens make an answer of about three seconds, longer than any part of a
 // stop but the wait for it.
-const rollingTokens = 240
+const rollingRestartTokens = 240
 
 // TestRollingRestart restarts every entry of a site, one by one, under load: no
 // running answer is cut and no call is refused by all.
@@ -72,8 +72,8 @@
 	b := &balancer{entries: slices.Clone(s.entries)}
 	stop := make(chan struct{})
 	var mu sync.Mutex
-	var bad []string
-	whole := 0
+	var failures []string
+	completed := 0
 	var load sync.WaitGroup
 	for range 6 {
 		load.Go(func() {
@@ -83,12 +83,12 @@
 					return
 				default:
 				}
-				got := b.generate(rollingTokens)
+				got := b.generate(rollingRestartTokens)
 				mu.Lock()
-				if got.done && len(got.texts) == rollingTokens {
-					whole++
+				if got.done && len(got.texts) == rollingRestartTokens {
+					completed++
 				} else {
-					bad = append(bad, fmt.Sprintf("%d tokens, failure %+v, error %v", len(got.texts), got.failure, got.err))
+					failures = append(failures, fmt.Sprintf("%d tokens, failure %+v, error %v", len(got.texts), got.failure, got.err))
 				}
 				mu.Unlock()
 			}
@@ -96,19 +96,19 @@
 	}
 	for i, e := range s.entries {
 		e.signal(syscall.SIGTERM)
-		<-e.done
+		<-e.exited
 		is.True(e.cmd.ProcessState.Success())
-		fresh := s.startEntry(i)
-		s.untilServing(fresh)
-		b.replace(i, fresh)
+		replacement := s.startEntry(i)
+		s.waitUntilServing(replacement)
+		b.replace(i, replacement)
 	}
 	close(stop)
 	load.Wait()
-	is.Equal(len(bad), 0)
-	for _, one := range bad {
-		t.Log(one)
+	is.Equal(len(failures), 0)
+	for _, failure := range failures {
+		t.Log(failure)
 	}
-	is.True(whole > 0)
+	is.True(completed > 0)
 }
 
 // TestAllStartAtOnce starts nine entries at the same moment on a platform with
@@ -123,8 +123,8 @@
 	}
 	starting.Wait()
 	for _, e := range started {
-		s.until("ready", func() error {
-			if !ready(e) {
+		s.waitFor("ready", func() error {
+			if !isReady(e) {
 				return fmt.Errorf("not yet")
 			}
 			return nil
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -46,52 +46,52 @@
 		for i := range 5 {
 			key := fmt.Sprintf("at-once-%d", i)
 			is.Equal(sendAll(key, s.entries...), 1)
-			is.Equal(s.executions(key), 1)
+			is.Equal(s.executionCount(key), 1)
 		}
 	})
 	t.Run("platform loses answers", func(t *testing.T) {
 		is := is.New(t)
 		for i := range 5 {
 			key := fmt.Sprintf("lost-%d", i)
-			s.faults(s.platform, `{"drop_answers":2}`)
+			s.setFaults(s.platform, `{"drop_answers":2}`)
 			is.Equal(sendAll(key, s.entries...), 1)
-			is.Equal(s.executions(key), 1)
+			is.Equal(s.executionCount(key), 1)
 		}
-		s.faults(s.platform, `{}`)
+		s.setFaults(s.platform, `{}`)
 	})
 	t.Run("platform slow", func(t *testing.T) {
 		is := is.New(t)
-		s.faults(s.platform, `{"delay_ms":400,"drop_answers":1}`)
+		s.setFaults(s.platform, `{"delay_ms":400,"drop_answers":1}`)
 		is.Equal(sendAll("slow", s.entries...), 1)
-		is.Equal(s.executions("slow"), 1)
-		s.faults(s.platform, `{}`)
+		is.Equal(s.executionCount("slow"), 1)
+		s.setFaults(s.platform, `{}`)
 	})
 	t.Run("platform down", func(t *testing.T) {
 		is := is.New(t)
-		s.faults(s.platform, `{"outage":true}`)
+		s.setFaults(s.platform, `{"outage":true}`)
 		status, body := send(s.entries[0], "down")
 		is.Equal(status, http.StatusServiceUnavailable)
-		is.Equal(s.executions("down"), 0)
+		is.Equal(s.executionCount("down"), 0)
 		is.True(len(body) > 0)
-		s.faults(s.platform, `{}`)
-		s.until("claiming again", func() error {
+		s.setFaults(s.platform, `{}`)
+		s.waitFor("claiming again", func() error {
 			if status, body := send(s.entries[0], "down"); status != http.StatusOK {
 				return fmt.Errorf("%d %s", status, body)
 			}
 			return nil
 		})
-		is.Equal(s.executions("down"), 1)
+		is.Equal(s.executionCount("down"), 1)
 	})
 	t.Run("retried after the claimant froze and died", func(t *testing.T) {
 		is := is.New(t)
-		s.faults(s.services[0], `{"delay_ms":1500}`)
+		s.setFaults(s.services[0], `{"delay_ms":1500}`)
 		first := make(chan int)
 		go func() {
 			status, _ := send(s.entries[0], "frozen")
 			first <- status
 		}()
-		s.until("the first being run", func() error {
-			if s.executions("frozen") == 0 {
+		s.waitFor("the first being run", func() error {
+			if s.executionCount("frozen") == 0 {
 				return fmt.Errorf("not yet")
 			}
 			return nil
@@ -104,6 +104,6 @@
 		s.entries[0].kill()
 		status, _ = send(s.entries[2], "frozen")
 		is.Equal(status, http.StatusConflict)
-		is.Equal(s.executions("frozen"), 1)
+		is.Equal(s.executionCount("frozen"), 1)
 	})
 }
--- a/e2e/placement_bench_test.go
+++ b/e2e/placement_bench_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	placementEntries = 3
-	placementEngines = 4
-	placementRate    = 38
-	placementSpan    = 40 * time.Second
+	placementEntries  = 3
+	placementEngines  = 4
+	placementRate     = 38
+	placementDuration = 40 * time.Second
 )
 
-// preemptions reads how many runs an engine threw back.
-func preemptions(b *testing.B, engine *process) (count int) {
+// preemptionCount reads how many runs an engine threw back.
+func preemptionCount(b *testing.B, engine *process) (count int) {
 	b.Helper()
 	response, err := http.Get(engine.url("listen", "/v1/load"))
 	if err != nil {
@@ -52,13 +52,13 @@
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				placementRun(b, c.args, c.strike)
+				runPlacement(b, c.args, c.strike)
 			}
 		})
 	}
 }
 
-func placementRun(b *testing.B, args []string, strike bool) {
+func runPlacement(b *testing.B, args []string, disruptCoordinator bool) {
 	s := &site{t: b, platform: start(b, "dev", "platform", "--listen", "127.0.0.1:0")}
 	for i := range placementEngines {
 		// Every third place is in az1.
@@ -69,34 +69,34 @@
 	for i := range placementEntries {
 		s.entries = append(s.entries, s.startEntry(3*i, args...))
 	}
-	s.apply(s.entries[0], "../examples/site.yaml")
+	s.applyFile(s.entries[0], "../examples/site.yaml")
 	var urls []string
 	for _, e := range s.entries {
-		s.untilServing(e)
+		s.waitUntilServing(e)
 		urls = append(urls, e.url("caller", ""))
 	}
-	victim, survivors := s.coordinatorOf("desk"), urls
-	if strike {
+	victim, survivors := s.findCoordinator("desk"), urls
+	if disruptCoordinator {
 		survivors = nil
 		for _, e := range s.entries {
 			if e != victim {
 				survivors = append(survivors, e.url("caller", ""))
 			}
 		}
-		time.AfterFunc(placementSpan/4, func() { victim.signal(syscall.SIGSTOP) })
-		time.AfterFunc(placementSpan/4+2*time.Second, func() { victim.signal(syscall.SIGCONT) })
-		time.AfterFunc(placementSpan/2, func() { victim.signal(syscall.SIGKILL) })
+		time.AfterFunc(placementDuration/4, func() { victim.signal(syscall.SIGSTOP) })
+		time.AfterFunc(placementDuration/4+2*time.Second, func() { victim.signal(syscall.SIGCONT) })
+		time.AfterFunc(placementDuration/2, func() { victim.signal(syscall.SIGKILL) })
 	}
 	report := load.Run(b.Context(), load.Settings{
-		Entries: survivors, Key: callerKey, Rate: placementRate, For: placementSpan, Seed: 1,
+		Entries: survivors, Key: callerKey, Rate: placementRate, For: placementDuration, Seed: 1,
 		Mix: load.Mix{Kinds: []load.Kind{{Name: "quote", Share: 1, Model: "quote", PromptTokens: 300, MaxTokens: 1500}}},
 	})
-	thrown := 0
+	preempted := 0
 	for _, engine := range s.engines {
-		thrown += preemptions(b, engine)
+		preempted += preemptionCount(b, engine)
 	}
 	quote := report.Kinds["quote"]
-	b.ReportMetric(1000*float64(thrown)/float64(quote.Calls), "preempted/1000")
+	b.ReportMetric(1000*float64(preempted)/float64(quote.Calls), "preempted/1000")
 	b.ReportMetric(quote.BetweenTokens.P99, "gap-p99-ms")
 	b.ReportMetric(float64(quote.StallMillis)/float64(quote.Calls), "stall-ms/call")
 	b.ReportMetric(quote.FirstToken.P95, "first-p95-ms")
@@ -107,9 +107,9 @@
 	}
 }
 
-// coordinatorOf finds the entry that coordinates a pool in az1.
-func (s *site) coordinatorOf(pool string) *process {
-	out, err := s.operator(s.entries[0], "status")
+// findCoordinator finds the entry that coordinates a pool in az1.
+func (s *site) findCoordinator(pool string) *process {
+	out, err := s.runOperatorCommand(s.entries[0], "status")
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/e2e/promises_test.go
+++ b/e2e/promises_test.go
@@ -38,9 +38,9 @@
 		return err
 	})
 	is.NoErr(err)
-	named := regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`).FindAllString(string(page), -1)
-	is.True(len(named) > 100)
-	for _, name := range named {
+	referenced := regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w+`).FindAllString(string(page), -1)
+	is.True(len(referenced) > 100)
+	for _, name := range referenced {
 		if !defined[name] {
 			t.Errorf("docs/PROMISES.md rests on %s, which isn't there", name)
 		}
--- a/e2e/relay_bench_test.go
+++ b/e2e/relay_bench_test.go
@@ -22,16 +22,16 @@
 const (
 	// clockTicks is the kernel's USER_HZ, which is 100 on every platform that
 	// Linux's user space knows.
-	clockTicks   = 100
-	benchStreams = 200
-	benchTokens  = 1000
-	benchFirsts  = 300
-	// benchRequests is how many answers of one token are asked for in a row.
-	benchRequests = 1000
+	clockTicks        = 100
+	concurrentStreams = 200
+	tokensPerStream   = 1000
+	firstTokenSamples = 300
+	// singleTokenRequests is how many answers of one token are asked for in a row.
+	singleTokenRequests = 1000
 )
 
-// cpuTime reads what a process has used of the processors.
-func cpuTime(b *testing.B, pid int) time.Duration {
+// processCPUTime reads what a process has used of the processors.
+func processCPUTime(b *testing.B, pid int) time.Duration {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -43,30 +43,30 @@
 	return time.Duration(user+system) * time.Second / clockTicks
 }
 
-// readTokens counts the tokens of one generation and returns when the first
+// countTokens counts the tokens of one generation and returns when the first
 // came.
-func readTokens(b *testing.B, url string, tokens int) (int, time.Duration) {
-	began := time.Now()
+func countTokens(b *testing.B, url string, tokens int) (int, time.Duration) {
+	startTime := time.Now()
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(completionBody(tokens)))
 	if err != nil {
 		b.Error(err)
 		return 0, 0
 	}
 	req.Header.Set("Authorization", "Bearer "+callerKey)
-	answer, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(req)
 	if err != nil {
 		b.Error(err)
 		return 0, 0
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	count, first := 0, time.Duration(0)
-	scanner := bufio.NewScanner(answer.Body)
+	scanner := bufio.NewScanner(response.Body)
 	for scanner.Scan() {
 		if !bytes.HasPrefix(scanner.Bytes(), []byte(`data: {"id"`)) {
 			continue
 		}
 		if count == 0 {
-			first = time.Since(began)
+			first = time.Since(startTime)
 		}
 		count++
 	}
@@ -85,30 +85,30 @@
 	s := newSite(b, 1, 1, "--memory", "10000000", "--max-batch", "1000", "--step", "10ms", "--step-per-run", "0s")
 	entry, direct := s.entries[0].url("caller", ""), s.engines[0].url("listen", "")
 	for b.Loop() {
-		before := cpuTime(b, s.entries[0].cmd.Process.Pid)
+		before := processCPUTime(b, s.entries[0].cmd.Process.Pid)
 		var all sync.WaitGroup
-		for range benchStreams {
+		for range concurrentStreams {
 			all.Go(func() {
-				if count, _ := readTokens(b, entry, benchTokens); count != benchTokens {
-					b.Errorf("%d tokens came, not %d", count, benchTokens)
+				if count, _ := countTokens(b, entry, tokensPerStream); count != tokensPerStream {
+					b.Errorf("%d tokens came, not %d", count, tokensPerStream)
 				}
 			})
 		}
 		all.Wait()
-		used := cpuTime(b, s.entries[0].cmd.Process.Pid) - before
-		b.ReportMetric(float64(used.Microseconds())/(benchStreams*benchTokens), "cpu-µs/token")
+		used := processCPUTime(b, s.entries[0].cmd.Process.Pid) - before
+		b.ReportMetric(float64(used.Microseconds())/(concurrentStreams*tokensPerStream), "cpu-µs/token")
 	}
-	before := cpuTime(b, s.entries[0].cmd.Process.Pid)
-	for range benchRequests {
-		readTokens(b, entry, 1)
+	before := processCPUTime(b, s.entries[0].cmd.Process.Pid)
+	for range singleTokenRequests {
+		countTokens(b, entry, 1)
 	}
-	used := cpuTime(b, s.entries[0].cmd.Process.Pid) - before
-	b.ReportMetric(float64(used.Microseconds())/benchRequests, "cpu-µs/request")
+	used := processCPUTime(b, s.entries[0].cmd.Process.Pid) - before
+	b.ReportMetric(float64(used.Microseconds())/singleTokenRequests, "cpu-µs/request")
 	var firstEntry, firstDirect []time.Duration
-	for range benchFirsts {
-		_, first := readTokens(b, entry, 1)
+	for range firstTokenSamples {
+		_, first := countTokens(b, entry, 1)
 		firstEntry = append(firstEntry, first)
-		_, first = readTokens(b, direct, 1)
+		_, first = countTokens(b, direct, 1)
 		firstDirect = append(firstDirect, first)
 	}
 	b.ReportMetric(float64(median(firstDirect).Microseconds()), "direct-first-µs")
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -26,19 +26,19 @@
 	"github.com/shedpath/shedpath/internal/cli"
 )
 
-var binary string
+var binaryPath string
 
-// linked keeps the binary's own code in the test's, so that a cached verdict is
+// linkedMain keeps the binary's own code in the test's, so that a cached verdict is
 // never one of other code. An import alone doesn't: the linker leaves out what
 // nothing reaches.
-var linked = cli.Main
+var linkedMain = cli.Main
 
 func TestMain(m *testing.M) {
 	os.Exit(buildAndRun(m))
 }
 
 func buildAndRun(m *testing.M) int {
-	if linked == nil {
+	if linkedMain == nil {
 		return 1
 	}
 	dir, err := os.MkdirTemp("", "shedpath-e2e-")
@@ -47,8 +47,8 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	binary = filepath.Join(dir, "shedpath")
-	if out, err := exec.Command("go", "build", "-o", binary, "../cmd/shedpath").CombinedOutput(); err != nil {
+	binaryPath = filepath.Join(dir, "shedpath")
+	if out, err := exec.Command("go", "build", "-o", binaryPath, "../cmd/shedpath").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "building: %v\n%s", err, out)
 		return 1
 	}
@@ -59,28 +59,28 @@
 	peerKey    = "an-e2e-peer-key-of-enough-length"
 	adminToken = "e2e-operator"
 	callerKey  = "demo-counter"
-	// patience bounds every wait for a state; no test passes by waiting.
-	patience = 60 * time.Second
+	// waitTimeout bounds every wait for a state; no test passes by waiting.
+	waitTimeout = 60 * time.Second
 )
 
 // process is one process of a site.
 type process struct {
-	t    testing.TB
-	cmd  *exec.Cmd
-	at   map[string]string
-	done chan struct{}
-	log  bytes.Buffer
-	// out is what the process wrote after its first line; it is whole when
+	t         testing.TB
+	cmd       *exec.Cmd
+	addresses map[string]string
+	exited    chan struct{}
+	stderr    bytes.Buffer
+	// stdout is what the process wrote after its first line; it is whole when
 	// done has closed.
-	out bytes.Buffer
+	stdout bytes.Buffer
 }
 
 // start runs the binary until the test ends and reads its addresses from the
 // first line of its output.
 func start(t testing.TB, args ...string) *process {
 	t.Helper()
-	p := &process{t: t, cmd: exec.Command(binary, args...), at: map[string]string{}, done: make(chan struct{})}
-	p.cmd.Stderr = &p.log
+	p := &process{t: t, cmd: exec.Command(binaryPath, args...), addresses: map[string]string{}, exited: make(chan struct{})}
+	p.cmd.Stderr = &p.stderr
 	out, err := p.cmd.StdoutPipe()
 	if err == nil {
 		err = p.cmd.Start()
@@ -91,23 +91,23 @@
 	reader := bufio.NewReader(out)
 	line, err := reader.ReadString('\n')
 	go func() {
-		defer close(p.done)
-		_, _ = io.Copy(&p.out, reader)
+		defer close(p.exited)
+		_, _ = io.Copy(&p.stdout, reader)
 		_ = p.cmd.Wait()
 	}()
 	t.Cleanup(func() {
 		p.kill()
 		if t.Failed() {
-			t.Logf("log of %v:\n%s", args, p.log.String())
+			t.Logf("log of %v:\n%s", args, p.stderr.String())
 		}
 	})
 	if err != nil {
-		<-p.done
-		t.Fatalf("%v said no address: %v\n%s", args, err, p.log.String())
+		<-p.exited
+		t.Fatalf("%v said no address: %v\n%s", args, err, p.stderr.String())
 	}
 	for _, pair := range strings.Fields(line) {
 		name, address, _ := strings.Cut(pair, "=")
-		p.at[name] = address
+		p.addresses[name] = address
 	}
 	return p
 }
@@ -117,10 +117,10 @@
 func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
-	<-p.done
+	<-p.exited
 }
 
-func (p *process) url(side, path string) string { return "http://" + p.at[side] + path }
+func (p *process) url(side, path string) string { return "http://" + p.addresses[side] + path }
 
 // site is a running site.
 type site struct {
@@ -144,44 +144,44 @@
 	for i := range entries {
 		s.entries = append(s.entries, s.startEntry(i))
 	}
-	s.apply(s.entries[0], "../examples/site.yaml")
+	s.applyFile(s.entries[0], "../examples/site.yaml")
 	for _, e := range s.entries {
-		s.untilServing(e)
+		s.waitUntilServing(e)
 	}
 	return s
 }
 
 func (s *site) platformURL() string { return s.platform.url("listen", "") }
 
-func zoneOf(i int) string { return fmt.Sprintf("az%d", i%3+1) }
+func zoneForIndex(i int) string { return fmt.Sprintf("az%d", i%3+1) }
 
-func (s *site) startEngine(i int, more ...string) *process {
+func (s *site) startEngine(i int, extraArgs ...string) *process {
 	args := []string{
 		"dev", "engine", "--listen", "127.0.0.1:0", "--id", fmt.Sprintf("g%d", i+1),
-		"--zone", zoneOf(i), "--pool", "desk", "--platform", s.platformURL(),
+		"--zone", zoneForIndex(i), "--pool", "desk", "--platform", s.platformURL(),
 	}
-	return start(s.t, append(args, more...)...)
+	return start(s.t, append(args, extraArgs...)...)
 }
 
-func (s *site) startEntry(i int, more ...string) *process {
+func (s *site) startEntry(i int, extraArgs ...string) *process {
 	args := []string{
 		"entry", "--listen", "127.0.0.1:0", "--admin-listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0",
-		"--host-id", fmt.Sprintf("e%d", i+1), "--zone", zoneOf(i), "--platform", s.platformURL(), "--register",
+		"--host-id", fmt.Sprintf("e%d", i+1), "--zone", zoneForIndex(i), "--platform", s.platformURL(), "--register",
 		"--peer-key", peerKey, "--admin-token", adminToken, "--host-list-every", "300ms", "--stop-grace", "300ms",
 	}
-	return start(s.t, append(args, more...)...)
+	return start(s.t, append(args, extraArgs...)...)
 }
 
-func (s *site) operator(e *process, args ...string) (string, error) {
-	cmd := exec.Command(binary, append(args, "--server", e.url("admin", ""), "--token", adminToken)...)
+func (s *site) runOperatorCommand(e *process, args ...string) (string, error) {
+	cmd := exec.Command(binaryPath, append(args, "--server", e.url("admin", ""), "--token", adminToken)...)
 	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
 
-func (s *site) apply(e *process, file string) {
+func (s *site) applyFile(e *process, file string) {
 	s.t.Helper()
-	s.until("applying "+file, func() error {
-		out, err := s.operator(e, "apply", "-f", file)
+	s.waitFor("applying "+file, func() error {
+		out, err := s.runOperatorCommand(e, "apply", "-f", file)
 		if err != nil {
 			return fmt.Errorf("%w: %s", err, out)
 		}
@@ -189,26 +189,26 @@
 	})
 }
 
-// until tries again until there is no error.
-func (s *site) until(what string, try func() error) {
+// waitFor tries again waitFor there is no error.
+func (s *site) waitFor(condition string, check func() error) {
 	s.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
-		err := try()
+		err := check()
 		if err == nil {
 			return
 		}
 		if time.Now().After(deadline) {
-			s.t.Fatalf("%s: %v", what, err)
+			s.t.Fatalf("%s: %v", condition, err)
 		}
 		<-time.After(20 * time.Millisecond)
 	}
 }
 
-// untilServing waits until an entry serves both kinds of call.
-func (s *site) untilServing(e *process) {
+// waitUntilServing waits until an entry serves both kinds of call.
+func (s *site) waitUntilServing(e *process) {
 	s.t.Helper()
-	s.until("serving by "+e.at["caller"], func() error {
+	s.waitFor("serving by "+e.addresses["caller"], func() error {
 		if got := generate(e, 2); got.failure != nil || got.status != http.StatusOK {
 			return fmt.Errorf("generation: status %d, %v", got.status, got.failure)
 		}
@@ -220,33 +220,33 @@
 	})
 }
 
-func (s *site) faults(p *process, faults string) {
+func (s *site) setFaults(p *process, faults string) {
 	s.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, p.url("listen", "/standin/faults"), strings.NewReader(faults))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	answer, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(req)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	_ = answer.Body.Close()
+	_ = response.Body.Close()
 }
 
-// answer is what a caller got of a generation.
-type answer struct {
-	status int
-	texts  []string
-	lastID string
-	id     string
-	done   bool
+// generationResult is what a caller got of a generation.
+type generationResult struct {
+	status       int
+	texts        []string
+	lastEventID  string
+	generationID string
+	done         bool
 	// failure is the error event or body, when there was one.
-	failure *failure
+	failure *apiError
 	// err is a link that broke without a word.
 	err error
 }
 
-type failure struct {
+type apiError struct {
 	Code    string `json:"code"`
 	Run     string `json:"run"`
 	Message string `json:"message"`
@@ -268,32 +268,32 @@
 	return http.DefaultClient.Do(req)
 }
 
-func generate(e *process, tokens int) answer {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func generate(e *process, tokens int) generationResult {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	response, err := openGeneration(ctx, e, completionBody(tokens), nil)
 	if err != nil {
-		return answer{err: err}
+		return generationResult{err: err}
 	}
-	return readAnswer(response, nil)
+	return readGeneration(response, nil)
 }
 
-func resume(e *process, lastID, key string) answer {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func resume(e *process, lastID, key string) generationResult {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	response, err := openGeneration(ctx, e, "{}", map[string]string{"Last-Event-ID": lastID, "Authorization": "Bearer " + key})
 	if err != nil {
-		return answer{err: err}
+		return generationResult{err: err}
 	}
-	return readAnswer(response, nil)
+	return readGeneration(response, nil)
 }
 
-// readAnswer reads a stream to its end; each is told of every token.
-func readAnswer(response *http.Response, each func(n int)) answer {
+// readGeneration reads a stream to its end; each is told of every token.
+func readGeneration(response *http.Response, onToken func(n int)) generationResult {
 	defer response.Body.Close()
-	got := answer{status: response.StatusCode, id: response.Header.Get("X-Generation-Id")}
+	got := generationResult{status: response.StatusCode, generationID: response.Header.Get("X-Generation-Id")}
 	if response.StatusCode != http.StatusOK {
-		var body struct{ Error failure }
+		var body struct{ Error apiError }
 		got.err = json.NewDecoder(response.Body).Decode(&body)
 		got.failure = &body.Error
 		return got
@@ -302,29 +302,29 @@
 	for scanner.Scan() {
 		line := scanner.Text()
 		if id, isID := strings.CutPrefix(line, "id: "); isID {
-			got.lastID = id
+			got.lastEventID = id
 		}
 		data, isData := strings.CutPrefix(line, "data: ")
 		if !isData {
 			continue
 		}
-		got.take(data)
-		if each != nil {
-			each(len(got.texts))
+		got.recordEvent(data)
+		if onToken != nil {
+			onToken(len(got.texts))
 		}
 	}
 	got.err = scanner.Err()
 	return got
 }
 
-func (a *answer) take(data string) {
+func (a *generationResult) recordEvent(data string) {
 	if data == "[DONE]" {
 		a.done = true
 		return
 	}
 	var event struct {
 		Choices []struct{ Text string }
-		Error   *failure
+		Error   *apiError
 	}
 	if err := json.Unmarshal([]byte(data), &event); err != nil {
 		a.err = err
@@ -337,8 +337,8 @@
 	a.texts = append(a.texts, event.Choices[0].Text)
 }
 
-// wantWhole checks that the texts are the tokens from first to last of one run.
-func wantWhole(t *testing.T, texts []string, first, last int) {
+// requireConsecutiveTokens checks that the texts are the tokens from first to last of one run.
+func requireConsecutiveTokens(t *testing.T, texts []string, first, last int) {
 	t.Helper()
 	is := is.New(t)
 	is.Equal(len(texts), last-first+1) // every token came
@@ -371,8 +371,8 @@
 	return response.StatusCode, string(body), err
 }
 
-// executions is how often the plain service ran a request.
-func (s *site) executions(key string) int {
+// executionCount is how often the plain service ran a request.
+func (s *site) executionCount(key string) int {
 	s.t.Helper()
 	response, err := http.Get(s.services[0].url("listen", "/standin/counts"))
 	if err != nil {
--- a/e2e/whole_path_test.go
+++ b/e2e/whole_path_test.go
@@ -24,29 +24,29 @@
 		got := generate(e, 40)
 		is.Equal(got.status, http.StatusOK)
 		is.True(got.done) // the stream has its end mark
-		wantWhole(t, got.texts, 1, 40)
+		requireConsecutiveTokens(t, got.texts, 1, 40)
 		status, _, err := callService(e, "stock", "lines", nil)
 		is.NoErr(err)
 		is.Equal(status, http.StatusOK)
 	}
 	file := filepath.Join(t.TempDir(), "route.yaml")
 	is.NoErr(os.WriteFile(file, []byte("kind: routes\nname: counter\nspec: {model: quote-7b}\n"), 0o600))
-	out, err := s.operator(s.entries[1], "apply", "-f", file, "--wait", "30s")
+	out, err := s.runOperatorCommand(s.entries[1], "apply", "-f", file, "--wait", "30s")
 	is.NoErr(err)
 	is.True(strings.Contains(out, "in force in every zone"))
 	for _, e := range s.entries {
-		out, err := s.operator(e, "get", "route", "counter", "-o", "json")
+		out, err := s.runOperatorCommand(e, "get", "route", "counter", "-o", "json")
 		is.NoErr(err)
 		is.True(strings.Contains(out, `"model": "quote-7b"`))
 	}
 	s.entries[0].kill()
 	for _, e := range s.entries[1:] {
-		s.until("serving after the kill", func() error {
+		s.waitFor("serving after the kill", func() error {
 			got := generate(e, 40)
 			if !got.done {
 				return errors.New("not served")
 			}
-			wantWhole(t, got.texts, 1, 40)
+			requireConsecutiveTokens(t, got.texts, 1, 40)
 			return nil
 		})
 	}
