--- a/e2e/caller_test.go
+++ b/e2e/caller_test.go
@@ -28,8 +28,8 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// TestCallers checks the callers' side of one site: a stock client, mistakes
-// of every kind, and who is let in.
+// TestCallers checks the caller API of one site: an unmodified OpenAI client,
+// invalid requests of every kind, and authentication.
 func TestCallers(t *testing.T) {
 	s := newSite(t, 1, 1)
 	e := s.entries[0]
@@ -69,6 +69,8 @@
 	testInvalidRequests(t, e)
 }
 
+// testInvalidRequests checks the status, error code and run state of the error
+// that each invalid request gets.
 func testInvalidRequests(t *testing.T, e *process) {
 	for name, c := range map[string]struct {
 		key, path, body string
@@ -109,7 +111,8 @@
 	}
 }
 
-// TestTraces carries the caller's trace through caller, placement and upstream.
+// TestTraces checks that the caller, placement and upstream spans of a call all
+// belong to the trace that the caller's traceparent header names.
 func TestTraces(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
@@ -144,7 +147,7 @@
 	is.Equal(spans, map[string]bool{"caller": true, "placement": true, "upstream": true})
 }
 
-// TestTLS serves callers and operators by TLS.
+// TestTLS checks that an entry serves its caller and admin listeners over TLS.
 func TestTLS(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
@@ -156,7 +159,7 @@
 		req, err := http.NewRequest(http.MethodGet, "https://"+e.addresses[side]+path, nil)
 		is.NoErr(err)
 		req.Header.Set("Authorization", "Bearer "+callerKey)
-		s.waitFor("an answer by TLS", func() error {
+		s.waitFor("response over TLS from the "+side+" listener", func() error {
 			response, err := client.Do(req)
 			if err != nil {
 				return err
@@ -170,6 +173,8 @@
 	}
 }
 
+// selfSignedCertificate writes a certificate for 127.0.0.1 and its private key
+// to PEM files and returns their paths and a pool that trusts the certificate.
 func selfSignedCertificate(t *testing.T) (certificate, key string, roots *x509.CertPool) {
 	t.Helper()
 	is := is.New(t)
--- a/e2e/control_bench_test.go
+++ b/e2e/control_bench_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// readMetric reads one value of an entry's metrics.
+// readMetric returns the current value of one of an entry's metrics.
 func readMetric(b *testing.B, e *process, name string) float64 {
 	b.Helper()
 	response, err := http.Get(e.url("admin", "/metrics"))
@@ -32,26 +32,27 @@
 			return n
 		}
 	}
-	b.Fatalf("no metric %s", name)
+	b.Fatalf("metric %s not found at %s", name, e.url("admin", "/metrics"))
 	return 0
 }
 
-// residentBytes reads what a process holds in memory.
+// residentBytes returns the resident set size of a process in bytes.
 func residentBytes(b *testing.B, pid int) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
-		b.Skip("no /proc here: ", err)
+		b.Skip("cannot read memory use from /proc: ", err)
 	}
 	pages, _ := strconv.Atoi(strings.Fields(string(text))[1])
 	return float64(pages * os.Getpagesize())
 }
 
-// idleWindow is how long the idle entries are watched.
+// idleWindow is how long each measurement of the idle entries lasts.
 const idleWindow = 10 * time.Second
 
-// BenchmarkControl is what idle entries of one zone spend on each other, their
-// engines and the platform: the slopes behind docs/CAPACITY.md.
+// BenchmarkControl measures the peer traffic, CPU time and memory that idle
+// entries of one zone use to keep in contact with each other, their engines and
+// the platform. docs/CAPACITY.md takes its growth rates from the results.
 func BenchmarkControl(b *testing.B) {
 	for _, c := range []struct{ entries, engines int }{{3, 2}, {9, 2}, {24, 2}, {9, 26}} {
 		b.Run(fmt.Sprintf("%d entries, %d engines", c.entries, c.engines), func(b *testing.B) {
@@ -62,7 +63,7 @@
 			s.services = append(s.services, start(b, "dev", "service", "--listen", "127.0.0.1:0",
 				"--id", "s1", "--zone", "az1", "--pool", "stock", "--platform", s.platformURL()))
 			for i := range c.entries {
-				// Every third place is in az1.
+				// zoneForIndex places every third index in az1.
 				s.entries = append(s.entries, s.startEntry(3*i, "--host-list-every", "5s"))
 			}
 			s.applyFile(s.entries[0], "../examples/site.yaml")
@@ -76,6 +77,8 @@
 	}
 }
 
+// measureIdleEntries reports the mean and maximum peer traffic and CPU use per
+// entry over idleWindow, and the largest resident set size.
 func measureIdleEntries(b *testing.B, s *site) {
 	type reading struct{ sent, received, cpu float64 }
 	read := func(e *process) reading {
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -15,10 +15,12 @@
 	"github.com/matryer/is"
 )
 
-// longGenerationTokens makes a generation long enough for something to happen to it.
+// longGenerationTokens makes a generation long enough to inject a failure while
+// it streams.
 const longGenerationTokens = 120
 
-// generateLong opens a generation and calls act once, when some tokens have come.
+// generateLong starts a long generation, calls action once after ten tokens, and
+// reads the stream to its end.
 func generateLong(t *testing.T, e *process, action func()) generationResult {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
@@ -34,8 +36,9 @@
 	})
 }
 
-// TestEntryKilledMidStream carries on with the same run at another entry, for
-// its own account only.
+// TestEntryKilledMidStream checks that a caller whose entry is killed resumes
+// the same run at another entry. Only the caller's own account can resume it: a
+// forged event ID and another API key are refused.
 func TestEntryKilledMidStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 3, 1)
@@ -51,8 +54,8 @@
 	requireConsecutiveTokens(t, append(first.texts, second.texts...), 1, longGenerationTokens)
 }
 
-// TestEngineKilledMidStream ends the stream with a word, and nothing is run
-// again.
+// TestEngineKilledMidStream checks that the stream ends with an error event when
+// its engine is killed, and that the generation does not run again.
 func TestEngineKilledMidStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
@@ -64,7 +67,8 @@
 	requireConsecutiveTokens(t, got.texts, 1, len(got.texts))
 }
 
-// TestEngineFrozenMidStream resumes the same run when the engine wakes.
+// TestEngineFrozenMidStream checks that the stream continues with the same run
+// when a stopped engine process continues after three seconds.
 func TestEngineFrozenMidStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1, "--linger", "1m")
@@ -77,8 +81,10 @@
 	requireConsecutiveTokens(t, got.texts, 1, longGenerationTokens)
 }
 
-// TestSpoiltStreams has engines duplicate, skip, swap, foreign, stalled and
-// closed events reach no caller.
+// TestSpoiltStreams checks that callers get every token in order although the
+// engine duplicates, skips or swaps events, inserts foreign ones, stalls, closes
+// the stream or ends it with a wrong token count. The case "long end" must end
+// with an error.
 func TestSpoiltStreams(t *testing.T) {
 	s := newSite(t, 1, 1)
 	for name, faults := range map[string]string{
@@ -109,8 +115,8 @@
 	})
 }
 
-// TestPlannedStop lets a running stream end after SIGTERM, while another entry
-// takes new calls.
+// TestPlannedStop checks that a running stream completes after SIGTERM, that the
+// entry then exits successfully, and that another entry serves new calls.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	// Entries 1 and 4 share az1 with the engine.
@@ -126,23 +132,23 @@
 	is.True(other.done)
 }
 
-// TestZoneWithoutEntries has the entries of another zone use its engine when
-// its own are gone.
+// TestZoneWithoutEntries checks that an entry of another zone uses the engine of
+// a zone that has lost all its entries.
 func TestZoneWithoutEntries(t *testing.T) {
 	s := newSite(t, 2, 1)
 	s.entries[0].kill()
-	s.waitFor("serving by the other zone", func() error {
+	s.waitFor("generation by the entry of the other zone", func() error {
 		got := generate(s.entries[1], 20)
 		if !got.done {
-			return fmt.Errorf("%v %v", got.failure, got.err)
+			return fmt.Errorf("generation incomplete: failure %v, error %v", got.failure, got.err)
 		}
 		requireConsecutiveTokens(t, got.texts, 1, 20)
 		return nil
 	})
 }
 
-// TestCoordinatorLost kills and freezes the entry that coordinates the pool of
-// its zone; the other one goes on placing.
+// TestCoordinatorLost kills or freezes the entry that coordinates a pool in its
+// zone and checks that the other entry of the zone still places calls.
 func TestCoordinatorLost(t *testing.T) {
 	for name, disrupt := range map[string]func(p *process){
 		"killed": func(p *process) { p.kill() },
@@ -153,10 +159,10 @@
 			// Entries 1 and 4 share az1 with engine 1.
 			s := newSite(t, 4, 1)
 			pair := []*process{s.entries[0], s.entries[3]}
-			s.waitFor("both knowing the coordinator", func() error {
+			s.waitFor("both entries to report a coordinator", func() error {
 				for _, e := range pair {
 					if out, err := s.runOperatorCommand(e, "status"); err != nil || strings.Count(out, "az1") == 0 || !strings.Contains(out, "desk  ") {
-						return fmt.Errorf("status: %s %v", out, err)
+						return fmt.Errorf("status shows no coordinator of pool desk in az1: output %q, error %v", out, err)
 					}
 				}
 				return nil
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -15,20 +15,23 @@
 	"github.com/matryer/is"
 )
 
-// balancer sends each call to an entry that says that it is ready, and to the
-// next when the call was surely not run, as the platform's does.
+// balancer sends calls to ready entries in turn, as the platform's load balancer
+// does. It retries a call at the next entry only if the error states that the
+// call was not run.
 type balancer struct {
 	mu        sync.Mutex
 	entries   []*process
 	nextIndex int
 }
 
+// replace puts a restarted entry in the place of entry i.
 func (b *balancer) replace(i int, e *process) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries[i] = e
 }
 
+// nextOrder returns the entries in the order in which to try the next call.
 func (b *balancer) nextOrder() []*process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -37,6 +40,7 @@
 	return slices.Concat(b.entries[offset:], b.entries[:offset])
 }
 
+// isReady reports whether the entry's /readyz returns status 200.
 func isReady(e *process) bool {
 	response, err := http.Get(e.url("admin", "/readyz"))
 	if err != nil {
@@ -46,6 +50,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
+// generate returns the first result that is not an error of a call that was not
+// run, or else the last result.
 func (b *balancer) generate(tokens int) generationResult {
 	var got generationResult
 	for _, e := range b.nextOrder() {
@@ -60,12 +66,12 @@
 	return got
 }
 
-// rollingRestartTokens make an answer of about three seconds, longer than any part of a
-// stop but the wait for it.
+// rollingRestartTokens gives a generation of about three seconds: longer than
+// every phase of an entry's shutdown except the wait for running generations.
 const rollingRestartTokens = 240
 
-// TestRollingRestart restarts every entry of a site, one by one, under load: no
-// running answer is cut and no call is refused by all.
+// TestRollingRestart restarts the entries of a site one by one under load and
+// checks that no generation is cut off and no call is refused by every entry.
 func TestRollingRestart(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 4, 3)
@@ -88,7 +94,7 @@
 				if got.done && len(got.texts) == rollingRestartTokens {
 					completed++
 				} else {
-					failures = append(failures, fmt.Sprintf("%d tokens, failure %+v, error %v", len(got.texts), got.failure, got.err))
+					failures = append(failures, fmt.Sprintf("got %d tokens, failure %+v, error %v", len(got.texts), got.failure, got.err))
 				}
 				mu.Unlock()
 			}
@@ -111,8 +117,8 @@
 	is.True(completed > 0)
 }
 
-// TestAllStartAtOnce starts nine entries at the same moment on a platform with
-// the brief's rates: it refuses none of their calls.
+// TestAllStartAtOnce starts nine entries at the same time and checks that the
+// platform, with its default rate limits, refuses none of their calls.
 func TestAllStartAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
@@ -123,9 +129,9 @@
 	}
 	starting.Wait()
 	for _, e := range started {
-		s.waitFor("ready", func() error {
+		s.waitFor("entry "+e.addresses["caller"]+" to become ready", func() error {
 			if !isReady(e) {
-				return fmt.Errorf("not yet")
+				return fmt.Errorf("/readyz did not return status 200")
 			}
 			return nil
 		})
@@ -136,5 +142,5 @@
 	var counts struct{ Reads, Writes, Refused int }
 	is.NoErr(json.NewDecoder(response.Body).Decode(&counts))
 	is.Equal(counts.Refused, 0)
-	t.Logf("%d reads and %d writes to start nine entries", counts.Reads, counts.Writes)
+	t.Logf("nine entries started with %d platform reads and %d writes", counts.Reads, counts.Writes)
 }
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -13,9 +13,11 @@
 	"github.com/matryer/is"
 )
 
-// TestAtMostOnce sends calls that may not be repeated through several entries
-// at once, while the platform loses answers, is down, and after the first
-// entry was killed.
+// TestAtMostOnce checks that a call with an idempotency key is never executed
+// twice when it is sent:
+//   - through several entries at once
+//   - while the platform loses responses, is slow or is down
+//   - again after the entry that holds its claim was frozen and killed
 func TestAtMostOnce(t *testing.T) {
 	s := newSite(t, 3, 1)
 	send := func(e *process, key string) (int, string) {
@@ -74,9 +76,9 @@
 		is.Equal(s.executionCount("down"), 0)
 		is.True(len(body) > 0)
 		s.setFaults(s.platform, `{}`)
-		s.waitFor("claiming again", func() error {
+		s.waitFor("call to succeed after the platform outage", func() error {
 			if status, body := send(s.entries[0], "down"); status != http.StatusOK {
-				return fmt.Errorf("%d %s", status, body)
+				return fmt.Errorf("status %d, body %q, expected status 200", status, body)
 			}
 			return nil
 		})
@@ -90,9 +92,9 @@
 			status, _ := send(s.entries[0], "frozen")
 			first <- status
 		}()
-		s.waitFor("the first being run", func() error {
+		s.waitFor("execution of the first call", func() error {
 			if s.executionCount("frozen") == 0 {
-				return fmt.Errorf("not yet")
+				return fmt.Errorf("service has not executed the call with key \"frozen\"")
 			}
 			return nil
 		})
--- a/e2e/placement_bench_test.go
+++ b/e2e/placement_bench_test.go
@@ -21,7 +21,7 @@
 	placementDuration = 40 * time.Second
 )
 
-// preemptionCount reads how many runs an engine threw back.
+// preemptionCount returns how many runs an engine has preempted so far.
 func preemptionCount(b *testing.B, engine *process) (count int) {
 	b.Helper()
 	response, err := http.Get(engine.url("listen", "/v1/load"))
@@ -36,9 +36,10 @@
 	return body.Preemptions
 }
 
-// BenchmarkPlacement runs three entries and four engines of one zone as
-// processes under the counter's load, coordinated and each entry alone, and
-// with the coordinator frozen for a while and killed in the middle.
+// BenchmarkPlacement measures placement by three entries over four engines of
+// one zone, all as separate processes, under generation load. It compares entries
+// that place through a coordinator with entries that place alone, both
+// undisturbed and with one entry frozen for two seconds and later killed.
 func BenchmarkPlacement(b *testing.B) {
 	for _, c := range []struct {
 		name   string
@@ -58,10 +59,13 @@
 	}
 }
 
+// runPlacement starts a site, applies load for placementDuration and reports
+// latency, preemptions and throughput. With disruptCoordinator, one entry gets
+// no load: it is frozen after a quarter of the time and killed after half.
 func runPlacement(b *testing.B, args []string, disruptCoordinator bool) {
 	s := &site{t: b, platform: start(b, "dev", "platform", "--listen", "127.0.0.1:0")}
 	for i := range placementEngines {
-		// Every third place is in az1.
+		// zoneForIndex places every third index in az1.
 		s.engines = append(s.engines, s.startEngine(3*i, "--memory", "24000", "--max-batch", "256"))
 	}
 	s.services = append(s.services, start(b, "dev", "service", "--listen", "127.0.0.1:0",
@@ -103,18 +107,19 @@
 	b.ReportMetric(100*float64(quote.Refused)/float64(quote.Calls), "refused-%")
 	b.ReportMetric(float64(quote.Tokens)/report.Seconds, "tokens/s")
 	if quote.Disorder+quote.Broken > 0 {
-		b.Errorf("%d streams out of order, %d broken", quote.Disorder, quote.Broken)
+		b.Errorf("%d streams delivered tokens out of order and %d broke off, expected none", quote.Disorder, quote.Broken)
 	}
 }
 
-// findCoordinator finds the entry that coordinates a pool in az1.
+// findCoordinator returns the entry that coordinates a pool in az1, or the first
+// entry if the status output names no coordinator of the pool.
 func (s *site) findCoordinator(pool string) *process {
 	out, err := s.runOperatorCommand(s.entries[0], "status")
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	for i, e := range s.entries {
-		// Entries are numbered by place, and every third place is in az1.
+		// Entry i was started with index 3*i, so its host ID is e(3*i+1).
 		if strings.Contains(out, pool+"  e"+string(rune('1'+3*i))) {
 			return e
 		}
--- a/e2e/promises_test.go
+++ b/e2e/promises_test.go
@@ -14,7 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// TestPromisesNameTests has every test that the page of promises rests on be there.
+// TestPromisesNameTests checks that every test, fuzz test and benchmark named in
+// docs/PROMISES.md exists in the module.
 func TestPromisesNameTests(t *testing.T) {
 	is := is.New(t)
 	root := os.DirFS("..")
@@ -42,7 +43,7 @@
 	is.True(len(referenced) > 100)
 	for _, name := range referenced {
 		if !defined[name] {
-			t.Errorf("docs/PROMISES.md rests on %s, which isn't there", name)
+			t.Errorf("docs/PROMISES.md names %s, but no _test.go file defines it", name)
 		}
 	}
 }
--- a/e2e/relay_bench_test.go
+++ b/e2e/relay_bench_test.go
@@ -20,22 +20,23 @@
 )
 
 const (
-	// clockTicks is the kernel's USER_HZ, which is 100 on every platform that
-	// Linux's user space knows.
+	// clockTicks is the kernel's USER_HZ in ticks per second. Linux reports 100
+	// to user space on every platform.
 	clockTicks        = 100
 	concurrentStreams = 200
 	tokensPerStream   = 1000
 	firstTokenSamples = 300
-	// singleTokenRequests is how many answers of one token are asked for in a row.
+	// singleTokenRequests is the number of consecutive one-token requests that
+	// measure the CPU time per request.
 	singleTokenRequests = 1000
 )
 
-// processCPUTime reads what a process has used of the processors.
+// processCPUTime returns the user and system CPU time that a process has used.
 func processCPUTime(b *testing.B, pid int) time.Duration {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		b.Skip("no /proc here: ", err)
+		b.Skip("cannot read CPU time from /proc: ", err)
 	}
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	user, _ := strconv.Atoi(fields[11])
@@ -43,8 +44,8 @@
 	return time.Duration(user+system) * time.Second / clockTicks
 }
 
-// countTokens counts the tokens of one generation and returns when the first
-// came.
+// countTokens requests a generation and returns the number of tokens received
+// and the time from the start of the request to the first token.
 func countTokens(b *testing.B, url string, tokens int) (int, time.Duration) {
 	startTime := time.Now()
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(completionBody(tokens)))
@@ -73,14 +74,15 @@
 	return count, first
 }
 
+// median sorts d and returns its middle element.
 func median(d []time.Duration) time.Duration {
 	slices.Sort(d)
 	return d[len(d)/2]
 }
 
-// BenchmarkRelay compares callers that read through an entry with callers that
-// read the engine directly, in one run: the entry's processor time a token,
-// and the time added to the first token.
+// BenchmarkRelay measures the cost of relaying through an entry: its CPU time per
+// token and per request, and the time that it adds to the first token compared
+// with direct requests to the engine in the same run.
 func BenchmarkRelay(b *testing.B) {
 	s := newSite(b, 1, 1, "--memory", "10000000", "--max-batch", "1000", "--step", "10ms", "--step-per-run", "0s")
 	entry, direct := s.entries[0].url("caller", ""), s.engines[0].url("listen", "")
@@ -90,7 +92,7 @@
 		for range concurrentStreams {
 			all.Go(func() {
 				if count, _ := countTokens(b, entry, tokensPerStream); count != tokensPerStream {
-					b.Errorf("%d tokens came, not %d", count, tokensPerStream)
+					b.Errorf("stream through the entry has %d tokens, expected %d", count, tokensPerStream)
 				}
 			})
 		}
@@ -115,8 +117,8 @@
 	b.ReportMetric(float64((median(firstEntry) - median(firstDirect)).Microseconds()), "added-first-µs")
 }
 
-// BenchmarkSocketFloor is what a relay can't do without, in the same units: one
-// write of a token's size into a loopback socket, and one read that finds it.
+// BenchmarkSocketFloor measures the lower bound for relaying a token: one write
+// of a token-sized message to a loopback socket and one read that receives it.
 func BenchmarkSocketFloor(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/e2e/site_test.go
+++ b/e2e/site_test.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package e2e runs whole sites as separate processes of the built binary and
-// proves what must hold when they are killed, frozen and stopped.
+// checks the guarantees that hold when processes are killed, frozen or stopped.
 package e2e
 
 import (
@@ -28,9 +28,9 @@
 
 var binaryPath string
 
-// linkedMain keeps the binary's own code in the test's, so that a cached verdict is
-// never one of other code. An import alone doesn't: the linker leaves out what
-// nothing reaches.
+// linkedMain links the code of the shedpath binary into the test binary, so that
+// go test never reuses a cached result of different code. An import alone is not
+// enough because the linker drops unreachable code.
 var linkedMain = cli.Main
 
 func TestMain(m *testing.M) {
@@ -49,7 +49,7 @@
 	defer os.RemoveAll(dir)
 	binaryPath = filepath.Join(dir, "shedpath")
 	if out, err := exec.Command("go", "build", "-o", binaryPath, "../cmd/shedpath").CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "building: %v\n%s", err, out)
+		fmt.Fprintf(os.Stderr, "building ../cmd/shedpath: %v\n%s", err, out)
 		return 1
 	}
 	return m.Run()
@@ -59,24 +59,25 @@
 	peerKey    = "an-e2e-peer-key-of-enough-length"
 	adminToken = "e2e-operator"
 	callerKey  = "demo-counter"
-	// waitTimeout bounds every wait for a state; no test passes by waiting.
+	// waitTimeout bounds every generation and every wait for a state. No test
+	// passes because it expires.
 	waitTimeout = 60 * time.Second
 )
 
-// process is one process of a site.
+// process is a running process of a site.
 type process struct {
 	t         testing.TB
 	cmd       *exec.Cmd
 	addresses map[string]string
 	exited    chan struct{}
 	stderr    bytes.Buffer
-	// stdout is what the process wrote after its first line; it is whole when
-	// done has closed.
+	// stdout holds the output after the first line. It is complete once exited
+	// is closed.
 	stdout bytes.Buffer
 }
 
-// start runs the binary until the test ends and reads its addresses from the
-// first line of its output.
+// start runs the binary until the test ends. It reads the process's listen
+// addresses, in the form name=address, from the first line of its output.
 func start(t testing.TB, args ...string) *process {
 	t.Helper()
 	p := &process{t: t, cmd: exec.Command(binaryPath, args...), addresses: map[string]string{}, exited: make(chan struct{})}
@@ -103,7 +104,7 @@
 	})
 	if err != nil {
 		<-p.exited
-		t.Fatalf("%v said no address: %v\n%s", args, err, p.stderr.String())
+		t.Fatalf("%v printed no addresses: %v\n%s", args, err, p.stderr.String())
 	}
 	for _, pair := range strings.Fields(line) {
 		name, address, _ := strings.Cut(pair, "=")
@@ -114,15 +115,17 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
+// kill continues a stopped process, kills it and waits until it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
+// url returns the URL of path at the process's listener of the given name.
 func (p *process) url(side, path string) string { return "http://" + p.addresses[side] + path }
 
-// site is a running site.
+// site holds the running processes of a site.
 type site struct {
 	t        testing.TB
 	platform *process
@@ -131,8 +134,9 @@
 	services []*process
 }
 
-// newSite starts a platform, that many engines and entries spread over three
-// zones, and one plain service, and applies the sample configuration.
+// newSite starts a platform, the given numbers of entries and engines spread
+// over three zones, and one plain service. It applies the sample configuration
+// and waits until every entry serves calls.
 func newSite(t testing.TB, entries, engines int, engineArgs ...string) *site {
 	t.Helper()
 	s := &site{t: t, platform: start(t, "dev", "platform", "--listen", "127.0.0.1:0")}
@@ -153,6 +157,7 @@
 
 func (s *site) platformURL() string { return s.platform.url("listen", "") }
 
+// zoneForIndex spreads indexes over the zones az1 to az3 in turn.
 func zoneForIndex(i int) string { return fmt.Sprintf("az%d", i%3+1) }
 
 func (s *site) startEngine(i int, extraArgs ...string) *process {
@@ -172,15 +177,19 @@
 	return start(s.t, append(args, extraArgs...)...)
 }
 
+// runOperatorCommand runs an operator command of the binary against an entry and
+// returns its combined output.
 func (s *site) runOperatorCommand(e *process, args ...string) (string, error) {
 	cmd := exec.Command(binaryPath, append(args, "--server", e.url("admin", ""), "--token", adminToken)...)
 	out, err := cmd.CombinedOutput()
 	return string(out), err
 }
 
+// applyFile applies a configuration file through an entry and retries until that
+// succeeds.
 func (s *site) applyFile(e *process, file string) {
 	s.t.Helper()
-	s.waitFor("applying "+file, func() error {
+	s.waitFor("apply of "+file+" to succeed", func() error {
 		out, err := s.runOperatorCommand(e, "apply", "-f", file)
 		if err != nil {
 			return fmt.Errorf("%w: %s", err, out)
@@ -189,7 +198,8 @@
 	})
 }
 
-// waitFor tries again waitFor there is no error.
+// waitFor calls check until it returns nil. It fails the test with the last error
+// of check after waitTimeout.
 func (s *site) waitFor(condition string, check func() error) {
 	s.t.Helper()
 	deadline := time.Now().Add(waitTimeout)
@@ -199,16 +209,16 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			s.t.Fatalf("%s: %v", condition, err)
+			s.t.Fatalf("waiting for %s: %v after %v", condition, err, waitTimeout)
 		}
 		<-time.After(20 * time.Millisecond)
 	}
 }
 
-// waitUntilServing waits until an entry serves both kinds of call.
+// waitUntilServing waits until an entry serves generations and service calls.
 func (s *site) waitUntilServing(e *process) {
 	s.t.Helper()
-	s.waitFor("serving by "+e.addresses["caller"], func() error {
+	s.waitFor("successful calls through entry "+e.addresses["caller"], func() error {
 		if got := generate(e, 2); got.failure != nil || got.status != http.StatusOK {
 			return fmt.Errorf("generation: status %d, %v", got.status, got.failure)
 		}
@@ -220,6 +230,7 @@
 	})
 }
 
+// setFaults replaces the faults that a stand-in process injects; faults is JSON.
 func (s *site) setFaults(p *process, faults string) {
 	s.t.Helper()
 	req, err := http.NewRequest(http.MethodPut, p.url("listen", "/standin/faults"), strings.NewReader(faults))
@@ -233,19 +244,20 @@
 	_ = response.Body.Close()
 }
 
-// generationResult is what a caller got of a generation.
+// generationResult holds what a caller received of a generation.
 type generationResult struct {
 	status       int
 	texts        []string
 	lastEventID  string
 	generationID string
 	done         bool
-	// failure is the error event or body, when there was one.
+	// failure is the error event or error body, or nil.
 	failure *apiError
-	// err is a link that broke without a word.
+	// err is a transport or decoding error.
 	err error
 }
 
+// apiError is the error object of an error response or error event.
 type apiError struct {
 	Code    string `json:"code"`
 	Run     string `json:"run"`
@@ -268,6 +280,7 @@
 	return http.DefaultClient.Do(req)
 }
 
+// generate requests a generation and reads it to its end.
 func generate(e *process, tokens int) generationResult {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -278,6 +291,7 @@
 	return readGeneration(response, nil)
 }
 
+// resume requests the rest of a generation after the event lastID.
 func resume(e *process, lastID, key string) generationResult {
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -288,7 +302,8 @@
 	return readGeneration(response, nil)
 }
 
-// readGeneration reads a stream to its end; each is told of every token.
+// readGeneration reads a response to its end. If onToken is not nil, it is called
+// after every data line with the number of tokens received so far.
 func readGeneration(response *http.Response, onToken func(n int)) generationResult {
 	defer response.Body.Close()
 	got := generationResult{status: response.StatusCode, generationID: response.Header.Get("X-Generation-Id")}
@@ -317,6 +332,7 @@
 	return got
 }
 
+// recordEvent adds the data of one event to the result.
 func (a *generationResult) recordEvent(data string) {
 	if data == "[DONE]" {
 		a.done = true
@@ -337,18 +353,19 @@
 	a.texts = append(a.texts, event.Choices[0].Text)
 }
 
-// requireConsecutiveTokens checks that the texts are the tokens from first to last of one run.
+// requireConsecutiveTokens checks that texts are the tokens first to last of a
+// single run, in order and without gaps.
 func requireConsecutiveTokens(t *testing.T, texts []string, first, last int) {
 	t.Helper()
 	is := is.New(t)
-	is.Equal(len(texts), last-first+1) // every token came
+	is.Equal(len(texts), last-first+1) // no token is missing or repeated
 	if len(texts) == 0 {
 		return
 	}
 	run, _, _ := strings.Cut(texts[0], ".")
 	for i, text := range texts {
 		if want := fmt.Sprintf("%s.%d", run, first+i); text != want {
-			t.Fatalf("token %d is %q, not %q", first+i, text, want)
+			t.Fatalf("token %d is %q, expected %q", first+i, text, want)
 		}
 	}
 }
@@ -371,7 +388,8 @@
 	return response.StatusCode, string(body), err
 }
 
-// executionCount is how often the plain service ran a request.
+// executionCount returns how often the plain service executed the request with
+// the given idempotency key.
 func (s *site) executionCount(key string) int {
 	s.t.Helper()
 	response, err := http.Get(s.services[0].url("listen", "/standin/counts"))
--- a/e2e/whole_path_test.go
+++ b/e2e/whole_path_test.go
@@ -14,16 +14,17 @@
 	"github.com/matryer/is"
 )
 
-// TestWholePath serves both kinds of call through every entry, changes the
-// configuration through one entry and sees it in force on all, kills an entry
-// and goes on.
+// TestWholePath checks that:
+//   - every entry serves generations and service calls
+//   - a configuration change through one entry takes effect on all
+//   - the other entries still serve generations after one is killed
 func TestWholePath(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 3, 2)
 	for _, e := range s.entries {
 		got := generate(e, 40)
 		is.Equal(got.status, http.StatusOK)
-		is.True(got.done) // the stream has its end mark
+		is.True(got.done) // the stream ends with [DONE]
 		requireConsecutiveTokens(t, got.texts, 1, 40)
 		status, _, err := callService(e, "stock", "lines", nil)
 		is.NoErr(err)
@@ -41,10 +42,10 @@
 	}
 	s.entries[0].kill()
 	for _, e := range s.entries[1:] {
-		s.waitFor("serving after the kill", func() error {
+		s.waitFor("generation after an entry was killed", func() error {
 			got := generate(e, 40)
 			if !got.done {
-				return errors.New("not served")
+				return errors.New("stream did not end with [DONE]")
 			}
 			requireConsecutiveTokens(t, got.texts, 1, 40)
 			return nil
