--- a/cmd/shedpath/main.go
+++ b/cmd/shedpath/main.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Command shedpath serves model generations and plain service calls from entry
-// hosts; see its help.
+// hosts. Its help lists the subcommands.
 package main
 
 import (
@@ -12,5 +12,5 @@
 )
 
 func main() {
-	os.Exit(cli.Main(os.Args[1:], cli.Standard()))
+	os.Exit(cli.Main(os.Args[1:], cli.ProcessSystem()))
 }
--- a/e2e/caller_test.go
+++ b/e2e/caller_test.go
@@ -28,20 +28,20 @@
 	"github.com/openai/openai-go/v3/option"
 )
 
-// TestCallers checks the callers' side of one site: a stock client, mistakes
-// of every kind, and who is let in.
+// TestCallers checks the caller API of one site: an unmodified OpenAI client,
+// invalid requests of every kind, and authentication.
 func TestCallers(t *testing.T) {
 	s := newSite(t, 1, 1)
 	e := s.entries[0]
 	client := openai.NewClient(option.WithBaseURL(e.url("caller", "/v1/")), option.WithAPIKey(callerKey))
-	ask := openai.ChatCompletionNewParams{
+	params := openai.ChatCompletionNewParams{
 		Model: "quote", MaxTokens: openai.Int(12),
 		Messages:      []openai.ChatCompletionMessageParamUnion{openai.UserMessage("12 chains")},
 		StreamOptions: openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)},
 	}
 	t.Run("stock client, stream", func(t *testing.T) {
 		is := is.New(t)
-		stream := client.Chat.Completions.NewStreaming(t.Context(), ask)
+		stream := client.Chat.Completions.NewStreaming(t.Context(), params)
 		gathered := openai.ChatCompletionAccumulator{}
 		for stream.Next() {
 			is.True(gathered.AddChunk(stream.Current()))
@@ -52,7 +52,7 @@
 	})
 	t.Run("stock client, whole", func(t *testing.T) {
 		is := is.New(t)
-		whole := ask
+		whole := params
 		whole.StreamOptions = openai.ChatCompletionStreamOptionsParam{}
 		got, err := client.Chat.Completions.New(t.Context(), whole)
 		is.NoErr(err)
@@ -66,10 +66,12 @@
 		is.Equal(len(got.Data), 1)
 		is.Equal(got.Data[0].ID, "quote")
 	})
-	testMistakes(t, e)
+	testInvalidRequests(t, e)
 }
 
-func testMistakes(t *testing.T, e *process) {
+// testInvalidRequests checks the status, error code and run state of the error
+// that each invalid request gets.
+func testInvalidRequests(t *testing.T, e *process) {
 	for name, c := range map[string]struct {
 		key, path, body string
 		status          int
@@ -99,7 +101,7 @@
 			response, err := http.DefaultClient.Do(req)
 			is.NoErr(err)
 			defer response.Body.Close()
-			var body struct{ Error failure }
+			var body struct{ Error apiError }
 			is.NoErr(json.NewDecoder(response.Body).Decode(&body))
 			is.Equal(response.StatusCode, c.status)
 			is.Equal(body.Error.Code, c.code)
@@ -109,24 +111,25 @@
 	}
 }
 
-// TestTraces carries the caller's trace through caller, placement and upstream.
+// TestTraces checks that the caller, placement and upstream spans of a call all
+// belong to the trace that the caller's traceparent header names.
 func TestTraces(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
 	traced := s.startEntry(3, "--trace", "stdout")
-	s.untilServing(traced)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	s.waitUntilServing(traced)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	const traceID = "0af7651916cd43dd8448eb211c80319c"
 	response, err := openGeneration(ctx, traced, completionBody(3), map[string]string{
 		"traceparent": "00-" + traceID + "-b7ad6b7169203331-01",
 	})
 	is.NoErr(err)
-	is.True(readAnswer(response, nil).done)
+	is.True(readGeneration(response, nil).done)
 	traced.signal(syscall.SIGTERM)
-	<-traced.done
+	<-traced.exited
 	spans := map[string]bool{}
-	decoder := json.NewDecoder(&traced.out)
+	decoder := json.NewDecoder(&traced.stdout)
 	for {
 		var span struct {
 			Name        string
@@ -144,19 +147,19 @@
 	is.Equal(spans, map[string]bool{"caller": true, "placement": true, "upstream": true})
 }
 
-// TestTLS serves callers and operators by TLS.
+// TestTLS checks that an entry serves its caller and admin listeners over TLS.
 func TestTLS(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
-	certificate, key, roots := selfSigned(t)
+	certificate, key, roots := selfSignedCertificate(t)
 	e := s.startEntry(3, "--tls-cert", certificate, "--tls-key", key)
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots}}}
 	for _, side := range []string{"caller", "admin"} {
 		path := map[string]string{"caller": "/v1/models", "admin": "/healthz"}[side]
-		req, err := http.NewRequest(http.MethodGet, "https://"+e.at[side]+path, nil)
+		req, err := http.NewRequest(http.MethodGet, "https://"+e.addresses[side]+path, nil)
 		is.NoErr(err)
 		req.Header.Set("Authorization", "Bearer "+callerKey)
-		s.until("an answer by TLS", func() error {
+		s.waitFor("response over TLS from the "+side+" listener", func() error {
 			response, err := client.Do(req)
 			if err != nil {
 				return err
@@ -170,7 +173,9 @@
 	}
 }
 
-func selfSigned(t *testing.T) (certificate, key string, roots *x509.CertPool) {
+// selfSignedCertificate writes a certificate for 127.0.0.1 and its private key
+// to PEM files and returns their paths and a pool that trusts the certificate.
+func selfSignedCertificate(t *testing.T) (certificate, key string, roots *x509.CertPool) {
 	t.Helper()
 	is := is.New(t)
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/e2e/control_bench_test.go
+++ b/e2e/control_bench_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// metric reads one value of an entry's metrics.
-func metric(b *testing.B, e *process, name string) float64 {
+// readMetric returns the current value of one of an entry's metrics.
+func readMetric(b *testing.B, e *process, name string) float64 {
 	b.Helper()
 	response, err := http.Get(e.url("admin", "/metrics"))
 	if err != nil {
@@ -32,26 +32,27 @@
 			return n
 		}
 	}
-	b.Fatalf("no metric %s", name)
+	b.Fatalf("metric %s not found at %s", name, e.url("admin", "/metrics"))
 	return 0
 }
 
-// residentBytes reads what a process holds in memory.
+// residentBytes returns the resident set size of a process in bytes.
 func residentBytes(b *testing.B, pid int) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
-		b.Skip("no /proc here: ", err)
+		b.Skip("cannot read memory use from /proc: ", err)
 	}
 	pages, _ := strconv.Atoi(strings.Fields(string(text))[1])
 	return float64(pages * os.Getpagesize())
 }
 
-// controlWindow is how long the idle entries are watched.
-const controlWindow = 10 * time.Second
+// idleWindow is how long each measurement of the idle entries lasts.
+const idleWindow = 10 * time.Second
 
-// BenchmarkControl is what idle entries of one zone spend on each other, their
-// engines and the platform: the slopes behind docs/CAPACITY.md.
+// BenchmarkControl measures the peer traffic, CPU time and memory that idle
+// entries of one zone use to keep in contact with each other, their engines and
+// the platform. docs/CAPACITY.md takes its growth rates from the results.
 func BenchmarkControl(b *testing.B) {
 	for _, c := range []struct{ entries, engines int }{{3, 2}, {9, 2}, {24, 2}, {9, 26}} {
 		b.Run(fmt.Sprintf("%d entries, %d engines", c.entries, c.engines), func(b *testing.B) {
@@ -62,47 +63,49 @@
 			s.services = append(s.services, start(b, "dev", "service", "--listen", "127.0.0.1:0",
 				"--id", "s1", "--zone", "az1", "--pool", "stock", "--platform", s.platformURL()))
 			for i := range c.entries {
-				// Every third place is in az1.
+				// zoneForIndex places every third index in az1.
 				s.entries = append(s.entries, s.startEntry(3*i, "--host-list-every", "5s"))
 			}
-			s.apply(s.entries[0], "../examples/site.yaml")
+			s.applyFile(s.entries[0], "../examples/site.yaml")
 			for _, e := range s.entries {
-				s.untilServing(e)
+				s.waitUntilServing(e)
 			}
 			for b.Loop() {
-				watchControl(b, s)
+				measureIdleEntries(b, s)
 			}
 		})
 	}
 }
 
-func watchControl(b *testing.B, s *site) {
+// measureIdleEntries reports the mean and maximum peer traffic and CPU use per
+// entry over idleWindow, and the largest resident set size.
+func measureIdleEntries(b *testing.B, s *site) {
 	type reading struct{ sent, received, cpu float64 }
 	read := func(e *process) reading {
 		return reading{
-			metric(b, e, "shedpath_peer_sent_bytes"), metric(b, e, "shedpath_peer_received_bytes"),
-			cpuTime(b, e.cmd.Process.Pid).Seconds(),
+			readMetric(b, e, "shedpath_peer_sent_bytes"), readMetric(b, e, "shedpath_peer_received_bytes"),
+			processCPUTime(b, e.cmd.Process.Pid).Seconds(),
 		}
 	}
 	var before []reading
 	for _, e := range s.entries {
 		before = append(before, read(e))
 	}
-	<-time.After(controlWindow)
-	var sum, most reading
+	<-time.After(idleWindow)
+	var sum, maximum reading
 	memory := 0.0
 	for i, e := range s.entries {
-		now := read(e)
-		spent := reading{now.sent - before[i].sent, now.received - before[i].received, now.cpu - before[i].cpu}
-		sum = reading{sum.sent + spent.sent, sum.received + spent.received, sum.cpu + spent.cpu}
-		most = reading{max(most.sent, spent.sent), max(most.received, spent.received), max(most.cpu, spent.cpu)}
+		current := read(e)
+		used := reading{current.sent - before[i].sent, current.received - before[i].received, current.cpu - before[i].cpu}
+		sum = reading{sum.sent + used.sent, sum.received + used.received, sum.cpu + used.cpu}
+		maximum = reading{max(maximum.sent, used.sent), max(maximum.received, used.received), max(maximum.cpu, used.cpu)}
 		memory = max(memory, residentBytes(b, e.cmd.Process.Pid))
 	}
-	n, window := float64(len(s.entries)), controlWindow.Seconds()
+	n, window := float64(len(s.entries)), idleWindow.Seconds()
 	b.ReportMetric(sum.sent/n/window, "sent-B/s")
-	b.ReportMetric(most.sent/window, "most-sent-B/s")
+	b.ReportMetric(maximum.sent/window, "most-sent-B/s")
 	b.ReportMetric(sum.received/n/window, "received-B/s")
 	b.ReportMetric(100*sum.cpu/n/window, "cpu-%")
-	b.ReportMetric(100*most.cpu/window, "most-cpu-%")
+	b.ReportMetric(100*maximum.cpu/window, "most-cpu-%")
 	b.ReportMetric(memory/(1<<20), "most-MiB")
 }
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -15,70 +15,76 @@
 	"github.com/matryer/is"
 )
 
-// longTokens makes a generation long enough for something to happen to it.
-const longTokens = 120
+// longGenerationTokens makes a generation long enough to inject a failure while
+// it streams.
+const longGenerationTokens = 120
 
-// beginLong opens a generation and calls act once, when some tokens have come.
-func beginLong(t *testing.T, e *process, act func()) answer {
+// generateLong starts a long generation, calls action once after ten tokens, and
+// reads the stream to its end.
+func generateLong(t *testing.T, e *process, action func()) generationResult {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	response, err := openGeneration(ctx, e, completionBody(longTokens), nil)
+	response, err := openGeneration(ctx, e, completionBody(longGenerationTokens), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return readAnswer(response, func(n int) {
+	return readGeneration(response, func(n int) {
 		if n == 10 {
-			act()
+			action()
 		}
 	})
 }
 
-// TestEntryKilledMidStream carries on with the same run at another entry, for
-// its own account only.
+// TestEntryKilledMidStream checks that a caller whose entry is killed resumes
+// the same run at another entry. Only the caller's own account can resume it: a
+// forged event ID and another API key are refused.
 func TestEntryKilledMidStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 3, 1)
-	first := beginLong(t, s.entries[1], s.entries[1].kill)
+	first := generateLong(t, s.entries[1], s.entries[1].kill)
 	is.True(!first.done)
 	is.True(len(first.texts) >= 10)
-	forged := strings.Replace(first.lastID, "gen_", "gen_A", 1)
+	forged := strings.Replace(first.lastEventID, "gen_", "gen_A", 1)
 	is.Equal(resume(s.entries[0], forged, callerKey).status, http.StatusBadRequest)
-	is.Equal(resume(s.entries[0], first.lastID, "another").status, http.StatusUnauthorized)
-	second := resume(s.entries[0], first.lastID, callerKey)
+	is.Equal(resume(s.entries[0], first.lastEventID, "another").status, http.StatusUnauthorized)
+	second := resume(s.entries[0], first.lastEventID, callerKey)
 	is.Equal(second.failure, nil)
 	is.True(second.done)
-	wantWhole(t, append(first.texts, second.texts...), 1, longTokens)
+	requireConsecutiveTokens(t, append(first.texts, second.texts...), 1, longGenerationTokens)
 }
 
-// TestEngineKilledMidStream ends the stream with a word, and nothing is run
-// again.
+// TestEngineKilledMidStream checks that the stream ends with an error event when
+// its engine is killed, and that the generation does not run again.
 func TestEngineKilledMidStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
-	got := beginLong(t, s.entries[0], s.engines[0].kill)
+	got := generateLong(t, s.entries[0], s.engines[0].kill)
 	is.NoErr(got.err)
 	is.True(!got.done)
 	is.True(got.failure != nil) // the stream ends with an error event
 	is.Equal(got.failure.Run, "partial")
-	wantWhole(t, got.texts, 1, len(got.texts))
+	requireConsecutiveTokens(t, got.texts, 1, len(got.texts))
 }
 
-// TestEngineFrozenMidStream resumes the same run when the engine wakes.
+// TestEngineFrozenMidStream checks that the stream continues with the same run
+// when a stopped engine process continues after three seconds.
 func TestEngineFrozenMidStream(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1, "--linger", "1m")
-	got := beginLong(t, s.entries[0], func() {
+	got := generateLong(t, s.entries[0], func() {
 		s.engines[0].signal(syscall.SIGSTOP)
 		time.AfterFunc(3*time.Second, func() { s.engines[0].signal(syscall.SIGCONT) })
 	})
 	is.Equal(got.failure, nil)
 	is.True(got.done)
-	wantWhole(t, got.texts, 1, longTokens)
+	requireConsecutiveTokens(t, got.texts, 1, longGenerationTokens)
 }
 
-// TestSpoiltStreams has engines duplicate, skip, swap, foreign, stalled and
-// closed events reach no caller.
+// TestSpoiltStreams checks that callers get every token in order although the
+// engine duplicates, skips or swaps events, inserts foreign ones, stalls, closes
+// the stream or ends it with a wrong token count. The case "long end" must end
+// with an error.
 func TestSpoiltStreams(t *testing.T) {
 	s := newSite(t, 1, 1)
 	for name, faults := range map[string]string{
@@ -93,58 +99,58 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			s.faults(s.engines[0], faults)
+			s.setFaults(s.engines[0], faults)
 			got := generate(s.entries[0], 40)
 			is.Equal(got.failure, nil)
 			is.True(got.done)
-			wantWhole(t, got.texts, 1, 40)
+			requireConsecutiveTokens(t, got.texts, 1, 40)
 		})
 	}
 	t.Run("long end", func(t *testing.T) {
 		is := is.New(t)
-		s.faults(s.engines[0], `{"end_off_by":-3}`)
+		s.setFaults(s.engines[0], `{"end_off_by":-3}`)
 		got := generate(s.entries[0], 40)
 		is.True(got.failure != nil)
 		is.Equal(got.failure.Run, "partial")
 	})
 }
 
-// TestPlannedStop lets a running stream end after SIGTERM, while another entry
-// takes new calls.
+// TestPlannedStop checks that a running stream completes after SIGTERM, that the
+// entry then exits successfully, and that another entry serves new calls.
 func TestPlannedStop(t *testing.T) {
 	is := is.New(t)
 	// Entries 1 and 4 share az1 with the engine.
 	s := newSite(t, 4, 1)
-	got := beginLong(t, s.entries[0], func() { s.entries[0].signal(syscall.SIGTERM) })
+	got := generateLong(t, s.entries[0], func() { s.entries[0].signal(syscall.SIGTERM) })
 	is.Equal(got.failure, nil)
 	is.True(got.done)
-	wantWhole(t, got.texts, 1, longTokens)
-	<-s.entries[0].done
+	requireConsecutiveTokens(t, got.texts, 1, longGenerationTokens)
+	<-s.entries[0].exited
 	is.True(s.entries[0].cmd.ProcessState.Success())
 	other := generate(s.entries[3], 20)
 	is.Equal(other.failure, nil)
 	is.True(other.done)
 }
 
-// TestZoneWithoutEntries has the entries of another zone use its engine when
-// its own are gone.
+// TestZoneWithoutEntries checks that an entry of another zone uses the engine of
+// a zone that has lost all its entries.
 func TestZoneWithoutEntries(t *testing.T) {
 	s := newSite(t, 2, 1)
 	s.entries[0].kill()
-	s.until("serving by the other zone", func() error {
+	s.waitFor("generation by the entry of the other zone", func() error {
 		got := generate(s.entries[1], 20)
 		if !got.done {
-			return fmt.Errorf("%v %v", got.failure, got.err)
+			return fmt.Errorf("generation incomplete: failure %v, error %v", got.failure, got.err)
 		}
-		wantWhole(t, got.texts, 1, 20)
+		requireConsecutiveTokens(t, got.texts, 1, 20)
 		return nil
 	})
 }
 
-// TestCoordinatorLost kills and freezes the entry that coordinates the pool of
-// its zone; the other one goes on placing.
+// TestCoordinatorLost kills or freezes the entry that coordinates a pool in its
+// zone and checks that the other entry of the zone still places calls.
 func TestCoordinatorLost(t *testing.T) {
-	for name, strike := range map[string]func(p *process){
+	for name, disrupt := range map[string]func(p *process){
 		"killed": func(p *process) { p.kill() },
 		"frozen": func(p *process) { p.signal(syscall.SIGSTOP) },
 	} {
@@ -153,26 +159,26 @@
 			// Entries 1 and 4 share az1 with engine 1.
 			s := newSite(t, 4, 1)
 			pair := []*process{s.entries[0], s.entries[3]}
-			s.until("both knowing the coordinator", func() error {
+			s.waitFor("both entries to report a coordinator", func() error {
 				for _, e := range pair {
-					if out, err := s.operator(e, "status"); err != nil || strings.Count(out, "az1") == 0 || !strings.Contains(out, "desk  ") {
-						return fmt.Errorf("status: %s %v", out, err)
+					if out, err := s.runOperatorCommand(e, "status"); err != nil || strings.Count(out, "az1") == 0 || !strings.Contains(out, "desk  ") {
+						return fmt.Errorf("status shows no coordinator of pool desk in az1: output %q, error %v", out, err)
 					}
 				}
 				return nil
 			})
-			out, err := s.operator(pair[0], "status")
+			out, err := s.runOperatorCommand(pair[0], "status")
 			is.NoErr(err)
 			coordinator, other := pair[0], pair[1]
 			if strings.Contains(out, "desk  e4") {
 				coordinator, other = other, coordinator
 			}
-			strike(coordinator)
+			disrupt(coordinator)
 			for range 5 {
 				got := generate(other, 20)
 				is.Equal(got.failure, nil)
 				is.True(got.done)
-				wantWhole(t, got.texts, 1, 20)
+				requireConsecutiveTokens(t, got.texts, 1, 20)
 			}
 		})
 	}
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -15,29 +15,33 @@
 	"github.com/matryer/is"
 )
 
-// balancer sends each call to an entry that says that it is ready, and to the
-// next when the call was surely not run, as the platform's does.
+// balancer sends calls to ready entries in turn, as the platform's load balancer
+// does. It retries a call at the next entry only if the error states that the
+// call was not run.
 type balancer struct {
-	mu      sync.Mutex
-	entries []*process
-	next    int
+	mu        sync.Mutex
+	entries   []*process
+	nextIndex int
 }
 
+// replace puts a restarted entry in the place of entry i.
 func (b *balancer) replace(i int, e *process) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries[i] = e
 }
 
-func (b *balancer) order() []*process {
+// nextOrder returns the entries in the order in which to try the next call.
+func (b *balancer) nextOrder() []*process {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.next++
-	at := b.next % len(b.entries)
-	return slices.Concat(b.entries[at:], b.entries[:at])
+	b.nextIndex++
+	offset := b.nextIndex % len(b.entries)
+	return slices.Concat(b.entries[offset:], b.entries[:offset])
 }
 
-func ready(e *process) bool {
+// isReady reports whether the entry's /readyz returns status 200.
+func isReady(e *process) bool {
 	response, err := http.Get(e.url("admin", "/readyz"))
 	if err != nil {
 		return false
@@ -46,10 +50,12 @@
 	return response.StatusCode == http.StatusOK
 }
 
-func (b *balancer) generate(tokens int) answer {
-	var got answer
-	for _, e := range b.order() {
-		if !ready(e) {
+// generate returns the first result that is not an error of a call that was not
+// run, or else the last result.
+func (b *balancer) generate(tokens int) generationResult {
+	var got generationResult
+	for _, e := range b.nextOrder() {
+		if !isReady(e) {
 			continue
 		}
 		got = generate(e, tokens)
@@ -60,20 +66,20 @@
 	return got
 }
 
-// rollingTokens make an answer of about three seconds, longer than any part of a
-// stop but the wait for it.
-const rollingTokens = 240
+// rollingRestartTokens gives a generation of about three seconds: longer than
+// every phase of an entry's shutdown except the wait for running generations.
+const rollingRestartTokens = 240
 
-// TestRollingRestart restarts every entry of a site, one by one, under load: no
-// running answer is cut and no call is refused by all.
+// TestRollingRestart restarts the entries of a site one by one under load and
+// checks that no generation is cut off and no call is refused by every entry.
 func TestRollingRestart(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 4, 3)
 	b := &balancer{entries: slices.Clone(s.entries)}
 	stop := make(chan struct{})
 	var mu sync.Mutex
-	var bad []string
-	whole := 0
+	var failures []string
+	completed := 0
 	var load sync.WaitGroup
 	for range 6 {
 		load.Go(func() {
@@ -83,12 +89,12 @@
 					return
 				default:
 				}
-				got := b.generate(rollingTokens)
+				got := b.generate(rollingRestartTokens)
 				mu.Lock()
-				if got.done && len(got.texts) == rollingTokens {
-					whole++
+				if got.done && len(got.texts) == rollingRestartTokens {
+					completed++
 				} else {
-					bad = append(bad, fmt.Sprintf("%d tokens, failure %+v, error %v", len(got.texts), got.failure, got.err))
+					failures = append(failures, fmt.Sprintf("got %d tokens, failure %+v, error %v", len(got.texts), got.failure, got.err))
 				}
 				mu.Unlock()
 			}
@@ -96,23 +102,23 @@
 	}
 	for i, e := range s.entries {
 		e.signal(syscall.SIGTERM)
-		<-e.done
+		<-e.exited
 		is.True(e.cmd.ProcessState.Success())
-		fresh := s.startEntry(i)
-		s.untilServing(fresh)
-		b.replace(i, fresh)
+		replacement := s.startEntry(i)
+		s.waitUntilServing(replacement)
+		b.replace(i, replacement)
 	}
 	close(stop)
 	load.Wait()
-	is.Equal(len(bad), 0)
-	for _, one := range bad {
-		t.Log(one)
+	is.Equal(len(failures), 0)
+	for _, failure := range failures {
+		t.Log(failure)
 	}
-	is.True(whole > 0)
+	is.True(completed > 0)
 }
 
-// TestAllStartAtOnce starts nine entries at the same moment on a platform with
-// the brief's rates: it refuses none of their calls.
+// TestAllStartAtOnce starts nine entries at the same time and checks that the
+// platform, with its default rate limits, refuses none of their calls.
 func TestAllStartAtOnce(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, 1, 1)
@@ -123,9 +129,9 @@
 	}
 	starting.Wait()
 	for _, e := range started {
-		s.until("ready", func() error {
-			if !ready(e) {
-				return fmt.Errorf("not yet")
+		s.waitFor("entry "+e.addresses["caller"]+" to become ready", func() error {
+			if !isReady(e) {
+				return fmt.Errorf("/readyz did not return status 200")
 			}
 			return nil
 		})
@@ -136,5 +142,5 @@
 	var counts struct{ Reads, Writes, Refused int }
 	is.NoErr(json.NewDecoder(response.Body).Decode(&counts))
 	is.Equal(counts.Refused, 0)
-	t.Logf("%d reads and %d writes to start nine entries", counts.Reads, counts.Writes)
+	t.Logf("nine entries started with %d platform reads and %d writes", counts.Reads, counts.Writes)
 }
--- a/e2e/placement_bench_test.go
+++ b/e2e/placement_bench_test.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	placementEntries = 3
-	placementEngines = 4
-	placementRate    = 38
-	placementSpan    = 40 * time.Second
+	placementEntries  = 3
+	placementEngines  = 4
+	placementRate     = 38
+	placementDuration = 40 * time.Second
 )
 
-// preemptions reads how many runs an engine threw back.
-func preemptions(b *testing.B, engine *process) (count int) {
+// preemptionCount returns how many runs an engine has preempted so far.
+func preemptionCount(b *testing.B, engine *process) (count int) {
 	b.Helper()
 	response, err := http.Get(engine.url("listen", "/v1/load"))
 	if err != nil {
@@ -36,9 +36,10 @@
 	return body.Preemptions
 }
 
-// BenchmarkPlacement runs three entries and four engines of one zone as
-// processes under the counter's load, coordinated and each entry alone, and
-// with the coordinator frozen for a while and killed in the middle.
+// BenchmarkPlacement measures placement by three entries over four engines of
+// one zone, all as separate processes, under generation load. It compares entries
+// that place through a coordinator with entries that place alone, both
+// undisturbed and with one entry frozen for two seconds and later killed.
 func BenchmarkPlacement(b *testing.B) {
 	for _, c := range []struct {
 		name   string
@@ -52,16 +53,19 @@
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				placementRun(b, c.args, c.strike)
+				runPlacement(b, c.args, c.strike)
 			}
 		})
 	}
 }
 
-func placementRun(b *testing.B, args []string, strike bool) {
+// runPlacement starts a site, applies load for placementDuration and reports
+// latency, preemptions and throughput. With disruptCoordinator, one entry gets
+// no load: it is frozen after a quarter of the time and killed after half.
+func runPlacement(b *testing.B, args []string, disruptCoordinator bool) {
 	s := &site{t: b, platform: start(b, "dev", "platform", "--listen", "127.0.0.1:0")}
 	for i := range placementEngines {
-		// Every third place is in az1.
+		// zoneForIndex places every third index in az1.
 		s.engines = append(s.engines, s.startEngine(3*i, "--memory", "24000", "--max-batch", "256"))
 	}
 	s.services = append(s.services, start(b, "dev", "service", "--listen", "127.0.0.1:0",
@@ -69,52 +73,53 @@
 	for i := range placementEntries {
 		s.entries = append(s.entries, s.startEntry(3*i, args...))
 	}
-	s.apply(s.entries[0], "../examples/site.yaml")
+	s.applyFile(s.entries[0], "../examples/site.yaml")
 	var urls []string
 	for _, e := range s.entries {
-		s.untilServing(e)
+		s.waitUntilServing(e)
 		urls = append(urls, e.url("caller", ""))
 	}
-	victim, survivors := s.coordinatorOf("desk"), urls
-	if strike {
+	victim, survivors := s.findCoordinator("desk"), urls
+	if disruptCoordinator {
 		survivors = nil
 		for _, e := range s.entries {
 			if e != victim {
 				survivors = append(survivors, e.url("caller", ""))
 			}
 		}
-		time.AfterFunc(placementSpan/4, func() { victim.signal(syscall.SIGSTOP) })
-		time.AfterFunc(placementSpan/4+2*time.Second, func() { victim.signal(syscall.SIGCONT) })
-		time.AfterFunc(placementSpan/2, func() { victim.signal(syscall.SIGKILL) })
+		time.AfterFunc(placementDuration/4, func() { victim.signal(syscall.SIGSTOP) })
+		time.AfterFunc(placementDuration/4+2*time.Second, func() { victim.signal(syscall.SIGCONT) })
+		time.AfterFunc(placementDuration/2, func() { victim.signal(syscall.SIGKILL) })
 	}
 	report := load.Run(b.Context(), load.Settings{
-		Entries: survivors, Key: callerKey, Rate: placementRate, For: placementSpan, Seed: 1,
+		Entries: survivors, Key: callerKey, Rate: placementRate, Duration: placementDuration, Seed: 1,
 		Mix: load.Mix{Kinds: []load.Kind{{Name: "quote", Share: 1, Model: "quote", PromptTokens: 300, MaxTokens: 1500}}},
 	})
-	thrown := 0
+	preempted := 0
 	for _, engine := range s.engines {
-		thrown += preemptions(b, engine)
+		preempted += preemptionCount(b, engine)
 	}
 	quote := report.Kinds["quote"]
-	b.ReportMetric(1000*float64(thrown)/float64(quote.Calls), "preempted/1000")
+	b.ReportMetric(1000*float64(preempted)/float64(quote.Calls), "preempted/1000")
 	b.ReportMetric(quote.BetweenTokens.P99, "gap-p99-ms")
 	b.ReportMetric(float64(quote.StallMillis)/float64(quote.Calls), "stall-ms/call")
 	b.ReportMetric(quote.FirstToken.P95, "first-p95-ms")
 	b.ReportMetric(100*float64(quote.Refused)/float64(quote.Calls), "refused-%")
 	b.ReportMetric(float64(quote.Tokens)/report.Seconds, "tokens/s")
-	if quote.Disorder+quote.Broken > 0 {
-		b.Errorf("%d streams out of order, %d broken", quote.Disorder, quote.Broken)
+	if quote.OutOfOrder+quote.Broken > 0 {
+		b.Errorf("%d streams delivered tokens out of order and %d broke off, expected none", quote.OutOfOrder, quote.Broken)
 	}
 }
 
-// coordinatorOf finds the entry that coordinates a pool in az1.
-func (s *site) coordinatorOf(pool string) *process {
-	out, err := s.operator(s.entries[0], "status")
+// findCoordinator returns the entry that coordinates a pool in az1, or the first
+// entry if the status output names no coordinator of the pool.
+func (s *site) findCoordinator(pool string) *process {
+	out, err := s.runOperatorCommand(s.entries[0], "status")
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	for i, e := range s.entries {
-		// Entries are numbered by place, and every third place is in az1.
+		// Entry i was started with index 3*i, so its host ID is e(3*i+1).
 		if strings.Contains(out, pool+"  e"+string(rune('1'+3*i))) {
 			return e
 		}
--- a/e2e/relay_bench_test.go
+++ b/e2e/relay_bench_test.go
@@ -20,22 +20,23 @@
 )
 
 const (
-	// clockTicks is the kernel's USER_HZ, which is 100 on every platform that
-	// Linux's user space knows.
-	clockTicks   = 100
-	benchStreams = 200
-	benchTokens  = 1000
-	benchFirsts  = 300
-	// benchRequests is how many answers of one token are asked for in a row.
-	benchRequests = 1000
+	// clockTicks is the kernel's USER_HZ in ticks per second. Linux reports 100
+	// to user space on every platform.
+	clockTicks        = 100
+	concurrentStreams = 200
+	tokensPerStream   = 1000
+	firstTokenSamples = 300
+	// singleTokenRequests is the number of consecutive one-token requests that
+	// measure the CPU time per request.
+	singleTokenRequests = 1000
 )
 
-// cpuTime reads what a process has used of the processors.
-func cpuTime(b *testing.B, pid int) time.Duration {
+// processCPUTime returns the user and system CPU time that a process has used.
+func processCPUTime(b *testing.B, pid int) time.Duration {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		b.Skip("no /proc here: ", err)
+		b.Skip("cannot read CPU time from /proc: ", err)
 	}
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	user, _ := strconv.Atoi(fields[11])
@@ -43,80 +44,81 @@
 	return time.Duration(user+system) * time.Second / clockTicks
 }
 
-// readTokens counts the tokens of one generation and returns when the first
-// came.
-func readTokens(b *testing.B, url string, tokens int) (int, time.Duration) {
-	began := time.Now()
+// countTokens requests a generation and returns the number of tokens received
+// and the time from the start of the request to the first token.
+func countTokens(b *testing.B, url string, tokens int) (int, time.Duration) {
+	startTime := time.Now()
 	req, err := http.NewRequest(http.MethodPost, url+"/v1/completions", strings.NewReader(completionBody(tokens)))
 	if err != nil {
 		b.Error(err)
 		return 0, 0
 	}
 	req.Header.Set("Authorization", "Bearer "+callerKey)
-	answer, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(req)
 	if err != nil {
 		b.Error(err)
 		return 0, 0
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	count, first := 0, time.Duration(0)
-	scanner := bufio.NewScanner(answer.Body)
+	scanner := bufio.NewScanner(response.Body)
 	for scanner.Scan() {
 		if !bytes.HasPrefix(scanner.Bytes(), []byte(`data: {"id"`)) {
 			continue
 		}
 		if count == 0 {
-			first = time.Since(began)
+			first = time.Since(startTime)
 		}
 		count++
 	}
 	return count, first
 }
 
+// median sorts d and returns its middle element.
 func median(d []time.Duration) time.Duration {
 	slices.Sort(d)
 	return d[len(d)/2]
 }
 
-// BenchmarkRelay compares callers that read through an entry with callers that
-// read the engine directly, in one run: the entry's processor time a token,
-// and the time added to the first token.
+// BenchmarkRelay measures the cost of relaying through an entry: its CPU time per
+// token and per request, and the time that it adds to the first token compared
+// with direct requests to the engine in the same run.
 func BenchmarkRelay(b *testing.B) {
 	s := newSite(b, 1, 1, "--memory", "10000000", "--max-batch", "1000", "--step", "10ms", "--step-per-run", "0s")
 	entry, direct := s.entries[0].url("caller", ""), s.engines[0].url("listen", "")
 	for b.Loop() {
-		before := cpuTime(b, s.entries[0].cmd.Process.Pid)
+		before := processCPUTime(b, s.entries[0].cmd.Process.Pid)
 		var all sync.WaitGroup
-		for range benchStreams {
+		for range concurrentStreams {
 			all.Go(func() {
-				if count, _ := readTokens(b, entry, benchTokens); count != benchTokens {
-					b.Errorf("%d tokens came, not %d", count, benchTokens)
+				if count, _ := countTokens(b, entry, tokensPerStream); count != tokensPerStream {
+					b.Errorf("stream through the entry has %d tokens, expected %d", count, tokensPerStream)
 				}
 			})
 		}
 		all.Wait()
-		used := cpuTime(b, s.entries[0].cmd.Process.Pid) - before
-		b.ReportMetric(float64(used.Microseconds())/(benchStreams*benchTokens), "cpu-µs/token")
+		used := processCPUTime(b, s.entries[0].cmd.Process.Pid) - before
+		b.ReportMetric(float64(used.Microseconds())/(concurrentStreams*tokensPerStream), "cpu-µs/token")
 	}
-	before := cpuTime(b, s.entries[0].cmd.Process.Pid)
-	for range benchRequests {
-		readTokens(b, entry, 1)
+	before := processCPUTime(b, s.entries[0].cmd.Process.Pid)
+	for range singleTokenRequests {
+		countTokens(b, entry, 1)
 	}
-	used := cpuTime(b, s.entries[0].cmd.Process.Pid) - before
-	b.ReportMetric(float64(used.Microseconds())/benchRequests, "cpu-µs/request")
+	used := processCPUTime(b, s.entries[0].cmd.Process.Pid) - before
+	b.ReportMetric(float64(used.Microseconds())/singleTokenRequests, "cpu-µs/request")
 	var firstEntry, firstDirect []time.Duration
-	for range benchFirsts {
-		_, first := readTokens(b, entry, 1)
+	for range firstTokenSamples {
+		_, first := countTokens(b, entry, 1)
 		firstEntry = append(firstEntry, first)
-		_, first = readTokens(b, direct, 1)
+		_, first = countTokens(b, direct, 1)
 		firstDirect = append(firstDirect, first)
 	}
 	b.ReportMetric(float64(median(firstDirect).Microseconds()), "direct-first-µs")
 	b.ReportMetric(float64((median(firstEntry) - median(firstDirect)).Microseconds()), "added-first-µs")
 }
 
-// BenchmarkSocketFloor is what a relay can't do without, in the same units: one
-// write of a token's size into a loopback socket, and one read that finds it.
+// BenchmarkSocketFloor measures the lower bound for relaying a token: one write
+// of a token-sized message to a loopback socket and one read that receives it.
 func BenchmarkSocketFloor(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -161,13 +161,13 @@
 		err := c.followOnce(ctx)
 		if failing != (err != nil) && ctx.Err() == nil {
 			failing = err != nil
-			logChange(c.entry.logger, "following the configuration", failing, err)
+			logFailureChange(c.entry.logger, "following the configuration", failing, err)
 		}
 		if err == nil {
 			wait = initialConfigRetryDelay
 			continue
 		}
-		if !pause(ctx, jitter(wait)) {
+		if !sleepContext(ctx, jitter(wait)) {
 			return
 		}
 		wait = min(2*wait, maxConfigRetryDelay)
@@ -181,7 +181,7 @@
 		return err
 	}
 	c.setLoaded()
-	if !c.entry.members.Watches(c.entry.now()) {
+	if !c.entry.members.IsWatcher(c.entry.now()) {
 		c.waitForPollOrChange(ctx)
 		return nil
 	}
@@ -220,13 +220,13 @@
 		}
 		c.entry.observeEra(item.Era)
 		if c.wasRestored(item) {
-			if err := c.restoreLog(ctx, item.at()); err != nil {
+			if err := c.restoreLog(ctx, item.position()); err != nil {
 				return 0, err
 			}
 			continue
 		}
 		if !item.Found() {
-			c.lastLogEnd = item.at()
+			c.lastLogEnd = item.position()
 			return item.Index, nil
 		}
 		if err := c.applyItem(next, item); err != nil {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -50,13 +50,13 @@
 
 func (s *Settings) setDefaults() {
 	if s.HostListInterval == 0 {
-		s.HostListInterval = hostListEvery
+		s.HostListInterval = hostListInterval
 	}
 	if s.ConfigPollInterval == 0 {
 		s.ConfigPollInterval = configPollInterval
 	}
 	if s.LoadInterval == 0 {
-		s.LoadInterval = loadEvery
+		s.LoadInterval = loadInterval
 	}
 }
 
@@ -71,7 +71,7 @@
 	Engines          Engines
 	Services         Services
 	Leases           LeaseStore
-	Upstreams        Upstreams
+	Upstreams        UpstreamProber
 	Observer         Observer
 	Logger           log.Logger
 	Tracer           trace.Tracer
@@ -91,7 +91,7 @@
 	engines      Engines
 	services     Services
 	leases       LeaseStore
-	upstreams    Upstreams
+	upstreams    UpstreamProber
 	observer     Observer
 	logger       log.Logger
 	tracer       trace.Tracer
@@ -101,7 +101,7 @@
 	placement *placement
 	limits    accountLimits
 	retries   retryBudget
-	crashes   *crashes
+	crashes   *crashRegister
 	// backoffs holds the upstreams that asked this entry for backoff.
 	backoffs backoff.Table
 
@@ -138,7 +138,7 @@
 	e := &Entry{
 		settings: s, self: s.Self, generationKey: s.GenerationKey,
 		store: p.Store, claims: p.Claims, outcomes: p.Outcomes, hosts: p.Hosts, peers: p.Peers,
-		engines: p.Engines, services: p.Services, leases: p.Leases, upstreams: p.Upstreams, crashes: newCrashes(),
+		engines: p.Engines, services: p.Services, leases: p.Leases, upstreams: p.Upstreams, crashes: newCrashRegister(),
 		observer: p.Observer, logger: p.Logger, tracer: p.Tracer,
 		stopped: make(chan struct{}), drained: make(chan struct{}), runCtx: context.Background(),
 	}
@@ -195,19 +195,19 @@
 // call release when the call has ended.
 func (e *Entry) admit(name resource.Account) (release func(), failure *Failure) {
 	if !e.Ready() {
-		return nil, newFailure(CodeNotReady, NotRun, "this entry has no configuration yet").withRetryAfter(retryUnknown)
+		return nil, newFailure(CodeNotReady, NotRun, "this entry has no configuration yet").withRetryAfter(defaultRetryAfter)
 	}
 	if !e.beginCall() {
 		return nil, newFailure(CodeLeaving, NotRun, "this entry is stopping; another takes the call").withRetryAfter(leavingRetryAfter)
 	}
 	account, _ := e.config.Catalog().Account(name)
-	wait, ok := e.limits.enter(e.now(), name, account)
+	wait, ok := e.limits.acquire(e.now(), name, account)
 	if !ok {
 		e.endCall()
-		return nil, newFailure(CodeRateLimited, NotRun, "the account's limit is reached").withRetryAfter(max(wait, retryUnknown))
+		return nil, newFailure(CodeRateLimited, NotRun, "the account's limit is reached").withRetryAfter(max(wait, defaultRetryAfter))
 	}
 	return func() {
-		e.limits.leave(name)
+		e.limits.release(name)
 		e.endCall()
 	}, nil
 }
@@ -248,8 +248,8 @@
 	e.mu.Unlock()
 	_ = level.Info(e.logger).Log("msg", "stopping", "running", running, "grace", grace)
 	e.members.setLeaving()
-	e.members.beat(ctx)
-	pause(ctx, grace)
+	e.members.sendHeartbeats(ctx)
+	sleepContext(ctx, grace)
 	e.refuseCalls()
 	select {
 	case <-e.drained:
--- a/entry/load.go
+++ b/entry/load.go
@@ -17,82 +17,85 @@
 )
 
 const (
-	loadEvery       = 250 * time.Millisecond
+	loadInterval    = 250 * time.Millisecond
 	loadTimeout     = time.Second
 	loadConcurrency = 64
-	// cacheEvery is in how many rounds the cache events are asked for, too:
-	// they are hints that come late anyway, and each call costs the same.
-	cacheEvery = 4
+	// roundsPerCachePoll is the number of load polls for each poll of the cache events. Cache
+	// events are only hints that are late anyway, and each poll of them costs as much as one of the
+	// load.
+	roundsPerCachePoll = 4
 )
 
-// runLoadReports asks the engines that this entry coordinates how they are.
+// runLoadReports polls the load of the engines in the pools that this entry coordinates.
 func (e *Entry) runLoadReports(ctx context.Context) {
-	seen := map[member.UpstreamID]uint64{}
-	for n := 0; ; n++ {
+	lastSeqs := map[member.UpstreamID]uint64{}
+	for round := 0; ; round++ {
 		for _, name := range e.config.Catalog().PoolNames() {
 			if e.members.Coordinator(e.now(), name).ID == e.self.ID {
-				e.askLoads(ctx, name, seen, n%cacheEvery == 0)
+				e.pollLoads(ctx, name, lastSeqs, round%roundsPerCachePoll == 0)
 			}
 		}
-		if !pause(ctx, jitter(e.settings.LoadInterval)) {
+		if !sleepContext(ctx, jitter(e.settings.LoadInterval)) {
 			return
 		}
 	}
 }
 
-// loadRound is what one round of reports brought.
+// loadRound collects the results of one poll of a pool's engines.
 type loadRound struct {
-	// withCache asks for the cache events, too.
-	withCache bool
+	// withCacheEvents tells whether the cache events are polled too.
+	withCacheEvents bool
 
 	mu      sync.Mutex
 	reports []policy.Report
-	silent  []member.UpstreamID
-	// models are the versions that each engine serves.
-	models map[member.UpstreamID]map[string]string
-	cache  map[member.UpstreamID][]policy.CacheEvent
+	// unresponsive lists the engines that didn't answer.
+	unresponsive []member.UpstreamID
+	// models maps each engine to the versions of the models that it serves.
+	models      map[member.UpstreamID]map[string]string
+	cacheEvents map[member.UpstreamID][]policy.CacheEvent
 }
 
-// askLoads asks every engine of a pool that this zone decides about. seen holds
-// the last cache event had from each.
-func (e *Entry) askLoads(ctx context.Context, name resource.Name, seen map[member.UpstreamID]uint64, withCache bool) {
+// pollLoads polls all engines of a pool that are placed from this zone. lastSeqs holds the sequence
+// number of the last cache event received from each engine.
+func (e *Entry) pollLoads(ctx context.Context, name resource.Name, lastSeqs map[member.UpstreamID]uint64, withCache bool) {
 	round := loadRound{
-		withCache: withCache, cache: map[member.UpstreamID][]policy.CacheEvent{},
+		withCacheEvents: withCache, cacheEvents: map[member.UpstreamID][]policy.CacheEvent{},
 		models: map[member.UpstreamID]map[string]string{},
 	}
 	workers := pool.New().WithMaxGoroutines(loadConcurrency)
 	for _, u := range e.members.enginesFor(e.now(), name) {
-		after := seen[u.ID]
-		workers.Go(func() { e.askLoad(ctx, u, after, &round) })
+		after := lastSeqs[u.ID]
+		workers.Go(func() { e.pollLoad(ctx, u, after, &round) })
 	}
 	workers.Wait()
-	for engine, events := range round.cache {
+	for engine, events := range round.cacheEvents {
 		if len(events) > 0 {
-			seen[engine] = events[len(events)-1].Seq
+			lastSeqs[engine] = events[len(events)-1].Seq
 		}
 	}
-	e.placement.applyReports(ctx, name, round.reports, round.cache)
-	e.placement.markSuspect(ctx, name, round.silent)
-	// Engines are emptied before their models change.
+	e.placement.applyReports(ctx, name, round.reports, round.cacheEvents)
+	e.placement.markSuspect(ctx, name, round.unresponsive)
+	// Engines are drained before their models change.
 	e.placement.withhold(ctx, name, order.EnginesToDrain(wantedModels(e.Catalog(), name), round.models))
 }
 
-func (e *Entry) askLoad(ctx context.Context, u member.Upstream, after uint64, round *loadRound) {
+// pollLoad polls one engine and adds the result to the round.
+func (e *Entry) pollLoad(ctx context.Context, u member.Upstream, after uint64, round *loadRound) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	load, err := e.engines.Load(ctx, u)
 	if err != nil {
 		round.mu.Lock()
 		defer round.mu.Unlock()
-		round.silent = append(round.silent, u.ID)
+		round.unresponsive = append(round.unresponsive, u.ID)
 		return
 	}
 	if load.Leaving {
 		e.members.MarkLeaving(u.ID)
 	}
 	var events []policy.CacheEvent
-	if round.withCache {
-		// Hints that can't be had are done without.
+	if round.withCacheEvents {
+		// Cache events are only hints, so an error is ignored.
 		events, _ = e.engines.CacheEvents(ctx, u, after)
 	}
 	round.mu.Lock()
@@ -101,5 +104,5 @@
 	e.observer.EngineLoad(resource.Name(u.Pool), load)
 	round.reports = append(round.reports, load.Report)
 	round.models[u.ID] = load.Models
-	round.cache[u.ID] = events
+	round.cacheEvents[u.ID] = events
 }
--- a/entry/orders.go
+++ b/entry/orders.go
@@ -16,35 +16,35 @@
 
 const (
 	orderLeaseTTL = 10 * time.Second
-	orderEvery    = time.Second
+	orderInterval = time.Second
 	orderTimeout  = 2 * time.Second
-	// reconcileEvery is how often engines are looked at that nothing seems to
-	// be wanted of: one may have been restarted.
-	reconcileEvery = 10 * time.Second
+	// reconcileInterval is how often engines are checked even if they all serve the declared
+	// models, because an engine may have been restarted.
+	reconcileInterval = 10 * time.Second
 )
 
-// runOrders holds the zone's order lease while this entry has that duty, and
-// brings the engines to the declared models.
+// runOrders holds the zone's order lease while this entry has the order duty, and orders the
+// engines to serve the declared models.
 func (e *Entry) runOrders(ctx context.Context) {
 	var holder order.Holder
 	var lease Lease
-	var looked reconciled
+	var last reconcileState
 	for {
-		wanted := e.ordersAreOurs(e.now())
+		wanted := e.ownsOrderDuty(e.now())
 		switch holder.Next(e.now(), wanted) {
 		case order.Acquire:
-			lease = e.acquireOrders(ctx, &holder)
+			lease = e.acquireOrderLease(ctx, &holder)
 		case order.Renew:
-			e.renewOrders(ctx, &holder, lease)
+			e.renewOrderLease(ctx, &holder, lease)
 		case order.Release:
-			e.releaseOrders(ctx, &holder, lease)
+			e.releaseOrderLease(ctx, &holder, lease)
 		case order.Wait:
 		}
-		if holder.LeaseValid(e.now()) && looked.due(e.now(), e.Catalog().Revision()) {
+		if holder.LeaseValid(e.now()) && last.due(e.now(), e.Catalog().Revision()) {
 			settled := e.reconcile(ctx, &holder)
-			looked = reconciled{at: e.now(), revision: e.Catalog().Revision(), settled: settled}
+			last = reconcileState{checkedAt: e.now(), revision: e.Catalog().Revision(), settled: settled}
 		}
-		if !pause(ctx, jitter(orderEvery)) {
+		if !sleepContext(ctx, jitter(orderInterval)) {
 			break
 		}
 	}
@@ -55,9 +55,9 @@
 	}
 }
 
-// ordersAreOurs reports whether this entry has the duty, and there is
-// something to order.
-func (e *Entry) ordersAreOurs(now time.Time) bool {
+// ownsOrderDuty reports whether this entry should hold the order lease: it has the order duty of
+// its zone, isn't leaving, and models are declared.
+func (e *Entry) ownsOrderDuty(now time.Time) bool {
 	if e.leases == nil || len(e.Catalog().List(resource.Models)) == 0 || e.Leaving() {
 		return false
 	}
@@ -67,32 +67,33 @@
 	return found && owner.ID == e.self.ID
 }
 
-func orderKey(z member.Zone) string { return "shedpath/orders/" + string(z) }
+// orderLeaseKey returns the key of a zone's order lease.
+func orderLeaseKey(z member.Zone) string { return "shedpath/orders/" + string(z) }
 
-func (e *Entry) acquireOrders(ctx context.Context, h *order.Holder) Lease {
-	asked := e.now()
+func (e *Entry) acquireOrderLease(ctx context.Context, h *order.Holder) Lease {
+	sentAt := e.now()
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	lease, err := e.leases.Acquire(ctx, orderKey(e.self.Zone), string(e.self.ID), orderLeaseTTL)
+	lease, err := e.leases.Acquire(ctx, orderLeaseKey(e.self.Zone), string(e.self.ID), orderLeaseTTL)
 	if err != nil || lease.Token == 0 {
 		h.Refused(e.now())
 		return Lease{}
 	}
-	h.Acquired(asked, lease.Token, orderLeaseTTL)
+	h.Acquired(sentAt, lease.Token, orderLeaseTTL)
 	_ = level.Info(e.logger).Log("msg", "holding the order lease", "token", lease.Token)
 	return lease
 }
 
-func (e *Entry) renewOrders(ctx context.Context, h *order.Holder, lease Lease) {
-	asked := e.now()
+func (e *Entry) renewOrderLease(ctx context.Context, h *order.Holder, lease Lease) {
+	sentAt := e.now()
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if err := e.leases.Renew(ctx, lease); err == nil {
-		h.Renewed(asked, orderLeaseTTL)
+		h.Renewed(sentAt, orderLeaseTTL)
 	}
 }
 
-func (e *Entry) releaseOrders(ctx context.Context, h *order.Holder, lease Lease) {
+func (e *Entry) releaseOrderLease(ctx context.Context, h *order.Holder, lease Lease) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	h.Released()
@@ -101,22 +102,22 @@
 	}
 }
 
-// reconciled is the last look at the zone's engines.
-type reconciled struct {
-	at       time.Time
-	revision resource.Revision
-	// settled says that nothing was left to order then.
+// reconcileState is the result of the last reconcile.
+type reconcileState struct {
+	checkedAt time.Time
+	revision  resource.Revision
+	// settled reports whether all engines served the declared models.
 	settled bool
 }
 
-// due reports whether the engines are to be looked at again.
-func (r reconciled) due(now time.Time, revision resource.Revision) bool {
-	return !r.settled || r.revision != revision || now.Sub(r.at) >= reconcileEvery
+// due reports whether it is time to reconcile again.
+func (r reconcileState) due(now time.Time, revision resource.Revision) bool {
+	return !r.settled || r.revision != revision || now.Sub(r.checkedAt) >= reconcileInterval
 }
 
-// reconcile orders each engine of this zone to serve the declared models, and
-// reports whether they all do. An order is only sent while the lease surely
-// holds, and its effect is read back in the next round.
+// reconcile orders each engine of this zone to serve the declared models, and reports whether they
+// all do already. An order is sent only while the lease certainly holds. Its effect is checked in
+// the next round.
 func (e *Entry) reconcile(ctx context.Context, h *order.Holder) bool {
 	catalog := e.Catalog()
 	settled := true
@@ -130,6 +131,7 @@
 	return settled
 }
 
+// wantedModels maps the models that are declared for a pool to their versions.
 func wantedModels(catalog *resource.Catalog, pool resource.Name) map[string]string {
 	wanted := map[string]string{}
 	for _, r := range catalog.List(resource.Models) {
@@ -140,8 +142,9 @@
 	return wanted
 }
 
-// reconcileEngine reports whether nothing is left to order. An engine that
-// serves an old version is only ordered once it is empty.
+// reconcileEngine sends an engine the orders that it needs, and reports whether it needed none. An
+// engine that serves an outdated version is ordered only once it is drained. checks tells whether
+// the engine checks the fencing tokens of orders.
 func (e *Entry) reconcileEngine(ctx context.Context, h *order.Holder, u member.Upstream, wanted map[string]string, checks bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
--- a/entry/placement.go
+++ b/entry/placement.go
@@ -16,87 +16,95 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// ownRun is a run that this entry carries.
+// ownRun is a run of one of this entry's own callers.
 type ownRun struct {
 	request policy.Request
 	engine  member.UpstreamID
-	// coordinator placed the run and is told of its end; empty means that
-	// this entry placed it.
+	// coordinator is the entry that placed the run and receives the report of its end. It is empty
+	// if this entry placed the run.
 	coordinator member.Entry
-	// made is the index of the last token passed on.
-	made atomic.Int64
+	// lastTokenIndex is the index of the last token passed on to the caller.
+	lastTokenIndex atomic.Int64
 }
 
-// waiter is a request of this entry's own that has no place yet.
+// waiter is a request of one of this entry's own callers that waits for a place.
 type waiter struct {
-	request policy.Request
-	decided chan policy.Decision
-	// asked is when a coordinator last had the request; zero when the pool
-	// here has it.
-	asked       time.Time
+	request  policy.Request
+	decision chan policy.Decision
+	// requestedAt is when the request was last sent to a coordinator. It is zero while this entry's
+	// own pool has the request.
+	requestedAt time.Time
 	coordinator member.Entry
 }
 
-// poolState is one pool as this entry sees it.
+// poolState is this entry's state of one pool.
 type poolState struct {
 	name resource.Name
-	// pool decides for this entry alone, and for the whole zone while this
-	// entry is its coordinator.
+	// pool places the runs that this entry decides about: those of the whole zone while this entry
+	// is the coordinator, and otherwise its own.
 	pool *policy.Pool
-	// owner coordinates the pool in this zone, as of the last tick.
+	// owner is the pool's coordinator in this zone, as of the last update.
 	owner member.Entry
-	// distrusted is until when the owner isn't asked, after it failed to
-	// answer in time.
-	distrusted time.Time
-	waiters    map[policy.RunID]*waiter
-	// guests are the peers' requests that the pool here holds, by run.
-	guests map[policy.RunID]member.HostID
-	// ended are the runs whose end was told before their request came, by when:
-	// messages may overtake each other.
-	ended map[policy.RunID]time.Time
-	// outbox is what other entries are to be told at the next turn.
-	asks      []policy.Request
-	finished  map[member.HostID][]policy.Finish
-	decisions map[member.HostID][]policy.Decision
+	// distrustedUntil is the time until which the owner isn't asked, because it didn't answer in
+	// time.
+	distrustedUntil time.Time
+	waiters         map[policy.RunID]*waiter
+	// peerRuns maps the peers' runs and queued requests that the pool holds to the peers.
+	peerRuns map[policy.RunID]member.HostID
+	// endedRuns holds the time of each report of an ended run that arrived before the request for
+	// its place, because messages may overtake each other.
+	endedRuns map[policy.RunID]time.Time
+	// pendingRequests, pendingFinishes and pendingDecisions are the messages to other entries that
+	// flushOutbox sends next.
+	pendingRequests  []policy.Request
+	pendingFinishes  map[member.HostID][]policy.Finish
+	pendingDecisions map[member.HostID][]policy.Decision
 }
 
-// placement is the duty that finds engines for generations. One goroutine owns
-// its pools; everything else reaches them by a bounded ring of commands.
+// placement is the duty that finds engines for generations. Its goroutine owns the pools; all other
+// code reaches them through a bounded channel of commands.
 type placement struct {
 	entry    *Entry
 	commands chan func(now time.Time)
 	pools    map[resource.Name]*poolState
 
 	mu sync.Mutex
-	// runs are those that this entry carries.
+	// runs holds the runs of this entry's own callers.
 	runs map[policy.RunID]*ownRun
 }
 
 const (
-	placementRing = 4096
-	placementTick = 20 * time.Millisecond
-	membersTick   = 200 * time.Millisecond
-	// answerWithin is how long the coordinator may take to say how a request
-	// stands, before this entry decides alone.
-	answerWithin = 30 * time.Millisecond
-	distrustFor  = time.Second
-	// askAgainAfter is how long a queued request trusts its coordinator's
-	// silence.
-	askAgainAfter = time.Second
-	otherZoneWait = 250 * time.Millisecond
-	// endedKept is how long a request may come after its end.
-	endedKept = time.Minute
+	// commandBufferSize is the capacity of the command channel, and the most commands that are
+	// drained at once.
+	commandBufferSize = 4096
+	// placementInterval is the time until the next placement round while requests wait for a place,
+	// unless a command triggers a round earlier. membersInterval is that time otherwise, and the
+	// interval of updatePools.
+	placementInterval = 20 * time.Millisecond
+	membersInterval   = 200 * time.Millisecond
+	// placeTimeout is how long the coordinator may take to answer a request for places before this
+	// entry decides itself.
+	placeTimeout = 30 * time.Millisecond
+	// distrustFor is how long a coordinator isn't asked after it failed to answer.
+	distrustFor = time.Second
+	// requestRetryInterval is how long a queued request waits for its coordinator's decision before
+	// it is sent again.
+	requestRetryInterval = time.Second
+	// otherZoneTimeout bounds a request for a place in another zone.
+	otherZoneTimeout = 250 * time.Millisecond
+	// endedRunTTL is how long after the report of its end a run's late request is still refused.
+	endedRunTTL = time.Minute
 )
 
 func newPlacement(e *Entry) *placement {
 	return &placement{
-		entry: e, commands: make(chan func(time.Time), placementRing),
+		entry: e, commands: make(chan func(time.Time), commandBufferSize),
 		pools: map[resource.Name]*poolState{}, runs: map[policy.RunID]*ownRun{},
 	}
 }
 
-// do runs a command on the duty's goroutine and waits for it. After an error the
-// command may still run later: what it writes must not be read then.
+// do runs a command on the placement goroutine and waits for it. If do returns an error, the
+// command may still run later, so the caller must not read the variables that the command writes.
 func (p *placement) do(ctx context.Context, command func(now time.Time)) error {
 	done := make(chan struct{})
 	select {
@@ -112,11 +120,11 @@
 	}
 }
 
-// run carries the duty out until the context ends.
+// run executes commands and placement rounds until the context ends.
 func (p *placement) run(ctx context.Context) {
-	tick := time.NewTimer(membersTick)
+	tick := time.NewTimer(membersInterval)
 	defer tick.Stop()
-	lastMembers := time.Time{}
+	lastUpdate := time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -127,31 +135,33 @@
 		case <-tick.C:
 		}
 		now := p.entry.now()
-		if now.Sub(lastMembers) >= membersTick {
-			lastMembers = now
-			p.followMembers(now)
+		if now.Sub(lastUpdate) >= membersInterval {
+			lastUpdate = now
+			p.updatePools(now)
 		}
 		for _, s := range p.pools {
 			p.advance(now, s)
 			p.flushOutbox(s)
 		}
-		tick.Reset(p.untilNextTurn())
+		tick.Reset(p.nextTickDelay())
 	}
 }
 
-// untilNextTurn is short while something waits for a place.
-func (p *placement) untilNextTurn() time.Duration {
+// nextTickDelay returns the time until the next round, which is shorter while a request waits for a
+// place.
+func (p *placement) nextTickDelay() time.Duration {
 	for _, s := range p.pools {
 		if len(s.waiters) > 0 || s.pool.Waiting() > 0 {
-			return placementTick
+			return placementInterval
 		}
 	}
-	return membersTick
+	return membersInterval
 }
 
-// drainCommands takes what else is at hand, so that one turn serves many.
+// drainCommands runs the commands that are already in the channel, so that one round covers them
+// all.
 func (p *placement) drainCommands() {
-	for range placementRing {
+	for range commandBufferSize {
 		select {
 		case command := <-p.commands:
 			command(p.entry.now())
@@ -161,20 +171,22 @@
 	}
 }
 
+// state returns the state of a pool, and creates it if it doesn't exist yet.
 func (p *placement) state(name resource.Name) *poolState {
 	s := p.pools[name]
 	if s == nil {
 		s = &poolState{
 			name: name, pool: policy.NewPool(p.settings(name)),
-			ended: map[policy.RunID]time.Time{}, waiters: map[policy.RunID]*waiter{}, guests: map[policy.RunID]member.HostID{},
-			finished: map[member.HostID][]policy.Finish{}, decisions: map[member.HostID][]policy.Decision{},
+			endedRuns: map[policy.RunID]time.Time{}, waiters: map[policy.RunID]*waiter{}, peerRuns: map[policy.RunID]member.HostID{},
+			pendingFinishes: map[member.HostID][]policy.Finish{}, pendingDecisions: map[member.HostID][]policy.Decision{},
 		}
 		p.pools[name] = s
-		p.followPool(p.entry.now(), s)
+		p.updatePool(p.entry.now(), s)
 	}
 	return s
 }
 
+// settings returns the declared settings of a pool.
 func (p *placement) settings(name resource.Name) policy.Settings {
 	declared, _ := p.entry.config.Catalog().Pool(name)
 	return policy.Settings{
@@ -183,57 +195,59 @@
 	}
 }
 
-// followMembers brings every pool up to date with the members and the
-// configuration.
-func (p *placement) followMembers(now time.Time) {
+// updatePools updates every pool to the current members and configuration.
+func (p *placement) updatePools(now time.Time) {
 	p.entry.backoffs.RemoveExpired(now)
 	for _, name := range p.entry.config.Catalog().PoolNames() {
-		p.followPool(now, p.state(name))
+		p.updatePool(now, p.state(name))
 	}
 }
 
-func (p *placement) followPool(now time.Time, s *poolState) {
-	engines := p.entry.members.EnginesFor(now, s.name)
+// updatePool updates a pool's settings, engines and coordinator, and drops the state of dead peers
+// and of expired ended runs.
+func (p *placement) updatePool(now time.Time, s *poolState) {
+	engines := p.entry.members.EngineIDsFor(now, s.name)
 	s.pool.SetSettings(p.settings(s.name))
 	s.pool.SetEngines(engines)
-	live := p.entry.members.LiveHere(now)
+	live := p.entry.members.AvailableInOwnZone(now)
 	owner := p.entry.members.Coordinator(now, s.name)
 	if owner.ID != s.owner.ID {
-		s.owner, s.distrusted = owner, time.Time{}
+		s.owner, s.distrustedUntil = owner, time.Time{}
 		p.announceRuns(s)
 	}
 	s.pool.SetDeciderCount(len(live))
 	if p.coordinates(s) && !p.entry.settings.LocalPlacement {
 		s.pool.SetDeciderCount(1)
 	}
-	p.dropLostGuests(now, s)
-	for run, at := range s.ended {
-		if now.Sub(at) > endedKept {
-			delete(s.ended, run)
+	p.dropDeadPeerRuns(now, s)
+	for run, at := range s.endedRuns {
+		if now.Sub(at) > endedRunTTL {
+			delete(s.endedRuns, run)
 		}
 	}
 }
 
+// coordinates reports whether this entry is the pool's coordinator.
 func (p *placement) coordinates(s *poolState) bool { return s.owner.ID == p.entry.self.ID }
 
-// dropLostGuests frees the places of runs whose entry died.
-func (p *placement) dropLostGuests(now time.Time, s *poolState) {
-	for run, host := range s.guests {
-		if p.entry.members.Gone(now, host) {
-			delete(s.guests, run)
+// dropDeadPeerRuns frees the places of runs whose entry is presumed dead.
+func (p *placement) dropDeadPeerRuns(now time.Time, s *poolState) {
+	for run, host := range s.peerRuns {
+		if p.entry.members.PresumedDead(now, host) {
+			delete(s.peerRuns, run)
 			s.pool.Finish(now, policy.Finish{Run: run})
 		}
 	}
 }
 
-// announceRuns tells a new coordinator what its engines carry.
+// announceRuns reports this entry's runs on the pool's engines to a new coordinator.
 func (p *placement) announceRuns(s *poolState) {
 	var placed []PlacedRun
 	p.mu.Lock()
 	for _, run := range p.runs {
 		if u, ok := p.entry.members.Upstream(run.engine); ok && u.Pool == string(s.name) && u.Zone == p.entry.self.Zone {
 			run.coordinator = s.owner
-			placed = append(placed, PlacedRun{Request: run.request, Engine: run.engine, Made: policy.Tokens(run.made.Load())})
+			placed = append(placed, PlacedRun{Request: run.request, Engine: run.engine, GeneratedTokens: policy.Tokens(run.lastTokenIndex.Load())})
 		}
 	}
 	p.mu.Unlock()
@@ -244,19 +258,21 @@
 	p.entry.spawn(func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		// A coordinator that misses this sees the memory in the reports.
+		// A coordinator that doesn't receive the runs still sees the memory that they use in the
+		// engines' load reports.
 		_ = p.entry.peers.Running(ctx, owner, s.name, placed)
 	})
 }
 
-// place finds a place for one of this entry's own requests, and waits for it
-// as long as the context allows. Its error means that the caller left.
+// place requests a place for a run of one of this entry's own callers and waits for the decision.
+// It returns an error only if the context ends first, that is, if the caller left. It then gives up
+// the place or the request.
 func (p *placement) place(ctx context.Context, pool resource.Name, r policy.Request) (policy.Decision, error) {
-	w := &waiter{request: r, decided: make(chan policy.Decision, 1)}
+	w := &waiter{request: r, decision: make(chan policy.Decision, 1)}
 	err := p.do(ctx, func(now time.Time) { p.submit(now, p.state(pool), w) })
 	if err == nil {
 		select {
-		case d := <-w.decided:
+		case d := <-w.decision:
 			return p.tryOtherZones(ctx, pool, r, d), nil
 		case <-ctx.Done():
 			err = ctx.Err()
@@ -266,25 +282,27 @@
 	return policy.Decision{}, trace.Wrap(err)
 }
 
-// submit brings a request to the pool's coordinator, or decides here.
+// submit sends a request to the pool's coordinator, or to the pool of this entry if this entry
+// decides itself.
 func (p *placement) submit(now time.Time, s *poolState, w *waiter) {
 	s.waiters[w.request.Run] = w
-	if p.coordinates(s) || p.entry.settings.LocalPlacement || now.Before(s.distrusted) {
-		p.submitHere(now, s, w)
+	if p.coordinates(s) || p.entry.settings.LocalPlacement || now.Before(s.distrustedUntil) {
+		p.submitLocally(now, s, w)
 		return
 	}
-	w.asked, w.coordinator = now, s.owner
-	s.asks = append(s.asks, w.request)
+	w.requestedAt, w.coordinator = now, s.owner
+	s.pendingRequests = append(s.pendingRequests, w.request)
 }
 
-func (p *placement) submitHere(now time.Time, s *poolState, w *waiter) {
-	w.asked, w.coordinator = time.Time{}, member.Entry{}
-	p.decide(s, s.pool.Submit(now, w.request), member.Entry{})
+// submitLocally submits a request to the pool of this entry.
+func (p *placement) submitLocally(now time.Time, s *poolState, w *waiter) {
+	w.requestedAt, w.coordinator = time.Time{}, member.Entry{}
+	p.deliverDecision(s, s.pool.Submit(now, w.request), member.Entry{})
 }
 
-// decide hands a decision to the request that waits for it. It reports whether
-// there was one.
-func (p *placement) decide(s *poolState, d policy.Decision, by member.Entry) bool {
+// deliverDecision passes a final decision to the request that waits for it. A decision that the
+// request is queued leaves it waiting. deliverDecision reports whether a request was waiting.
+func (p *placement) deliverDecision(s *poolState, d policy.Decision, coordinator member.Entry) bool {
 	w := s.waiters[d.Run]
 	if w == nil {
 		return false
@@ -295,43 +313,45 @@
 	delete(s.waiters, d.Run)
 	if d.Verdict == policy.Granted {
 		p.mu.Lock()
-		p.runs[d.Run] = &ownRun{request: w.request, engine: d.Engine, coordinator: by}
+		p.runs[d.Run] = &ownRun{request: w.request, engine: d.Engine, coordinator: coordinator}
 		p.mu.Unlock()
-		p.entry.observer.Placed(s.name, p.decider(s, by))
+		p.entry.observer.Placed(s.name, p.deciderLabel(s, coordinator))
 	}
-	w.decided <- d
+	w.decision <- d
 	return true
 }
 
-func (p *placement) decider(s *poolState, by member.Entry) string {
-	if by.ID != "" || p.coordinates(s) {
+// deciderLabel returns the decider of a placement as Observer.Placed expects it.
+func (p *placement) deciderLabel(s *poolState, coordinator member.Entry) string {
+	if coordinator.ID != "" || p.coordinates(s) {
 		return "coordinator"
 	}
 	return "local"
 }
 
-// advance decides about what waits here and asks again about what waits
-// elsewhere.
+// advance decides about the requests that are queued here, and sends those that wait for a
+// coordinator again after requestRetryInterval.
 func (p *placement) advance(now time.Time, s *poolState) {
 	for _, d := range s.pool.Advance(now) {
-		if host, guest := s.guests[d.Run]; guest {
+		if host, isPeerRun := s.peerRuns[d.Run]; isPeerRun {
 			if d.Verdict == policy.Refused {
-				delete(s.guests, d.Run)
+				delete(s.peerRuns, d.Run)
 			}
-			s.decisions[host] = append(s.decisions[host], d)
+			s.pendingDecisions[host] = append(s.pendingDecisions[host], d)
 			continue
 		}
-		p.decide(s, d, member.Entry{})
+		p.deliverDecision(s, d, member.Entry{})
 	}
 	for _, w := range s.waiters {
-		if w.asked.IsZero() || now.Sub(w.asked) < askAgainAfter {
+		if w.requestedAt.IsZero() || now.Sub(w.requestedAt) < requestRetryInterval {
 			continue
 		}
 		p.submit(now, s, w)
 	}
 }
 
-// ownRun returns the record of a run that this entry carries.
+// ownRun returns the record of a run of this entry's own callers, or an empty record if there is
+// none.
 func (p *placement) ownRun(run policy.RunID) *ownRun {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -341,14 +361,13 @@
 	return &ownRun{}
 }
 
-// finish frees a run's place, wherever it was placed or is queued.
+// finish frees a run's place or removes its request from the queue, here or at its coordinator.
 func (p *placement) finish(pool resource.Name, f policy.Finish) {
 	p.mu.Lock()
 	own := p.runs[f.Run]
 	delete(p.runs, f.Run)
 	p.mu.Unlock()
-	// The ring is always drained while the entry runs; after that nobody
-	// needs the place.
+	// Commands are always executed while the entry runs. After that, the place needn't be freed.
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = p.do(ctx, func(now time.Time) {
@@ -368,18 +387,19 @@
 		if own != nil && f.Complete {
 			s.pool.LearnLength(&own.request, f.GeneratedTokens)
 		}
-		s.finished[coordinator.ID] = append(s.finished[coordinator.ID], f)
+		s.pendingFinishes[coordinator.ID] = append(s.pendingFinishes[coordinator.ID], f)
 	})
 }
 
-// status is what this entry tells of the pools that it coordinates.
-func (p *placement) status(ctx context.Context) []PoolStatus {
-	var told []PoolStatus
+// coordinatedPoolStatuses returns the statuses of the pools that this entry coordinates, or none if
+// the context ends first.
+func (p *placement) coordinatedPoolStatuses(ctx context.Context) []PoolStatus {
+	var statuses []PoolStatus
 	err := p.do(ctx, func(time.Time) {
 		for _, s := range p.pools {
 			if p.coordinates(s) {
-				told = append(told, PoolStatus{
-					Pool: s.name, Zone: p.entry.self.Zone, Free: s.pool.FreeTokens(),
+				statuses = append(statuses, PoolStatus{
+					Pool: s.name, Zone: p.entry.self.Zone, FreeTokens: s.pool.FreeTokens(),
 					Waiting: s.pool.Waiting(), Reports: s.pool.Reports(),
 				})
 			}
@@ -388,5 +408,5 @@
 	if err != nil {
 		return nil
 	}
-	return told
+	return statuses
 }
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -16,133 +16,141 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Upstreams tells whether an upstream still listens.
-type Upstreams interface {
-	// Closed reports whether nobody listens at an upstream's address, by the word of its
-	// machine; without that the error says why it isn't known.
+// UpstreamProber checks whether an upstream's process still listens.
+type UpstreamProber interface {
+	// Closed reports whether the upstream's host refuses connections to the upstream's address, so
+	// that no process listens there. It returns an error if this can't be determined.
 	Closed(ctx context.Context, u member.Upstream) (bool, error)
 }
 
 const (
-	// beginsFor is how long after its first token a run counts as beginning on its
-	// engine; what has run for longer only ran beside.
-	beginsFor = 500 * time.Millisecond
-	// reachTimeout bounds the look at an upstream whose link broke: one that ended
-	// refuses a connection within a round trip.
-	reachTimeout = 50 * time.Millisecond
-	// sameEnd is within how long two runs that lost their upstream lost it by one end.
-	sameEnd = time.Second
+	// crashWindow is how long after its first token a run may be the cause of its engine's crash. A
+	// run that lasts longer only ran beside the request that caused it.
+	crashWindow = 500 * time.Millisecond
+	// closedCheckTimeout bounds the check of an upstream whose link broke. The host of an ended
+	// upstream refuses a connection within a round trip.
+	closedCheckTimeout = 50 * time.Millisecond
+	// sameEndWindow is the time within which lost runs of one upstream are attributed to the same
+	// end of that upstream.
+	sameEndWindow = time.Second
 )
 
-// crashes are the requests under which upstreams ended, as this entry knows them.
-type crashes struct {
+// crashRegister holds the requests under which upstreams ended, as far as this entry knows.
+type crashRegister struct {
 	quarantine.Register
-	// epoch tells this process from an earlier one of the host.
+	// epoch distinguishes this process from earlier ones on the same host.
 	epoch uint64
 
 	mu sync.Mutex
-	// ends are the upstreams' last ends that this entry saw. The host list tells one
-	// start of an upstream from another by nothing but its id, which some keep.
-	ends map[member.UpstreamID]upstreamEnd
+	// recentEnds holds the last end of each upstream that this entry saw. It distinguishes
+	// successive instances of an upstream: the host list identifies an instance only by the
+	// upstream's id, and some upstreams keep their id after a restart.
+	recentEnds map[member.UpstreamID]upstreamEnd
 }
 
+// upstreamEnd is the end of one instance of an upstream.
 type upstreamEnd struct {
-	at   time.Time
-	life int64
+	endedAt    time.Time
+	instanceID int64
 }
 
-func newCrashes() *crashes {
-	return &crashes{epoch: rand.Uint64(), ends: map[member.UpstreamID]upstreamEnd{}}
+func newCrashRegister() *crashRegister {
+	return &crashRegister{epoch: rand.Uint64(), recentEnds: map[member.UpstreamID]upstreamEnd{}}
 }
 
-// endOf names the start of an upstream that has just ended.
-func (c *crashes) endOf(now time.Time, id member.UpstreamID) quarantine.Upstream {
+// endedInstance returns the instance of an upstream that has just ended. Calls within sameEndWindow
+// of the recorded end return the same instance.
+func (c *crashRegister) endedInstance(now time.Time, id member.UpstreamID) quarantine.Upstream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	end, known := c.ends[id]
-	if !known || now.Sub(end.at) > sameEnd {
-		end = upstreamEnd{at: now, life: rand.Int64()}
-		c.ends[id] = end
+	end, seen := c.recentEnds[id]
+	if !seen || now.Sub(end.endedAt) > sameEndWindow {
+		end = upstreamEnd{endedAt: now, instanceID: rand.Int64()}
+		c.recentEnds[id] = end
 	}
-	for other, e := range c.ends {
-		if now.Sub(e.at) > sameEnd {
-			delete(c.ends, other)
+	for other, e := range c.recentEnds {
+		if now.Sub(e.endedAt) > sameEndWindow {
+			delete(c.recentEnds, other)
 		}
 	}
-	return quarantine.Upstream{ID: id, Life: end.life}
+	return quarantine.Upstream{ID: id, Incarnation: end.instanceID}
 }
 
-// asking is one request as the quarantine tells it from others.
-type asking struct {
-	quarantine.Asked
-	route resource.Name
-	print *quarantine.Fingerprint
-	// isTry says that this one finds out whether upstreams bear the request by now.
-	isTry bool
+// trackedRequest is a request with the properties by which the quarantine recognizes it.
+type trackedRequest struct {
+	quarantine.RequestIdentity
+	route       resource.Name
+	fingerprint *quarantine.Fingerprint
+	// isProbe reports whether this request is sent to find out whether upstreams now survive it.
+	isProbe bool
 }
 
-// tries reports whether a request is the one by which an entry finds out whether upstreams
-// bear it by now. One entry does so for all.
-func (e *Entry) tries(a *asking) bool {
-	if !a.isTry && e.members.decidesAlone(e.now(), a.print.String()) && e.crashes.TakeTry(e.now(), *a.print) {
-		a.isTry = true
-		_ = level.Info(e.logger).Log("msg", "tried again", "asks", a.print)
+// mayProbe reports whether this request may be sent to find out whether upstreams now survive it.
+// Only one entry of the site sends such probes for a given request.
+func (e *Entry) mayProbe(r *trackedRequest) bool {
+	if !r.isProbe && e.members.ownsSiteDuty(e.now(), r.fingerprint.String()) && e.crashes.BeginTrial(e.now(), *r.fingerprint) {
+		r.isProbe = true
+		_ = level.Info(e.logger).Log("msg", "tried again", "asks", r.fingerprint)
 	}
-	return a.isTry
+	return r.isProbe
 }
 
-// held refuses a request under which upstreams ended, for it isn't sent any more.
-func (e *Entry) held(a *asking) *Failure {
-	evidence, print := e.crashes.Judge(e.now(), a.Asked, a.print)
-	a.print = print
-	if evidence.Standing < quarantine.Tried || evidence.Standing == quarantine.Tried && e.tries(a) {
+// checkQuarantine returns a failure if the request is quarantined because upstreams ended under it.
+func (e *Entry) checkQuarantine(r *trackedRequest) *Failure {
+	evidence, fingerprint := e.crashes.Evaluate(e.now(), r.RequestIdentity, r.fingerprint)
+	r.fingerprint = fingerprint
+	if evidence.Standing < quarantine.TrialDue || evidence.Standing == quarantine.TrialDue && e.mayProbe(r) {
 		return nil
 	}
-	_ = level.Warn(e.logger).Log("msg", "held back", "asks", print, "upstreams_ended", evidence.Ended, "last_ended_ago", evidence.Last)
-	return newFailure(CodeQuarantined, NotRun, "%d upstreams ended while this request began to run on them; it is not sent to another", evidence.Ended)
+	_ = level.Warn(e.logger).Log("msg", "held back", "asks", fingerprint, "upstreams_ended", evidence.UpstreamsEnded, "last_ended_ago", evidence.SinceLastEnd)
+	return newFailure(CodeQuarantined, NotRun, "%d upstreams ended while this request began to run on them; it is not sent to another", evidence.UpstreamsEnded)
 }
 
-// broke looks whether an upstream ended when the link to it broke, and if so counts that
-// against the request, which had begun there at a moment; zero for not yet.
-func (e *Entry) broke(ctx context.Context, a *asking, u member.Upstream, begun time.Time) {
+// handleLostUpstream checks whether an upstream has ended after the link to it broke, and if so
+// counts the end against the request. firstTokenAt is when the upstream's first token of the
+// request came; zero if none has come. An end isn't counted if the upstream is known to be leaving,
+// or if it comes later than crashWindow after the first token.
+func (e *Entry) handleLostUpstream(ctx context.Context, r *trackedRequest, u member.Upstream, firstTokenAt time.Time) {
 	now := e.now()
 	known, listed := e.members.Upstream(u.ID)
-	if e.upstreams == nil || ctx.Err() != nil || listed && known.Leaving || !begun.IsZero() && now.Sub(begun) >= beginsFor {
+	if e.upstreams == nil || ctx.Err() != nil || listed && known.Leaving || !firstTokenAt.IsZero() && now.Sub(firstTokenAt) >= crashWindow {
 		return
 	}
-	reach, cancel := context.WithTimeout(ctx, reachTimeout)
+	checkCtx, cancel := context.WithTimeout(ctx, closedCheckTimeout)
 	defer cancel()
-	if closed, _ := e.upstreams.Closed(reach, u); !closed {
-		// It is there, or nothing is known of it: a link broke.
+	if closed, _ := e.upstreams.Closed(checkCtx, u); !closed {
+		// The upstream still listens, or its state is unknown: only the link broke.
 		return
 	}
-	if a.print == nil {
-		f := a.Fingerprint()
-		a.print = &f
+	if r.fingerprint == nil {
+		f := r.Fingerprint()
+		r.fingerprint = &f
 	}
-	evidence := e.crashes.Crashed(now, *a.print, quarantine.Origin{Caller: a.Caller, Route: string(a.route)}, e.crashes.endOf(now, u.ID))
-	_ = level.Warn(e.logger).Log("msg", "upstream ended under it", "upstream", u.ID, "asks", a.print, "upstreams_ended", evidence.Ended, "held", evidence.Standing == quarantine.Held)
-	e.members.nudge()
+	evidence := e.crashes.RecordCrash(now, *r.fingerprint, quarantine.Origin{Caller: r.Caller, Route: string(r.route)}, e.crashes.endedInstance(now, u.ID))
+	_ = level.Warn(e.logger).Log("msg", "upstream ended under it", "upstream", u.ID, "asks", r.fingerprint, "upstreams_ended", evidence.UpstreamsEnded, "held", evidence.Standing == quarantine.Held)
+	e.members.requestHeartbeats()
 }
 
-// survived takes in that an upstream has run the request and gone on.
-func (e *Entry) survived(a *asking) {
-	evidence, print := e.crashes.Judge(e.now(), a.Asked, a.print)
-	a.print = print
+// recordSuccess records that an upstream ran the request and survived, which clears the request of
+// earlier ends.
+func (e *Entry) recordSuccess(r *trackedRequest) {
+	evidence, fingerprint := e.crashes.Evaluate(e.now(), r.RequestIdentity, r.fingerprint)
+	r.fingerprint = fingerprint
 	if evidence.Standing != quarantine.Clear {
-		e.crashes.RanWell(e.now(), *print)
+		e.crashes.ClearCrashes(e.now(), *fingerprint)
 	}
 }
 
-// Quarantine lists the requests under which upstreams ended.
+// Quarantine returns the requests under which upstreams ended.
 func (e *Entry) Quarantine() []quarantine.Entry { return e.crashes.Entries(e.now()) }
 
-// Release lets a request through again. It reports whether anything was against it.
+// Release clears a request of all ends of upstreams, so that it is sent again. It reports whether
+// any were recorded.
 func (e *Entry) Release(f quarantine.Fingerprint) bool {
-	if !e.crashes.RanWell(e.now(), f) {
+	if !e.crashes.ClearCrashes(e.now(), f) {
 		return false
 	}
 	_ = level.Info(e.logger).Log("msg", "let through again", "asks", f, "by", "operator")
-	e.members.nudge()
+	e.members.requestHeartbeats()
 	return true
 }
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -16,51 +16,50 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// What happened, before the other entry of the product: a request ended each engine that
-// began to run it, and its caller sent it anew to any host. Here the entry itself starts a
-// generation that was lost on up to three engines, so that one arrival ended three.
-//
-// The cause: engines and accounts were judged, but not what was asked.
+// These tests guard against a request that crashes every engine that starts it. An entry starts a
+// lost generation on up to three engines, so three engines crash each time the caller sends the
+// request, to whatever entry. Judging only engines and accounts, but not the request, doesn't stop
+// this.
 
-// closedUpstreams have all ended, or none.
-type closedUpstreams struct{ ended bool }
+// fixedProber reports every upstream as closed, or none.
+type fixedProber struct{ closed bool }
 
-func (c closedUpstreams) Closed(context.Context, member.Upstream) (bool, error) { return c.ended, nil }
+func (c fixedProber) Closed(context.Context, member.Upstream) (bool, error) { return c.closed, nil }
 
-// inCrashSite plays a test on two entries in each of two zones before six engines; the
-// engines do what the script says.
-func inCrashSite(t *testing.T, s script, ended bool, play func(is *is.I, s *fakeSite, entries []*Entry)) {
+// runInCrashSite runs a test on two entries in each of two zones and on six engines, all of which
+// follow the script. closed is what the prober reports.
+func runInCrashSite(t *testing.T, s script, closed bool, test func(is *is.I, s *fakeSite, entries []*Entry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		site := newFakeSite(ctx)
-		defer site.wait.Wait()
+		defer site.running.Wait()
 		defer cancel()
-		site.upstreams = closedUpstreams{ended}
+		site.upstreams = fixedProber{closed}
 		var entries []*Entry
 		for n := range 4 {
-			entries = append(entries, site.add(member.HostID(fmt.Sprint("e", n)), member.Zone(fmt.Sprint("az", n%2))))
+			entries = append(entries, site.addEntry(member.HostID(fmt.Sprint("e", n)), member.Zone(fmt.Sprint("az", n%2))))
 		}
 		for n := range 6 {
 			site.addEngine(member.UpstreamID(fmt.Sprint("g", n)), member.Zone(fmt.Sprint("az", n%2)))
 		}
 		site.addService("s1", "az0")
 		site.engines.scripts = []script{s}
-		if err := site.declare(entries[0]); err != nil {
+		if err := site.declareSampleConfig(entries[0]); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Second)
-		play(is.New(t), site, entries)
+		test(is.New(t), site, entries)
 	})
 }
 
-// TestRequestThatCrashesEngines has a request under which three engines ended be started on
-// no further one, at any entry, and its caller be told so at once.
+// TestRequestThatCrashesEngines checks that a request under which three engines ended is started on
+// no further engine by any entry, and that its caller gets the failure at once.
 func TestRequestThatCrashesEngines(t *testing.T) {
-	inCrashSite(t, script{startErr: errLink, ends: true}, true, func(is *is.I, s *fakeSite, entries []*Entry) {
+	runInCrashSite(t, script{startErr: errLinkBroken, crashes: true}, true, func(is *is.I, s *fakeSite, entries []*Entry) {
 		for n := range 12 {
 			began := time.Now()
-			_, err := entries[n%len(entries)].Generate(s.ctx, quote(), &fakeSink{})
+			_, err := entries[n%len(entries)].Generate(s.ctx, quoteRequest(), &fakeSink{})
 			var failure *Failure
 			is.True(errors.As(err, &failure))
 			if n > 2 {
@@ -71,17 +70,18 @@
 			}
 			time.Sleep(2 * time.Second)
 		}
-		is.Equal(s.engines.totalStarted(), 3)
+		is.Equal(s.engines.totalStarts(), 3)
 	})
 }
 
-// TestServiceCallThatCrashes is the same for calls of plain services.
-func TestServiceCallThatCrashes(t *testing.T) {
-	inCrashSite(t, script{}, true, func(is *is.I, s *fakeSite, entries []*Entry) {
+// TestServiceCallThatCrashesUpstreams checks that a service call under which three upstreams ended
+// is sent to no further upstream, while other calls are served.
+func TestServiceCallThatCrashesUpstreams(t *testing.T) {
+	runInCrashSite(t, script{}, true, func(is *is.I, s *fakeSite, entries []*Entry) {
 		s.addService("s2", "az1")
 		s.addService("s3", "az0")
 		time.Sleep(5 * time.Second)
-		s.services.err = errLink
+		s.services.err = errLinkBroken
 		call := ServiceRequest{Account: "counter", Route: "stock", Method: "GET", Path: "/x"}
 		for n := range 12 {
 			_, err := entries[n%len(entries)].CallService(s.ctx, call)
@@ -92,21 +92,21 @@
 		call.Path = "/y"
 		s.services.err = nil
 		_, err := entries[0].CallService(s.ctx, call)
-		is.NoErr(err) // another call is served
+		is.NoErr(err) // a different request to the same route is served
 	})
 }
 
-// TestLostLinksHoldNothing has requests whose links broke, while their engines live, be
-// started again as ever.
-func TestLostLinksHoldNothing(t *testing.T) {
-	inCrashSite(t, script{startErr: errLink}, false, func(is *is.I, s *fakeSite, entries []*Entry) {
+// TestBrokenLinksAreNotQuarantined checks that requests whose links broke while their engines kept
+// running are still started again.
+func TestBrokenLinksAreNotQuarantined(t *testing.T) {
+	runInCrashSite(t, script{startErr: errLinkBroken}, false, func(is *is.I, s *fakeSite, entries []*Entry) {
 		for n := range 6 {
-			_, err := entries[n%len(entries)].Generate(s.ctx, quote(), &fakeSink{})
+			_, err := entries[n%len(entries)].Generate(s.ctx, quoteRequest(), &fakeSink{})
 			var failure *Failure
 			is.True(errors.As(err, &failure))
 			is.Equal(failure.Code, CodeUpstreamLost)
 			time.Sleep(2 * time.Second)
 		}
-		is.True(s.engines.totalStarted() > 6)
+		is.True(s.engines.totalStarts() > 6)
 	})
 }
--- a/entry/service.go
+++ b/entry/service.go
@@ -18,57 +18,58 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// ServiceRequest is a caller's call of a plain service.
+// ServiceRequest is a caller's request to a service route.
 type ServiceRequest struct {
 	Account resource.Account
 	Route   resource.Name
-	// ID is unique to the call; the upstream's answer must carry it or none.
+	// ID is unique to the call. The upstream's answer must carry the same ID or none.
 	ID     string
 	Method string
-	// Path is what follows the route's name, with the query.
+	// Path is the part of the request path after the route's name, with the query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// IdempotencyKey is the caller's; empty means that it gave none.
+	// IdempotencyKey is the caller's key; empty if it gave none.
 	IdempotencyKey string
 }
 
-// ServiceAnswer is an upstream's answer, whole unless Rest is set.
+// ServiceAnswer is an upstream's answer. Body is complete unless RemainingBody is set.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// RetryAfter is for how long the upstream wants nothing; zero doesn't ask.
+	// RetryAfter is how long the upstream asks for no further requests; zero if it doesn't ask.
 	RetryAfter time.Duration
-	// Rest continues a body too long to be held; it is to be closed.
-	Rest interface {
+	// RemainingBody reads the rest of a body that is too long to be buffered. The receiver must
+	// close it.
+	RemainingBody interface {
 		Read(p []byte) (int, error)
 		Close() error
 	}
 }
 
-// Services is the interface to the plain services.
+// Services is the client of the services.
 //
-// Call sends the request once, on no account twice. Its error wraps ErrNotSent
-// when no byte of the request can have left, and ErrCrossed when the answer
-// was another request's.
+// Call sends the request at most once. Its error wraps ErrNotSent if no byte of the request can
+// have been sent, ErrMismatchedAnswer if the answer belongs to another request, and
+// ErrTruncatedAnswer if the answer was cut short.
 type Services interface {
 	Call(ctx context.Context, u member.Upstream, r ServiceRequest) (ServiceAnswer, error)
 }
 
-// ErrCrossed says that an upstream's answer belongs to another request.
-var ErrCrossed = errors.New("the answer belongs to another request")
+// ErrMismatchedAnswer reports that an upstream's answer belongs to another request.
+var ErrMismatchedAnswer = errors.New("the upstream's answer belongs to another request")
 
-// ErrCutShort says that an upstream's answer broke off.
-var ErrCutShort = errors.New("the answer broke off")
+// ErrTruncatedAnswer reports that an upstream's answer ended early.
+var ErrTruncatedAnswer = errors.New("the upstream's answer ended early")
 
-// maxServiceTries is how many upstreams a call is tried on.
-const maxServiceTries = 3
+// maxServiceAttempts bounds the upstreams that a call is tried on.
+const maxServiceAttempts = 3
 
-// CallService runs a plain service call. The error is a *Failure.
+// CallService sends a call to a service and returns the answer. The error is a *Failure.
 func (e *Entry) CallService(ctx context.Context, r ServiceRequest) (ServiceAnswer, error) {
 	answer, failure := e.callService(ctx, r)
-	e.answered("service", failure)
+	e.observeOutcome("service", failure)
 	if failure != nil {
 		return answer, failure
 	}
@@ -90,85 +91,87 @@
 		return ServiceAnswer{}, newFailure(CodeOverloaded, NotRun, "every upstream of service %s asked this entry to stay away", route.Service).withRetryAfter(wait)
 	}
 	if len(upstreams) == 0 {
-		return ServiceAnswer{}, newFailure(CodeOverloaded, NotRun, "no upstream of service %s takes work now", route.Service).withRetryAfter(retryUnknown)
+		return ServiceAnswer{}, newFailure(CodeOverloaded, NotRun, "no upstream of service %s takes work now", route.Service).withRetryAfter(defaultRetryAfter)
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(route.Timeout))
 	defer cancel()
 	if route.Repeatable || r.IdempotencyKey == "" {
 		return e.callUpstreams(ctx, route, upstreams, r)
 	}
-	held, failure := e.claimCall(ctx, r)
+	claimed, failure := e.claimCall(ctx, r)
 	if failure != nil {
 		return ServiceAnswer{}, failure
 	}
 	answer, failure := e.callUpstreams(ctx, route, upstreams, r)
 	switch {
 	case failure == nil:
-		e.recordOutcome(held, answer.Status)
+		e.recordOutcome(claimed, answer.Status)
 	case failure.RunState == NotRun:
-		// Nothing left this entry: the caller may try again with the key.
+		// Nothing was sent, so the caller may retry with the same key.
 		e.spawn(func(ctx context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 			defer cancel()
-			e.removeClaim(ctx, held.key, held.record.Claimant)
+			e.removeClaim(ctx, claimed.key, claimed.record.Claimant)
 		})
 	}
 	return answer, failure
 }
 
-// serviceUpstreams lists a service's upstreams in the order to try: this
-// zone's in a random order, then the others'. wait is how long it is until one takes calls
-// where all asked this entry to stay away.
+// serviceUpstreams returns the upstreams of a service in the order in which they are tried: those
+// of this entry's zone, then the others, each in random order. If all of them asked this entry for
+// backoff, wait is the time until the first takes calls again.
 func (e *Entry) serviceUpstreams(name resource.Name) (upstreams []member.Upstream, wait time.Duration) {
-	all, wait := e.excludeBackingOff(e.members.upstreamsFor(member.KindService, name, ""))
-	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	ordered := make([]member.Upstream, 0, len(all))
-	for _, near := range []bool{true, false} {
-		for _, u := range all {
-			if (u.Zone == e.self.Zone) == near {
+	available, wait := e.excludeBackingOff(e.members.upstreamsFor(member.KindService, name, ""))
+	rand.Shuffle(len(available), func(i, j int) { available[i], available[j] = available[j], available[i] })
+	ordered := make([]member.Upstream, 0, len(available))
+	for _, sameZone := range []bool{true, false} {
+		for _, u := range available {
+			if (u.Zone == e.self.Zone) == sameZone {
 				ordered = append(ordered, u)
 			}
 		}
 	}
-	return ordered[:min(len(ordered), maxServiceTries)], wait
+	return ordered[:min(len(ordered), maxServiceAttempts)], wait
 }
 
-// callUpstreams tries one upstream after another: always while no byte has
-// left, and after that only where the route allows repeats.
+// callUpstreams tries one upstream after another. After an attempt that may have reached its
+// upstream, it goes on only if the route is repeatable.
 func (e *Entry) callUpstreams(ctx context.Context, route resource.Route, upstreams []member.Upstream, r ServiceRequest) (ServiceAnswer, *Failure) {
-	var last *Failure
-	asks := asking{Asked: quarantine.Asked{
+	var lastFailure *Failure
+	tracked := trackedRequest{RequestIdentity: quarantine.RequestIdentity{
 		Caller: string(r.Account), Method: r.Method, Host: string(r.Route), Target: r.Path, Body: r.Body,
 	}, route: r.Route}
-	for tries, u := range upstreams {
-		if failure := e.held(&asks); failure != nil {
-			return ServiceAnswer{}, later(last, failure)
+	for attempt, u := range upstreams {
+		if failure := e.checkQuarantine(&tracked); failure != nil {
+			return ServiceAnswer{}, laterFailure(lastFailure, failure)
 		}
-		if tries > 0 && !e.retries.take() {
+		if attempt > 0 && !e.retries.take() {
 			break
 		}
-		answer, failure := e.callOne(ctx, u, r)
+		answer, failure := e.callUpstream(ctx, u, r)
 		if failure == nil {
 			e.retries.earn()
 			if answer.Status != http.StatusServiceUnavailable && answer.Status != http.StatusTooManyRequests {
-				// These are said by one that is full, and needn't have run it.
-				e.survived(&asks)
+				// An overloaded upstream sends these two statuses, and may not have run the
+				// request.
+				e.recordSuccess(&tracked)
 			}
 			return answer, nil
 		}
-		last = later(last, failure)
+		lastFailure = laterFailure(lastFailure, failure)
 		if failure.Code == CodeUpstreamLost && failure.RunState != NotRun {
-			e.broke(ctx, &asks, u, time.Time{})
+			e.handleLostUpstream(ctx, &tracked, u, time.Time{})
 		}
 		if failure.RunState != NotRun && !route.Repeatable || ctx.Err() != nil {
 			break
 		}
 		e.observer.Retried(string(failure.Code))
 	}
-	return ServiceAnswer{}, last
+	return ServiceAnswer{}, lastFailure
 }
 
-func (e *Entry) callOne(ctx context.Context, u member.Upstream, r ServiceRequest) (ServiceAnswer, *Failure) {
+// callUpstream sends the call to one upstream.
+func (e *Entry) callUpstream(ctx context.Context, u member.Upstream, r ServiceRequest) (ServiceAnswer, *Failure) {
 	ctx, span := e.tracer.Start(ctx, "upstream", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("upstream", string(u.ID))))
 	defer span.End()
@@ -181,13 +184,13 @@
 	case err == nil:
 		return answer, nil
 	case errors.Is(err, ErrNotSent) && ctx.Err() != nil:
-		return answer, newFailure(CodeTimeout, NotRun, "the time was over before the call was sent").withRetryAfter(retryUnknown)
+		return answer, newFailure(CodeTimeout, NotRun, "the time was over before the call was sent").withRetryAfter(defaultRetryAfter)
 	case errors.Is(err, ErrNotSent):
-		return answer, newFailure(CodeUpstreamLost, NotRun, "upstream %s can't be reached", u.ID).withRetryAfter(retryUnknown)
-	case errors.Is(err, ErrCrossed):
-		e.observer.Spoilt("crossed")
+		return answer, newFailure(CodeUpstreamLost, NotRun, "upstream %s can't be reached", u.ID).withRetryAfter(defaultRetryAfter)
+	case errors.Is(err, ErrMismatchedAnswer):
+		e.observer.Withheld("crossed")
 		return answer, newFailure(CodeBadStream, Unknown, "upstream %s answered another request", u.ID)
-	case errors.Is(err, ErrCutShort):
+	case errors.Is(err, ErrTruncatedAnswer):
 		return answer, newFailure(CodeUpstreamLost, Unknown, "the answer of upstream %s broke off", u.ID)
 	case ctx.Err() != nil:
 		return answer, newFailure(CodeTimeout, Unknown, "upstream %s did not answer in time", u.ID)
--- a/forward/follow_test.go
+++ b/forward/follow_test.go
@@ -145,8 +145,8 @@
 	return rollout.Status{}, errConnectionLost
 }
 
-func (p *fakeFollowedPeer) Permit(context.Context, Peer, permit.Ask) (permit.Reply, error) {
-	return permit.Reply{}, errConnectionLost
+func (p *fakeFollowedPeer) Permit(context.Context, Peer, permit.GrantRequest) (permit.GrantReply, error) {
+	return permit.GrantReply{}, errConnectionLost
 }
 func (p *fakeFollowedPeer) EndTurn(context.Context, Peer, TurnRequest) error { return nil }
 func (p *fakeFollowedPeer) Ask(context.Context, Peer, PlacementRequest) (PlacementGrant, error) {
@@ -164,7 +164,7 @@
 		return FollowReply{}, ctx.Err()
 	}
 	PauseFor(ctx, r.Wait)
-	return FollowReply{OriginAge: time.Duration(p.originAge.Load()), Announcements: []roster.Announcement{{Entry: Peer{ID: "h7", Zone: "z1"}, Count: 1}}, ListRevision: rev(7), Changes: p.changes}, nil
+	return FollowReply{OriginAge: time.Duration(p.originAge.Load()), Announcements: []roster.Announcement{{Entry: Peer{ID: "h7", Zone: "z1"}, Sequence: 1}}, ListRevision: rev(7), Changes: p.changes}, nil
 }
 
 // TestFollowZone checks that one host watches the origin for several zones, and that a zone's
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -136,7 +136,7 @@
 	// rollouts holds the moves of services to other versions, rolloutObservations what this
 	// host has observed of them, and rolloutDecider what it needs to decide about them for all
 	// hosts.
-	rollouts            rollout.Book
+	rollouts            rollout.Tracker
 	rolloutObservations rollout.Observations
 	rolloutDecider      rolloutDecider
 	// answerBudget bounds the memory that answers take.
@@ -177,7 +177,7 @@
 	}
 	f.limiter = permit.New(s.Self, permitSite{f}, f.now)
 	f.retries.setLimit(s.RetryLimit)
-	f.answerBudget.Most = s.MaxHeldAnswerBytes
+	f.answerBudget.MaxBytes = s.MaxHeldAnswerBytes
 	f.setClock(s.Clock)
 	return f
 }
@@ -252,7 +252,7 @@
 		case <-changed:
 		case <-f.relistRequested:
 		case <-tick.C:
-			f.crashes.Forget(f.now(), f.peers.isKnown)
+			f.crashes.Prune(f.now(), f.peers.isKnown)
 			f.pruneLimits(f.now())
 			f.backoffs.RemoveExpired(f.now())
 			for _, c := range f.fleet.Settle(f.now()) {
--- a/forward/limitfaults_test.go
+++ b/forward/limitfaults_test.go
@@ -164,7 +164,7 @@
 				zones: 3, hostsPerZone: 2, upstreams: 3, path: "/order/", perSecond: 60, duration: until,
 				needs: []limitPeriod{needAfterSettling(id, rate, until)}, disturb: c.happens, coldRate: 10,
 			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
-				rule, aim, used := fleet.worstOverTolerance(id, c.excused...), fleet.worstOverLimit(id), fleet.usedFraction(id, siteSettleTime+contactBound, until, rate)
+				rule, aim, used := fleet.worstOverTolerance(id, c.excused...), fleet.worstOverLimit(id), fleet.usedFraction(id, siteSettleTime+maxPropagationDelay, until, rate)
 				t.Logf("%v; used share %.2f; requests %d, served %d", aim, used, tally.requests, tally.served)
 				if rule.exceeded() {
 					perHost := map[member.HostID]int{}
--- a/forward/limitingfleet_test.go
+++ b/forward/limitingfleet_test.go
@@ -137,11 +137,11 @@
 // reports false unless the upstream has named a limit throughout the contact bound before that
 // time.
 func (f *limitingFleet) highestLimit(id member.UpstreamID, at time.Duration) (ratelimit.Rate, bool) {
-	if _, named := f.limit(id, at-contactBound); !named {
+	if _, named := f.limit(id, at-maxPropagationDelay); !named {
 		return 0, false
 	}
 	var highest ratelimit.Rate
-	for t := at - contactBound; t <= at; t += 50 * time.Millisecond {
+	for t := at - maxPropagationDelay; t <= at; t += 50 * time.Millisecond {
 		rate, named := f.limit(id, t)
 		if !named {
 			return 0, false
@@ -166,10 +166,10 @@
 // requests, from all hosts, once they have had time to learn of the limit.
 func (f *limitingFleet) worstOverLimit(id member.UpstreamID) worstWindow {
 	allowed := func(r ratelimit.Rate) float64 {
-		return math.Ceil(float64(max(r, ratelimit.LeastRate)) * limitWindow.Seconds())
+		return math.Ceil(float64(max(r, ratelimit.MinRate)) * limitWindow.Seconds())
 	}
 	return f.findWorstWindow(id, allowed, func(r request) bool {
-		_, known := f.limit(id, r.at-contactBound)
+		_, known := f.limit(id, r.at-maxPropagationDelay)
 		return known
 	})
 }
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -31,20 +31,20 @@
 		}
 		return
 	}
-	if !l.Announced && !f.limiter.Words.Any() {
+	if !l.Announced && !f.limiter.NamedLimits.Any() {
 		return
 	}
-	word := ratelimit.Word{Named: l.Announced, Rate: l.Rate, Since: sent, At: now}
-	f.applyLimitChange(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.Words.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
+	word := ratelimit.AnswerReport{HasLimit: l.Announced, Rate: l.Rate, SentAt: sent, ReceivedAt: now}
+	f.applyLimitChange(now, u.ID, f.peers.self.ID, l.Rate, 0, f.limiter.NamedLimits.Receive(now, u.ID, int64(u.Incarnation), f.peers.self.ID, word))
 }
 
 // receivePeerLimit records a peer's mark of an upstream's limit, unless it belongs to another
 // incarnation.
-func (f *Forwarder) receivePeerLimit(now time.Time, from member.HostID, m ratelimit.Mark) {
-	if !f.fleet.ReceiveIncarnation(m.Upstream, Incarnation(m.Life)) {
+func (f *Forwarder) receivePeerLimit(now time.Time, from member.HostID, m ratelimit.PeerReport) {
+	if !f.fleet.ReceiveIncarnation(m.Upstream, Incarnation(m.Incarnation)) {
 		return
 	}
-	f.applyLimitChange(now, m.Upstream, from, m.Rate, m.Age, f.limiter.Words.ReceiveMark(now, from, m))
+	f.applyLimitChange(now, m.Upstream, from, m.Rate, m.Age, f.limiter.NamedLimits.ReceivePeerReport(now, from, m))
 }
 
 // applyLimitChange logs a change of an upstream's limit. When the limit has ended, this host
@@ -53,8 +53,8 @@
 	if c == ratelimit.Unchanged {
 		return
 	}
-	if c == ratelimit.Ended {
-		f.limiter.Raised(id)
+	if c == ratelimit.LimitEnded {
+		f.limiter.LimitRaised(id)
 	}
 	if f.limitLogLimiter.allow(now, id) {
 		f.journal.HostEvent(c.String(), "upstream", id, "per_second", rate, "from", from, "age", age)
@@ -68,18 +68,20 @@
 		_, found := f.fleet.Upstream(id)
 		return found
 	}
-	for _, id := range f.limiter.Words.Forget(now, isKnown) {
-		f.journal.HostEvent(ratelimit.Ended.String(), "upstream", id, "why", "no answer confirmed it")
+	for _, id := range f.limiter.NamedLimits.Prune(now, isKnown) {
+		f.journal.HostEvent(ratelimit.LimitEnded.String(), "upstream", id, "why", "no answer confirmed it")
 	}
 	f.limitLogLimiter.prune(now)
 	f.signalLogLimiter.prune(now)
 	f.backoffNoticeLimiter.prune(now)
-	f.limiter.Forget(now, func(id member.UpstreamID) bool {
-		_, named := f.limiter.Words.Bound(now, id)
+	f.limiter.Prune(now, func(id member.UpstreamID) bool {
+		_, named := f.limiter.NamedLimits.EffectiveRate(now, id)
 		return named || f.fleet.IsCold(now, id)
 	})
 }
 
 // LimitedUpstreams lists the upstreams that announce a limit, and those that are returning to
 // their normal rate after one.
-func (f *Forwarder) LimitedUpstreams() []ratelimit.Entry { return f.limiter.Words.Entries(f.now()) }
+func (f *Forwarder) LimitedUpstreams() []ratelimit.LimitStatus {
+	return f.limiter.NamedLimits.Statuses(f.now())
+}
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -147,7 +147,7 @@
 
 // newLimitSite returns a site with hosts in several zones and upstreams that announce limits.
 func newLimitSite(fleet *limitingFleet, zones, hostsPerZone, upstreams int) *site {
-	s := newCrashSiteOf(fleet.fakeFleet, zones, hostsPerZone, upstreams)
+	s := newCrashSiteWith(fleet.fakeFleet, zones, hostsPerZone, upstreams)
 	for _, f := range s.hosts {
 		f.transport = &fakeTransport{send: fleet.sendFrom(f.settings.Self.ID), checkReachable: fleet.checkReachable}
 	}
@@ -197,7 +197,7 @@
 // counted in whole requests, and that nine tenths of the limits are used while the demand is
 // higher. No caller may wait for a refusal, or be told that its request may have run.
 func TestLimitsKeptAndUsed(t *testing.T) {
-	const from = siteSettleTime + contactBound
+	const from = siteSettleTime + maxPropagationDelay
 	for name, d := range map[string]limitScenario{
 		"calls, at all hosts":         {path: "/order/", perSecond: 40},
 		"calls, at one host":          {path: "/order/", perSecond: 40, atOneHost: true},
@@ -271,8 +271,8 @@
 			}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 				got, takes := 0, 0.0
 				for _, n := range needs {
-					got += fleet.requestCount(n.upstream, siteSettleTime+contactBound, until)
-					takes += float64(n.rate) * (until - siteSettleTime - contactBound).Seconds()
+					got += fleet.requestCount(n.upstream, siteSettleTime+maxPropagationDelay, until)
+					takes += float64(n.rate) * (until - siteSettleTime - maxPropagationDelay).Seconds()
 					if rule, aim := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream); rule.exceeded() || aim.exceeded() {
 						t.Errorf("upstream %s got more than its limit: %v; tolerated maximum: %v", n.upstream, aim, rule)
 					}
@@ -304,7 +304,7 @@
 					needs: needs, duration: until, onPermitCount: func(n int64) { asks = n },
 				}.run(t, *limitSeedFlag, func(t *testing.T, fleet *limitingFleet, tally *limitTally) {
 					for _, n := range needs {
-						rule, aim, used := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream), fleet.usedFraction(n.upstream, siteSettleTime+contactBound, until, n.rate)
+						rule, aim, used := fleet.worstOverTolerance(n.upstream), fleet.worstOverLimit(n.upstream), fleet.usedFraction(n.upstream, siteSettleTime+maxPropagationDelay, until, n.rate)
 						t.Logf("upstream %s with a limit of %v per second: %v; used share %.2f", n.upstream, float64(n.rate), aim, used)
 						if rule.exceeded() || aim.exceeded() {
 							t.Errorf("upstream %s got more than its limit: %v; tolerated maximum: %v", n.upstream, aim, rule)
--- a/forward/peers.go
+++ b/forward/peers.go
@@ -56,7 +56,7 @@
 	// Crashes are the requests during which upstreams crashed, those that the peer may not have.
 	Crashes []quarantine.Mark
 	// Limits are the newest rate limits that upstreams have given.
-	Limits []ratelimit.Mark
+	Limits []ratelimit.PeerReport
 	// Backoffs are the upstreams that have asked the host to send nothing for a while.
 	Backoffs []backoff.Mark
 	// Announcements are announcements of hosts. Only the reply to a host that has just started has
@@ -76,7 +76,7 @@
 	// Ask asks a peer to place a run on one of the engines of its zone.
 	Ask(ctx context.Context, to Peer, a PlacementRequest) (PlacementGrant, error)
 	// Permit asks a peer for permission to send to an upstream.
-	Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error)
+	Permit(ctx context.Context, to Peer, a permit.GrantRequest) (permit.GrantReply, error)
 	// Rollout reports what this host observed of a rollout to the peer that decides about it, and
 	// returns the rollout's status there.
 	Rollout(ctx context.Context, to Peer, r rollout.Report) (rollout.Status, error)
@@ -153,7 +153,7 @@
 		f.engines.forgetUnknownPeers(now, f.peers.isKnown)
 		f.engines.updateKnownParts(now, f.peers.zoneByHost())
 		share := f.newShare(now)
-		for _, to := range f.peers.shareTargets(now, period, all, f.crashes.Behind) {
+		for _, to := range f.peers.shareTargets(now, period, all, f.crashes.LacksLocalChanges) {
 			pending.Go(func() { f.shareWith(ctx, peers, to, share) })
 		}
 		if period {
@@ -212,7 +212,7 @@
 		From: f.peers.self, AnnouncementCount: count, AnnouncementAge: age, Version: f.versionInForce(), ConfigAge: f.ContactAge(now), OriginAge: f.OriginAge(now), Stopping: f.Stopping(),
 		Leaving: f.fleet.LeavingMarks(now),
 		Failing: f.fleet.FailingMarks(now), Cold: f.fleet.ColdMarks(now), List: f.fleet.Revision(), Zones: f.fleet.ZoneOrdersSince(history.Point{}, true), Epoch: f.peers.epoch,
-		Limits: f.limiter.Words.Marks(now), Backoffs: f.backoffs.Marks(now),
+		Limits: f.limiter.NamedLimits.PeerReports(now), Backoffs: f.backoffs.Marks(now),
 	}
 }
 
@@ -221,7 +221,7 @@
 	ctx, cancel := context.WithTimeout(ctx, shareTimeout)
 	defer cancel()
 	var upTo uint64
-	share.Crashes, upTo = f.crashes.Tell(f.now(), to.ID)
+	share.Crashes, upTo = f.crashes.UnsentMarks(f.now(), to.ID)
 	suspendedBefore := f.settings.Clock.TotalSuspended()
 	reply, err := peers.Share(ctx, to, share)
 	f.peers.recordShareResult(to.ID, err)
@@ -233,7 +233,7 @@
 			f.peers.recordExchange(f.now(), reply.From.ID)
 		}
 		f.receiveShare(reply)
-		f.crashes.Told(reply.From.ID, reply.Epoch, upTo)
+		f.crashes.MarksSent(reply.From.ID, reply.Epoch, upTo)
 	}
 }
 
@@ -263,7 +263,7 @@
 		f.receivePeerBackoff(now, s.From.ID, mark)
 	}
 	f.resetRestartedUpstreams()
-	f.crashes.Met(s.From.ID, s.Epoch)
+	f.crashes.PeerSeen(s.From.ID, s.Epoch)
 	f.receivePeerCrashes(now, s.Crashes)
 	if len(s.Announcements) > 0 {
 		f.peers.receiveAnnouncements(now, s.From.ID, s.Announcements)
@@ -299,7 +299,7 @@
 		reply.Runs, reply.EndedRuns = f.engines.runStates(now), f.engines.endedRuns(now)
 		f.peers.recordExchange(now, s.From.ID)
 	}
-	reply.Crashes, _ = f.crashes.Tell(now, s.From.ID)
+	reply.Crashes, _ = f.crashes.UnsentMarks(now, s.From.ID)
 	if s.List.IsZero() {
 		reply.Announcements = f.peers.announcementsForJoiner(now, s.From.ID)
 	}
--- a/forward/permits.go
+++ b/forward/permits.go
@@ -19,7 +19,7 @@
 // limit that it announced and the one for cold upstreams. It returns false if the upstream has
 // no limit.
 func (f *Forwarder) rateLimitFor(now time.Time, s *Service, u Upstream) (ratelimit.Rate, bool) {
-	named, isNamed := f.limiter.Words.Bound(now, u.ID)
+	named, isNamed := f.limiter.NamedLimits.EffectiveRate(now, u.ID)
 	cold, isCold := f.coldRateLimit(now, s, u)
 	switch {
 	case !isNamed:
@@ -33,7 +33,7 @@
 // mayBeThrottled reports whether a backoff or a rate limit may apply to some upstream of a
 // service.
 func (f *Forwarder) mayBeThrottled(now time.Time, s *Service) bool {
-	return f.backoffs.HasUpstreams() || f.limiter.Words.Any() || s.ColdRate > 0 && f.fleet.AnyCold(now)
+	return f.backoffs.HasUpstreams() || f.limiter.NamedLimits.Any() || s.ColdRate > 0 && f.fleet.AnyCold(now)
 }
 
 // permitRequest asks for permission to send something to an upstream.
@@ -56,7 +56,7 @@
 		return 0, true
 	}
 	asked := f.limiter.Wait(now, r.upstream.ID) == 0
-	v := f.limiter.Take(ctx, permit.Request{Upstream: r.upstream.ID, Rate: rate, Rank: r.rank, Repeat: r.repeat, Must: r.must})
+	v := f.limiter.Acquire(ctx, permit.Request{Upstream: r.upstream.ID, Rate: rate, Rank: r.rank, Repeat: r.repeat, Must: r.must})
 	if !r.must {
 		f.observer.Permit(v.Outcome)
 	}
@@ -67,7 +67,9 @@
 }
 
 // OnPermit serves a peer that asks for a permit to send to an upstream.
-func (f *Forwarder) OnPermit(a permit.Ask) permit.Reply { return f.limiter.OnAsk(a) }
+func (f *Forwarder) OnPermit(a permit.GrantRequest) permit.GrantReply {
+	return f.limiter.HandleGrantRequest(a)
+}
 
 // sendDelay returns how long it is until this host may send to an upstream, or may ask for a
 // permit to do so; zero if it may now.
@@ -90,18 +92,18 @@
 	return p.peers.responsibleHost(now, string(id), p.peers.upstreamCell(u))
 }
 
-func (p permitSite) Hosts(now time.Time) (heard, known int) {
+func (p permitSite) HostCounts(now time.Time) (heard, known int) {
 	return p.peers.liveHosts(now), p.peers.recentMaxHosts(now)
 }
 
-// Heard returns how many hosts are live and how many are known. It counts the hosts of all
+// CellHostCounts returns how many hosts are live and how many are known. It counts the hosts of all
 // zones unless zones are divided into cells. Then it counts this host's cell only, because an
 // upstream's permits are granted within its cell.
-func (p permitSite) Heard(now time.Time) (heard, known int) {
+func (p permitSite) CellHostCounts(now time.Time) (heard, known int) {
 	if p.peers.zonesDivided() {
 		return p.peers.cellHostCounts(now)
 	}
-	return p.Hosts(now)
+	return p.HostCounts(now)
 }
 
 func (p permitSite) Zone(id member.UpstreamID) (member.Zone, bool) {
@@ -109,17 +111,17 @@
 	return u.Zone, known
 }
 
-func (p permitSite) ReceiveWord(now time.Time, from member.HostID, m ratelimit.Mark) {
+func (p permitSite) ReceiveLimitMark(now time.Time, from member.HostID, m ratelimit.PeerReport) {
 	p.receivePeerLimit(now, from, m)
 }
 
 // errPeersUnavailable is returned while this host cannot send requests to its peers yet.
 var errPeersUnavailable = errors.New("connections to peers are not set up yet")
 
-func (p permitSite) AskPeer(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
+func (p permitSite) AskPeer(ctx context.Context, to Peer, a permit.GrantRequest) (permit.GrantReply, error) {
 	peers := p.loadPeerPort()
 	if peers == nil {
-		return permit.Reply{}, errPeersUnavailable
+		return permit.GrantReply{}, errPeersUnavailable
 	}
 	bounded, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 	defer cancel()
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -41,7 +41,7 @@
 
 // quarantineEvidence returns the evidence that upstreams end under the request.
 func (x *exchange) quarantineEvidence(now time.Time) quarantine.Evidence {
-	e, f := x.crashes.Judge(now, x.requestIdentity(), x.cachedFingerprint.Load())
+	e, f := x.crashes.Evaluate(now, x.requestIdentity(), x.cachedFingerprint.Load())
 	x.cachedFingerprint.Store(f)
 	return e
 }
@@ -51,10 +51,10 @@
 // move, a resumed stream, and the end of a wait.
 func (x *exchange) mustHoldBack(now time.Time) bool {
 	e := x.quarantineEvidence(now)
-	if e.Standing < quarantine.Tried || e.Standing == quarantine.Tried && x.claimQuarantineTrial(now) {
+	if e.Standing < quarantine.TrialDue || e.Standing == quarantine.TrialDue && x.claimQuarantineTrial(now) {
 		return false
 	}
-	x.journal.Request(x.call.ID, "held back", "asks", x.fingerprint(), "upstreams_ended", e.Ended, "last_ended_ago", e.Last)
+	x.journal.Request(x.call.ID, "held back", "asks", x.fingerprint(), "upstreams_ended", e.UpstreamsEnded, "last_ended_ago", e.SinceLastEnd)
 	return true
 }
 
@@ -64,7 +64,7 @@
 func (x *exchange) claimQuarantineTrial(now time.Time) bool {
 	x.quarantineTrialMu.Lock()
 	defer x.quarantineTrialMu.Unlock()
-	if !x.isQuarantineTrial && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.TakeTry(now, x.fingerprint()) {
+	if !x.isQuarantineTrial && x.peers.siteDutyHost(now, x.fingerprint().String()) == x.peers.self.ID && x.crashes.BeginTrial(now, x.fingerprint()) {
 		x.isQuarantineTrial = true
 		x.journal.Request(x.call.ID, "tried again", "asks", x.fingerprint())
 	}
@@ -79,8 +79,8 @@
 // are notified at once, because the request may reach any of them next.
 func (x *exchange) recordCrash(now time.Time, u Upstream) {
 	f := x.fingerprint()
-	e := x.crashes.Crashed(now, f, quarantine.Origin{Caller: string(x.account.Name), Route: x.route.Name}, quarantine.Upstream{ID: u.ID, Life: int64(u.Incarnation)})
-	x.journal.Request(x.call.ID, "upstream ended under it", "upstream", u.ID, "life", u.Incarnation, "asks", f, "upstreams_ended", e.Ended, "held", e.Standing == quarantine.Held)
+	e := x.crashes.RecordCrash(now, f, quarantine.Origin{Caller: string(x.account.Name), Route: x.route.Name}, quarantine.Upstream{ID: u.ID, Incarnation: int64(u.Incarnation)})
+	x.journal.Request(x.call.ID, "upstream ended under it", "upstream", u.ID, "life", u.Incarnation, "asks", f, "upstreams_ended", e.UpstreamsEnded, "held", e.Standing == quarantine.Held)
 	if e.Standing == quarantine.Held {
 		x.cancelQuarantined([]quarantine.Fingerprint{f})
 		x.queueSave(f)
@@ -91,11 +91,11 @@
 // recordSurvival records that an upstream ran the request and is still running.
 func (x *exchange) recordSurvival(now time.Time) {
 	e := x.quarantineEvidence(now)
-	if e.Standing == quarantine.Clear || !x.crashes.RanWell(now, x.fingerprint()) {
+	if e.Standing == quarantine.Clear || !x.crashes.ClearCrashes(now, x.fingerprint()) {
 		return
 	}
 	x.journal.Request(x.call.ID, "ran well", "asks", x.fingerprint())
-	if e.Standing >= quarantine.Tried {
+	if e.Standing >= quarantine.TrialDue {
 		x.queueSave(x.fingerprint())
 	}
 }
@@ -164,7 +164,7 @@
 func (f *Forwarder) OnQuarantine(release *quarantine.Fingerprint) (entries []quarantine.Entry, released bool) {
 	now := f.now()
 	if release != nil {
-		if released = f.crashes.RanWell(now, *release); released {
+		if released = f.crashes.ClearCrashes(now, *release); released {
 			f.journal.HostEvent("let through again", "asks", *release, "by", "operator")
 			f.peers.notifyAll()
 			f.queueSave(*release)
--- a/forward/quarantine_test.go
+++ b/forward/quarantine_test.go
@@ -99,7 +99,7 @@
 			d.crashThreeUpstreams("/llm/", crashingPrefix)
 			time.Sleep(10 * time.Second)
 			d.reconnect(cut.settings.Self.PeerAddress)
-			time.Sleep(contactBound)
+			time.Sleep(maxPropagationDelay)
 			if !d.heldBackAt(cut, "/llm/", crashingPrefix) {
 				d.Errorf("the host that was cut off sends the quarantined request after its return")
 			}
@@ -114,7 +114,7 @@
 			d.replaceHost(again)
 			d.start(d.ctx, again)
 			go again.Run(d.ctx)
-			time.Sleep(contactBound)
+			time.Sleep(maxPropagationDelay)
 			if !d.heldBackAt(again, "/llm/", crashingPrefix) {
 				d.Errorf("the restarted host sends the quarantined request")
 			}
@@ -128,7 +128,7 @@
 			d.origin.unavailable.Store(false)
 			time.Sleep(3 * time.Second)
 			d.restartAll()
-			time.Sleep(contactBound)
+			time.Sleep(maxPropagationDelay)
 			for n := range 6 {
 				if !d.heldBackAt(d.hostAt(n), "/llm/", crashingPrefix) {
 					d.Errorf("host %d sends the quarantined request", n)
@@ -146,7 +146,7 @@
 			}
 			time.Sleep(time.Second)
 			d.restartAll()
-			time.Sleep(contactBound)
+			time.Sleep(maxPropagationDelay)
 			if d.heldBackAt(d.hostAt(0), "/llm/", crashingPrefix) {
 				d.Errorf("the released request is held back again after all hosts restarted")
 			}
@@ -183,7 +183,7 @@
 			f := newForwarder(t, &fakeTransport{send: func(context.Context, Upstream, *UpstreamRequest) (*Response, error) { return c.answer(), nil }})
 			asked := call("/order/")
 			x := &exchange{Forwarder: f, call: asked, account: Account{Name: "counter"}}
-			f.crashes.Crashed(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: "app9"})
+			f.crashes.RecordCrash(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: "app9"})
 			f.Serve(t.Context(), asked, &fakeSink{})
 			is.Equal(len(f.Quarantined()) == 0, c.cleared)
 		})
@@ -271,7 +271,7 @@
 			for n := range 6 {
 				entries := d.hostAt(n).crashes.Entries(time.Now())
 				is.Equal(len(entries), 1) // there is no evidence against the other request any longer
-				is.Equal(entries[0].Ended, 3)
+				is.Equal(entries[0].UpstreamsEnded, 3)
 			}
 		})
 	})
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -50,7 +50,7 @@
 // ready to use.
 type rolloutDecider struct {
 	mu     sync.Mutex
-	judges map[ServiceName]*rollout.Judge
+	judges map[ServiceName]*rollout.Decider
 }
 
 // addReport adds a host's report to the evidence.
@@ -58,24 +58,24 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.judges == nil {
-		d.judges = map[ServiceName]*rollout.Judge{}
+		d.judges = map[ServiceName]*rollout.Decider{}
 	}
 	j := d.judges[r.Service]
 	if j == nil {
-		j = &rollout.Judge{}
+		j = &rollout.Decider{}
 		d.judges[r.Service] = j
 	}
-	j.Take(now, r)
+	j.ReceiveReport(now, r)
 }
 
-func (d *rolloutDecider) decide(now time.Time, s rollout.Status, f rollout.Fleet) (rollout.Phase, float64) {
+func (d *rolloutDecider) decide(now time.Time, s rollout.Status, f rollout.FleetState) (rollout.Phase, float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	j := d.judges[s.Service]
 	if j == nil {
 		return s.Phase, 0
 	}
-	return j.Decide(now, s, f), j.Against()
+	return j.Decide(now, s, f), j.EvidenceAgainst()
 }
 
 // receiveRollouts records the state of rollouts as received from the origin or a peer.
@@ -85,7 +85,7 @@
 			continue
 		}
 		f.rolloutObservations.Begin(s)
-		f.journal.HostEvent("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.Given, "age", s.Age)
+		f.journal.HostEvent("rollout", "service", s.Service, "target", s.Target, "phase", s.Phase, "withdrawn", s.Withdrawn, "given", s.GivenAt, "age", s.Age)
 		f.fleet.WakeWaiters()
 	}
 }
@@ -93,7 +93,7 @@
 // receiveRolloutRecords records the phases that the origin has stored.
 func (f *Forwarder) receiveRolloutRecords(records []rollout.Status) {
 	for _, r := range records {
-		if f.rollouts.Record(r) {
+		if f.rollouts.ReceiveRecord(r) {
 			f.journal.HostEvent("rollout", "service", r.Service, "target", r.Target, "phase", r.Phase, "recorded", r.Recorded)
 			f.fleet.WakeWaiters()
 		}
@@ -102,24 +102,26 @@
 
 // versionConstraint holds the versions that a request may go to. It is safe for concurrent
 // use, because attempts for one request run concurrently.
-type versionConstraint struct{ current atomic.Pointer[rollout.Bound] }
+type versionConstraint struct {
+	current atomic.Pointer[rollout.VersionFilter]
+}
 
-func (v *versionConstraint) get() rollout.Bound {
+func (v *versionConstraint) get() rollout.VersionFilter {
 	if b := v.current.Load(); b != nil {
 		return *b
 	}
-	return rollout.Bound{}
+	return rollout.VersionFilter{}
 }
 
-func (v *versionConstraint) set(b rollout.Bound) {
-	if b != (rollout.Bound{}) || v.current.Load() != nil {
+func (v *versionConstraint) set(b rollout.VersionFilter) {
+	if b != (rollout.VersionFilter{}) || v.current.Load() != nil {
 		v.current.Store(&b)
 	}
 }
 
 // drawVersions draws which versions a new request may go to.
-func (x *exchange) drawVersions(now time.Time) rollout.Bound {
-	return x.rollouts.Bound(x.service.Name, x.settings.RolloutLimits, func(target rollout.Version) (hasTarget, hasOthers bool) {
+func (x *exchange) drawVersions(now time.Time) rollout.VersionFilter {
+	return x.rollouts.DrawFilter(x.service.Name, x.settings.RolloutLimits, func(target rollout.Version) (hasTarget, hasOthers bool) {
 		return x.versionsAvailable(now, x.service.Name, target)
 	})
 }
@@ -169,7 +171,7 @@
 	}
 	for _, s := range x.rollouts.Statuses(now) {
 		if s.Service == u.Service {
-			x.rolloutObservations.Answer(u.Service, rollout.Subject{Route: x.route.Name, Measure: m}, u.Version == s.Target, failed, took)
+			x.rolloutObservations.RecordAnswer(u.Service, rollout.Comparison{Route: x.route.Name, Measure: m}, u.Version == s.Target, failed, took)
 		}
 	}
 }
@@ -181,7 +183,7 @@
 	case kept, errors.Is(t.err, ErrNotSent), ctx.Err() != nil:
 	case t.err == nil && (t.response.WrongInstance || t.response.NotRun || t.response.Signals.RetryAfter > 0):
 	default:
-		p.recordRolloutAnswer(now, u, rollout.Whole, !t.succeeded(), t.elapsed)
+		p.recordRolloutAnswer(now, u, rollout.ResponseTime, !t.succeeded(), t.elapsed)
 	}
 }
 
@@ -219,10 +221,10 @@
 }
 
 func (f *Forwarder) rolloutReport(s rollout.Status) (rollout.Report, uint64) {
-	evidence, count := f.rolloutObservations.Report(s.Service)
-	r := rollout.Report{From: f.peers.self.ID, Service: s.Service, Given: s.Given, Phase: s.Phase, Age: s.Age, Epoch: f.peers.epoch, Evidence: evidence}
+	evidence, count := f.rolloutObservations.Evidence(s.Service)
+	r := rollout.Report{From: f.peers.self.ID, Service: s.Service, GivenAt: s.GivenAt, Phase: s.Phase, Age: s.Age, Epoch: f.peers.epoch, Evidence: evidence}
 	if s.Phase >= rollout.Full {
-		r.Running = f.runningRetired(s.Service)
+		r.RunningRetired = f.runningRetired(s.Service)
 	}
 	return r, count
 }
@@ -251,7 +253,7 @@
 		return
 	}
 	r, count := f.rolloutReport(s)
-	next := sentRolloutReport{now, to.ID, count, s.Phase, s.Given, r.Running}
+	next := sentRolloutReport{now, to.ID, count, s.Phase, s.GivenAt, r.RunningRetired}
 	repeatDue := now.Sub(before.sentAt) >= rolloutReportRepeatFactor*pause && !s.Phase.Ended()
 	before.sentAt = now
 	if next == before && !repeatDue {
@@ -276,7 +278,7 @@
 func (f *Forwarder) OnRollout(r rollout.Report) rollout.Status {
 	now := f.now()
 	f.rolloutDecider.addReport(now, r)
-	f.rollouts.Aged(now, r.Service, r.Given, r.Age)
+	f.rollouts.ReceiveAge(now, r.Service, r.GivenAt, r.Age)
 	for _, s := range f.rollouts.Statuses(now) {
 		if s.Service == r.Service {
 			return s
@@ -289,14 +291,14 @@
 func (f *Forwarder) decideRollout(ctx context.Context, now time.Time, s rollout.Status, records RolloutStore) {
 	r, _ := f.rolloutReport(s)
 	f.rolloutDecider.addReport(now, r)
-	fleet := rollout.Fleet{}
+	fleet := rollout.FleetState{}
 	if !f.peers.zonesDivided() {
 		fleet.Hosts = f.peers.liveHostIDs(now)
 	}
-	fleet.HasTarget, _ = f.versionsAvailable(now, s.Service, s.Target)
+	fleet.TargetAvailable, _ = f.versionsAvailable(now, s.Service, s.Target)
 	phase, against := f.rolloutDecider.decide(now, s, fleet)
 	if phase > s.Phase {
-		f.journal.HostEvent("rollout decided", "service", s.Service, "target", s.Target, "phase", phase, "after", s.Age, "of", s.Lasts, "evidence_against", against)
+		f.journal.HostEvent("rollout decided", "service", s.Service, "target", s.Target, "phase", phase, "after", s.Age, "of", s.Duration, "evidence_against", against)
 	}
 	s.Phase = phase
 	if phase == rollout.RolledBack {
@@ -316,7 +318,7 @@
 	f.receiveRollouts(f.now(), []rollout.Status{s})
 	// The next update from the origin gives the point of the record. Until then the phase
 	// isn't written again.
-	f.rollouts.Written(s.Service, s.Given, s.Phase)
+	f.rollouts.MarkRecorded(s.Service, s.GivenAt, s.Phase)
 }
 
 // Rollouts lists the rollouts that this host knows, each with the evidence against its target
@@ -325,8 +327,8 @@
 	now := f.now()
 	var all []RolloutEntry
 	for _, s := range f.rollouts.Statuses(now) {
-		_, against := f.rolloutDecider.decide(now, s, rollout.Fleet{})
-		evidence, _ := f.rolloutObservations.Report(s.Service)
+		_, against := f.rolloutDecider.decide(now, s, rollout.FleetState{})
+		evidence, _ := f.rolloutObservations.Evidence(s.Service)
 		all = append(all, RolloutEntry{Status: s, DecidingHost: f.peers.firstHost(now).ID, EvidenceAgainst: against, Evidence: evidence})
 	}
 	return all
--- a/forward/rollouts_test.go
+++ b/forward/rollouts_test.go
@@ -52,7 +52,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.nextRevision++
-	s.Given = rev(int(o.nextRevision))
+	s.GivenAt = rev(int(o.nextRevision))
 	o.publishRollouts([]rollout.Status{s}, nil)
 	return s
 }
@@ -167,7 +167,7 @@
 	var failuresMu sync.Mutex
 	fleet, tally := newFakeFleet(), &rolloutTally{}
 	fleet.eventCount = 40 // runs that are not moved end by themselves
-	s := newCrashSiteOf(fleet, d.zones, d.hostsPerZone, 6)
+	s := newCrashSiteWith(fleet, d.zones, d.hostsPerZone, 6)
 	o := &rolloutOrigin{siteOrigin: s.origin, records: map[ServiceName]rollout.Status{}, recordedAt: map[rollout.Phase]time.Time{}, nextRevision: 100}
 	var given time.Time
 	versions := map[member.UpstreamID]rollout.Version{}
@@ -231,7 +231,7 @@
 		tally.mu.Lock()
 		given = time.Now()
 		tally.mu.Unlock()
-		o.publishOrder(rollout.Status{Order: rollout.Order{Service: d.service, Target: "v2", Lasts: rolloutDuration}})
+		o.publishOrder(rollout.Status{Order: rollout.Order{Service: d.service, Target: "v2", Duration: rolloutDuration}})
 	}
 	start := time.Now()
 	for n := 0; time.Since(start) < rolloutDuration+2*time.Second; n++ {
--- a/forward/scale_test.go
+++ b/forward/scale_test.go
@@ -21,29 +21,31 @@
 	"github.com/shedpath/shedpath/roster"
 )
 
-// What one host costs at different sizes of the fleet, counted in virtual time. What grows with the
-// fleet at one host doesn't hold at twice its size.
+// These tests count, in virtual time, the messages of one host at different sizes of the fleet. Load
+// on one host that grows with the fleet limits the size of the fleet.
 
-// scaleSite is a site of which the calls are counted by host.
-type scaleSite struct {
+// countingSite is a site that counts the calls between hosts.
+type countingSite struct {
 	*site
-	mu             sync.Mutex
-	counted        bool
-	in, out        map[member.HostID]int
-	wholes         map[member.HostID]int
-	followersOf    map[member.HostID]map[member.HostID]bool
-	sharesReceived map[member.HostID]int
+	mu sync.Mutex
+	// isCounting enables the counters, which mu guards.
+	isCounting        bool
+	callsIn, callsOut map[member.HostID]int
+	// completeReplies counts the Follow calls that a host answered with its complete list.
+	completeReplies map[member.HostID]int
+	followersOf     map[member.HostID]map[member.HostID]bool
+	sharesReceived  map[member.HostID]int
 }
 
-func (s *scaleSite) note(from, to member.HostID, follow bool) {
+func (s *countingSite) recordCall(from, to member.HostID, isFollow bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.counted {
+	if !s.isCounting {
 		return
 	}
-	s.out[from]++
-	s.in[to]++
-	if !follow {
+	s.callsOut[from]++
+	s.callsIn[to]++
+	if !isFollow {
 		s.sharesReceived[to]++
 		return
 	}
@@ -53,54 +55,55 @@
 	s.followersOf[to][from] = true
 }
 
-// scalePort counts a host's calls.
-type scalePort struct {
+// countingPort counts the calls of one host.
+type countingPort struct {
 	sitePeers
-	counts *scaleSite
+	counter *countingSite
 }
 
-func (p scalePort) Share(ctx context.Context, to Peer, share Share) (Share, error) {
-	p.counts.note(p.self, to.ID, false)
+func (p countingPort) Share(ctx context.Context, to Peer, share Share) (Share, error) {
+	p.counter.recordCall(p.self, to.ID, false)
 	return p.sitePeers.Share(ctx, to, share)
 }
 
-func (p scalePort) Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error) {
-	p.counts.note(p.self, to.ID, true)
+func (p countingPort) Follow(ctx context.Context, to Peer, r FollowRequest) (FollowReply, error) {
+	p.counter.recordCall(p.self, to.ID, true)
 	reply, err := p.sitePeers.Follow(ctx, to, r)
 	if reply.Complete {
-		p.counts.mu.Lock()
-		p.counts.wholes[to.ID]++
-		p.counts.mu.Unlock()
+		p.counter.mu.Lock()
+		p.counter.completeReplies[to.ID]++
+		p.counter.mu.Unlock()
 	}
 	return reply, err
 }
 
-// directoryOrigin is the origin with the hosts that are on the directory.
+// directoryOrigin is an origin whose directory lists the given hosts.
 type directoryOrigin struct {
 	*siteOrigin
-	hosts []Peer
-	asked *atomic.Int64
+	hosts      []Peer
+	hostsReads *atomic.Int64
 }
 
 func (o directoryOrigin) Hosts(context.Context) ([]Peer, error) {
-	o.asked.Add(1)
+	o.hostsReads.Add(1)
 	return o.hosts, nil
 }
 
-// scaleZones is how many zones a fleet of some hosts has: the smallest divided zones have 49 hosts, and
-// the race detector is slow with hundreds.
-func scaleZones(hosts int) int {
+// zonesForFleet returns the number of zones for a fleet of the given size. A zone is divided into
+// cells from 49 hosts on, and the race detector is slow with hundreds of hosts; with two zones, a
+// fleet of about a hundred hosts has divided zones.
+func zonesForFleet(hosts int) int {
 	if hosts < 240 {
 		return 2
 	}
 	return 5
 }
 
-// newScaleSite starts a site with ten engines a host.
-func newScaleSite(ctx context.Context, hosts int) *scaleSite {
-	zones := scaleZones(hosts)
-	s := &scaleSite{
-		site: newSite(zones, hosts/zones, true), in: map[member.HostID]int{}, out: map[member.HostID]int{}, wholes: map[member.HostID]int{},
+// newCountingSite starts a site with ten engines per host.
+func newCountingSite(ctx context.Context, hosts int) *countingSite {
+	zones := zonesForFleet(hosts)
+	s := &countingSite{
+		site: newSite(zones, hosts/zones, true), callsIn: map[member.HostID]int{}, callsOut: map[member.HostID]int{}, completeReplies: map[member.HostID]int{},
 		followersOf: map[member.HostID]map[member.HostID]bool{}, sharesReceived: map[member.HostID]int{},
 	}
 	s.origin.list = nil
@@ -113,7 +116,7 @@
 	for n := range hosts {
 		f := s.nthHost(n)
 		self := &f.settings.Self
-		// The first ten of each zone carry ten times as much.
+		// The first ten hosts of each zone have ten times the capacity.
 		self.Capacity = 20
 		if n/zones < 10 {
 			self.Capacity = 200
@@ -121,7 +124,7 @@
 		f.peers.self, f.peers.roster = *self, roster.New(*self, f.peers.epoch)
 	}
 	for _, f := range s.hosts {
-		go f.RunPeers(ctx, scalePort{sitePeers{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
+		go f.RunPeers(ctx, countingPort{sitePeers{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
 		go f.Follow(ctx, s.origin)
 		go f.RunDirectory(ctx, siteDirectory{s.directoryWrites[f.settings.Self.ID]})
 		go f.Run(ctx)
@@ -129,8 +132,9 @@
 	return s
 }
 
-// perSecond is the middle and the highest of some counts, by the second.
-func perSecond(counts map[member.HostID]int, hosts int, d time.Duration) (middle, most float64) {
+// ratesPerSecond returns the median and the highest of the hosts' counts, per second. Hosts
+// without a count have zero.
+func ratesPerSecond(counts map[member.HostID]int, hosts int, d time.Duration) (median, highest float64) {
 	all := make([]int, 0, hosts)
 	for _, n := range counts {
 		all = append(all, n)
@@ -142,40 +146,42 @@
 	return float64(all[len(all)/2]) / d.Seconds(), float64(all[len(all)-1]) / d.Seconds()
 }
 
-// undividedMessages are what a host of the largest undivided zone gets and answers in a second: two of
-// each of the 47 others, and some of other zones.
-const undividedMessages = 2 * (47 + 8)
+// undividedZoneMessages is how many messages per second a host of the largest undivided zone
+// receives and answers: two from each of the 47 other hosts of its zone, and some from other
+// zones.
+const undividedZoneMessages = 2 * (47 + 8)
 
-// TestMessagesAHost has the messages of a host be bounded whatever the size of the fleet.
-func TestMessagesAHost(t *testing.T) {
-	const settles, lasts = 6 * time.Second, 3 * time.Second
-	var middles []float64
+// TestMessagesPerHost checks that the number of messages per host is bounded at any size of the
+// fleet.
+func TestMessagesPerHost(t *testing.T) {
+	const settleTime, countTime = 6 * time.Second, 3 * time.Second
+	var medians []float64
 	for _, hosts := range scaleSizes(t) {
 		t.Run(fmt.Sprint(hosts), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				s := newScaleSite(ctx, hosts)
-				time.Sleep(settles)
-				up := 0
+				s := newCountingSite(ctx, hosts)
+				time.Sleep(settleTime)
+				ready := 0
 				for _, f := range s.hosts {
 					if f.versionInForce() == 1 && f.OriginAge(time.Now()) < 3*time.Second {
-						up++
+						ready++
 					}
 				}
 				reads := s.origin.reads.Load()
 				s.mu.Lock()
-				s.counted = true
+				s.isCounting = true
 				s.mu.Unlock()
 				watches := s.origin.watches.Load()
-				time.Sleep(lasts)
+				time.Sleep(countTime)
 				watches = s.origin.watches.Load() - watches
-				// How long a change takes to all hosts.
+				// Measure how long a change takes to reach all hosts.
 				published := time.Now()
 				u, _ := s.firstHost().fleet.Upstream(s.origin.list[0].ID)
 				u.Leaving, u.Revision = true, rev(90)
 				s.origin.publish(Change{Upstream: u})
-				var reached time.Duration
+				var propagation time.Duration
 				for known := 0; known < hosts && time.Since(published) < 10*time.Second; {
 					time.Sleep(time.Millisecond)
 					known = 0
@@ -184,51 +190,51 @@
 							known++
 						}
 					}
-					reached = time.Since(published)
+					propagation = time.Since(published)
 				}
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				in, inMost := perSecond(s.in, hosts, lasts)
-				out, outMost := perSecond(s.out, hosts, lasts)
-				followers, wholes, known, entries := 0, 0, 0, 0
-				for _, of := range s.followersOf {
-					followers = max(followers, len(of))
+				inMedian, inHighest := ratesPerSecond(s.callsIn, hosts, countTime)
+				outMedian, outHighest := ratesPerSecond(s.callsOut, hosts, countTime)
+				followers, completeReplies, known, entries := 0, 0, 0, 0
+				for _, hostFollowers := range s.followersOf {
+					followers = max(followers, len(hostFollowers))
 				}
-				for _, n := range s.wholes {
-					wholes = max(wholes, n)
+				for _, n := range s.completeReplies {
+					completeReplies = max(completeReplies, n)
 				}
 				for _, f := range s.hosts {
 					known = max(known, f.peers.count(func(*peerState) bool { return true }))
 					entries += int(s.directoryWrites[f.settings.Self.ID].Load())
 				}
-				t.Logf("%d hosts, %d up: in %.1f, %.1f at the busiest; out %.1f, %.1f; followers %d at most; whole lists %d at most; hosts known %d; readings of the origin %d, watches %.1f a second; entries %d; a change at all after %v",
-					hosts, up, in, inMost, out, outMost, followers, wholes, known, reads, float64(watches)/lasts.Seconds(), entries, reached)
-				middles = append(middles, in)
-				if up < hosts {
-					t.Errorf("%d of %d hosts are up to date", up, hosts)
+				t.Logf("%d hosts, %d up to date; messages per second received: median %.1f, highest %.1f; sent: median %.1f, highest %.1f; most followers of a host %d; most complete replies by a host %d; most peers known to a host %d; origin reads %d, origin watches per second %.1f; directory entries %d; a change reached all hosts after %v",
+					hosts, ready, inMedian, inHighest, outMedian, outHighest, followers, completeReplies, known, reads, float64(watches)/countTime.Seconds(), entries, propagation)
+				medians = append(medians, inMedian)
+				if ready < hosts {
+					t.Errorf("%d of %d hosts are up to date, expected all", ready, hosts)
 				}
 				if s.firstHost().peers.zonesDivided() && followers > 5*maxFollowers {
-					t.Errorf("%d follow one host", followers)
+					t.Errorf("one host has %d followers, at most %d are allowed", followers, 5*maxFollowers)
 				}
-				if reached > time.Second {
-					t.Errorf("a change reached all after %v", reached)
+				if propagation > time.Second {
+					t.Errorf("a change reached all hosts after %v, at most %v is allowed", propagation, time.Second)
 				}
 				cancel()
 			})
 			synctest.Test(t, func(*testing.T) {})
 		})
 	}
-	const mostMiddle = undividedMessages
-	for i, in := range middles {
-		if in > mostMiddle {
-			t.Errorf("%.0f messages a second at a host in the middle, %.0f allowed (size %d)", in, float64(mostMiddle), i)
+	const maxMedian = undividedZoneMessages
+	for i, in := range medians {
+		if in > maxMedian {
+			t.Errorf("the median host received %.0f messages per second, at most %.0f are allowed (fleet size with index %d)", in, float64(maxMedian), i)
 		}
 	}
 }
 
-var scaleSizesFlag = flag.String("scale.sizes", "20,104", "sizes of the fleets whose messages are counted")
+var scaleSizesFlag = flag.String("scale.sizes", "20,104", "sizes of the fleets whose messages are counted, in hosts")
 
-// scaleSizes are the sizes that are played.
+// scaleSizes returns the fleet sizes that the flag names.
 func scaleSizes(t *testing.T) (sizes []int) {
 	t.Helper()
 	for _, size := range strings.Split(*scaleSizesFlag, ",") {
@@ -241,23 +247,24 @@
 	return sizes
 }
 
-// TestAllHostsStartAgainAtOnce has a fleet of divided zones be up again within seconds, and few of its
-// hosts read the store, whether or not the addresses that hosts are given at their start are right.
-func TestAllHostsStartAgainAtOnce(t *testing.T) {
+// TestAllHostsRestartAtOnce checks that a fleet with divided zones recovers within seconds after
+// all hosts restart at once, and that few of its hosts read the store. This must also hold if the
+// seed addresses that hosts start with no longer exist.
+func TestAllHostsRestartAtOnce(t *testing.T) {
 	for name, seedsGone := range map[string]bool{"the first hosts are there": false, "the first hosts are gone": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				const hosts, within = 104, 5 * time.Second
+				const hosts, maxRestartTime = 104, 5 * time.Second
 				first, kill := context.WithCancel(t.Context())
-				s := newScaleSite(first, hosts)
+				s := newCountingSite(first, hosts)
 				time.Sleep(4 * time.Second)
 				kill()
 				time.Sleep(time.Second)
 				reads := s.origin.reads.Load()
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				var again []*Forwarder
-				origin := directoryOrigin{siteOrigin: s.origin, asked: &atomic.Int64{}}
+				var restarted []*Forwarder
+				origin := directoryOrigin{siteOrigin: s.origin, hostsReads: &atomic.Int64{}}
 				for _, f := range s.hosts {
 					if s.directoryWrites[f.settings.Self.ID].Load() > 0 {
 						origin.hosts = append(origin.hosts, f.settings.Self)
@@ -269,35 +276,35 @@
 					settings.FirstStart = false
 					f := New(settings, old.transport, silentJournal{}, silentObserver{})
 					s.replaceHost(f)
-					if seedsGone && n < scaleZones(hosts) {
+					if seedsGone && n < zonesForFleet(hosts) {
 						s.makeUnreachable(settings.Self.PeerAddress)
 						continue
 					}
-					again = append(again, f)
+					restarted = append(restarted, f)
 				}
-				for _, f := range again {
-					go f.RunPeers(ctx, scalePort{sitePeers{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
+				for _, f := range restarted {
+					go f.RunPeers(ctx, countingPort{sitePeers{s.site, f.settings.Self.ID, f.settings.Self.PeerAddress}, s})
 					go f.Follow(ctx, origin)
 					go f.RunDirectory(ctx, siteDirectory{s.directoryWrites[f.settings.Self.ID]})
 					go f.Run(ctx)
 				}
-				began, up := time.Now(), 0
-				for up < len(again) && time.Since(began) < 20*time.Second {
+				began, ready := time.Now(), 0
+				for ready < len(restarted) && time.Since(began) < 20*time.Second {
 					time.Sleep(50 * time.Millisecond)
-					up = 0
-					for _, f := range again {
+					ready = 0
+					for _, f := range restarted {
 						if f.versionInForce() > 0 && !f.fleet.Revision().IsZero() {
-							up++
+							ready++
 						}
 					}
 				}
 				took, read := time.Since(began), s.origin.reads.Load()-reads
-				t.Logf("%d of %d up after %v; %d readings of the store, %d of its directory", up, len(again), took, read, origin.asked.Load())
-				if up < len(again) || took > within {
-					t.Errorf("%d of %d up after %v", up, len(again), took)
+				t.Logf("%d of %d hosts ready after %v; %d reads of the store, %d of its directory", ready, len(restarted), took, read, origin.hostsReads.Load())
+				if ready < len(restarted) || took > maxRestartTime {
+					t.Errorf("%d of %d hosts ready after %v, expected all within %v", ready, len(restarted), took, maxRestartTime)
 				}
 				if read > hosts/10 {
-					t.Errorf("%d readings of the store", read)
+					t.Errorf("%d reads of the store, at most %d are allowed", read, hosts/10)
 				}
 				cancel()
 			})
@@ -305,26 +312,27 @@
 	}
 }
 
-// TestWordOfAnUpstreamReachesItsCell has an upstream's word that it leaves, which one host of another
-// zone heard, reach the hosts that place on it at once, and all within the period in which each host
-// is spoken to.
-func TestWordOfAnUpstreamReachesItsCell(t *testing.T) {
+// TestLeavingSignalReachesItsCell checks how an upstream's signal that it is leaving spreads if
+// only one host, in another zone, received it. It must reach the hosts of the upstream's cell,
+// which place work there, at once, and all others within the period in which each host is
+// contacted.
+func TestLeavingSignalReachesItsCell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts = 104
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := newScaleSite(ctx, hosts)
+		s := newCountingSite(ctx, hosts)
 		time.Sleep(5 * time.Second)
-		heard := s.nthHost(1) // of the second zone
-		u, _ := heard.fleet.Upstream(s.origin.list[0].ID)
-		of := heard.peers.upstreamCell(u)
+		receiver := s.nthHost(1) // of the second zone
+		u, _ := receiver.fleet.Upstream(s.origin.list[0].ID)
+		upstreamCell := receiver.peers.upstreamCell(u)
 		s.mu.Lock()
-		s.counted = true
+		s.isCounting = true
 		s.mu.Unlock()
-		told := time.Now()
-		heard.applySignals(told, u, answerToRequest, Signals{Leaving: true})
-		var cellAt, allAt time.Duration
-		for allAt == 0 && time.Since(told) < 20*time.Second {
+		receivedAt := time.Now()
+		receiver.applySignals(receivedAt, u, answerToRequest, Signals{Leaving: true})
+		var cellDelay, allDelay time.Duration
+		for allDelay == 0 && time.Since(receivedAt) < 20*time.Second {
 			time.Sleep(5 * time.Millisecond)
 			inCell, all := true, true
 			for _, f := range s.hosts {
@@ -332,36 +340,36 @@
 					continue
 				}
 				all = false
-				if _, own := f.peers.cellLayout(); own == of {
+				if _, own := f.peers.cellLayout(); own == upstreamCell {
 					inCell = false
 				}
 			}
-			if inCell && cellAt == 0 {
-				cellAt = time.Since(told)
+			if inCell && cellDelay == 0 {
+				cellDelay = time.Since(receivedAt)
 				s.mu.Lock()
-				s.counted = false
+				s.isCounting = false
 				s.mu.Unlock()
 			}
 			if all {
-				allAt = time.Since(told)
+				allDelay = time.Since(receivedAt)
 			}
 		}
 		s.mu.Lock()
-		_, most := perSecond(s.in, hosts, time.Second)
+		_, highest := ratesPerSecond(s.callsIn, hosts, time.Second)
 		s.mu.Unlock()
-		t.Logf("its cell knows after %v, all hosts after %v; %.0f messages at the busiest host until its cell knew", cellAt, allAt, most)
-		if cellAt == 0 || cellAt > leavingKnownWithin/4 {
-			t.Errorf("its cell knows after %v", cellAt)
+		t.Logf("the signal reached the upstream's cell after %v and all hosts after %v; a host received at most %.0f messages until it had reached the cell", cellDelay, allDelay, highest)
+		if cellDelay == 0 || cellDelay > maxLeavingDelay/4 {
+			t.Errorf("the signal reached the upstream's cell after %v (0 means never), at most %v is allowed", cellDelay, maxLeavingDelay/4)
 		}
-		if allAt == 0 {
-			t.Error("not all hosts know")
+		if allDelay == 0 {
+			t.Error("the signal did not reach all hosts within 20 s")
 		}
 		cancel()
 	})
 }
 
-// TestMarksOfAZoneAreBounded has what a host tells of a zone that is cold, or that it can't reach, not
-// grow with the zone.
+// TestMarksOfAZoneAreBounded checks that the number of marks that a host sends about cold
+// upstreams, or about a zone that it can't reach, doesn't grow with the zone.
 func TestMarksOfAZoneAreBounded(t *testing.T) {
 	f := newForwarder(t, &fakeTransport{})
 	now := time.Now()
@@ -378,20 +386,20 @@
 		})
 	}
 	f.fleet.Apply(now, changes, rev(2))
-	own := layout.OfHost(f.settings.Self)
+	own := layout.HostCell(f.settings.Self)
 	f.fleet.SetLayout(layout, own)
 	f.fleet.MarkZoneUnreachable(now, "llm", "z2")
 	cold, ownCold := f.fleet.ColdMarks(now), 0
 	for _, m := range cold {
-		if layout.OfUpstream(m.Upstream, "z1") == own {
+		if layout.UpstreamCell(m.Upstream, "z1") == own {
 			ownCold++
 		}
 	}
 	if len(cold) > maxMarksPerKind || len(f.fleet.FailingMarks(now)) > maxMarksPerKind {
-		t.Errorf("%d cold, %d failing", len(cold), len(f.fleet.FailingMarks(now)))
+		t.Errorf("%d cold marks and %d failing marks, at most %d of each are allowed", len(cold), len(f.fleet.FailingMarks(now)), maxMarksPerKind)
 	}
 	inCell := slices.DeleteFunc(f.fleet.AvailableInCell(now, "llm", own), func(u Upstream) bool { return !f.fleet.IsCold(now, u.ID) })
 	if ownCold < len(inCell) {
-		t.Errorf("%d of its own cell's, which has %d", ownCold, len(inCell))
+		t.Errorf("%d cold marks of the host's own cell, which has %d cold upstreams", ownCold, len(inCell))
 	}
 }
--- a/forward/signalfaults_test.go
+++ b/forward/signalfaults_test.go
@@ -69,10 +69,10 @@
 		// servesAgain says that the upstream has to get requests at the end.
 		servesAgain bool
 	}{
-		"hosts hear it from each other":             {quietFrom: from + contactBound},
+		"hosts hear it from each other":             {quietFrom: from + maxPropagationDelay},
 		"its entry lapses for 1 s":                  {disturb: lapseFor(time.Second)},
 		"its entry lapses for 5 s":                  {disturb: lapseFor(5 * time.Second)},
-		"the store is away until it has long ended": {storeLostAt: 3 * time.Second, storeBackAt: 15 * time.Second, quietFrom: from + contactBound},
+		"the store is away until it has long ended": {storeLostAt: 3 * time.Second, storeBackAt: 15 * time.Second, quietFrom: from + maxPropagationDelay},
 		"hosts start again while the store is away": {
 			storeLostAt: 3 * time.Second, storeBackAt: 15 * time.Second, quietFrom: 12 * time.Second,
 			disturb: func(ctx context.Context, s *site, fleet *signalFleet) {
@@ -158,7 +158,7 @@
 				t.Logf("%v; app00 got %d requests from the start of its signal on", tally, fleet.requestCount("app00", from, until))
 				reportViolations(t, "after the drain time", fleet.drainViolations())
 				reportViolations(t, "after the signal", fleet.strictDrainViolations())
-				if n := fleet.requestCount("app00", from+contactBound, until); n > 0 {
+				if n := fleet.requestCount("app00", from+maxPropagationDelay, until); n > 0 {
 					t.Errorf("app00 got %d requests later than the contact bound after the start of its signal, expected none", n)
 				}
 				if tally.served < tally.calls {
--- a/forward/signals_test.go
+++ b/forward/signals_test.go
@@ -46,7 +46,7 @@
 		f := newForwarder(t, &fakeTransport{})
 		x := &exchange{Forwarder: f, call: call("/status/")}
 		for _, id := range []string{"e1", "e2", "e3"} {
-			x.crashes.Crashed(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: member.UpstreamID(id)})
+			x.crashes.RecordCrash(f.now(), x.fingerprint(), quarantine.Origin{}, quarantine.Upstream{ID: member.UpstreamID(id)})
 		}
 		is.True(x.mustHoldBack(f.now()))
 		time.Sleep(2 * time.Minute)
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		s := newCrashSiteOf(newFakeFleet(), 3, 3, 60)
+		s := newCrashSiteWith(newFakeFleet(), 3, 3, 60)
 		s.serveAll(ctx)
 		time.Sleep(siteSettleTime)
 		callsIn := func(play func()) (shares, follows int64) {
--- a/forward/site_test.go
+++ b/forward/site_test.go
@@ -56,7 +56,7 @@
 		o.savedMarks = map[quarantine.Fingerprint]quarantine.Mark{}
 	}
 	for i := range m.Crashes {
-		m.Crashes[i].Ago = 0
+		m.Crashes[i].Age = 0
 	}
 	o.savedMarks[m.Request] = m
 	return nil
@@ -121,7 +121,7 @@
 	}
 	update.Revision = history.Latest(update.Revision, o.rolloutsRevision)
 	for _, s := range o.rollouts {
-		if s.Given.After(after) {
+		if s.GivenAt.After(after) {
 			update.Rollouts = append(update.Rollouts, s)
 		}
 	}
@@ -360,12 +360,12 @@
 	return PlacementGrant{}, errConnectionLost
 }
 
-func (s sitePeers) Permit(ctx context.Context, to Peer, a permit.Ask) (permit.Reply, error) {
+func (s sitePeers) Permit(ctx context.Context, to Peer, a permit.GrantRequest) (permit.GrantReply, error) {
 	s.permitCalls.Add(1)
 	if f := s.reachHost(ctx, s.address, to); f != nil {
 		return f.OnPermit(a), nil
 	}
-	return permit.Reply{}, errConnectionLost
+	return permit.GrantReply{}, errConnectionLost
 }
 
 func (s sitePeers) Rollout(ctx context.Context, to Peer, r rollout.Report) (rollout.Status, error) {
--- a/forward/turns.go
+++ b/forward/turns.go
@@ -189,7 +189,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var near []Peer
-	cell := p.layout.OfUpstream(u.ID, u.Zone)
+	cell := p.layout.UpstreamCell(u.ID, u.Zone)
 	if p.ownCell == cell {
 		near = append(near, p.self)
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cli is shedpath's command line: the daemon, the stand-ins, and the
-// operators' commands.
+// Package cli implements shedpath's command line: the daemons, the stand-ins for
+// tests, and the operators' commands.
 package cli
 
 import (
@@ -21,26 +21,27 @@
 
 // Exit codes.
 const (
-	exitOK     = 0
-	exitFailed = 1
-	exitUsage  = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
-// System is what a command uses of its process.
+// System holds the parts of the process that a command uses; tests can replace them.
 type System struct {
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
-	// Environment looks a variable up.
-	Environment func(name string) (string, bool)
-	// Signals delivers the requests to stop.
-	Signals func() (<-chan os.Signal, func())
+	// LookupEnv returns an environment variable and whether it is set.
+	LookupEnv func(name string) (string, bool)
+	// NotifySignals returns a channel of stop signals and a function that ends
+	// their delivery.
+	NotifySignals func() (<-chan os.Signal, func())
 }
 
-// Standard is the process's own system.
-func Standard() System {
+// ProcessSystem returns the System of the current process.
+func ProcessSystem() System {
 	return System{
-		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr, Environment: os.LookupEnv,
-		Signals: func() (<-chan os.Signal, func()) {
+		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr, LookupEnv: os.LookupEnv,
+		NotifySignals: func() (<-chan os.Signal, func()) {
 			signals := make(chan os.Signal, 2)
 			signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 			return signals, func() { signal.Stop(signals) }
@@ -48,18 +49,18 @@
 	}
 }
 
-// usageError is a mistake in how a command was called.
+// usageError reports wrong arguments, flags or settings of a command.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// errSilent ends a command that has already said what failed.
-var errSilent = errors.New("failed")
+// errAlreadyReported fails a command that has already printed the cause.
+var errAlreadyReported = errors.New("failed")
 
-// Main runs a command and returns its exit code: 0, 1 for a failure, and 2 for
-// a mistake in the call or its settings.
+// Main runs a command and returns its exit code: 0 for success, 1 for a failure,
+// and 2 for wrong arguments or settings.
 func Main(args []string, s System) int {
-	root := newRoot(&s)
+	root := newRootCommand(&s)
 	root.SetArgs(args)
 	root.SetIn(s.Stdin)
 	root.SetOut(s.Stdout)
@@ -69,26 +70,26 @@
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, errSilent):
-		return exitFailed
+	case errors.Is(err, errAlreadyReported):
+		return exitFailure
 	case errors.As(err, &usage):
 		fmt.Fprintf(s.Stderr, "shedpath: %v\n", err)
 		return exitUsage
 	default:
 		fmt.Fprintf(s.Stderr, "shedpath: %v\n", err)
-		return exitFailed
+		return exitFailure
 	}
 }
 
-func newRoot(s *System) *cobra.Command {
+func newRootCommand(s *System) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "shedpath",
-		Short: "Serve generations of unknown length on crowded engines",
+		Short: "Serve language model generations and service calls",
 		Long: `shedpath serves language model generations and plain service calls from
 small entry hosts in several availability zones.
 
 Every setting is a flag and an environment variable: --peer-key is also
-SHEDPATH_PEER_KEY. The flag goes first.`,
+SHEDPATH_PEER_KEY. A flag takes precedence over its variable.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 		Args:          cobra.NoArgs,
@@ -105,7 +106,8 @@
 	return root
 }
 
-// wrapArgErrors makes wrong arguments of any command a usage error.
+// wrapArgErrors turns the argument errors of cmd and its subcommands into usage
+// errors.
 func wrapArgErrors(cmd *cobra.Command) {
 	check := cmd.Args
 	if check != nil {
@@ -121,7 +123,7 @@
 	}
 }
 
-// logLevels are the values of --log-level.
+// logLevels maps the values of --log-level to filters.
 var logLevels = map[string]level.Option{
 	"debug": level.AllowDebug(), "info": level.AllowInfo(), "warn": level.AllowWarn(), "error": level.AllowError(),
 }
@@ -132,12 +134,12 @@
 	return log.With(logger, "ts", log.DefaultTimestampUTC)
 }
 
-// untilSignals returns a context that ends with the first signal and one that
-// ends with the second.
-func (s *System) untilSignals(parent context.Context) (stop, cut context.Context, release func()) {
+// signalContexts returns two contexts: the first signal cancels stop, the second
+// cancels cut. The caller must call release.
+func (s *System) signalContexts(parent context.Context) (stop, cut context.Context, release func()) {
 	stop, cancelStop := context.WithCancel(parent)
 	cut, cancelCut := context.WithCancel(parent)
-	signals, unsubscribe := s.Signals()
+	signals, unsubscribe := s.NotifySignals()
 	done := make(chan struct{})
 	go func() {
 		for _, cancel := range []context.CancelFunc{cancelStop, cancelCut} {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -13,27 +13,28 @@
 	"github.com/shedpath/shedpath/internal/explain"
 )
 
-// mostUnread is how many lines that can't be read are named; the rest is counted.
-const mostUnread = 10
+// maxUnreadShown is how many unreadable lines of a file are listed; the others are
+// only counted.
+const maxUnreadShown = 10
 
 func newExplainCommand(system *System) *cobra.Command {
 	var request string
 	var failed bool
 	cmd := &cobra.Command{
 		Use:   "explain [FILE...]",
-		Short: "Tell from hosts' logs how requests ended and why",
+		Short: "Show from hosts' logs how requests ended and why",
 		Long: `explain reads the decision lines of one or more hosts, from files or, without any,
 from its standard input. With --request it prints the lines about one request and how
 it ended; without, a table of how requests ended, by cause and route.
 
-What stands before a line's fields, such as the name that a log collector puts there,
-names its host; else the file does. Lines that aren't decision lines are named by file
-and number.`,
+Text before a line's first field, such as a name added by a log collector, identifies
+its host; without such text the file name does. Lines that aren't decision lines are
+reported by file and line number.`,
 		Example: "  shedpath explain host-1.log host-2.log\n  shedpath explain --request 2468b8ce7c66d151 *.log",
 	}
 	s := newSettings(cmd)
 	s.text("request", "", "id of the request to tell about", &request)
-	s.truth("failed", "leave out the requests that were answered or whose callers left", &failed)
+	s.boolean("failed", "leave out the requests that were answered or whose callers left", &failed)
 	cmd.RunE = func(_ *cobra.Command, files []string) error {
 		if err := s.load(system); err != nil {
 			return err
@@ -42,41 +43,45 @@
 		if err != nil {
 			return err
 		}
-		return explainTo(system.Stdout, explain.Stories(lines), request, failed)
+		return writeExplanation(system.Stdout, explain.Timelines(lines), request, failed)
 	}
 	return cmd
 }
 
-func explainTo(to io.Writer, stories []explain.Story, request string, failed bool) error {
+// writeExplanation writes the story of one request, or a table of all requests if
+// request is empty.
+func writeExplanation(out io.Writer, stories []explain.Timeline, request string, failed bool) error {
 	if request == "" {
-		return explain.WriteTable(to, chosen(stories, failed))
+		return explain.WriteTable(out, filterStories(stories, failed))
 	}
 	for _, s := range stories {
 		if s.Request == request {
-			return explain.WriteStory(to, s)
+			return explain.WriteTimeline(out, s)
 		}
 	}
 	return fmt.Errorf("no line is about request %s; above 300 request lines a second a host logs only some requests", request)
 }
 
-func chosen(stories []explain.Story, failed bool) []explain.Story {
+// filterStories returns all stories, or only those of failed requests.
+func filterStories(stories []explain.Timeline, failed bool) []explain.Timeline {
 	if !failed {
 		return stories
 	}
-	var some []explain.Story
+	var failures []explain.Timeline
 	for _, s := range stories {
 		if s.Cause.Failed() {
-			some = append(some, s)
+			failures = append(failures, s)
 		}
 	}
-	return some
+	return failures
 }
 
-// readLogs reads every file, or standard input, and names what couldn't be read.
+// readLogs reads the files, or standard input if there are none, and reports
+// unreadable lines on standard error.
 func readLogs(system *System, files []string) ([]explain.Line, error) {
 	if len(files) == 0 {
 		lines, unread, err := explain.Read("stdin", system.Stdin)
-		nameUnread(system.Stderr, unread)
+		reportUnread(system.Stderr, unread)
 		return lines, err
 	}
 	var all []explain.Line
@@ -86,8 +91,8 @@
 			return nil, err
 		}
 		lines, unread, err := explain.Read(name, file)
-		_ = file.Close() // it was only read
-		nameUnread(system.Stderr, unread)
+		_ = file.Close() // the file was only read
+		reportUnread(system.Stderr, unread)
 		if err != nil {
 			return nil, err
 		}
@@ -96,11 +101,11 @@
 	return all, nil
 }
 
-func nameUnread(to io.Writer, unread []explain.Unread) {
-	for _, u := range unread[:min(len(unread), mostUnread)] {
-		fmt.Fprintf(to, "shedpath: %s\n", u)
+func reportUnread(out io.Writer, unread []explain.UnreadableLine) {
+	for _, u := range unread[:min(len(unread), maxUnreadShown)] {
+		fmt.Fprintf(out, "shedpath: %s\n", u)
 	}
-	if more := len(unread) - mostUnread; more > 0 {
-		fmt.Fprintf(to, "shedpath: %s: %d more lines can't be read\n", unread[0].File, more)
+	if more := len(unread) - maxUnreadShown; more > 0 {
+		fmt.Fprintf(out, "shedpath: %s: %d more lines can't be read\n", unread[0].File, more)
 	}
 }
--- a/internal/cli/rollout.go
+++ b/internal/cli/rollout.go
@@ -17,17 +17,17 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// rolloutTimeout bounds a host's answer.
+// rolloutTimeout bounds the wait for a host's response.
 const rolloutTimeout = 5 * time.Second
 
 func newRolloutCommand(system *System) *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "rollout", Short: "Show the moves of services to other versions",
-		Long: `rollout lists the moves of services to upstreams of another version, as this host of shedpath
-serve knows them (SHEDPATH_NODE_FILE is set), and which host decides.`,
+		Use: "rollout", Short: "Show the rollouts of services to other versions",
+		Long: `rollout lists the rollouts of services to upstreams of another version that this host of
+shedpath serve knows (SHEDPATH_NODE_FILE is set), and the host that decides on each.`,
 		Example: "  shedpath rollout\n  shedpath rollout show orders", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, err := askRollouts(cmd.Context(), system)
+			all, err := fetchRollouts(cmd.Context(), system)
 			if err != nil {
 				return err
 			}
@@ -35,18 +35,19 @@
 		},
 	}
 	cmd.AddCommand(&cobra.Command{
-		Use: "show SERVICE", Short: "Show what this host has seen of a service's versions",
-		Long: `show lists the answers of the versions of a service that this host has seen since the order. The
-host that decides adds up what all have seen; the evidence is shown there.`,
+		Use: "show SERVICE", Short: "Show what this host has observed of a service's versions",
+		Long: `show lists how the versions of a service have answered this host since the rollout was ordered.
+The deciding host adds up the observations of all hosts; run the command there to see the
+evidence.`,
 		Example: "  shedpath rollout show orders", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			all, err := askRollouts(cmd.Context(), system)
+			all, err := fetchRollouts(cmd.Context(), system)
 			if err != nil {
 				return err
 			}
 			for _, r := range all {
 				if string(r.Service) == args[0] {
-					return showRollout(system.Stdout, r)
+					return writeRolloutEvidence(system.Stdout, r)
 				}
 			}
 			return fmt.Errorf("no rollout of %s is known here", args[0])
@@ -55,8 +56,9 @@
 	return cmd
 }
 
-func askRollouts(ctx context.Context, system *System) ([]forward.RolloutEntry, error) {
-	path, err := platform.SettingsPath(system.Environment)
+// fetchRollouts queries the local host of shedpath serve for its rollouts.
+func fetchRollouts(ctx context.Context, system *System) ([]forward.RolloutEntry, error) {
+	path, err := platform.SettingsPath(system.LookupEnv)
 	if err != nil {
 		return nil, usageError{err}
 	}
@@ -64,12 +66,12 @@
 	if err != nil {
 		return nil, usageError{err}
 	}
-	settings.UseEnvironment(system.Environment)
+	settings.ApplyEnvironment(system.LookupEnv)
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
 	all, err := platform.Rollouts(ctx, settings)
 	if err != nil {
-		return nil, fmt.Errorf("%s can't be asked: %w; is shedpath serve running here?", settings.Peers, err)
+		return nil, fmt.Errorf("%s can't be queried: %w; is shedpath serve running here?", settings.PeerAddress, err)
 	}
 	return all, nil
 }
@@ -82,16 +84,16 @@
 		if r.Withdrawn {
 			phase = "withdrawn"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%.1f\t%s\n", r.Service, r.Target, phase, r.Age.Round(time.Millisecond), r.Lasts, r.EvidenceAgainst, r.DecidingHost)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%v\t%.1f\t%s\n", r.Service, r.Target, phase, r.Age.Round(time.Millisecond), r.Duration, r.EvidenceAgainst, r.DecidingHost)
 	}
 	return w.Flush()
 }
 
-func showRollout(out io.Writer, r forward.RolloutEntry) error {
+func writeRolloutEvidence(out io.Writer, r forward.RolloutEntry) error {
 	if err := writeRollouts(out, []forward.RolloutEntry{r}); err != nil {
 		return err
 	}
-	measures := map[rollout.Measure]string{rollout.Whole: "answer", rollout.First: "first event", rollout.Pace: "between events"}
+	measureNames := map[rollout.Measure]string{rollout.ResponseTime: "answer", rollout.TimeToFirstEvent: "first event", rollout.TimeBetweenEvents: "between events"}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nROUTE\tMEASURE\tVERSION\tGOOD\tFAILED\tMEDIAN")
 	for _, e := range r.Evidence {
@@ -99,7 +101,7 @@
 		if e.Target {
 			version = string(r.Target)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%v\n", e.Route, measures[e.Measure], version, e.Good, e.Failed, e.Median().Round(time.Millisecond))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%v\n", e.Route, measureNames[e.Measure], version, e.Succeeded, e.Failed, e.Median().Round(time.Millisecond))
 	}
 	return w.Flush()
 }
--- a/internal/consul/contract_test.go
+++ b/internal/consul/client_test.go
@@ -17,18 +17,18 @@
 	standin "github.com/shedpath/shedpath/standin/platform"
 )
 
-func newContract(t *testing.T, opts ...standin.Option) (*Client, *standin.Server) {
+func newTestClient(t *testing.T, opts ...standin.Option) (*Client, *standin.Server) {
 	t.Helper()
 	service := standin.New(opts...)
 	server := httptest.NewServer(service)
 	t.Cleanup(server.Close)
-	// A budget beyond what the test needs: budgets have tests of their own.
+	// The budget is too large to matter here; budgets have their own tests.
 	return New(server.URL, WithBudget(NewBudget(1e6, 1e6))), service
 }
 
 func TestSwapAndDelete(t *testing.T) {
 	is := is.New(t)
-	c, _ := newContract(t)
+	c, _ := newTestClient(t)
 	ctx := t.Context()
 	item, err := c.Get(ctx, "k")
 	is.NoErr(err)
@@ -38,7 +38,7 @@
 	is.True(done)
 	done, err = c.Swap(ctx, "k", []byte("2"), 0)
 	is.NoErr(err)
-	is.True(!done) // it is there already
+	is.True(!done) // the key exists already
 	item, err = c.Get(ctx, "k")
 	is.NoErr(err)
 	is.Equal(string(item.Value), "1")
@@ -47,7 +47,7 @@
 	is.True(done)
 	done, err = c.Delete(ctx, "k", item.Version)
 	is.NoErr(err)
-	is.True(!done) // it has changed since
+	is.True(!done) // the key has changed since
 	item, err = c.Get(ctx, "k")
 	is.NoErr(err)
 	is.Equal(string(item.Value), "3")
@@ -58,7 +58,7 @@
 
 func TestWatch(t *testing.T) {
 	is := is.New(t)
-	c, service := newContract(t)
+	c, service := newTestClient(t)
 	ctx := t.Context()
 	item, err := c.Get(ctx, "k")
 	is.NoErr(err)
@@ -84,14 +84,14 @@
 
 func TestLeases(t *testing.T) {
 	is := is.New(t)
-	c, _ := newContract(t)
+	c, _ := newTestClient(t)
 	ctx := t.Context()
 	first, err := c.Acquire(ctx, "l", "a", time.Minute)
 	is.NoErr(err)
 	is.True(first.Token > 0)
 	second, err := c.Acquire(ctx, "l", "b", time.Minute)
 	is.NoErr(err)
-	is.Equal(second.Token, uint64(0)) // another holds it
+	is.Equal(second.Token, uint64(0)) // another session holds it
 	is.NoErr(c.Renew(ctx, first))
 	is.NoErr(c.Release(ctx, first))
 	is.True(c.Renew(ctx, first) != nil)
@@ -100,12 +100,12 @@
 	is.True(third.Token > first.Token) // tokens rise
 	lapsing, err := c.Acquire(ctx, "m", "a", time.Nanosecond)
 	is.NoErr(err)
-	is.Equal(lapsing.Token, uint64(0)) // it lapsed before it was read
+	is.Equal(lapsing.Token, uint64(0)) // it expired before the token was read
 }
 
 func TestHosts(t *testing.T) {
 	is := is.New(t)
-	c, service := newContract(t)
+	c, service := newTestClient(t)
 	ctx := t.Context()
 	e := member.Entry{ID: "e1", Zone: "az1", PeerAddress: "10.0.0.1:1"}
 	u := member.Upstream{ID: "g1", Zone: "az2", Address: "10.0.0.2:2", Pool: "desk", Kind: member.KindEngine, Leaving: true}
@@ -120,8 +120,8 @@
 	is.Equal(len(list.Entries), 0) // the list lags by an hour
 }
 
-// TestFaults has each fault of the service be told as what it is: surely
-// without effect, or unsure.
+// TestFaults checks which faults of the service are reported as certainly not sent, and which
+// leave it open whether the write took effect.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults  standin.Faults
@@ -131,12 +131,12 @@
 		written bool
 	}{
 		"outage":      {faults: standin.Faults{Outage: true}},
-		"lost answer": {faults: standin.Faults{DropAnswers: 1}, written: true},
+		"lost answer": {faults: standin.Faults{DropResponses: 1}, written: true},
 		"over rate":   {options: []standin.Option{standin.WithRates(1e-9, 1e9)}, notSent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			client, service := newContract(t, c.options...)
+			client, service := newTestClient(t, c.options...)
 			if c.options != nil {
 				_, err := client.Swap(t.Context(), "first", nil, 0) // uses the burst up
 				is.NoErr(err)
@@ -159,7 +159,7 @@
 	})
 	t.Run("caller gone", func(t *testing.T) {
 		is := is.New(t)
-		client, _ := newContract(t)
+		client, _ := newTestClient(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		_, err := client.Get(ctx, "k")
@@ -171,7 +171,7 @@
 	is := is.New(t)
 	now := time.Now()
 	b := NewBudget(100, 2000)
-	count := func(class Class) (n int) {
+	count := func(class Priority) (n int) {
 		for b.allowWrite(now, class) {
 			n++
 		}
@@ -179,10 +179,10 @@
 	}
 	status, claims, configuration := count(StatusCalls), count(ClaimCalls), count(ConfigurationCalls)
 	is.True(status > 0)
-	is.True(claims > 0)        // left by status
-	is.True(configuration > 0) // left by claims
+	is.True(claims > 0)        // reserved from status calls
+	is.True(configuration > 0) // reserved from claim calls
 	total := status + claims + configuration
-	is.Equal(total, int(100*usedShare*burstSeconds))
+	is.Equal(total, int(100*usedFraction*burstSeconds))
 }
 
 func TestBudgetIsShared(t *testing.T) {
@@ -191,14 +191,14 @@
 	b.SetDaemons(340)
 	start := time.Now()
 	calls := 0
-	// A minute's calls of one daemon, which takes all it can.
+	// One daemon calls as often as it may for a minute.
 	for ms := range 60_000 {
 		if b.allowWrite(start.Add(time.Duration(ms)*time.Millisecond), ConfigurationCalls) {
 			calls++
 		}
 	}
-	share := 100 * usedShare / 340 * 60
-	is.True(float64(calls) <= share+100*usedShare*burstSeconds+leastBurst)
+	share := 100 * usedFraction / 340 * 60
+	is.True(float64(calls) <= share+100*usedFraction*burstSeconds+minBurst)
 }
 
 func TestBreaker(t *testing.T) {
@@ -206,44 +206,46 @@
 	now := time.Now()
 	b := breaker{random: func() float64 { return 1 }}
 	for range failuresToOpen - 1 {
-		b.report(now, false)
+		b.recordOutcome(now, false)
 	}
 	is.True(b.allow(now))
-	b.report(now, false)
+	b.recordOutcome(now, false)
 	is.True(!b.allow(now))
-	now = now.Add(shortestBackoff)
+	now = now.Add(minBackoff)
 	is.True(b.allow(now))  // one trial call
-	is.True(!b.allow(now)) // and no second beside it
+	is.True(!b.allow(now)) // but no second one at the same time
 	for range 20 {
-		b.report(now, false)
+		b.recordOutcome(now, false)
 	}
-	is.True(!b.allow(now.Add(longestBackoff - 1)))
-	is.True(b.allow(now.Add(longestBackoff)))
-	b.report(now, true)
+	is.True(!b.allow(now.Add(maxBackoff - 1)))
+	is.True(b.allow(now.Add(maxBackoff)))
+	b.recordOutcome(now, true)
 	is.True(b.allow(now))
 }
 
-// TestTokenGoesBackAfterARestore: the holder after a restore must fence the one before.
-func TestTokenGoesBackAfterARestore(t *testing.T) {
+// TestTokenRisesAfterRestore checks that the lease holder after a restore fences the earlier
+// one, although the restored service counts from a lower number.
+func TestTokenRisesAfterRestore(t *testing.T) {
 	is := is.New(t)
-	client, server := newContract(t)
-	copied := server.Copy()
+	client, server := newTestClient(t)
+	copied := server.Snapshot()
 	first, err := client.Acquire(t.Context(), "k", "e1", time.Minute)
 	is.NoErr(err)
 	server.Restore(copied)
 	second, err := client.Acquire(t.Context(), "k", "e2", time.Minute)
 	is.NoErr(err)
 	is.True(second.Token > first.Token)
-	is.True(client.Renew(t.Context(), first) != nil) // its session is lost, too
+	is.True(client.Renew(t.Context(), first) != nil) // its session is lost as well
 }
 
-// TestWatchOverARestore: a watch from an index that the copy lacks ends, and tells the era.
-func TestWatchOverARestore(t *testing.T) {
+// TestWatchEndsAfterRestore checks that a watch from an index that the restored copy lacks ends,
+// and reports the new era.
+func TestWatchEndsAfterRestore(t *testing.T) {
 	is := is.New(t)
-	client, server := newContract(t)
+	client, server := newTestClient(t)
 	_, err := client.Swap(t.Context(), "copied", []byte("v"), 0)
 	is.NoErr(err)
-	copied := server.Copy()
+	copied := server.Snapshot()
 	_, err = client.Swap(t.Context(), "k", []byte("v"), 0)
 	is.NoErr(err)
 	before, err := client.Get(t.Context(), "other")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package daemon puts an entry together with its adapters and runs it: the
-// listeners, the platform and engine clients, the peers, metrics and traces.
+// Package daemon assembles and runs an entry process: the entry itself, its
+// listeners, the platform and engine clients, the peer mesh, metrics and traces.
 package daemon
 
 import (
@@ -34,70 +34,74 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Settings are all that an entry process is told at its start. Unlike most
-// types here, its zero value doesn't run: hosts, keys and the platform have no
-// defaults.
+// Settings configures an entry process. Its zero value is not usable: hosts, keys
+// and the platform have no defaults.
 type Settings struct {
-	// Listen, AdminListen and PeerListen are IP:port.
+	// Listen, AdminListen and PeerListen are listen addresses in the form IP:port.
 	Listen, AdminListen, PeerListen string
-	// PeerAdvertise is where peers reach this host; empty takes the address
-	// that PeerListen got.
+	// PeerAdvertise is the address at which peers reach this host. If it is empty,
+	// the address that the peer listener is bound to is used.
 	PeerAdvertise string
 	Host          member.HostID
 	Zone          member.Zone
 	// Platform is the base URL of the platform's service.
 	Platform string
-	// PlatformWrites and PlatformReads are the service's rates, which all
-	// daemons share.
-	PlatformWrites, PlatformReads float64
-	// Register puts the entry on the host list itself.
+	// PlatformWriteRate and PlatformReadRate are the requests per second that the
+	// platform's service allows. All daemons share them.
+	PlatformWriteRate, PlatformReadRate float64
+	// Register makes the daemon add its entry to the platform's host list.
 	Register   bool
 	Peers      []member.Entry
 	PeerKey    string
 	AdminToken string
-	// TLSCertificate and TLSKey are PEM files for the two HTTP listeners;
-	// empty means no TLS.
+	// TLSCertificate and TLSKey are the paths of PEM files for the caller and admin
+	// listeners. If TLSCertificate is empty, both serve without TLS.
 	TLSCertificate, TLSKey string
 	Trace                  telemetry.TraceTarget
 	TraceEndpoint          string
-	// StopGrace is how long new calls are taken after the stop was asked for.
-	StopGrace time.Duration
-	// StopTimeout cuts what still runs then; zero never does.
+	// StopGracePeriod is how long new calls are still accepted after a stop is
+	// requested.
+	StopGracePeriod time.Duration
+	// StopTimeout bounds the whole stop; calls that still run then are aborted. Zero
+	// means no limit.
 	StopTimeout time.Duration
-	// Alone has the entry place without a coordinator.
-	Alone bool
-	// HostListEvery, ConfigPollEvery and LoadEvery are the polls' periods.
-	HostListEvery, ConfigPollEvery, LoadEvery time.Duration
+	// LocalPlacement makes the entry place calls without a coordinator.
+	LocalPlacement bool
+	// HostListInterval, ConfigPollInterval and LoadInterval are the intervals between
+	// polls of the host list, the configuration and the engines' load.
+	HostListInterval, ConfigPollInterval, LoadInterval time.Duration
 }
 
-// Addresses are where a running entry listens.
+// Addresses holds the addresses that a running entry listens on.
 type Addresses struct {
 	Caller, Admin, Peer string
 }
 
-// Daemon is one entry process's worth of parts. Use New.
+// Daemon is an entry process: the entry with its listeners, servers and clients. Use
+// New to create one.
 type Daemon struct {
 	settings  Settings
 	logger    log.Logger
 	output    io.Writer
 	addresses Addresses
 
-	clock   *clock.Clock
-	entry   *entry.Entry
-	mesh    *peer.Mesh
-	store   *consul.Client
-	budget  *consul.Budget
-	metrics *telemetry.Metrics
+	clock          *clock.Clock
+	entry          *entry.Entry
+	mesh           *peer.Mesh
+	platformClient *consul.Client
+	platformBudget *consul.Budget
+	metrics        *telemetry.EntryMetrics
 
 	callerListener, adminListener, peerListener net.Listener
-	// callers is callerListener, or what that secures.
-	callers                   *accept.Listener
+	// callerAcceptor accepts the caller connections: callerListener is either
+	// callerAcceptor itself or a TLS listener on top of it.
+	callerAcceptor            *accept.Listener
 	callerServer, adminServer *http.Server
 	shutdownTraces            func(context.Context) error
 }
 
-// New opens the listeners and puts the parts together. Spans for stdout go to
-// output.
+// New opens the listeners and assembles the daemon. Trace spans for stdout are
+// written to output.
 func New(ctx context.Context, s Settings, logger log.Logger, output io.Writer) (*Daemon, error) {
 	d := &Daemon{settings: s, logger: log.With(logger, "host", s.Host, "zone", s.Zone), output: output}
 	d.clock = clock.System()
@@ -112,29 +116,29 @@
 	return d, nil
 }
 
-// Addresses returns where the entry listens.
+// Addresses returns the addresses that the daemon listens on.
 func (d *Daemon) Addresses() Addresses { return d.addresses }
 
-// Entry returns the entry itself.
+// Entry returns the entry that the daemon runs.
 func (d *Daemon) Entry() *entry.Entry { return d.entry }
 
 func (d *Daemon) listen() error {
-	var problems []error
+	var errs []error
 	open := func(address string) net.Listener {
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
-			problems = append(problems, err)
+			errs = append(errs, err)
 		}
 		return listener
 	}
 	d.callerListener = open(d.settings.Listen)
 	d.adminListener = open(d.settings.AdminListen)
 	d.peerListener = open(d.settings.PeerListen)
-	if len(problems) > 0 {
-		return trace.NewAggregate(problems...)
+	if len(errs) > 0 {
+		return trace.NewAggregate(errs...)
 	}
-	d.callers = &accept.Listener{Listener: d.callerListener, Clock: d.clock}
-	d.callerListener = d.callers
+	d.callerAcceptor = &accept.Listener{Listener: d.callerListener, Clock: d.clock}
+	d.callerListener = d.callerAcceptor
 	d.addresses = Addresses{
 		Caller: d.callerListener.Addr().String(), Admin: d.adminListener.Addr().String(), Peer: d.peerListener.Addr().String(),
 	}
@@ -158,38 +162,38 @@
 		return trace.Wrap(err)
 	}
 	d.shutdownTraces = shutdown
-	d.metrics = telemetry.NewMetrics()
-	d.budget = consul.NewBudget(s.PlatformWrites, s.PlatformReads)
-	d.store = consul.New(s.Platform, consul.WithBudget(d.budget), consul.WithObserver(d.metrics.PlatformCall))
+	d.metrics = telemetry.NewEntryMetrics()
+	d.platformBudget = consul.NewBudget(s.PlatformWriteRate, s.PlatformReadRate)
+	d.platformClient = consul.New(s.Platform, consul.WithBudget(d.platformBudget), consul.WithObserver(d.metrics.PlatformCall))
 	d.mesh = peer.NewMesh(s.Host, []byte(s.PeerKey), peer.WithClock(d.clock))
 	d.entry = entry.New(entry.Settings{
-		Self: d.self(), Seeds: s.Peers, GenerationKey: derive(s.PeerKey, "generation ids"), LocalPlacement: s.Alone,
-		HostListInterval: s.HostListEvery, ConfigPollInterval: s.ConfigPollEvery, LoadInterval: s.LoadEvery, Clock: d.clock,
+		Self: d.selfEntry(), Seeds: s.Peers, GenerationKey: deriveKey(s.PeerKey, "generation ids"), LocalPlacement: s.LocalPlacement,
+		HostListInterval: s.HostListInterval, ConfigPollInterval: s.ConfigPollInterval, LoadInterval: s.LoadInterval, Clock: d.clock,
 	}, entry.Dependencies{
-		Store: d.store, Claims: d.store.Class(consul.ClaimCalls), Outcomes: d.store.Class(consul.StatusCalls),
-		Hosts: d.store, Leases: d.store, Peers: d.mesh,
-		Engines: engine.New(), Services: service.New(), Upstreams: upstreams{},
+		Store: d.platformClient, Claims: d.platformClient.WithPriority(consul.ClaimCalls), Outcomes: d.platformClient.WithPriority(consul.StatusCalls),
+		Hosts: d.platformClient, Leases: d.platformClient, Peers: d.mesh,
+		Engines: engine.New(), Services: service.New(), Upstreams: upstreamProber{},
 		Observer: d.metrics, Logger: d.logger, Tracer: tracer,
 	})
-	d.gauges()
-	return d.serveHTTP(web.NewCaller(d.entry, tracer), web.NewAdmin(d.entry, s.AdminToken, d.callers.Stuck, d.metrics.Handler()))
+	d.registerGauges()
+	return d.newHTTPServers(web.NewCaller(d.entry, tracer), web.NewAdmin(d.entry, s.AdminToken, d.callerAcceptor.PersistentError, d.metrics.Handler()))
 }
 
-// upstreams looks at upstreams' ports.
-type upstreams struct{}
+// upstreamProber checks whether an upstream's port is closed.
+type upstreamProber struct{}
 
-func (upstreams) Closed(ctx context.Context, u member.Upstream) (bool, error) {
-	return reach.Closed(ctx, u.Address)
+func (upstreamProber) Closed(ctx context.Context, u member.Upstream) (bool, error) {
+	return reach.PortClosed(ctx, u.Address)
 }
 
-// derive makes a key for one use out of the site's shared key.
-func derive(key, use string) []byte {
+// deriveKey derives a key for one purpose from the site's shared key.
+func deriveKey(key, use string) []byte {
 	mac := hmac.New(sha256.New, []byte(key))
 	mac.Write([]byte("shedpath " + use))
 	return mac.Sum(nil)
 }
 
-func (d *Daemon) self() member.Entry {
+func (d *Daemon) selfEntry() member.Entry {
 	address := d.settings.PeerAdvertise
 	if address == "" {
 		address = d.addresses.Peer
@@ -197,7 +201,7 @@
 	return member.Entry{ID: d.settings.Host, Zone: d.settings.Zone, PeerAddress: address}
 }
 
-func (d *Daemon) gauges() {
+func (d *Daemon) registerGauges() {
 	d.metrics.Gauge("config_revision", "Configuration revision in force.", func() float64 {
 		return float64(d.entry.Catalog().Revision())
 	})
@@ -220,7 +224,7 @@
 	maxHeaderBytes    = 64 << 10
 )
 
-func (d *Daemon) serveHTTP(caller, admin http.Handler) error {
+func (d *Daemon) newHTTPServers(caller, admin http.Handler) error {
 	newServer := func(h http.Handler) *http.Server {
 		return &http.Server{
 			Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
@@ -241,54 +245,57 @@
 	return nil
 }
 
-// Run serves until stop ends, then stops without cutting a running call; the
-// end of cut cuts what still runs.
-func (d *Daemon) Run(stop, cut context.Context) error {
-	running, cancel := context.WithCancel(cut)
+// Run serves until the context stop ends and then lets running calls finish. Calls
+// that still run are aborted when the context abort ends or StopTimeout passes.
+func (d *Daemon) Run(stop, abort context.Context) error {
+	runCtx, cancel := context.WithCancel(abort)
 	defer cancel()
-	var parts conc.WaitGroup
-	parts.Go(func() { d.entry.Run(running) })
-	parts.Go(func() { d.report("peer listener", d.mesh.Serve(running, d.peerListener, d.entry, d.refusedPeer)) })
-	parts.Go(func() { d.report("caller listener", d.callerServer.Serve(d.callerListener)) })
-	parts.Go(func() { d.report("admin listener", d.adminServer.Serve(d.adminListener)) })
-	parts.Go(func() { d.shareBudget(running) })
+	var tasks conc.WaitGroup
+	tasks.Go(func() { d.entry.Run(runCtx) })
+	tasks.Go(func() {
+		d.logServeError("peer listener", d.mesh.Serve(runCtx, d.peerListener, d.entry, d.logRefusedPeer))
+	})
+	tasks.Go(func() { d.logServeError("caller listener", d.callerServer.Serve(d.callerListener)) })
+	tasks.Go(func() { d.logServeError("admin listener", d.adminServer.Serve(d.adminListener)) })
+	tasks.Go(func() { d.updateBudgetShare(runCtx) })
 	if d.settings.Register {
-		parts.Go(func() { d.register(running) })
+		tasks.Go(func() { d.registerWithRetry(runCtx) })
 	}
 	_ = level.Info(d.logger).Log("msg", "listening", "caller", d.addresses.Caller, "admin", d.addresses.Admin, "peer", d.addresses.Peer)
 	<-stop.Done()
-	d.stop(cut)
+	d.shutDown(abort)
 	cancel()
 	d.mesh.Close()
-	parts.Wait()
+	tasks.Wait()
 	_ = level.Info(d.logger).Log("msg", "stopped")
 	return nil
 }
 
-func (d *Daemon) report(part string, err error) {
+func (d *Daemon) logServeError(listener string, err error) {
 	if err != nil && !errors.Is(err, http.ErrServerClosed) {
-		_ = level.Error(d.logger).Log("msg", part+" failed", "err", err)
+		_ = level.Error(d.logger).Log("msg", listener+" failed", "err", err)
 	}
 }
 
-func (d *Daemon) refusedPeer(err error) {
+func (d *Daemon) logRefusedPeer(err error) {
 	_ = level.Warn(d.logger).Log("msg", "refused a peer", "err", err)
 }
 
-// stop lets every running call end.
-func (d *Daemon) stop(cut context.Context) {
-	ctx := cut
+// shutDown deregisters the entry, waits for its running calls and closes the HTTP
+// servers. It stops waiting when abort ends or StopTimeout passes.
+func (d *Daemon) shutDown(abort context.Context) {
+	ctx := abort
 	if d.settings.StopTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(cut, d.settings.StopTimeout)
+		ctx, cancel = context.WithTimeout(abort, d.settings.StopTimeout)
 		defer cancel()
 	}
-	if d.settings.Register && cut.Err() == nil {
-		quick, cancel := context.WithTimeout(ctx, time.Second)
-		_ = d.store.Deregister(quick, string(d.settings.Host))
+	if d.settings.Register && abort.Err() == nil {
+		shortCtx, cancel := context.WithTimeout(ctx, time.Second)
+		_ = d.platformClient.Deregister(shortCtx, string(d.settings.Host))
 		cancel()
 	}
-	d.entry.Stop(ctx, d.settings.StopGrace)
+	d.entry.Stop(ctx, d.settings.StopGracePeriod)
 	for _, server := range []*http.Server{d.callerServer, d.adminServer} {
 		quick, cancel := context.WithTimeout(ctx, time.Second)
 		if server.Shutdown(quick) != nil {
@@ -301,8 +308,9 @@
 	_ = d.shutdownTraces(quick)
 }
 
-// shareBudget keeps this daemon to its part of the platform's rates.
-func (d *Daemon) shareBudget(ctx context.Context) {
+// updateBudgetShare keeps this daemon to its share of the platform's rates, which
+// depends on the number of known entries.
+func (d *Daemon) updateBudgetShare(ctx context.Context) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -310,14 +318,15 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.budget.SetDaemons(d.entry.KnownEntries())
+			d.platformBudget.SetDaemons(d.entry.KnownEntries())
 		}
 	}
 }
 
-// register puts the entry on the host list, and again while that fails.
-func (d *Daemon) register(ctx context.Context) {
-	for d.store.RegisterEntry(ctx, d.self()) != nil {
+// registerWithRetry adds the entry to the host list and retries every second until
+// that succeeds or ctx ends.
+func (d *Daemon) registerWithRetry(ctx context.Context) {
+	for d.platformClient.RegisterEntry(ctx, d.selfEntry()) != nil {
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package engine is the adapter to the model engines: OpenAI's completion
-// endpoints, streamed by server-sent events whose ids are RUN/INDEX, and the
-// engines' endpoints for runs, load, cache events and orders.
+// Package engine implements the HTTP client of the model engines. It uses
+// OpenAI's completion endpoints, streamed as server-sent events whose ids have
+// the form RUN/INDEX, and the engines' endpoints for runs, load, cache events
+// and orders.
 package engine
 
 import (
@@ -28,36 +29,36 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// Client calls the engines. Use New.
+// Client calls the engines. Create it with New.
 type Client struct {
 	http *http.Client
-	// silence is how long a stream may bring nothing at all.
-	silence time.Duration
+	// idleTimeout is how long a stream may deliver no bytes.
+	idleTimeout time.Duration
 }
 
-// Option changes how a Client is built.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithSilence sets how long a stream may bring nothing at all before it counts
-// as stalled.
-func WithSilence(d time.Duration) Option { return func(c *Client) { c.silence = d } }
+// WithIdleTimeout sets how long a stream may deliver no bytes before it fails with
+// entry.ErrStreamIdle. The default is 2 s.
+func WithIdleTimeout(d time.Duration) Option { return func(c *Client) { c.idleTimeout = d } }
 
 const (
-	defaultSilence  = 2 * time.Second
-	dialTimeout     = time.Second
-	headerTimeout   = 10 * time.Second
-	maxIdlePerHost  = 256
-	maxRefusalBytes = 4 << 10
-	maxReportBytes  = 1 << 20
+	defaultIdleTimeout  = 2 * time.Second
+	dialTimeout         = time.Second
+	headerTimeout       = 10 * time.Second
+	maxIdleConnsPerHost = 256
+	maxErrorBodyBytes   = 4 << 10
+	maxResponseBytes    = 1 << 20
 )
 
-// New returns a client.
+// New returns a Client.
 func New(opts ...Option) *Client {
 	c := &Client{
-		silence: defaultSilence,
+		idleTimeout: defaultIdleTimeout,
 		http: &http.Client{Transport: &http.Transport{
 			DialContext:           (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			MaxIdleConnsPerHost:   maxIdlePerHost,
+			MaxIdleConnsPerHost:   maxIdleConnsPerHost,
 			IdleConnTimeout:       30 * time.Second,
 			ResponseHeaderTimeout: headerTimeout,
 		}},
@@ -68,15 +69,17 @@
 	return c
 }
 
-func address(u member.Upstream, path string) string { return "http://" + u.Address + path }
+func endpointURL(u member.Upstream, path string) string { return "http://" + u.Address + path }
 
-// Start begins a run.
+// Start asks an engine to start a run and returns its event stream. The errors
+// are those that entry.Engines describes.
 func (c *Client) Start(ctx context.Context, u member.Upstream, r entry.RunRequest) (entry.Stream, error) {
-	req, err := http.NewRequest(http.MethodPost, address(u, "/v1/"+string(r.Shape)), bytes.NewReader(r.Body))
+	req, err := http.NewRequest(http.MethodPost, endpointURL(u, "/v1/"+string(r.Shape)), bytes.NewReader(r.Body))
 	if err != nil {
 		return nil, trace.Wrap(entry.ErrNotSent, "%v", err)
 	}
-	// The transport must not send a run twice on its own.
+	// Without GetBody the transport can't resend the request, which might start
+	// the run twice.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("X-Run-Id", string(r.Run))
@@ -89,28 +92,29 @@
 	return c.open(ctx, req)
 }
 
-// Resume reads a run from behind an index.
+// Resume returns the stream of a run's events that follow the index after. The
+// error wraps entry.ErrRunNotFound if the engine doesn't have the run.
 func (c *Client) Resume(ctx context.Context, u member.Upstream, run policy.RunID, after int) (entry.Stream, error) {
 	path := "/v1/runs/" + string(run) + "/events?after=" + strconv.Itoa(after)
-	req, err := http.NewRequest(http.MethodGet, address(u, path), nil)
+	req, err := http.NewRequest(http.MethodGet, endpointURL(u, path), nil)
 	if err != nil {
 		return nil, trace.Wrap(entry.ErrNotSent, "%v", err)
 	}
 	return c.open(ctx, req)
 }
 
-// open sends a request for a stream. The stream has a context of its own, so
-// that closing it ends the link.
+// open sends a request for a stream. The request has a context of its own, so
+// that closing the stream closes the connection.
 func (c *Client) open(ctx context.Context, req *http.Request) (entry.Stream, error) {
 	var connected atomic.Bool
-	link, cancel := context.WithCancel(ctx)
-	link = httptrace.WithClientTrace(link, &httptrace.ClientTrace{
+	streamCtx, cancel := context.WithCancel(ctx)
+	streamCtx = httptrace.WithClientTrace(streamCtx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	req = req.WithContext(link)
+	req = req.WithContext(streamCtx)
 	req.Header.Set("Accept", "text/event-stream")
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
-	answer, err := c.http.Do(req)
+	response, err := c.http.Do(req)
 	if err != nil {
 		cancel()
 		if !connected.Load() {
@@ -118,26 +122,29 @@
 		}
 		return nil, trace.Wrap(err)
 	}
-	if answer.StatusCode != http.StatusOK {
+	if response.StatusCode != http.StatusOK {
 		defer cancel()
-		return nil, refusal(answer)
+		return nil, responseError(response)
 	}
-	return newStream(answer.Body, cancel, c.silence), nil
+	return newStream(response.Body, cancel, c.idleTimeout), nil
 }
 
-func refusal(answer *http.Response) error {
-	defer answer.Body.Close()
-	if answer.StatusCode == http.StatusNotFound {
+// responseError returns the error that a response other than 200 stands for, and
+// closes the response body.
+func responseError(response *http.Response) error {
+	defer response.Body.Close()
+	if response.StatusCode == http.StatusNotFound {
 		return trace.Wrap(entry.ErrRunNotFound)
 	}
-	text, _ := io.ReadAll(io.LimitReader(answer.Body, maxRefusalBytes))
-	refused := &entry.EngineRefusal{Status: answer.StatusCode, Text: strings.TrimSpace(string(text))}
-	// One that can't be read asks for nothing.
-	refused.RetryAfter, _ = backoff.Parse(answer.Header.Get("Retry-After"))
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxErrorBodyBytes))
+	refused := &entry.EngineRefusal{Status: response.StatusCode, Text: strings.TrimSpace(string(text))}
+	// An unreadable Retry-After counts as none.
+	refused.RetryAfter, _ = backoff.Parse(response.Header.Get("Retry-After"))
 	return refused
 }
 
-type loadAnswer struct {
+// loadResponse is the body of a response of /v1/load.
+type loadResponse struct {
 	MemoryTokens int               `json:"memory_tokens"`
 	UsedTokens   int               `json:"used_tokens"`
 	Running      int               `json:"running"`
@@ -148,37 +155,40 @@
 	Models       map[string]string `json:"models"`
 }
 
-// Load asks an engine how it is.
+// Load fetches an engine's report of its load and state.
 func (c *Client) Load(ctx context.Context, u member.Upstream) (entry.EngineLoad, error) {
-	var answer loadAnswer
-	if err := c.do(ctx, u, http.MethodGet, "/v1/load", nil, &answer); err != nil {
+	var load loadResponse
+	if err := c.do(ctx, u, http.MethodGet, "/v1/load", nil, &load); err != nil {
 		return entry.EngineLoad{}, err
 	}
 	return entry.EngineLoad{
 		Report: policy.Report{
-			Engine: u.ID, TotalMemory: policy.Tokens(answer.MemoryTokens), UsedMemory: policy.Tokens(answer.UsedTokens),
-			Running: answer.Running, Waiting: answer.Waiting, StepTime: answer.Step,
+			Engine: u.ID, TotalMemory: policy.Tokens(load.MemoryTokens), UsedMemory: policy.Tokens(load.UsedTokens),
+			Running: load.Running, Waiting: load.Waiting, StepTime: load.Step,
 		},
-		Preemptions: answer.Preemptions, Leaving: answer.Leaving, Models: answer.Models,
+		Preemptions: load.Preemptions, Leaving: load.Leaving, Models: load.Models,
 	}, nil
 }
 
-type cacheAnswer struct {
+// cacheEventResponse is one element of the body of a response of
+// /v1/cache-events. Prefix is a hash in hex.
+type cacheEventResponse struct {
 	Seq    uint64 `json:"seq"`
 	Prefix string `json:"prefix"`
 	Tokens int    `json:"tokens"`
 	Added  bool   `json:"added"`
 }
 
-// CacheEvents asks an engine for its cache events after a number.
+// CacheEvents fetches an engine's cache events whose sequence numbers follow after.
+// It skips events whose prefix isn't a hexadecimal number.
 func (c *Client) CacheEvents(ctx context.Context, u member.Upstream, after uint64) ([]policy.CacheEvent, error) {
-	var answers []cacheAnswer
+	var responses []cacheEventResponse
 	path := "/v1/cache-events?after=" + strconv.FormatUint(after, 10)
-	if err := c.do(ctx, u, http.MethodGet, path, nil, &answers); err != nil {
+	if err := c.do(ctx, u, http.MethodGet, path, nil, &responses); err != nil {
 		return nil, err
 	}
-	events := make([]policy.CacheEvent, 0, len(answers))
-	for _, a := range answers {
+	events := make([]policy.CacheEvent, 0, len(responses))
+	for _, a := range responses {
 		prefix, err := strconv.ParseUint(a.Prefix, 16, 64)
 		if err != nil {
 			continue
@@ -188,41 +198,43 @@
 	return events, nil
 }
 
+// orderRequest is the body of a request to /v1/orders.
 type orderRequest struct {
 	Token   uint64 `json:"token"`
 	Model   string `json:"model"`
 	Version string `json:"version"`
 }
 
-// Order tells an engine what to serve.
+// Order sends an engine the order to serve a model in a version.
 func (c *Client) Order(ctx context.Context, u member.Upstream, o entry.Order) error {
 	return c.do(ctx, u, http.MethodPost, "/v1/orders", orderRequest(o), nil)
 }
 
-// do sends a small call and decodes its answer.
-func (c *Client) do(ctx context.Context, u member.Upstream, method, path string, asked, answered any) error {
+// do sends a request with requestBody as JSON, unless it is nil, and decodes the
+// JSON response into result, unless that is nil.
+func (c *Client) do(ctx context.Context, u member.Upstream, method, path string, requestBody, result any) error {
 	var body io.Reader
-	if asked != nil {
-		text, err := json.Marshal(asked)
+	if requestBody != nil {
+		encoded, err := json.Marshal(requestBody)
 		if err != nil {
 			return trace.Wrap(err)
 		}
-		body = bytes.NewReader(text)
+		body = bytes.NewReader(encoded)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, address(u, path), body)
+	req, err := http.NewRequestWithContext(ctx, method, endpointURL(u, path), body)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	answer, err := c.http.Do(req)
+	response, err := c.http.Do(req)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if answer.StatusCode != http.StatusOK {
-		return refusal(answer)
+	if response.StatusCode != http.StatusOK {
+		return responseError(response)
 	}
-	defer answer.Body.Close()
-	if answered == nil {
+	defer response.Body.Close()
+	if result == nil {
 		return nil
 	}
-	return json.NewDecoder(io.LimitReader(answer.Body, maxReportBytes)).Decode(answered)
+	return json.NewDecoder(io.LimitReader(response.Body, maxResponseBytes)).Decode(result)
 }
