--- a/internal/engine/contract_test.go
+++ b/internal/engine/contract_test.go
@@ -22,7 +22,9 @@
 	standin "github.com/shedpath/shedpath/standin/engine"
 )
 
-func newContract(t *testing.T) (*Client, *standin.Server, member.Upstream) {
+// newStandinEngine starts a stand-in engine and returns a client, the engine and
+// its upstream.
+func newStandinEngine(t *testing.T) (*Client, *standin.Server, member.Upstream) {
 	t.Helper()
 	settings := standin.DefaultSettings()
 	settings.StepBase, settings.StepPerRun, settings.PrefillPerToken = time.Millisecond, 0, 0
@@ -43,15 +45,15 @@
 	return New(), model, member.Upstream{ID: "g1", Address: strings.TrimPrefix(server.URL, "http://")}
 }
 
-func request(run policy.RunID) entry.RunRequest {
+func newRunRequest(run policy.RunID) entry.RunRequest {
 	return entry.RunRequest{
 		Run: run, ID: "gen_1", Shape: entry.ShapeCompletion,
 		Body: []byte(`{"model":"m","prompt":"x","max_tokens":20,"ignore_eos":true,"stream":true}`),
 	}
 }
 
-// collect reads a stream to its end.
-func collect(s entry.Stream) (indexes []int, end *entry.RunResult, err error) {
+// collectEvents reads a stream to its end or first error and closes it.
+func collectEvents(s entry.Stream) (indexes []int, end *entry.RunResult, err error) {
 	defer s.Close()
 	for event, err := range s.Events(func() {}) {
 		if err != nil {
@@ -68,16 +70,16 @@
 
 func TestStartAndResume(t *testing.T) {
 	is := is.New(t)
-	c, _, u := newContract(t)
-	stream, err := c.Start(t.Context(), u, request("r1"))
+	c, _, u := newStandinEngine(t)
+	stream, err := c.Start(t.Context(), u, newRunRequest("r1"))
 	is.NoErr(err)
-	indexes, end, err := collect(stream)
+	indexes, end, err := collectEvents(stream)
 	is.NoErr(err)
 	is.Equal(len(indexes), 20)
 	is.Equal(*end, entry.RunResult{Complete: true, PromptTokens: 1, CompletionTokens: 20})
 	stream, err = c.Resume(t.Context(), u, "r1", 15)
 	is.NoErr(err)
-	indexes, end, err = collect(stream)
+	indexes, end, err = collectEvents(stream)
 	is.NoErr(err)
 	is.Equal(indexes, []int{16, 17, 18, 19, 20})
 	is.True(end.Complete)
@@ -87,43 +89,43 @@
 
 func TestSameRunTwiceIsRefused(t *testing.T) {
 	is := is.New(t)
-	c, model, u := newContract(t)
-	stream, err := c.Start(t.Context(), u, request("r1"))
+	c, model, u := newStandinEngine(t)
+	stream, err := c.Start(t.Context(), u, newRunRequest("r1"))
 	is.NoErr(err)
 	defer stream.Close()
-	_, err = c.Start(t.Context(), u, request("r1"))
+	_, err = c.Start(t.Context(), u, newRunRequest("r1"))
 	var refused *entry.EngineRefusal
 	is.True(errors.As(err, &refused))
 	is.Equal(refused.Status, http.StatusConflict)
-	is.Equal(model.Runs(), 1)
+	is.Equal(model.RunsStarted(), 1)
 }
 
 func TestSilentStream(t *testing.T) {
 	is := is.New(t)
-	c, model, u := newContract(t)
-	WithSilence(50 * time.Millisecond)(c)
+	c, model, u := newStandinEngine(t)
+	WithIdleTimeout(50 * time.Millisecond)(c)
 	model.SetFaults(standin.Faults{StallAfter: 5})
-	stream, err := c.Start(t.Context(), u, request("r1"))
+	stream, err := c.Start(t.Context(), u, newRunRequest("r1"))
 	is.NoErr(err)
-	indexes, _, err := collect(stream)
+	indexes, _, err := collectEvents(stream)
 	is.True(errors.Is(err, entry.ErrStreamIdle))
 	is.Equal(len(indexes), 5)
 }
 
 func TestLoadCacheAndOrders(t *testing.T) {
 	is := is.New(t)
-	c, model, u := newContract(t)
-	asked := request("r1")
-	asked.Prefix, asked.PrefixTokens = "ff", 1
-	stream, err := c.Start(t.Context(), u, asked)
+	c, model, u := newStandinEngine(t)
+	request := newRunRequest("r1")
+	request.Prefix, request.PrefixTokens = "ff", 1
+	stream, err := c.Start(t.Context(), u, request)
 	is.NoErr(err)
-	_, _, err = collect(stream)
+	_, _, err = collectEvents(stream)
 	is.NoErr(err)
 	events, err := c.CacheEvents(t.Context(), u, 0)
 	is.NoErr(err)
 	is.Equal(events, []policy.CacheEvent{{Seq: 1, Prefix: 255, Tokens: 1, Added: true}})
 	is.NoErr(c.Order(t.Context(), u, entry.Order{Token: 5, Model: "m", Version: "2"}))
-	is.True(c.Order(t.Context(), u, entry.Order{Token: 4, Model: "m", Version: "1"}) != nil) // an older holder
+	is.True(c.Order(t.Context(), u, entry.Order{Token: 4, Model: "m", Version: "1"}) != nil) // the fencing token is older than the last one
 	model.Leave()
 	load, err := c.Load(t.Context(), u)
 	is.NoErr(err)
@@ -132,7 +134,8 @@
 	is.True(load.Leaving)
 }
 
-// TestStartFailures tells apart what surely wasn't run from what may have been.
+// TestStartFailures checks that the error of Start distinguishes a request that
+// certainly wasn't run from one that may have been.
 func TestStartFailures(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -158,7 +161,7 @@
 				defer server.Close()
 				u.Address = strings.TrimPrefix(server.URL, "http://")
 			}
-			_, err := New().Start(t.Context(), u, request("r1"))
+			_, err := New().Start(t.Context(), u, newRunRequest("r1"))
 			is.Equal(errors.Is(err, entry.ErrNotSent), c.notSent)
 			var refused *entry.EngineRefusal
 			if errors.As(err, &refused) {
@@ -170,8 +173,8 @@
 	}
 }
 
-// FuzzEvents has any bytes of an engine give events with sane indexes or an
-// error, and nothing else.
+// FuzzEvents checks that arbitrary bytes from an engine are decoded to an error
+// or to events that name a run, unless the event's id begins with "/".
 func FuzzEvents(f *testing.F) {
 	f.Add("id: r/1\ndata: x\n\nevent: end\nid: r/1\ndata: {\"state\":\"done\",\"completion_tokens\":1}\n\n")
 	f.Add("id: r\ndata: x\n\n")
@@ -180,8 +183,8 @@
 			if err != nil {
 				return
 			}
-			if event, err := decode(raw); err == nil && event.Run == "" && !strings.HasPrefix(raw.LastEventID, "/") {
-				t.Fatalf("%q gave %+v", raw.LastEventID, event)
+			if event, err := decodeEvent(raw); err == nil && event.Run == "" && !strings.HasPrefix(raw.LastEventID, "/") {
+				t.Fatalf("the event with the id %q was decoded to %+v, which names no run", raw.LastEventID, event)
 			}
 		}
 	})
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -21,45 +21,48 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-// stream reads one run's events.
+// stream reads the events of one run. It implements entry.Stream.
 type stream struct {
 	body   io.ReadCloser
 	cancel context.CancelFunc
-	// silent is set when the watchdog closed the link.
-	silent   atomic.Bool
-	watchdog *time.Timer
-	silence  time.Duration
+	// idleTimedOut is set when the watchdog has canceled the request.
+	idleTimedOut atomic.Bool
+	// watchdog fires when no bytes have arrived for idleTimeout.
+	watchdog    *time.Timer
+	idleTimeout time.Duration
 }
 
 func newStream(body io.ReadCloser, cancel context.CancelFunc, silence time.Duration) *stream {
-	s := &stream{body: body, cancel: cancel, silence: silence}
+	s := &stream{body: body, cancel: cancel, idleTimeout: silence}
 	s.watchdog = time.AfterFunc(silence, func() {
-		s.silent.Store(true)
+		s.idleTimedOut.Store(true)
 		cancel()
 	})
 	return s
 }
 
-// Close ends the reading.
+// Close stops reading and closes the connection; the run goes on.
 func (s *stream) Close() {
 	s.watchdog.Stop()
 	s.cancel()
 	_ = s.body.Close()
 }
 
-// maxEventBytes bounds one event.
+// maxEventBytes bounds the size of one event.
 const maxEventBytes = 1 << 20
 
-// Events ranges over the run's events.
+// Events returns the run's events up to the first error. It calls idle before each
+// read from the connection. The error is entry.ErrStreamIdle if no bytes arrived
+// for the idle timeout.
 func (s *stream) Events(idle func()) iter.Seq2[entry.StreamEvent, error] {
-	reader := &waitingReader{stream: s, idle: idle}
+	reader := &watchdogReader{stream: s, idle: idle}
 	return func(yield func(entry.StreamEvent, error) bool) {
 		for raw, err := range sse.Read(reader, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 			var event entry.StreamEvent
 			if err == nil {
-				event, err = decode(raw)
+				event, err = decodeEvent(raw)
 			}
-			if err != nil && s.silent.Load() {
+			if err != nil && s.idleTimedOut.Load() {
 				err = entry.ErrStreamIdle
 			}
 			if !yield(event, err) || err != nil {
@@ -69,60 +72,63 @@
 	}
 }
 
-// waitingReader tells when the reader is about to wait, and holds the watchdog
-// off as long as something comes.
-type waitingReader struct {
+// watchdogReader reads the body of a stream. It calls idle before each read, which
+// may block, and restarts the watchdog whenever bytes arrive.
+type watchdogReader struct {
 	stream *stream
 	idle   func()
 }
 
-func (r *waitingReader) Read(p []byte) (int, error) {
+func (r *watchdogReader) Read(p []byte) (int, error) {
 	r.idle()
 	n, err := r.stream.body.Read(p)
 	if n > 0 {
-		r.stream.watchdog.Reset(r.stream.silence)
+		r.stream.watchdog.Reset(r.stream.idleTimeout)
 	}
 	return n, err
 }
 
-type endMark struct {
+// endPayload is the data of a run's last event.
+type endPayload struct {
 	State            string `json:"state"`
 	PromptTokens     int    `json:"prompt_tokens"`
 	CompletionTokens int    `json:"completion_tokens"`
 }
 
 const (
-	endType   = "end"
-	wholeMark = "done"
+	// endEventType is the type of a run's last event.
+	endEventType = "end"
+	// stateDone is the state in endPayload of a complete run.
+	stateDone = "done"
 )
 
-var errNoID = errors.New("an event has no RUN/INDEX id")
+var errInvalidEventID = errors.New("the event id is not of the form RUN/INDEX")
 
-func decode(raw sse.Event) (entry.StreamEvent, error) {
+func decodeEvent(raw sse.Event) (entry.StreamEvent, error) {
 	run, indexText, found := strings.Cut(raw.LastEventID, "/")
 	index, err := strconv.Atoi(indexText)
 	if !found || err != nil {
-		return entry.StreamEvent{}, trace.Wrap(errNoID)
+		return entry.StreamEvent{}, trace.Wrap(errInvalidEventID)
 	}
 	event := entry.StreamEvent{Run: policy.RunID(run), Index: index, Data: raw.Data}
 	switch raw.Type {
 	case "":
 		return event, nil
-	case endType:
+	case endEventType:
 		return decodeEnd(event, raw.Data)
 	default:
-		return event, trace.BadParameter("an event has the unknown type %q", raw.Type)
+		return event, trace.BadParameter("unknown event type %q", raw.Type)
 	}
 }
 
 func decodeEnd(event entry.StreamEvent, data string) (entry.StreamEvent, error) {
-	var mark endMark
-	if err := json.Unmarshal([]byte(data), &mark); err != nil {
-		return event, trace.Wrap(err, "the end mark can't be read")
+	var payload endPayload
+	if err := json.Unmarshal([]byte(data), &payload); err != nil {
+		return event, trace.Wrap(err, "decode the data of the end event")
 	}
 	event.Kind = entry.EventEnd
 	event.End = entry.RunResult{
-		Complete: mark.State == wholeMark, PromptTokens: mark.PromptTokens, CompletionTokens: mark.CompletionTokens,
+		Complete: payload.State == stateDone, PromptTokens: payload.PromptTokens, CompletionTokens: payload.CompletionTokens,
 	}
 	return event, nil
 }
--- a/internal/peer/calls.go
+++ b/internal/peer/calls.go
@@ -27,11 +27,11 @@
 	return answer.heartbeat(), nil
 }
 
-// Place asks a coordinator for places.
-func (m *Mesh) Place(ctx context.Context, to member.Entry, pool resource.Name, asked []policy.Request) ([]policy.Decision, error) {
-	request := wirePlace{Pool: string(pool)}
+// Place requests placement decisions for runs of a pool from its coordinator.
+func (m *Mesh) Place(ctx context.Context, to member.Entry, pool resource.Name, requests []policy.Request) ([]policy.Decision, error) {
+	request := wirePlaceRequest{Pool: string(pool)}
 	now := m.clock.Now()
-	for _, r := range asked {
+	for _, r := range requests {
 		request.Asked = append(request.Asked, toWireRequest(now, r))
 	}
 	var answer wireDecisions
@@ -41,13 +41,13 @@
 	return answer.decisions(), nil
 }
 
-// Decided tells an entry what became of its queued requests.
+// Decided sends an entry host the decisions about its queued requests.
 func (m *Mesh) Decided(ctx context.Context, to member.Entry, pool resource.Name, decisions []policy.Decision) error {
 	var answer bool
 	return m.call(ctx, to.PeerAddress, kindDecided, toWireDecisions(pool, decisions), &answer)
 }
 
-// Finished tells a coordinator of runs that left their engines.
+// Finished reports to a coordinator the runs that left their engines.
 func (m *Mesh) Finished(ctx context.Context, to member.Entry, pool resource.Name, finished []policy.Finish) error {
 	request := wireFinished{Pool: string(pool)}
 	for _, f := range finished {
@@ -57,46 +57,48 @@
 	return m.call(ctx, to.PeerAddress, kindFinished, request, &answer)
 }
 
-// Running tells a new coordinator what its engines carry.
+// Running reports to a new coordinator the runs that are placed on its engines.
 func (m *Mesh) Running(ctx context.Context, to member.Entry, pool resource.Name, runs []entry.PlacedRun) error {
 	request := wireRunning{Pool: string(pool)}
 	now := m.clock.Now()
 	for _, r := range runs {
-		request.Runs = append(request.Runs, wireRun{Request: toWireRequest(now, r.Request), Engine: string(r.Engine), Made: int(r.Made)})
+		request.Runs = append(request.Runs, wireRun{Request: toWireRequest(now, r.Request), Engine: string(r.Engine), Made: int(r.GeneratedTokens)})
 	}
 	var answer bool
 	return m.call(ctx, to.PeerAddress, kindRunning, request, &answer)
 }
 
-// Log returns the configuration after a revision.
+// Log fetches the part of the peer's configuration log that follows a revision.
 func (m *Mesh) Log(ctx context.Context, to member.Entry, after resource.Revision) (entry.LogTail, error) {
-	var answer wireTail
+	var answer wireLogTail
 	var tail entry.LogTail
-	if err := m.call(ctx, to.PeerAddress, kindLog, wireLog{After: uint64(after)}, &answer); err != nil {
+	if err := m.call(ctx, to.PeerAddress, kindLog, wireLogRequest{After: uint64(after)}, &answer); err != nil {
 		return tail, err
 	}
 	if len(answer.Snapshot) > 0 {
 		if err := json.Unmarshal(answer.Snapshot, &tail.Snapshot); err != nil {
-			return tail, trace.Wrap(err, "the peer's snapshot can't be read")
+			return tail, trace.Wrap(err, "decoding the snapshot from peer %s", to.PeerAddress)
 		}
 	}
 	if len(answer.Entries) > 0 {
 		if err := json.Unmarshal(answer.Entries, &tail.Entries); err != nil {
-			return tail, trace.Wrap(err, "the peer's log can't be read")
+			return tail, trace.Wrap(err, "decoding the log entries from peer %s", to.PeerAddress)
 		}
 	}
 	return tail, nil
 }
 
-// Serve serves the peers' calls until the context ends. refused is told of
-// each connection that failed the greeting.
-func (m *Mesh) Serve(ctx context.Context, listener net.Listener, h entry.PeerHandler, refused func(error)) error {
-	return m.serve(ctx, listener, func(ctx context.Context, from member.HostID, k kind, body []byte) (any, error) {
-		return dispatch(ctx, m.clock.Now(), h, from, k, body)
-	}, h.OnLinkDown, refused)
+// Serve answers the peers' calls until the context ends. onRefused is called with
+// the error of each connection whose handshake failed.
+func (m *Mesh) Serve(ctx context.Context, listener net.Listener, h entry.PeerHandler, onRefused func(error)) error {
+	return m.serve(ctx, listener, func(ctx context.Context, from member.HostID, k callKind, body []byte) (any, error) {
+		return dispatchEntryCall(ctx, m.clock.Now(), h, from, k, body)
+	}, h.OnLinkDown, onRefused)
 }
 
-func dispatch(ctx context.Context, now time.Time, h entry.PeerHandler, from member.HostID, k kind, body []byte) (any, error) {
+// dispatchEntryCall decodes the body of a call, passes it to the handler, and returns the
+// value to send as the reply.
+func dispatchEntryCall(ctx context.Context, now time.Time, h entry.PeerHandler, from member.HostID, k callKind, body []byte) (any, error) {
 	switch k {
 	case kindHeartbeat:
 		return onHeartbeat(now, h, body)
@@ -124,15 +126,15 @@
 }
 
 func onPlace(ctx context.Context, now time.Time, h entry.PeerHandler, from member.HostID, body []byte) (any, error) {
-	var w wirePlace
+	var w wirePlaceRequest
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	asked := make([]policy.Request, 0, len(w.Asked))
+	requests := make([]policy.Request, 0, len(w.Asked))
 	for _, r := range w.Asked {
-		asked = append(asked, r.request(now))
+		requests = append(requests, r.request(now))
 	}
-	decisions, err := h.OnPlace(ctx, from, resource.Name(w.Pool), asked)
+	decisions, err := h.OnPlace(ctx, from, resource.Name(w.Pool), requests)
 	if err != nil {
 		return nil, err
 	}
@@ -167,19 +169,19 @@
 	runs := make([]entry.PlacedRun, 0, len(w.Runs))
 	for _, r := range w.Runs {
 		runs = append(runs, entry.PlacedRun{
-			Request: r.Request.request(now), Engine: member.UpstreamID(r.Engine), Made: policy.Tokens(r.Made),
+			Request: r.Request.request(now), Engine: member.UpstreamID(r.Engine), GeneratedTokens: policy.Tokens(r.Made),
 		})
 	}
 	return true, h.OnRunning(ctx, from, resource.Name(w.Pool), runs)
 }
 
 func onLog(h entry.PeerHandler, body []byte) (any, error) {
-	var w wireLog
+	var w wireLogRequest
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	tail := h.OnLog(resource.Revision(w.After))
-	var answer wireTail
+	var answer wireLogTail
 	var err error
 	if tail.Snapshot != nil {
 		if answer.Snapshot, err = json.Marshal(tail.Snapshot); err != nil {
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -17,83 +17,90 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// callError is what a peer's handler answered a call with.
+// callError is the error that a peer's handler returned for a call. The connection stays up.
 type callError struct {
 	Message string
 }
 
-func (e *callError) Error() string { return "the peer answered: " + e.Message }
+func (e *callError) Error() string { return "the peer returned an error: " + e.Message }
 
-// conn is the dialer's end of one connection, with many calls under way.
+// conn is the dialer's end of one connection. It carries many concurrent calls.
 type conn struct {
-	net net.Conn
+	netConn net.Conn
 
-	mu      sync.Mutex
-	nextID  uint64
+	mu     sync.Mutex
+	nextID uint64
+	// pending holds, by call ID, the channel that receives the reply. It is closed without a
+	// reply if the connection ends.
 	pending map[uint64]chan *frame
-	// closed is the error that ended the connection; nil while it is up.
-	closed error
-	// heard is when the last frame came.
-	heard time.Time
-
-	// sent and received count the bytes of both directions.
-	sent, received *atomic.Int64
+	// closeErr is the error that ended the connection; nil while it is up.
+	closeErr error
+	// lastFrameAt is when the last frame was received.
+	lastFrameAt time.Time
+
+	// sentBytes and receivedBytes count the bytes of each direction; they are shared with other
+	// connections.
+	sentBytes, receivedBytes *atomic.Int64
 }
 
 func newConn(c net.Conn, sent, received *atomic.Int64) *conn {
-	return &conn{net: c, pending: map[uint64]chan *frame{}, sent: sent, received: received}
+	return &conn{netConn: c, pending: map[uint64]chan *frame{}, sentBytes: sent, receivedBytes: received}
 }
 
-// readerBytes is read at once from a link. Most messages are shorter, and a host has many links.
-const readerBytes = 1024
+// readBufferBytes is the size of a connection's read buffer. Most messages are shorter, and a
+// host has many connections.
+const readBufferBytes = 1024
 
-// writeTimeout is how long a peer may leave a full socket unread before the
-// connection is given up.
+// writeTimeout bounds the write of one message: a connection whose peer doesn't read is closed
+// after that time.
 const writeTimeout = 2 * time.Second
 
-// call sends a request and waits for its reply.
-func (c *conn) call(ctx context.Context, k kind, request, reply any) error {
+// call sends a request, waits for its reply and decodes it into reply.
+func (c *conn) call(ctx context.Context, k callKind, request, reply any) error {
 	body, err := encode(request)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	sent := time.Now()
+	sentAt := time.Now()
 	id, answered, err := c.send(k, body)
 	if err != nil {
 		return err
 	}
 	select {
-	case f, up := <-answered:
-		return decodeReply(f, up, reply)
+	case f, ok := <-answered:
+		return decodeReply(f, ok, reply)
 	case <-ctx.Done():
-		c.abandon(time.Now(), id, sent, ctx.Err())
+		c.abandon(time.Now(), id, sentAt, ctx.Err())
 		return ctx.Err()
 	}
 }
 
-// silentFor is how long a link may bring nothing, while an answer is due, before
-// it is given up. Links can go silent for good without a reset while new ones work;
-// the kernel would notice after minutes, and the hosts would place on each other's
-// engines unseen for as long. Hosts answer each other within some milliseconds.
-const silentFor = 250 * time.Millisecond
+// silenceTimeout is how long a connection may deliver nothing while a reply is due
+// before it is closed. A connection can go silent for good without a reset, although
+// new connections work. The kernel notices that only after minutes, and until then each
+// host would place runs on the other's engines without the other seeing them. Hosts
+// normally reply within a few milliseconds.
+const silenceTimeout = 250 * time.Millisecond
 
-var errSilent = errors.New("the link to the peer is silent")
+var errLinkSilent = errors.New("the connection to the peer is silent")
 
-// abandon forgets a call that got no answer in time, and gives the link up if
-// nothing has come over it since the call was sent.
-func (c *conn) abandon(now time.Time, id uint64, sent time.Time, why error) {
+// abandon removes a call whose context ended without a reply. It closes the connection if
+// the call's deadline passed, at least silenceTimeout after it was sent, and no frame has
+// been received since.
+func (c *conn) abandon(now time.Time, id uint64, sentAt time.Time, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
-	if errors.Is(why, context.DeadlineExceeded) && now.Sub(sent) >= silentFor && c.heard.Before(sent) {
-		c.fail(errSilent)
+	if errors.Is(cause, context.DeadlineExceeded) && now.Sub(sentAt) >= silenceTimeout && c.lastFrameAt.Before(sentAt) {
+		c.fail(errLinkSilent)
 	}
 }
 
-func decodeReply(f *frame, up bool, reply any) error {
+// decodeReply decodes the frame of a reply; ok is false if the connection ended without one.
+func decodeReply(f *frame, ok bool, reply any) error {
 	switch {
-	case !up:
-		return trace.ConnectionProblem(nil, "the link to the peer broke")
+	case !ok:
+		return trace.ConnectionProblem(nil, "the connection to the peer broke")
 	case f.Error != "":
 		return &callError{Message: f.Error}
 	default:
@@ -101,11 +108,12 @@
 	}
 }
 
-func (c *conn) send(k kind, body []byte) (uint64, <-chan *frame, error) {
+// send writes a request and returns its call ID and the channel that receives the reply.
+func (c *conn) send(k callKind, body []byte) (uint64, <-chan *frame, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed != nil {
-		return 0, nil, c.closed
+	if c.closeErr != nil {
+		return 0, nil, c.closeErr
 	}
 	c.nextID++
 	id := c.nextID
@@ -115,49 +123,50 @@
 	}
 	answered := make(chan *frame, 1)
 	c.pending[id] = answered
-	if err := writeWhole(c.net, message); err != nil {
+	if err := writeMessage(c.netConn, message); err != nil {
 		c.fail(err)
 		return 0, nil, err
 	}
-	c.sent.Add(int64(len(message)))
+	c.sentBytes.Add(int64(len(message)))
 	return id, answered, nil
 }
 
-func writeWhole(to net.Conn, message []byte) error {
-	if err := to.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+// writeMessage writes a message within writeTimeout.
+func writeMessage(conn net.Conn, message []byte) error {
+	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return trace.Wrap(err)
 	}
-	if _, err := to.Write(message); err != nil {
+	if _, err := conn.Write(message); err != nil {
 		return trace.Wrap(err)
 	}
 	return nil
 }
 
-// fail ends the connection and every call on it. The mutex is held.
+// fail closes the connection and ends every pending call. c.mu must be held.
 func (c *conn) fail(err error) {
-	if c.closed != nil {
+	if c.closeErr != nil {
 		return
 	}
-	c.closed = err
-	_ = c.net.Close()
+	c.closeErr = err
+	_ = c.netConn.Close()
 	for id, answered := range c.pending {
 		close(answered)
 		delete(c.pending, id)
 	}
 }
 
-// readReplies hands replies to their calls until the connection ends.
+// readReplies passes replies to their pending calls until the connection ends.
 func (c *conn) readReplies() {
-	reader := bufio.NewReaderSize(&countingReader{from: c.net, count: c.received}, readerBytes)
+	reader := bufio.NewReaderSize(&countingReader{from: c.netConn, count: c.receivedBytes}, readBufferBytes)
 	for {
 		f, err := readFrame(reader)
 		c.mu.Lock()
 		if err != nil {
-			c.fail(trace.ConnectionProblem(err, "the link to the peer broke"))
+			c.fail(trace.ConnectionProblem(err, "the connection to the peer broke"))
 			c.mu.Unlock()
 			return
 		}
-		c.heard = time.Now()
+		c.lastFrameAt = time.Now()
 		if answered := c.pending[f.ID]; answered != nil && f.Reply {
 			delete(c.pending, f.ID)
 			answered <- f
@@ -172,12 +181,13 @@
 	c.fail(net.ErrClosed)
 }
 
-func (c *conn) up() bool {
+func (c *conn) isUp() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closed == nil
+	return c.closeErr == nil
 }
 
+// countingReader adds the number of bytes read to count.
 type countingReader struct {
 	from  io.Reader
 	count *atomic.Int64
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -18,29 +18,32 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Mesh keeps the connections to the peers, dialling each when it is first
-// called. Use NewMesh.
+// Mesh holds the connections to the peers. Each peer is dialled at the first call to it. Use
+// NewMesh.
 type Mesh struct {
 	self member.HostID
 	key  []byte
-	// clock is the one by which the moments that are told were taken.
+	// clock is the clock of the moments in messages, which are sent as the time until them; nil
+	// for the usual clock.
 	clock *clock.Clock
 
 	mu    sync.Mutex
 	conns map[string]*conn
-	// dialing holds, by address, a channel that closes when the dial is done.
+	// dialing holds, by address, a channel that is closed when the dial ends.
 	dialing map[string]chan struct{}
-	wait    conc.WaitGroup
-	packed  configPacker
+	// readers are the goroutines that read the replies of dialled connections.
+	readers conc.WaitGroup
+	configs configPacker
 	lists   listPacker
 
-	sent, received atomic.Int64
+	sentBytes, receivedBytes atomic.Int64
 }
 
-// Option changes a Mesh.
+// Option configures a Mesh.
 type Option func(*Mesh)
 
-// WithClock has moments be told and heard by a clock; without it, by the usual one.
+// WithClock sets the clock by which moments are encoded and decoded. The default is the usual
+// clock.
 func WithClock(c *clock.Clock) Option { return func(m *Mesh) { m.clock = c } }
 
 // NewMesh returns a mesh without connections.
@@ -52,24 +55,24 @@
 	return m
 }
 
-// Bytes returns how much was sent and received so far, on connections that
-// this side dialled and on those it accepted.
-func (m *Mesh) Bytes() (sent, received int64) { return m.sent.Load(), m.received.Load() }
+// Bytes returns how many bytes were sent and received so far, on both dialled and
+// accepted connections.
+func (m *Mesh) Bytes() (sent, received int64) { return m.sentBytes.Load(), m.receivedBytes.Load() }
 
-// Close ends the connections and waits for their readers.
+// Close closes the dialled connections and waits for their readers.
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	for _, c := range m.conns {
 		c.close()
 	}
 	m.mu.Unlock()
-	m.wait.Wait()
+	m.readers.Wait()
 }
 
 const dialTimeout = time.Second
 
 // call sends a request to the peer at an address and decodes its reply.
-func (m *Mesh) call(ctx context.Context, address string, k kind, request, reply any) error {
+func (m *Mesh) call(ctx context.Context, address string, k callKind, request, reply any) error {
 	c, err := m.connect(ctx, address)
 	if err != nil {
 		return err
@@ -77,22 +80,22 @@
 	return c.call(ctx, k, request, reply)
 }
 
-// connect returns the connection to an address. One dial goes at a time; the
-// others wait for it no longer than their contexts allow.
+// connect returns the connection to an address and dials it if necessary. One caller
+// dials an address at a time; the others wait until that ends or their contexts do.
 func (m *Mesh) connect(ctx context.Context, address string) (*conn, error) {
 	for {
 		m.mu.Lock()
-		if c := m.conns[address]; c != nil && c.up() {
+		if c := m.conns[address]; c != nil && c.isUp() {
 			m.mu.Unlock()
 			return c, nil
 		}
-		done, under := m.dialing[address]
-		if !under {
+		done, dialing := m.dialing[address]
+		if !dialing {
 			done = make(chan struct{})
 			m.dialing[address] = done
 		}
 		m.mu.Unlock()
-		if !under {
+		if !dialing {
 			return m.dial(ctx, address, done)
 		}
 		select {
@@ -103,8 +106,9 @@
 	}
 }
 
+// dial opens a connection, stores it and starts its reader. It closes done in any case.
 func (m *Mesh) dial(ctx context.Context, address string, done chan struct{}) (*conn, error) {
-	c, err := m.open(ctx, address)
+	c, err := m.openConn(ctx, address)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.dialing, address)
@@ -113,37 +117,39 @@
 		return nil, err
 	}
 	m.conns[address] = c
-	m.wait.Go(c.readReplies)
+	m.readers.Go(c.readReplies)
 	return c, nil
 }
 
-func (m *Mesh) open(ctx context.Context, address string) (*conn, error) {
+// openConn dials an address and performs the handshake.
+func (m *Mesh) openConn(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	link, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, trace.ConnectionProblem(err, "dialling peer %s", address)
 	}
-	if err := greet(link, m.key, m.self); err != nil {
+	if err := handshakeAsDialer(link, m.key, m.self); err != nil {
 		_ = link.Close()
-		return nil, trace.Wrap(err, "greeting peer %s", address)
+		return nil, trace.Wrap(err, "handshake with peer %s", address)
 	}
-	return newConn(link, &m.sent, &m.received), nil
+	return newConn(link, &m.sentBytes, &m.receivedBytes), nil
 }
 
-// handler serves one call.
-type handler func(ctx context.Context, from member.HostID, k kind, body []byte) (any, error)
+// callHandler handles one call and returns the value to send as the reply.
+type callHandler func(ctx context.Context, from member.HostID, k callKind, body []byte) (any, error)
 
-// maxCallsUnderWay bounds the calls that one peer may have open here.
-const maxCallsUnderWay = 256
+// maxCallsPerConn bounds the concurrent calls of one accepted connection.
+const maxCallsPerConn = 256
 
-// serve takes connections until the listener is closed, and waits for their
-// calls to end.
-func (m *Mesh) serve(ctx context.Context, listener net.Listener, handle handler, down func(member.HostID), refused func(error)) error {
-	var wait conc.WaitGroup
-	defer wait.Wait()
+// serve accepts connections until the context ends or the listener fails, and waits
+// for their calls to end. For each connection it calls onRefused if the handshake fails,
+// and otherwise onDisconnect when the connection ends.
+func (m *Mesh) serve(ctx context.Context, listener net.Listener, handle callHandler, onDisconnect func(member.HostID), onRefused func(error)) error {
+	var connections conc.WaitGroup
+	defer connections.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait.Go(func() {
+	connections.Go(func() {
 		<-ctx.Done()
 		_ = listener.Close()
 	})
@@ -155,48 +161,49 @@
 			}
 			return trace.Wrap(err)
 		}
-		wait.Go(func() {
+		connections.Go(func() {
 			defer link.Close()
 			from, err := m.serveConn(ctx, link, handle)
 			if err != nil {
-				refused(err)
+				onRefused(err)
 				return
 			}
-			down(from)
+			onDisconnect(from)
 		})
 	}
 }
 
-// serveConn serves one peer until its connection ends, and returns its name.
-// Only a failed greeting is an error: a link that breaks is everyday.
-func (m *Mesh) serveConn(ctx context.Context, link net.Conn, handle handler) (member.HostID, error) {
-	from, err := welcome(link, m.key)
+// serveConn serves one peer until its connection ends, and returns the peer's name.
+// Only a failed handshake is an error, because connections break regularly.
+func (m *Mesh) serveConn(ctx context.Context, link net.Conn, handle callHandler) (member.HostID, error) {
+	from, err := handshakeAsAcceptor(link, m.key)
 	if err != nil {
 		return "", err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = link.Close() })
-	var wait conc.WaitGroup
-	defer wait.Wait()
+	var calls conc.WaitGroup
+	defer calls.Wait()
 	defer cancel()
 	defer stop()
-	var writing sync.Mutex
-	slots := make(chan struct{}, maxCallsUnderWay)
-	reader := bufio.NewReaderSize(&countingReader{from: link, count: &m.received}, readerBytes)
+	var writeLock sync.Mutex
+	slots := make(chan struct{}, maxCallsPerConn)
+	reader := bufio.NewReaderSize(&countingReader{from: link, count: &m.receivedBytes}, readBufferBytes)
 	for {
 		f, err := readFrame(reader)
 		if err != nil {
 			return from, nil
 		}
 		slots <- struct{}{}
-		wait.Go(func() {
+		calls.Go(func() {
 			defer func() { <-slots }()
-			m.answer(ctx, link, &writing, f, from, handle)
+			m.handleCall(ctx, link, &writeLock, f, from, handle)
 		})
 	}
 }
 
-func (m *Mesh) answer(ctx context.Context, link net.Conn, writing *sync.Mutex, f *frame, from member.HostID, handle handler) {
+// handleCall handles one call and writes its reply.
+func (m *Mesh) handleCall(ctx context.Context, link net.Conn, writeLock *sync.Mutex, f *frame, from member.HostID, handle callHandler) {
 	reply := frame{ID: f.ID, Reply: true, Kind: f.Kind}
 	result, err := handle(ctx, from, f.Kind, f.Body)
 	if err == nil {
@@ -210,11 +217,11 @@
 		_ = link.Close()
 		return
 	}
-	writing.Lock()
-	defer writing.Unlock()
-	if writeWhole(link, message) != nil {
+	writeLock.Lock()
+	defer writeLock.Unlock()
+	if writeMessage(link, message) != nil {
 		_ = link.Close()
 		return
 	}
-	m.sent.Add(int64(len(message)))
+	m.sentBytes.Add(int64(len(message)))
 }
--- a/internal/peer/bytes_bench_test.go
+++ b/internal/peer/message_size_bench_test.go
@@ -13,13 +13,15 @@
 	"github.com/shedpath/shedpath/policy"
 )
 
-func heartbeatOf(zones, pools, engines int) entry.Heartbeat {
+// newTestHeartbeat returns a heartbeat with the given numbers of zones and pools, and of engines
+// in each pool.
+func newTestHeartbeat(zones, pools, engines int) entry.Heartbeat {
 	h := entry.Heartbeat{From: member.Entry{ID: "entry-0123", Zone: "zone-01", PeerAddress: "10.11.12.13:8082"}, Revision: 4_000_000}
 	for z := range zones {
 		h.Zones = append(h.Zones, entry.ZoneStatus{Zone: member.Zone(fmt.Sprintf("zone-%02d", z)), Revision: 4_000_000, Entries: 23, Age: time.Second})
 	}
 	for p := range pools {
-		status := entry.PoolStatus{Pool: "pool-01", Zone: "zone-01", Free: 100_000, Waiting: 10}
+		status := entry.PoolStatus{Pool: "pool-01", Zone: "zone-01", FreeTokens: 100_000, Waiting: 10}
 		for e := range engines {
 			status.Reports = append(status.Reports, policy.Report{
 				Engine: member.UpstreamID(fmt.Sprintf("engine-%d-%d", p, e)), TotalMemory: 400_000, UsedMemory: 300_000, Running: 200, StepTime: 30 * time.Millisecond,
@@ -30,8 +32,8 @@
 	return h
 }
 
-// BenchmarkHeartbeat gives the size of a heartbeat and what it takes to write
-// and read one.
+// BenchmarkHeartbeat measures the size of a heartbeat and the cost of encoding and
+// decoding it.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, c := range []struct {
 		name                  string
@@ -42,7 +44,7 @@
 		{"15 zones, 2 pools of 10 engines", 15, 2, 10},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			h := heartbeatOf(c.zones, c.pools, c.engines)
+			h := newTestHeartbeat(c.zones, c.pools, c.engines)
 			size := 0
 			b.ReportAllocs()
 			for b.Loop() {
@@ -55,7 +57,7 @@
 					b.Fatal(err)
 				}
 				size = len(message)
-				if _, err := onHeartbeat(time.Now(), &recorder{}, body); err != nil {
+				if _, err := onHeartbeat(time.Now(), &recordingHandler{}, body); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -64,8 +66,8 @@
 	}
 }
 
-// BenchmarkGrantCall gives the bytes of one generation's placement: the
-// request, its decision and the end, each in a message of its own.
+// BenchmarkGrantCall measures the total size of the messages for the placement of one
+// generation: the request, the decision, the end and a bare reply.
 func BenchmarkGrantCall(b *testing.B) {
 	asked := policy.Request{
 		Run: "abcdefghijklmnop", Route: "route-12", Account: "account-1234", Priority: 3, PromptTokens: 3000,
@@ -75,7 +77,7 @@
 	for b.Loop() {
 		size = 0
 		for _, part := range []any{
-			wirePlace{Pool: "pool-01", Asked: []wireRequest{toWireRequest(time.Now(), asked)}},
+			wirePlaceRequest{Pool: "pool-01", Asked: []wireRequest{toWireRequest(time.Now(), asked)}},
 			toWireDecisions("pool-01", []policy.Decision{{Run: asked.Run, Verdict: policy.Granted, Engine: "engine-123", Priority: 200}}),
 			wireFinished{Pool: "pool-01", Finished: []wireFinish{{Run: string(asked.Run), Made: 400, Whole: true}}},
 			true,
--- a/internal/peer/permits.go
+++ b/internal/peer/permits.go
@@ -16,117 +16,119 @@
 	"github.com/shedpath/shedpath/ratelimit"
 )
 
-// wireLimit is ratelimit.Mark; Age is in milliseconds.
-type wireLimit struct {
+// wireLimitMark encodes ratelimit.Mark; Age is in milliseconds.
+type wireLimitMark struct {
 	Upstream  string
 	Life, Age int64
 	Named     bool
 	Rate      float64
 }
 
-func toWireLimit(m ratelimit.Mark) wireLimit {
-	return wireLimit{Upstream: string(m.Upstream), Life: m.Life, Age: m.Age.Milliseconds(), Named: m.Named, Rate: float64(m.Rate)}
+func toWireLimitMark(m ratelimit.PeerReport) wireLimitMark {
+	return wireLimitMark{Upstream: string(m.Upstream), Life: m.Incarnation, Age: m.Age.Milliseconds(), Named: m.HasLimit, Rate: float64(m.Rate)}
 }
 
-func toWireLimits(marks []ratelimit.Mark) []wireLimit {
-	var w []wireLimit
+func toWireLimitMarks(marks []ratelimit.PeerReport) []wireLimitMark {
+	var w []wireLimitMark
 	for _, m := range marks {
-		w = append(w, toWireLimit(m))
+		w = append(w, toWireLimitMark(m))
 	}
 	return w
 }
 
-func (w wireLimit) mark() ratelimit.Mark {
-	return ratelimit.Mark{
-		Upstream: member.UpstreamID(w.Upstream), Life: w.Life, Age: time.Duration(w.Age) * time.Millisecond,
-		Named: w.Named, Rate: ratelimit.Rate(w.Rate).Sane(),
+func (w wireLimitMark) mark() ratelimit.PeerReport {
+	return ratelimit.PeerReport{
+		Upstream: member.UpstreamID(w.Upstream), Incarnation: w.Life, Age: time.Duration(w.Age) * time.Millisecond,
+		HasLimit: w.Named, Rate: ratelimit.Rate(w.Rate).Clamp(),
 	}
 }
 
-func limitMarks(w []wireLimit) []ratelimit.Mark {
-	var marks []ratelimit.Mark
+func limitMarks(w []wireLimitMark) []ratelimit.PeerReport {
+	var marks []ratelimit.PeerReport
 	for _, l := range w {
 		marks = append(marks, l.mark())
 	}
 	return marks
 }
 
-// wirePermit is permit.Ask; Word is empty where there is none.
-type wirePermit struct {
+// wirePermitRequest encodes permit.Ask. Word has at most one element, the sender's newest
+// observation of the upstream's limit.
+type wirePermitRequest struct {
 	From, Upstream string
 	Rate           float64
 	Rank           int
 	Repeat, Must   bool
-	Word           []wireLimit
+	Word           []wireLimitMark
 }
 
-func toWirePermit(a permit.Ask) wirePermit {
-	w := wirePermit{
-		From: string(a.From), Upstream: string(a.Upstream), Rate: float64(a.Rate), Rank: a.Rank, Repeat: a.Repeat, Must: a.Must,
+func toWirePermitRequest(a permit.GrantRequest) wirePermitRequest {
+	w := wirePermitRequest{
+		From: string(a.From), Upstream: string(a.Upstream), Rate: float64(a.Rate), Rank: a.Rank, Repeat: a.Repeat, Must: a.Unconditional,
 	}
-	if a.HasWord {
-		w.Word = []wireLimit{toWireLimit(a.Word)}
+	if a.HasLimitMark {
+		w.Word = []wireLimitMark{toWireLimitMark(a.LimitMark)}
 	}
 	return w
 }
 
-func (w wirePermit) ask() permit.Ask {
-	a := permit.Ask{
-		Upstream: member.UpstreamID(w.Upstream),
-		Ask:      ratelimit.Ask{From: member.HostID(w.From), Rate: ratelimit.Rate(w.Rate).Sane(), Rank: w.Rank, Repeat: w.Repeat, Must: w.Must},
+func (w wirePermitRequest) request() permit.GrantRequest {
+	a := permit.GrantRequest{
+		Upstream:      member.UpstreamID(w.Upstream),
+		PermitRequest: ratelimit.PermitRequest{From: member.HostID(w.From), Rate: ratelimit.Rate(w.Rate).Clamp(), Rank: w.Rank, Repeat: w.Repeat, Unconditional: w.Must},
 	}
 	if len(w.Word) > 0 {
-		a.Word, a.HasWord = w.Word[0].mark(), true
+		a.LimitMark, a.HasLimitMark = w.Word[0].mark(), true
 	}
 	return a
 }
 
-// wirePermitted is permit.Reply; Wait is in milliseconds.
-type wirePermitted struct {
+// wirePermitReply encodes permit.Reply; Wait is in milliseconds. Word has at most one element, the
+// replying host's newest observation of the upstream's limit.
+type wirePermitReply struct {
 	Granted, Passed bool
 	Wait            int64
-	// ID, Zone and Address are those of the host that grants instead; empty for none.
+	// ID, Zone and Address are those of the host that grants in place of this one; empty for none.
 	ID, Zone, Address string
 	Unknown           bool
-	Word              []wireLimit
+	Word              []wireLimitMark
 }
 
-func toWirePermitted(r permit.Reply) wirePermitted {
-	w := wirePermitted{
-		Granted: r.Granted, Passed: r.Passed, Wait: r.Wait.Milliseconds(), Unknown: r.Unknown,
+func toWirePermitReply(r permit.GrantReply) wirePermitReply {
+	w := wirePermitReply{
+		Granted: r.Granted, Passed: r.Outranked, Wait: r.Wait.Milliseconds(), Unknown: r.UnknownUpstream,
 		ID: string(r.Granter.ID), Zone: string(r.Granter.Zone), Address: r.Granter.PeerAddress,
 	}
-	if r.HasWord {
-		w.Word = []wireLimit{toWireLimit(r.Word)}
+	if r.HasLimitMark {
+		w.Word = []wireLimitMark{toWireLimitMark(r.LimitMark)}
 	}
 	return w
 }
 
-func (w wirePermitted) reply() permit.Reply {
-	r := permit.Reply{
-		Grant:   ratelimit.Grant{Granted: w.Granted, Passed: w.Passed, Wait: time.Duration(w.Wait) * time.Millisecond},
-		Granter: forward.Peer{ID: member.HostID(w.ID), Zone: member.Zone(w.Zone), PeerAddress: w.Address},
-		Unknown: w.Unknown,
+func (w wirePermitReply) reply() permit.GrantReply {
+	r := permit.GrantReply{
+		Decision:        ratelimit.Decision{Granted: w.Granted, Outranked: w.Passed, Wait: time.Duration(w.Wait) * time.Millisecond},
+		Granter:         forward.Peer{ID: member.HostID(w.ID), Zone: member.Zone(w.Zone), PeerAddress: w.Address},
+		UnknownUpstream: w.Unknown,
 	}
 	if len(w.Word) > 0 {
-		r.Word, r.HasWord = w.Word[0].mark(), true
+		r.LimitMark, r.HasLimitMark = w.Word[0].mark(), true
 	}
 	return r
 }
 
-// Permit asks a peer for leave to send to an upstream.
-func (m *Mesh) Permit(ctx context.Context, to forward.Peer, a permit.Ask) (permit.Reply, error) {
-	var answer wirePermitted
-	if err := m.call(ctx, to.PeerAddress, kindPermit, toWirePermit(a), &answer); err != nil {
-		return permit.Reply{}, err
+// Permit asks a peer for a permit to send a request to an upstream.
+func (m *Mesh) Permit(ctx context.Context, to forward.Peer, a permit.GrantRequest) (permit.GrantReply, error) {
+	var answer wirePermitReply
+	if err := m.call(ctx, to.PeerAddress, kindPermit, toWirePermitRequest(a), &answer); err != nil {
+		return permit.GrantReply{}, err
 	}
 	return answer.reply(), nil
 }
 
-func onPermit(f forwardPeer, body []byte) (any, error) {
-	var w wirePermit
+func onPermit(f forwardHandler, body []byte) (any, error) {
+	var w wirePermitRequest
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return toWirePermitted(f.OnPermit(w.ask())), nil
+	return toWirePermitReply(f.OnPermit(w.request())), nil
 }
--- a/internal/peer/crashes.go
+++ b/internal/peer/quarantine.go
@@ -14,37 +14,39 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// wireCrashes is quarantine.Mark.
-type wireCrashes struct {
+// wireCrashMark encodes quarantine.Mark. Head and Body are the two parts of the request's
+// fingerprint.
+type wireCrashMark struct {
 	Head, Body    []byte
 	Caller, Route string
 	Ended         []wireCrash
 	Cleared       []wireCrash
 }
 
-// wireCrash is a quarantine.CrashAge, or an upstream alone; Ago is in milliseconds.
+// wireCrash encodes quarantine.CrashAge or, without Ago, quarantine.Upstream; Ago is in
+// milliseconds.
 type wireCrash struct {
 	ID        string
 	Life, Ago int64
 }
 
-func toWireCrashes(marks []quarantine.Mark) []wireCrashes {
-	var all []wireCrashes
+func toWireCrashMarks(marks []quarantine.Mark) []wireCrashMark {
+	var all []wireCrashMark
 	for _, m := range marks {
-		w := wireCrashes{Head: m.Request.Head[:], Body: m.Request.Body[:], Caller: m.Origin.Caller, Route: m.Origin.Route}
+		w := wireCrashMark{Head: m.Request.Head[:], Body: m.Request.Body[:], Caller: m.Origin.Caller, Route: m.Origin.Route}
 		for _, c := range m.Crashes {
-			w.Ended = append(w.Ended, wireCrash{ID: string(c.ID), Life: c.Life, Ago: c.Ago.Milliseconds()})
+			w.Ended = append(w.Ended, wireCrash{ID: string(c.ID), Life: c.Incarnation, Ago: c.Age.Milliseconds()})
 		}
 		for _, u := range m.Cleared {
-			w.Cleared = append(w.Cleared, wireCrash{ID: string(u.ID), Life: u.Life})
+			w.Cleared = append(w.Cleared, wireCrash{ID: string(u.ID), Life: u.Incarnation})
 		}
 		all = append(all, w)
 	}
 	return all
 }
 
-// crashMarks leaves out what names no request.
-func crashMarks(all []wireCrashes) []quarantine.Mark {
+// crashMarks decodes marks and skips those without a valid fingerprint.
+func crashMarks(all []wireCrashMark) []quarantine.Mark {
 	var marks []quarantine.Mark
 	for _, w := range all {
 		m := quarantine.Mark{Origin: quarantine.Origin{Caller: w.Caller, Route: w.Route}}
@@ -54,7 +56,7 @@
 		copy(m.Request.Head[:], w.Head)
 		copy(m.Request.Body[:], w.Body)
 		for _, c := range w.Ended {
-			m.Crashes = append(m.Crashes, quarantine.CrashAge{Upstream: c.upstream(), Ago: time.Duration(c.Ago) * time.Millisecond})
+			m.Crashes = append(m.Crashes, quarantine.CrashAge{Upstream: c.upstream(), Age: time.Duration(c.Ago) * time.Millisecond})
 		}
 		for _, c := range w.Cleared {
 			m.Cleared = append(m.Cleared, c.upstream())
@@ -65,33 +67,33 @@
 }
 
 func (w wireCrash) upstream() quarantine.Upstream {
-	return quarantine.Upstream{ID: member.UpstreamID(w.ID), Life: w.Life}
+	return quarantine.Upstream{ID: member.UpstreamID(w.ID), Incarnation: w.Life}
 }
 
-// wireQuarantined is a quarantine.Entry; Ago is in milliseconds.
-type wireQuarantined struct {
+// wireQuarantineEntry encodes quarantine.Entry; Ago is in milliseconds.
+type wireQuarantineEntry struct {
 	Request, Caller, Route string
 	Standing, Ended        int
 	Ago                    int64
 }
 
-// wireQuarantine is what OnQuarantine returns.
-type wireQuarantine struct {
-	Entries  []wireQuarantined
+// wireQuarantineReply encodes the results of OnQuarantine.
+type wireQuarantineReply struct {
+	Entries  []wireQuarantineEntry
 	Released bool
 }
 
-func toWireQuarantine(entries []quarantine.Entry, released bool) wireQuarantine {
-	w := wireQuarantine{Released: released}
+func toWireQuarantineReply(entries []quarantine.Entry, released bool) wireQuarantineReply {
+	w := wireQuarantineReply{Released: released}
 	for _, e := range entries {
-		w.Entries = append(w.Entries, wireQuarantined{
-			Request: e.Request.String(), Caller: e.Caller, Route: e.Route, Standing: int(e.Standing), Ended: e.Ended, Ago: e.Last.Milliseconds(),
+		w.Entries = append(w.Entries, wireQuarantineEntry{
+			Request: e.Request.String(), Caller: e.Caller, Route: e.Route, Standing: int(e.Standing), Ended: e.UpstreamsEnded, Ago: e.SinceLastEnd.Milliseconds(),
 		})
 	}
 	return w
 }
 
-func (w wireQuarantine) entries() ([]quarantine.Entry, error) {
+func (w wireQuarantineReply) entries() ([]quarantine.Entry, error) {
 	var entries []quarantine.Entry
 	for _, q := range w.Entries {
 		f, err := quarantine.ParseFingerprint(q.Request)
@@ -100,38 +102,39 @@
 		}
 		entries = append(entries, quarantine.Entry{
 			Request: f, Origin: quarantine.Origin{Caller: q.Caller, Route: q.Route},
-			Evidence: quarantine.Evidence{Standing: quarantine.Standing(q.Standing), Ended: q.Ended, Last: time.Duration(q.Ago) * time.Millisecond},
+			Evidence: quarantine.Evidence{Standing: quarantine.Standing(q.Standing), UpstreamsEnded: q.Ended, SinceLastEnd: time.Duration(q.Ago) * time.Millisecond},
 		})
 	}
 	return entries, nil
 }
 
-// Quarantine asks the host at an address for the requests under which upstreams ended, and
-// has it let one through again if one is named.
+// Quarantine fetches from the host at an address the requests during which upstreams crashed. If
+// release isn't nil, the host first releases that request from quarantine. The bool reports
+// whether it was released.
 func (m *Mesh) Quarantine(ctx context.Context, address string, release *quarantine.Fingerprint) ([]quarantine.Entry, bool, error) {
-	name := ""
+	fingerprint := ""
 	if release != nil {
-		name = release.String()
+		fingerprint = release.String()
 	}
-	var answer wireQuarantine
-	if err := m.call(ctx, address, kindQuarantine, name, &answer); err != nil {
+	var answer wireQuarantineReply
+	if err := m.call(ctx, address, kindQuarantine, fingerprint, &answer); err != nil {
 		return nil, false, err
 	}
 	entries, err := answer.entries()
 	return entries, answer.Released, err
 }
 
-func onQuarantine(f forwardPeer, body []byte) (any, error) {
-	var name string
-	if err := msgpack.Unmarshal(body, &name); err != nil {
+func onQuarantine(f forwardHandler, body []byte) (any, error) {
+	var fingerprint string
+	if err := msgpack.Unmarshal(body, &fingerprint); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	if name == "" {
-		return toWireQuarantine(f.OnQuarantine(nil)), nil
+	if fingerprint == "" {
+		return toWireQuarantineReply(f.OnQuarantine(nil)), nil
 	}
-	release, err := quarantine.ParseFingerprint(name)
+	release, err := quarantine.ParseFingerprint(fingerprint)
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	return toWireQuarantine(f.OnQuarantine(&release)), nil
+	return toWireQuarantineReply(f.OnQuarantine(&release)), nil
 }
--- a/internal/peer/quarantine_test.go
+++ b/internal/peer/quarantine_test.go
@@ -15,14 +15,14 @@
 	"github.com/shedpath/shedpath/quarantine"
 )
 
-// quarantinePeer has one request held, until it is released.
-type quarantinePeer struct {
-	forwardPeer
+// quarantineHandler holds one request in quarantine until it is released.
+type quarantineHandler struct {
+	forwardHandler
 	entry    quarantine.Entry
 	released bool
 }
 
-func (p *quarantinePeer) OnQuarantine(release *quarantine.Fingerprint) ([]quarantine.Entry, bool) {
+func (p *quarantineHandler) OnQuarantine(release *quarantine.Fingerprint) ([]quarantine.Entry, bool) {
 	if release != nil && *release == p.entry.Request {
 		p.released = true
 		return nil, true
@@ -30,20 +30,20 @@
 	return []quarantine.Entry{p.entry}, false
 }
 
-// TestQuarantineByMesh has an operator's command see what a host has held, and let it
-// through again.
-func TestQuarantineByMesh(t *testing.T) {
+// TestQuarantineCall checks that an operator's command can list the requests that a host holds in
+// quarantine, and release one.
+func TestQuarantineCall(t *testing.T) {
 	is := is.New(t)
-	asked := quarantine.Asked{Caller: "counter", Target: "/llm/x"}
+	asked := quarantine.RequestIdentity{Caller: "counter", Target: "/llm/x"}
 	held := quarantine.Entry{
 		Request: asked.Fingerprint(), Origin: quarantine.Origin{Caller: "counter", Route: "chat"},
-		Evidence: quarantine.Evidence{Standing: quarantine.Held, Ended: 3, Last: 1500 * time.Millisecond},
+		Evidence: quarantine.Evidence{Standing: quarantine.Held, UpstreamsEnded: 3, SinceLastEnd: 1500 * time.Millisecond},
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	host := &quarantinePeer{entry: held}
+	host := &quarantineHandler{entry: held}
 	go func() { _ = NewMesh("h1", testKey).ServeForward(ctx, listener, host, func(error) {}) }()
 	m := NewMesh("operator", testKey)
 	defer m.Close()
@@ -57,15 +57,15 @@
 	is.True(released && host.released)
 }
 
-// TestCrashesOnTheWire has what a host tells of such requests be heard as it was told, and
-// what names no request be left out.
-func TestCrashesOnTheWire(t *testing.T) {
+// TestCrashMarkRoundTrip checks that marks of requests during which upstreams crashed are decoded
+// unchanged, and that a mark without a valid fingerprint is skipped.
+func TestCrashMarkRoundTrip(t *testing.T) {
 	is := is.New(t)
-	asked := quarantine.Asked{Caller: "counter", Target: "/llm/x", Body: []byte("b")}
+	asked := quarantine.RequestIdentity{Caller: "counter", Target: "/llm/x", Body: []byte("b")}
 	marks := []quarantine.Mark{{
 		Request: asked.Fingerprint(), Origin: quarantine.Origin{Caller: "counter", Route: "chat"},
-		Crashes: []quarantine.CrashAge{{Upstream: quarantine.Upstream{ID: "e1", Life: 7}, Ago: 250 * time.Millisecond}},
-		Cleared: []quarantine.Upstream{{ID: "e2", Life: 9}},
+		Crashes: []quarantine.CrashAge{{Upstream: quarantine.Upstream{ID: "e1", Incarnation: 7}, Age: 250 * time.Millisecond}},
+		Cleared: []quarantine.Upstream{{ID: "e2", Incarnation: 9}},
 	}}
 	share := toWireShare(time.Now(), forward.Share{Crashes: marks, Epoch: 5})
 	is.Equal(share.share(time.Now()).Crashes, marks)
--- a/internal/peer/rollouts.go
+++ b/internal/peer/rollouts.go
@@ -16,7 +16,7 @@
 	"github.com/shedpath/shedpath/rollout"
 )
 
-// wireRollout is rollout.Status; times are in milliseconds.
+// wireRollout encodes rollout.Status; times are in milliseconds.
 type wireRollout struct {
 	Service, Target      string
 	Lasts, Age           int64
@@ -28,11 +28,11 @@
 
 func toWireRollout(s rollout.Status) wireRollout {
 	w := wireRollout{
-		Service: string(s.Service), Target: string(s.Target), Lasts: s.Lasts.Milliseconds(), Age: s.Age.Milliseconds(),
+		Service: string(s.Service), Target: string(s.Target), Lasts: s.Duration.Milliseconds(), Age: s.Age.Milliseconds(),
 		Withdrawn: s.Withdrawn, Phase: int(s.Phase), RecordedPhase: int(s.RecordedPhase),
 	}
-	w.GivenEra, w.Given = numbers(s.Given)
-	w.RecordedEra, w.Record = numbers(s.Recorded)
+	w.GivenEra, w.Given = pointNumbers(s.GivenAt)
+	w.RecordedEra, w.Record = pointNumbers(s.Recorded)
 	return w
 }
 
@@ -47,10 +47,10 @@
 func (w wireRollout) status() rollout.Status {
 	s := rollout.Status{
 		Order: rollout.Order{
-			Service: resource.Name(w.Service), Target: rollout.Version(w.Target), Lasts: time.Duration(w.Lasts) * time.Millisecond,
-			Given: point(w.GivenEra, w.Given), Withdrawn: w.Withdrawn,
+			Service: resource.Name(w.Service), Target: rollout.Version(w.Target), Duration: time.Duration(w.Lasts) * time.Millisecond,
+			GivenAt: newPoint(w.GivenEra, w.Given), Withdrawn: w.Withdrawn,
 		},
-		Age: time.Duration(w.Age) * time.Millisecond, Recorded: point(w.RecordedEra, w.Record),
+		Age: time.Duration(w.Age) * time.Millisecond, Recorded: newPoint(w.RecordedEra, w.Record),
 		RecordedPhase: rollout.Phase(w.RecordedPhase),
 	}
 	if p := rollout.Phase(w.Phase); p.Valid() {
@@ -59,7 +59,7 @@
 	return s
 }
 
-func rollouts(w []wireRollout) []rollout.Status {
+func rolloutStatuses(w []wireRollout) []rollout.Status {
 	var all []rollout.Status
 	for _, r := range w {
 		all = append(all, r.status())
@@ -67,7 +67,7 @@
 	return all
 }
 
-// wireRolloutReport is rollout.Report.
+// wireRolloutReport encodes rollout.Report; Age is in milliseconds.
 type wireRolloutReport struct {
 	From, Service   string
 	GivenEra, Given uint64
@@ -77,7 +77,8 @@
 	Evidence        []wireEvidence
 }
 
-// wireEvidence is rollout.Evidence. Times has the buckets that aren't empty, each before its count.
+// wireEvidence encodes rollout.Evidence. Times holds the index and the count of each non-empty
+// bucket, in pairs.
 type wireEvidence struct {
 	Route        string
 	Measure      int
@@ -87,10 +88,10 @@
 }
 
 func toWireRolloutReport(r rollout.Report) wireRolloutReport {
-	w := wireRolloutReport{From: string(r.From), Service: string(r.Service), Phase: int(r.Phase), Running: r.Running, Age: r.Age.Milliseconds(), Epoch: r.Epoch}
-	w.GivenEra, w.Given = numbers(r.Given)
+	w := wireRolloutReport{From: string(r.From), Service: string(r.Service), Phase: int(r.Phase), Running: r.RunningRetired, Age: r.Age.Milliseconds(), Epoch: r.Epoch}
+	w.GivenEra, w.Given = pointNumbers(r.GivenAt)
 	for _, e := range r.Evidence {
-		evidence := wireEvidence{Route: e.Route, Measure: int(e.Measure), Target: e.Target, Good: e.Good, Failed: e.Failed}
+		evidence := wireEvidence{Route: e.Route, Measure: int(e.Measure), Target: e.Target, Good: e.Succeeded, Failed: e.Failed}
 		for bucket, n := range e.Times {
 			if n > 0 {
 				evidence.Times = append(evidence.Times, uint32(bucket), n)
@@ -103,12 +104,12 @@
 
 func (w wireRolloutReport) report() rollout.Report {
 	r := rollout.Report{
-		From: member.HostID(w.From), Service: resource.Name(w.Service), Given: point(w.GivenEra, w.Given),
-		Phase: rollout.Phase(w.Phase), Running: w.Running, Age: time.Duration(max(w.Age, 0)) * time.Millisecond, Epoch: w.Epoch,
+		From: member.HostID(w.From), Service: resource.Name(w.Service), GivenAt: newPoint(w.GivenEra, w.Given),
+		Phase: rollout.Phase(w.Phase), RunningRetired: w.Running, Age: time.Duration(max(w.Age, 0)) * time.Millisecond, Epoch: w.Epoch,
 	}
 	for _, e := range w.Evidence {
-		evidence := rollout.Evidence{Subject: rollout.Subject{Route: e.Route, Measure: rollout.Measure(e.Measure)}, Target: e.Target}
-		evidence.Good, evidence.Failed = e.Good, e.Failed
+		evidence := rollout.Evidence{Comparison: rollout.Comparison{Route: e.Route, Measure: rollout.Measure(e.Measure)}, Target: e.Target}
+		evidence.Succeeded, evidence.Failed = e.Good, e.Failed
 		for i := 0; i+1 < len(e.Times); i += 2 {
 			if bucket := int(e.Times[i]); bucket < len(evidence.Times) {
 				evidence.Times[bucket] = e.Times[i+1]
@@ -119,7 +120,8 @@
 	return r
 }
 
-// Rollout tells the peer that decides what was seen of a rollout.
+// Rollout reports this host's evidence about a rollout to the peer that decides, and returns that
+// peer's status of the rollout.
 func (m *Mesh) Rollout(ctx context.Context, to forward.Peer, r rollout.Report) (rollout.Status, error) {
 	var answer wireRollout
 	if err := m.call(ctx, to.PeerAddress, kindRollout, toWireRolloutReport(r), &answer); err != nil {
@@ -128,7 +130,7 @@
 	return answer.status(), nil
 }
 
-func onRollout(f forwardPeer, body []byte) (any, error) {
+func onRollout(f forwardHandler, body []byte) (any, error) {
 	var w wireRolloutReport
 	if err := msgpack.Unmarshal(body, &w); err != nil {
 		return nil, trace.Wrap(err)
@@ -136,7 +138,7 @@
 	return toWireRollout(f.OnRollout(w.report())), nil
 }
 
-// wireRolloutEntry is forward.RolloutEntry.
+// wireRolloutEntry encodes forward.RolloutEntry. Only the evidence of Seen is set.
 type wireRolloutEntry struct {
 	Status  wireRollout
 	Decides string
@@ -144,7 +146,7 @@
 	Seen    wireRolloutReport
 }
 
-// Rollouts asks a host for the rollouts that it knows.
+// Rollouts fetches the rollouts that the host at an address knows.
 func (m *Mesh) Rollouts(ctx context.Context, address string) ([]forward.RolloutEntry, error) {
 	var answer []wireRolloutEntry
 	if err := m.call(ctx, address, kindRollouts, true, &answer); err != nil {
@@ -159,7 +161,7 @@
 	return all, nil
 }
 
-func onRollouts(f forwardPeer) (any, error) {
+func onRollouts(f forwardHandler) (any, error) {
 	var w []wireRolloutEntry
 	for _, e := range f.Rollouts() {
 		w = append(w, wireRolloutEntry{
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -13,9 +13,9 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// The kinds of call.
+// The kinds of calls.
 const (
-	kindHeartbeat kind = iota + 1
+	kindHeartbeat callKind = iota + 1
 	kindPlace
 	kindDecided
 	kindFinished
@@ -33,9 +33,11 @@
 	kindRollouts
 )
 
-// The wire types are arrays, to keep heartbeats small. Times travel as what is
-// left of them, because the hosts' clocks differ.
+// The wire types are encoded as arrays, to keep heartbeats small: the order and number of their
+// fields are the format. Deadlines are sent as the remaining time, because the hosts' clocks
+// differ.
 
+// wireHeartbeat encodes entry.Heartbeat.
 type wireHeartbeat struct {
 	ID       string
 	Zone     string
@@ -46,10 +48,11 @@
 	Zones    []wireZone
 	Pools    []wirePool
 	Epoch    uint64
-	Crashes  []wireCrashes
+	Crashes  []wireCrashMark
 	Era      uint64
 }
 
+// wireZone encodes entry.ZoneStatus.
 type wireZone struct {
 	Zone     string
 	Revision uint64
@@ -57,6 +60,7 @@
 	Age      time.Duration
 }
 
+// wirePool encodes entry.PoolStatus.
 type wirePool struct {
 	Pool    string
 	Zone    string
@@ -65,20 +69,21 @@
 	Reports []wireReport
 }
 
+// wireReport encodes policy.Report.
 type wireReport struct {
 	Engine  string
 	Memory  int
 	Used    int
 	Running int
 	Waiting int
-	// StepMicros is in microseconds: a step needs no finer unit.
+	// StepMicros is the time of a step in microseconds; a finer unit isn't needed.
 	StepMicros int64
 }
 
 func toWireHeartbeat(h entry.Heartbeat) wireHeartbeat {
 	w := wireHeartbeat{
 		ID: string(h.From.ID), Zone: string(h.From.Zone), Address: h.From.PeerAddress,
-		Revision: uint64(h.Revision), Leaving: h.Leaving, Epoch: h.Epoch, Crashes: toWireCrashes(h.Crashes), Era: uint64(h.Era),
+		Revision: uint64(h.Revision), Leaving: h.Leaving, Epoch: h.Epoch, Crashes: toWireCrashMarks(h.Crashes), Era: uint64(h.Era),
 	}
 	for _, id := range h.LeavingUpstreams {
 		w.Gone = append(w.Gone, string(id))
@@ -93,7 +98,7 @@
 }
 
 func toWirePool(p entry.PoolStatus) wirePool {
-	w := wirePool{Pool: string(p.Pool), Zone: string(p.Zone), Free: int(p.Free), Waiting: p.Waiting}
+	w := wirePool{Pool: string(p.Pool), Zone: string(p.Zone), Free: int(p.FreeTokens), Waiting: p.Waiting}
 	for _, r := range p.Reports {
 		w.Reports = append(w.Reports, wireReport{
 			Engine: string(r.Engine), Memory: int(r.TotalMemory), Used: int(r.UsedMemory),
@@ -124,7 +129,7 @@
 
 func (w wirePool) status() entry.PoolStatus {
 	p := entry.PoolStatus{
-		Pool: resource.Name(w.Pool), Zone: member.Zone(w.Zone), Free: policy.Tokens(w.Free), Waiting: w.Waiting,
+		Pool: resource.Name(w.Pool), Zone: member.Zone(w.Zone), FreeTokens: policy.Tokens(w.Free), Waiting: w.Waiting,
 	}
 	for _, r := range w.Reports {
 		p.Reports = append(p.Reports, policy.Report{
@@ -135,6 +140,7 @@
 	return p
 }
 
+// wireRequest encodes policy.Request. Left is the time until the deadline.
 type wireRequest struct {
 	Run          string
 	Route        string
@@ -175,11 +181,12 @@
 	return r
 }
 
-type wirePlace struct {
+type wirePlaceRequest struct {
 	Pool  string
 	Asked []wireRequest
 }
 
+// wireDecision encodes policy.Decision.
 type wireDecision struct {
 	Run        string
 	Verdict    int
@@ -217,6 +224,7 @@
 	return decisions
 }
 
+// wireFinish encodes policy.Finish.
 type wireFinish struct {
 	Run   string
 	Made  int
@@ -228,6 +236,7 @@
 	Finished []wireFinish
 }
 
+// wireRun encodes entry.PlacedRun.
 type wireRun struct {
 	Request wireRequest
 	Engine  string
@@ -239,13 +248,14 @@
 	Runs []wireRun
 }
 
-// wireLog carries resources and entries in JSON, the form that they are stored
-// and checked in.
-type wireLog struct {
+// wireLogRequest asks for the log after a revision.
+type wireLogRequest struct {
 	After uint64
 }
 
-type wireTail struct {
+// wireLogTail encodes entry.LogTail. The snapshot and the entries are JSON, the form in which they
+// are stored and checked.
+type wireLogTail struct {
 	Snapshot []byte
 	Entries  []byte
 }
--- a/internal/reach/caller.go
+++ b/internal/reach/caller.go
@@ -11,41 +11,43 @@
 
 type connKey struct{}
 
-// WithConn keeps a caller's connection for CallerLeft. It is for an http.Server's
-// ConnContext.
+// WithConn returns a context that holds a caller's connection for CallerDisconnected. It is
+// meant for the ConnContext of an http.Server.
 func WithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// CallerLeft reports whether the caller of a request that was read whole has closed its
-// connection, as far as this machine has heard. net/http looks for that only while a handler
-// runs: of 60 requests that lay unread until their callers had left, 60 would be sent on
-// before it notices.
-func CallerLeft(ctx context.Context) bool {
+// CallerDisconnected reports whether the caller of a request has closed its connection, as far
+// as the local kernel knows. The request must have been read completely. net/http checks for a
+// disconnect only while a handler runs: a request that lies unread until its caller has left
+// would be sent on before net/http notices. The result is false if ctx holds no connection.
+func CallerDisconnected(ctx context.Context) bool {
 	c, known := ctx.Value(connKey{}).(net.Conn)
-	return known && Left(c)
+	return known && PeerClosed(c)
 }
 
-// Left reports whether the other end has closed its side of a connection, as far as this
-// machine has heard and nothing is still to be read. It reads nothing.
-func Left(c net.Conn) bool {
-	if over, secured := c.(interface{ NetConn() net.Conn }); secured {
-		return Left(over.NetConn())
+// PeerClosed reports whether the peer has closed its side of a connection or reset it, as far as
+// the local kernel knows, and no data is left to read. It is also true if this side has closed
+// the connection. It consumes no data, and it is false for a connection without a descriptor.
+func PeerClosed(c net.Conn) bool {
+	if wrapped, isWrapped := c.(interface{ NetConn() net.Conn }); isWrapped {
+		return PeerClosed(wrapped.NetConn())
 	}
-	bare, ok := c.(syscall.Conn)
+	syscallConn, ok := c.(syscall.Conn)
 	if !ok {
 		return false
 	}
-	raw, err := bare.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	left := false
-	// Control goes beside a Read that waits; Read would wait for that to end. It fails for
-	// a connection that this end has closed.
+	closed := false
+	// raw.Control works while another goroutine is blocked in a Read of the connection;
+	// raw.Read would wait for that Read to end. Control fails if this side has closed the
+	// connection.
 	err = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		left = err == nil && n == 0 || err == syscall.ECONNRESET
+		closed = err == nil && n == 0 || err == syscall.ECONNRESET
 	})
-	return left || err != nil
+	return closed || err != nil
 }
--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package service is the adapter to the plain services, by HTTP. Each call has
-// a connection of its own, so that an answer that comes late can't reach the
-// next call, and is sent at most once.
+// Package service implements the HTTP client of the plain services. Each call
+// uses a new connection, so that a late response can't reach the next call, and
+// is sent at most once.
 package service
 
 import (
@@ -25,41 +25,46 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Client calls the plain services. Use New.
+// Client calls the plain services. Create it with New.
 type Client struct {
 	transport *http.Transport
 }
 
 const (
 	dialTimeout = time.Second
-	// heldBytes is how much of an answer is held back until it is whole. A
-	// longer one is passed on as it comes.
-	heldBytes = 1 << 20
+	// maxBufferedBytes bounds the response bodies that are buffered completely
+	// before they are passed on. The rest of a longer body is streamed.
+	maxBufferedBytes = 1 << 20
 )
 
-// New returns a client.
+// New returns a Client.
 func New() *Client {
 	return &Client{transport: &http.Transport{
 		DialContext:       (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		DisableKeepAlives: true,
-		// The caller's encodings are its own affair.
+		// The caller negotiates encodings with the service itself.
 		DisableCompression: true,
 	}}
 }
 
-// onceBody is a request body that the transport can't send again: it has no
-// GetBody and isn't http.NoBody, even when it is empty.
-type onceBody struct{ io.Reader }
+// nonReplayableBody is a request body that the transport can't send again: its
+// type gives the request no GetBody, and it isn't http.NoBody even if it is empty.
+type nonReplayableBody struct{ io.Reader }
 
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
 
-// Call sends the request once.
+// Call sends the request to the upstream, at most once. Its error wraps
+//   - entry.ErrNotSent if no connection was made, so that no byte was sent;
+//   - entry.ErrCrossed if the response carries the id of another request;
+//   - entry.ErrCutShort if the response body broke off.
+//
+// After any other error the service may have run the request.
 func (c *Client) Call(ctx context.Context, u member.Upstream, r entry.ServiceRequest) (entry.ServiceAnswer, error) {
 	var connected atomic.Bool
-	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+	tracedCtx := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	req, err := http.NewRequestWithContext(traced, r.Method, "http://"+u.Address+r.Path, onceBody{bytes.NewReader(r.Body)})
+	req, err := http.NewRequestWithContext(tracedCtx, r.Method, "http://"+u.Address+r.Path, nonReplayableBody{bytes.NewReader(r.Body)})
 	if err != nil {
 		return entry.ServiceAnswer{}, trace.Wrap(entry.ErrNotSent, "%v", err)
 	}
@@ -67,40 +72,42 @@
 	req.Header = r.Header.Clone()
 	req.Header.Set("X-Request-Id", r.ID)
 	propagation.TraceContext{}.Inject(ctx, propagation.HeaderCarrier(req.Header))
-	answer, err := c.transport.RoundTrip(req)
+	response, err := c.transport.RoundTrip(req)
 	if err != nil && !connected.Load() {
 		return entry.ServiceAnswer{}, trace.Wrap(entry.ErrNotSent, "%v", err)
 	}
 	if err != nil {
 		return entry.ServiceAnswer{}, trace.Wrap(err)
 	}
-	if echoed := answer.Header.Get("X-Request-Id"); echoed != "" && echoed != r.ID {
-		_ = answer.Body.Close()
-		return entry.ServiceAnswer{}, trace.Wrap(entry.ErrCrossed)
+	if echoed := response.Header.Get("X-Request-Id"); echoed != "" && echoed != r.ID {
+		_ = response.Body.Close()
+		return entry.ServiceAnswer{}, trace.Wrap(entry.ErrMismatchedAnswer)
 	}
-	return hold(answer)
+	return bufferResponse(response)
 }
 
-// hold reads the answer up to the bound; what is whole by then is final.
-func hold(answer *http.Response) (entry.ServiceAnswer, error) {
-	held := entry.ServiceAnswer{Status: answer.StatusCode, Header: answer.Header}
-	if answer.StatusCode == http.StatusServiceUnavailable || answer.StatusCode == http.StatusTooManyRequests {
-		// One that can't be read asks for nothing.
-		held.RetryAfter, _ = backoff.Parse(answer.Header.Get("Retry-After"))
+// bufferResponse reads up to maxBufferedBytes of the response body. A shorter
+// body is complete in the answer; the rest of a longer one is left to be read
+// from the answer's Rest.
+func bufferResponse(response *http.Response) (entry.ServiceAnswer, error) {
+	buffered := entry.ServiceAnswer{Status: response.StatusCode, Header: response.Header}
+	if response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests {
+		// An unreadable Retry-After counts as none.
+		buffered.RetryAfter, _ = backoff.Parse(response.Header.Get("Retry-After"))
 	}
 	var err error
-	held.Body, err = io.ReadAll(io.LimitReader(answer.Body, heldBytes))
+	buffered.Body, err = io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes))
 	if err != nil {
-		_ = answer.Body.Close()
+		_ = response.Body.Close()
 		if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
 			return entry.ServiceAnswer{}, trace.Wrap(err)
 		}
-		return entry.ServiceAnswer{}, trace.Wrap(entry.ErrCutShort, "%v", err)
+		return entry.ServiceAnswer{}, trace.Wrap(entry.ErrTruncatedAnswer, "%v", err)
 	}
-	if len(held.Body) < heldBytes {
-		_ = answer.Body.Close()
-		return held, nil
+	if len(buffered.Body) < maxBufferedBytes {
+		_ = response.Body.Close()
+		return buffered, nil
 	}
-	held.Rest = answer.Body
-	return held, nil
+	buffered.RemainingBody = response.Body
+	return buffered, nil
 }
--- a/permit/limiter.go
+++ b/permit/limiter.go
@@ -13,44 +13,45 @@
 )
 
 const (
-	// lasts is how long after it was asked for a permit may be used: a host that was
-	// suspended meanwhile has no claim to what was given out then.
-	lasts = 250 * time.Millisecond
-	// unansweredFor is how long a host that didn't answer isn't asked: each time would
-	// cost a request the time for which an answer is waited.
-	unansweredFor = time.Second
-	// cutPart is how much more than their part of all hosts those of the upstream's zone
-	// get that hear each other: half as much again, together, as an upstream names is what
-	// it is to bear at most, and without it the loss of a third of the hosts would leave a
-	// third of the limit unused for as long as they are remembered. Hosts of other zones
-	// that hear none of that zone get their part alone: its hosts may still hear them.
-	cutPart = 1.5
+	// permitTTL is how long after its request a permit may be used. A host that was suspended
+	// in between must not use a permit that was granted long ago.
+	permitTTL = 250 * time.Millisecond
+	// unansweredRetryDelay is how long a host that didn't answer is not asked again, because each
+	// attempt delays a request by the time limit for an answer.
+	unansweredRetryDelay = time.Second
+	// partitionShareMultiplier multiplies the share of the limit that the live hosts get if the
+	// granting host is in the upstream's zone. An upstream has to bear at most one and a half times
+	// the limit that it names. Without the multiplier, the loss of a third of the hosts would leave
+	// a third of the limit unused for as long as those hosts are remembered. Hosts of another
+	// zone that hear from no host of the upstream's zone get their plain share, because the hosts
+	// of that zone may still hear from them.
+	partitionShareMultiplier = 1.5
 )
 
-// Site is what a Limiter has to know of the hosts and upstreams, and how it asks others.
+// Site tells a Limiter about the hosts and upstreams, and lets it ask other hosts.
 type Site interface {
-	// Granter is the host that gives out what an upstream takes, as far as this one knows.
+	// Granter returns the granting host of an upstream, as far as this host knows.
 	Granter(now time.Time, id member.UpstreamID) member.Entry
-	// Hosts is how many hosts are heard, and how many were known at once lately, heard or
-	// not; both with this one.
-	Hosts(now time.Time) (heard, known int)
-	// Heard is how many hosts of this one's cell are heard, and how many there are; both with this
-	// one.
-	Heard(now time.Time) (heard, known int)
-	// Zone is an upstream's; false for one that isn't known.
+	// HostCounts returns how many hosts are live, and how many were known at once lately, live or
+	// not. Both include this host.
+	HostCounts(now time.Time) (live, known int)
+	// CellHostCounts returns how many hosts of this host's cell are live, and how many there are.
+	// Both include this host.
+	CellHostCounts(now time.Time) (live, known int)
+	// Zone returns the zone of an upstream; false if the upstream is not known.
 	Zone(id member.UpstreamID) (member.Zone, bool)
-	// AskPeer asks another host. It waits for an answer for a bounded time.
-	AskPeer(ctx context.Context, to member.Entry, a Ask) (Reply, error)
-	// ReceiveWord takes in another host's word of an upstream's limit.
-	ReceiveWord(now time.Time, from member.HostID, m ratelimit.Mark)
+	// AskPeer sends a request to another host. It waits for the answer for a bounded time.
+	AskPeer(ctx context.Context, to member.Entry, request GrantRequest) (GrantReply, error)
+	// ReceiveLimitMark applies another host's report of an upstream's limit.
+	ReceiveLimitMark(now time.Time, from member.HostID, m ratelimit.PeerReport)
 }
 
-// Request is something that is to be sent to a bounded upstream.
+// Request describes something that is to be sent to a rate-limited upstream.
 type Request struct {
 	Upstream member.UpstreamID
-	// Rate is what the upstream is given at most by all hosts together.
+	// Rate is the most that the upstream may get from all hosts together.
 	Rate ratelimit.Rate
-	// Rank, Repeat and Must are those of a ratelimit.Ask.
+	// Rank, Repeat and Must are passed on in the GrantRequest.
 	Rank         int
 	Repeat, Must bool
 }
@@ -58,179 +59,183 @@
 // Verdict answers a Request.
 type Verdict struct {
 	Outcome Outcome
-	// Wait is how long it is until leave may be asked for again; zero where there is leave.
+	// Wait is how long it is until a permit may be requested again; zero if the request may be
+	// sent.
 	Wait time.Duration
-	// Late says that leave came too late to be used.
+	// Late says that the answer came too late for its permit to be used.
 	Late bool
 }
 
 // OK reports whether the request may be sent now.
 func (v Verdict) OK() bool { return v.Outcome == Granted || v.Outcome == OwnTurn }
 
-// Limiter gets a host leave to send to bounded upstreams, and gives out, for those for which
-// it is this host's duty, what they take. Use New. It is safe for use by several goroutines.
+// Limiter obtains permits to send to rate-limited upstreams, and grants permits for the upstreams of
+// which this host is the granting host. Create it with New. It is safe for concurrent use.
 type Limiter struct {
-	// Words are the newest words of the limits that upstreams name.
-	Words ratelimit.Words
+	// NamedLimits holds the newest limit that each upstream named.
+	NamedLimits ratelimit.Limits
 
 	self member.Entry
 	site Site
 	now  func() time.Time
-	// granter gives out what bounded upstreams take, for all hosts; turns are what this
-	// one may send without asking.
+	// granter grants permits to all hosts. turns are what this host may send without a grant.
 	granter ratelimit.Granter
-	turns   ratelimit.Turns
-	// asksAgain is when this host asks again for leave to send to each upstream, and
-	// unanswered when it asks each host again that didn't answer.
-	asksAgain  waits[member.UpstreamID]
-	unanswered waits[member.HostID]
+	turns   ratelimit.TurnSchedule
+	// nextRequest is when this host may request a permit for an upstream again. unresponsive is
+	// when it may ask a host again that didn't answer.
+	nextRequest  retryTimes[member.UpstreamID]
+	unresponsive retryTimes[member.HostID]
 }
 
-// New returns the limiter of a host. now tells the present moment.
+// New returns the limiter of the host self. now returns the current time.
 func New(self member.Entry, s Site, now func() time.Time) *Limiter {
-	return &Limiter{self: self, site: s, now: now, turns: ratelimit.Turns{Self: self.ID}}
+	return &Limiter{self: self, site: s, now: now, turns: ratelimit.TurnSchedule{Self: self.ID}}
 }
 
-// Take asks for leave to send a request. It is called just before it is sent.
-func (l *Limiter) Take(ctx context.Context, r Request) Verdict {
+// Acquire requests a permit. It is called just before the request is sent.
+func (l *Limiter) Acquire(ctx context.Context, r Request) Verdict {
 	now := l.now()
 	if r.Must {
-		// It goes in any case, and doesn't wait for the answer.
-		go l.ask(context.WithoutCancel(ctx), now, r)
+		// The request is sent in any case and is only counted, so it doesn't wait for the answer.
+		go l.requestPermit(context.WithoutCancel(ctx), now, r)
 		return Verdict{Outcome: Granted}
 	}
-	if wait := l.asksAgain.left(now, r.Upstream); wait > 0 {
-		return Verdict{Outcome: KeptBack, Wait: wait}
+	if wait := l.nextRequest.remaining(now, r.Upstream); wait > 0 {
+		return Verdict{Outcome: Deferred, Wait: wait}
 	}
-	grant, outcome := l.ask(ctx, now, r)
-	late := l.now().Sub(now) > lasts
+	grant, outcome := l.requestPermit(ctx, now, r)
+	late := l.now().Sub(now) > permitTTL
 	if grant.Granted && !late {
 		return Verdict{Outcome: outcome}
 	}
 	if outcome != NoTurn {
-		outcome = KeptBack
+		outcome = Deferred
 	}
 	wait := grant.Wait
-	if holds, returning := l.Words.Returning(now, r.Upstream); returning {
-		// The wait follows from a bound that will have doubled by then.
-		wait = min(wait, holds)
+	if boundHolds, returning := l.NamedLimits.RecoveryInterval(now, r.Upstream); returning {
+		// The granting host computed the wait from a bound that will have doubled after boundHolds.
+		wait = min(wait, boundHolds)
 	}
-	if !grant.Passed {
-		l.asksAgain.extend(r.Upstream, l.now().Add(wait))
+	if !grant.Outranked {
+		l.nextRequest.extend(r.Upstream, l.now().Add(wait))
 	}
 	return Verdict{Outcome: outcome, Wait: wait, Late: late}
 }
 
-// Raised takes in that an upstream takes more than before: how long this host was told to wait
-// follows from the lower limit.
-func (l *Limiter) Raised(id member.UpstreamID) { l.asksAgain.end(id) }
+// LimitRaised notes that the limit of an upstream was raised. It lets this host request a permit at
+// once, because the wait that it was given follows from the lower limit.
+func (l *Limiter) LimitRaised(id member.UpstreamID) { l.nextRequest.remove(id) }
 
-// Wait is how long it is until this host asks again for leave to send to an upstream; zero
-// when it may now.
+// Wait returns how long it is until this host may request a permit for an upstream again; zero if it
+// may now.
 func (l *Limiter) Wait(now time.Time, id member.UpstreamID) time.Duration {
-	return l.asksAgain.left(now, id)
+	return l.nextRequest.remaining(now, id)
 }
 
-// ask asks the host that grants, or takes a turn of this host's own.
-func (l *Limiter) ask(ctx context.Context, now time.Time, r Request) (ratelimit.Grant, Outcome) {
-	a := Ask{
-		Upstream: r.Upstream,
-		Ask:      ratelimit.Ask{From: l.self.ID, Rate: r.Rate, Rank: r.Rank, Repeat: r.Repeat, Must: r.Must},
+// requestPermit requests a permit from the granting host, or uses one of this host's own turns if no
+// granting host can be asked.
+func (l *Limiter) requestPermit(ctx context.Context, now time.Time, r Request) (ratelimit.Decision, Outcome) {
+	request := GrantRequest{
+		Upstream:      r.Upstream,
+		PermitRequest: ratelimit.PermitRequest{From: l.self.ID, Rate: r.Rate, Rank: r.Rank, Repeat: r.Repeat, Unconditional: r.Must},
 	}
-	a.Word, a.HasWord = l.Words.Mark(now, r.Upstream)
+	request.LimitMark, request.HasLimitMark = l.NamedLimits.PeerReport(now, r.Upstream)
 	to := l.site.Granter(now, r.Upstream)
-	// A host of another zone may not have heard yet who grants; the one that it asks knows.
+	// A host of another zone may not know the present granting host yet, but the host that it asks
+	// does.
 	for range 2 {
 		if to.ID == l.self.ID {
-			return l.give(now, a), Granted
+			return l.grant(now, request), Granted
 		}
-		reply, err := l.askPeer(ctx, now, to, a)
+		reply, err := l.requestFromPeer(ctx, now, to, request)
 		if err != nil {
 			break
 		}
 		if reply.Granter.ID == "" {
-			return reply.Grant, Granted
+			return reply.Decision, Granted
 		}
 		to = reply.Granter
 	}
-	_, known := l.site.Hosts(now)
+	_, known := l.site.HostCounts(now)
 	wait, ok := l.turns.Take(l.now(), r.Upstream, ratelimit.TurnPeriod(r.Rate, known))
 	if !ok {
-		// By then the host that grants may answer again.
-		return ratelimit.Grant{Wait: min(wait, unansweredFor)}, NoTurn
+		// The granting host may answer again after unansweredRetryDelay.
+		return ratelimit.Decision{Wait: min(wait, unansweredRetryDelay)}, NoTurn
 	}
-	return ratelimit.Grant{Granted: true}, OwnTurn
+	return ratelimit.Decision{Granted: true}, OwnTurn
 }
 
-// errNoGranter says that the host that grants can't be asked, or doesn't know the upstream.
+// errNoGranter says that the granting host is not asked because it didn't answer lately, or that it
+// doesn't know the upstream.
 var errNoGranter = errors.New("no host to ask for a permit")
 
-// askPeer asks another host, if it has answered lately.
-func (l *Limiter) askPeer(ctx context.Context, now time.Time, to member.Entry, a Ask) (Reply, error) {
-	if l.unanswered.left(now, to.ID) > 0 {
-		return Reply{}, errNoGranter
+// requestFromPeer sends a request to another host, unless that host didn't answer lately.
+func (l *Limiter) requestFromPeer(ctx context.Context, now time.Time, to member.Entry, request GrantRequest) (GrantReply, error) {
+	if l.unresponsive.remaining(now, to.ID) > 0 {
+		return GrantReply{}, errNoGranter
 	}
-	reply, err := l.site.AskPeer(ctx, to, a)
+	reply, err := l.site.AskPeer(ctx, to, request)
 	if err != nil {
 		if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			l.unanswered.extend(to.ID, l.now().Add(unansweredFor))
+			l.unresponsive.extend(to.ID, l.now().Add(unansweredRetryDelay))
 		}
-		return Reply{}, err
+		return GrantReply{}, err
 	}
-	if reply.HasWord {
-		l.site.ReceiveWord(l.now(), to.ID, reply.Word)
+	if reply.HasLimitMark {
+		l.site.ReceiveLimitMark(l.now(), to.ID, reply.LimitMark)
 	}
-	if reply.Unknown {
-		return Reply{}, errNoGranter
+	if reply.UnknownUpstream {
+		return GrantReply{}, errNoGranter
 	}
 	return reply, nil
 }
 
-// OnAsk serves a host that asks for leave to send to an upstream.
-func (l *Limiter) OnAsk(a Ask) Reply {
+// HandleGrantRequest answers another host's request for a permit. If this host is not the granting
+// host, the reply names the one that is.
+func (l *Limiter) HandleGrantRequest(request GrantRequest) GrantReply {
 	now := l.now()
-	if a.HasWord {
-		l.site.ReceiveWord(now, a.From, a.Word)
+	if request.HasLimitMark {
+		l.site.ReceiveLimitMark(now, request.From, request.LimitMark)
 	}
-	if _, known := l.site.Zone(a.Upstream); !known {
-		return Reply{Unknown: true}
+	if _, known := l.site.Zone(request.Upstream); !known {
+		return GrantReply{UnknownUpstream: true}
 	}
-	var reply Reply
-	if granter := l.site.Granter(now, a.Upstream); granter.ID != l.self.ID {
+	var reply GrantReply
+	if granter := l.site.Granter(now, request.Upstream); granter.ID != l.self.ID {
 		reply.Granter = granter
 	} else {
-		reply.Grant = l.give(now, a)
+		reply.Decision = l.grant(now, request)
 	}
-	reply.Word, reply.HasWord = l.Words.Mark(now, a.Upstream)
+	reply.LimitMark, reply.HasLimitMark = l.NamedLimits.PeerReport(now, request.Upstream)
 	return reply
 }
 
-// give answers an ask as the host that grants. It gives out the part of the hosts that it
-// hears; others may be there still, behind a cut.
-func (l *Limiter) give(now time.Time, a Ask) ratelimit.Grant {
-	if own, bounded := l.Words.Bound(now, a.Upstream); bounded {
-		a.Rate = min(a.Rate, own)
+// grant answers a request as the granting host. It grants only the share of the live hosts, because
+// the others may still send on the other side of a network partition.
+func (l *Limiter) grant(now time.Time, request GrantRequest) ratelimit.Decision {
+	if named, bounded := l.NamedLimits.EffectiveRate(now, request.Upstream); bounded {
+		request.Rate = min(request.Rate, named)
 	}
-	heard, known := l.site.Heard(now)
-	part := float64(heard) / float64(known)
-	// One that isn't known is of no zone, and gets the smaller part.
-	if zone, _ := l.site.Zone(a.Upstream); zone == l.self.Zone {
-		part *= cutPart
+	live, known := l.site.CellHostCounts(now)
+	share := float64(live) / float64(known)
+	// An unknown upstream has no zone, and gets the smaller share.
+	if zone, _ := l.site.Zone(request.Upstream); zone == l.self.Zone {
+		share *= partitionShareMultiplier
 	}
-	a.Rate *= ratelimit.Rate(min(part, 1))
-	return l.granter.Give(now, a.Upstream, a.Ask)
+	request.Rate *= ratelimit.Rate(min(share, 1))
+	return l.granter.Decide(now, request.Upstream, request.PermitRequest)
 }
 
-// Renew forgets what is known of an upstream that has started again.
-func (l *Limiter) Renew(id member.UpstreamID) {
-	l.Words.Renew(id)
-	l.granter.Renew(id)
-	l.asksAgain.end(id)
+// Reset discards what is known of an upstream that restarted.
+func (l *Limiter) Reset(id member.UpstreamID) {
+	l.NamedLimits.Reset(id)
+	l.granter.Reset(id)
+	l.nextRequest.remove(id)
 }
 
-// Forget drops what is over, and the turns at upstreams that aren't bounded any more.
-func (l *Limiter) Forget(now time.Time, isBounded func(member.UpstreamID) bool) {
-	l.asksAgain.forget(now)
-	l.unanswered.forget(now)
-	l.turns.Forget(isBounded)
+// Prune removes waits that are over, and the turns for upstreams that are no longer rate-limited.
+func (l *Limiter) Prune(now time.Time, isBounded func(member.UpstreamID) bool) {
+	l.nextRequest.removeExpired(now)
+	l.unresponsive.removeExpired(now)
+	l.turns.Prune(isBounded)
 }
--- /dev/null
+++ b/permit/retrytimes.go
@@ -0,0 +1,53 @@
+// Copyright 2026 The shedpath authors
+// SPDX-License-Identifier: Apache-2.0
+
+package permit
+
+import (
+	"sync"
+	"time"
+)
+
+// retryTimes holds, by key, the time before which something is not tried again. The zero value is
+// ready for use. It is safe for concurrent use.
+type retryTimes[K comparable] struct {
+	mu        sync.Mutex
+	notBefore map[K]time.Time
+}
+
+// remaining returns how long it is until k may be tried again; zero if it may now.
+func (r *retryTimes[K]) remaining(now time.Time, k K) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return max(r.notBefore[k].Sub(now), 0)
+}
+
+// extend sets the time before which k is not tried again, unless a later one is set.
+func (r *retryTimes[K]) extend(k K, until time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.notBefore == nil {
+		r.notBefore = map[K]time.Time{}
+	}
+	if until.After(r.notBefore[k]) {
+		r.notBefore[k] = until
+	}
+}
+
+// remove lets k be tried at once.
+func (r *retryTimes[K]) remove(k K) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.notBefore, k)
+}
+
+// removeExpired removes the times that have passed.
+func (r *retryTimes[K]) removeExpired(now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for k, until := range r.notBefore {
+		if now.After(until) {
+			delete(r.notBefore, k)
+		}
+	}
+}
--- a/quarantine/register.go
+++ b/quarantine/register.go
@@ -13,39 +13,40 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// marksAtOnce bounds what is told at once, some 100 bytes each.
-const marksAtOnce = 64
+// maxMarksPerMessage bounds the marks in one message; each takes some 100 bytes.
+const maxMarksPerMessage = 64
 
-// Register is a List that several goroutines use, with what each peer has been told of it.
-// The zero value works.
+// Register is a List that is safe for concurrent use, and records which changes have been sent to
+// each peer. The zero value is ready to use.
 type Register struct {
-	mu   sync.Mutex
-	list List
-	told map[member.HostID]peerTold
-	// forgotAt is when it was last looked for what can be forgotten.
-	forgotAt time.Time
-	// some says that the list isn't empty, which is all that most requests have to know.
-	some atomic.Bool
+	mu           sync.Mutex
+	list         List
+	peerProgress map[member.HostID]sentProgress
+	// lastPruneAt is when the last pruning began.
+	lastPruneAt time.Time
+	// nonEmpty says that the list may not be empty. Most requests need to know no more.
+	nonEmpty atomic.Bool
 }
 
-// peerTold is up to which change a process of a peer has been told everything.
-type peerTold struct{ epoch, upTo uint64 }
+// sentProgress is the number of the last change up to which a process of a peer, identified by
+// its epoch, has been sent everything.
+type sentProgress struct{ epoch, lastSentChange uint64 }
 
-// SetHeldAfter changes how many upstreams have to end under a request for it to be held.
-func (r *Register) SetHeldAfter(n int) {
+// SetHoldThreshold sets how many crashes it takes to hold a request.
+func (r *Register) SetHoldThreshold(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.list.HeldAfter = n
+	r.list.HoldThreshold = n
 }
 
-// Judge tells how a request stands. Nothing is known against most, and finding that out
-// takes no look at their bodies. The fingerprint is given once it had to be worked out, or
-// taken where it was before.
-func (r *Register) Judge(now time.Time, a Asked, known *Fingerprint) (Evidence, *Fingerprint) {
-	if !r.some.Load() {
+// Evaluate returns the evidence against a request. For most requests there is none, which is
+// found out without reading their bodies. known is the request's fingerprint if it was computed
+// before; Evaluate returns it, or the one that it had to compute, or nil.
+func (r *Register) Evaluate(now time.Time, a RequestIdentity, known *Fingerprint) (Evidence, *Fingerprint) {
+	if !r.nonEmpty.Load() {
 		return Evidence{}, known
 	}
-	if known == nil && !r.knows(a.Head()) {
+	if known == nil && !r.mayContain(a.HeadDigest()) {
 		return Evidence{}, nil
 	}
 	if known == nil {
@@ -54,56 +55,56 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.Judge(now, *known), known
+	return r.list.Evaluate(now, *known), known
 }
 
-func (r *Register) knows(h Head) bool {
+func (r *Register) mayContain(h HeadDigest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.Knows(h)
+	return r.list.MayContain(h)
 }
 
-// Crashed is List.Crashed.
-func (r *Register) Crashed(now time.Time, f Fingerprint, o Origin, u Upstream) Evidence {
+// RecordCrash calls List.RecordCrash.
+func (r *Register) RecordCrash(now time.Time, f Fingerprint, o Origin, u Upstream) Evidence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.some.Store(true)
-	return r.list.Crashed(now, f, o, u)
+	r.nonEmpty.Store(true)
+	return r.list.RecordCrash(now, f, o, u)
 }
 
-// TakeTry is List.TakeTry.
-func (r *Register) TakeTry(now time.Time, f Fingerprint) bool {
+// BeginTrial calls List.BeginTrial.
+func (r *Register) BeginTrial(now time.Time, f Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.TakeTry(now, f)
+	return r.list.BeginTrial(now, f)
 }
 
-// RanWell is List.RanWell.
-func (r *Register) RanWell(now time.Time, f Fingerprint) bool {
+// ClearCrashes calls List.ClearCrashes.
+func (r *Register) ClearCrashes(now time.Time, f Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.RanWell(now, f)
+	return r.list.ClearCrashes(now, f)
 }
 
-// Receive is List.Receive.
+// Receive calls List.Receive.
 func (r *Register) Receive(now time.Time, marks []Mark) []Fingerprint {
 	if len(marks) == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.some.Store(true)
+	r.nonEmpty.Store(true)
 	return r.list.Receive(now, marks)
 }
 
-// Entries is List.Entries.
+// Entries calls List.Entries.
 func (r *Register) Entries(now time.Time) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.list.Entries(now)
 }
 
-// Mark is all that is known of a request.
+// Mark returns the mark of a request, and whether the request is on the list.
 func (r *Register) Mark(now time.Time, f Fingerprint) (Mark, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,88 +112,88 @@
 	if known == nil {
 		return Mark{}, false
 	}
-	return known.mark(now, f), true
+	return known.toMark(now, f), true
 }
 
-// Tell returns what a peer hasn't been told yet, and the change up to which that is all.
-func (r *Register) Tell(now time.Time, to member.HostID) ([]Mark, uint64) {
-	if !r.some.Load() {
+// UnsentMarks returns marks of the changes that a peer hasn't been sent, and the number of the
+// last change that they cover.
+func (r *Register) UnsentMarks(now time.Time, peer member.HostID) ([]Mark, uint64) {
+	if !r.nonEmpty.Load() {
 		return nil, 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.list.Since(now, r.told[to].upTo, marksAtOnce)
+	return r.list.MarksSince(now, r.peerProgress[peer].lastSentChange, maxMarksPerMessage)
 }
 
-// Met takes in that a process of a peer was heard of, by an epoch of its own: one that has
-// started again knows nothing of what its last process was told.
-func (r *Register) Met(peer member.HostID, epoch uint64) {
+// PeerSeen records that a process of a peer with this epoch is running. After a restart a peer
+// lacks everything that its previous process was sent.
+func (r *Register) PeerSeen(peer member.HostID, epoch uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told, met := r.told[peer]; met && told.epoch == epoch {
+	if progress, known := r.peerProgress[peer]; known && progress.epoch == epoch {
 		return
 	}
-	if r.told == nil {
-		r.told = map[member.HostID]peerTold{}
+	if r.peerProgress == nil {
+		r.peerProgress = map[member.HostID]sentProgress{}
 	}
-	r.told[peer] = peerTold{epoch: epoch}
+	r.peerProgress[peer] = sentProgress{epoch: epoch}
 }
 
-// Told takes in that a process of a peer has been told everything up to a change.
-func (r *Register) Told(peer member.HostID, epoch, upTo uint64) {
+// MarksSent records that a process of a peer has been sent all changes up to lastChange.
+func (r *Register) MarksSent(peer member.HostID, epoch, lastChange uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if told := r.told[peer]; told.epoch == epoch && upTo > told.upTo {
-		r.told[peer] = peerTold{epoch, upTo}
+	if progress := r.peerProgress[peer]; progress.epoch == epoch && lastChange > progress.lastSentChange {
+		r.peerProgress[peer] = sentProgress{epoch, lastChange}
 	}
 }
 
-// Behind reports whether a peer hasn't been told of all that this host saw itself, which it
-// may hear from nobody else.
-func (r *Register) Behind(peer member.HostID) bool {
-	if !r.some.Load() {
+// LacksLocalChanges reports whether a peer hasn't been sent all changes that this host observed
+// itself. The peer may learn of those from no other host.
+func (r *Register) LacksLocalChanges(peer member.HostID) bool {
+	if !r.nonEmpty.Load() {
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, seen := r.list.Changes()
-	return r.told[peer].upTo < seen
+	_, lastLocal := r.list.LastChanges()
+	return r.peerProgress[peer].lastSentChange < lastLocal
 }
 
-// forgetEvery is the least time between two looks for what can be forgotten, which is all
-// kept for minutes.
-const forgetEvery = 10 * time.Second
+// pruneInterval is the least time between two prunings. All that is pruned is kept for minutes.
+const pruneInterval = 10 * time.Second
 
-// forgetDue reports whether it is time to look for that, and notes it.
-func (r *Register) forgetDue(now time.Time) bool {
+// beginPruneIfDue reports whether pruning is due, and if so records that it begins.
+func (r *Register) beginPruneIfDue(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.forgotAt) < forgetEvery {
+	if now.Sub(r.lastPruneAt) < pruneInterval {
 		return false
 	}
-	r.forgotAt = now
+	r.lastPruneAt = now
 	return true
 }
 
-// Forget drops what says nothing any more, and what was told to peers that aren't known. It
-// may be called often.
-func (r *Register) Forget(now time.Time, isKnown func(member.HostID) bool) {
-	if !r.forgetDue(now) {
+// Prune removes expired records, and the progress of unknown peers. It may be called often.
+func (r *Register) Prune(now time.Time, isKnown func(member.HostID) bool) {
+	if !r.beginPruneIfDue(now) {
 		return
 	}
-	// Whoever knows the peers may ask what they were told under a lock of its own.
-	gone := slices.DeleteFunc(r.met(), isKnown)
+	// isKnown is called without r.mu, because it may take a lock under which its owner calls
+	// methods of the register.
+	gone := slices.DeleteFunc(r.knownPeers(), isKnown)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, peer := range gone {
-		delete(r.told, peer)
+		delete(r.peerProgress, peer)
 	}
-	r.list.Forget(now)
-	r.some.Store(r.list.Len() > 0)
+	r.list.PruneExpired(now)
+	r.nonEmpty.Store(r.list.Len() > 0)
 }
 
-func (r *Register) met() []member.HostID {
+func (r *Register) knownPeers() []member.HostID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Collect(maps.Keys(r.told))
+	return slices.Collect(maps.Keys(r.peerProgress))
 }
--- a/ratelimit/granter.go
+++ b/ratelimit/granter.go
@@ -11,174 +11,184 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// Ask asks for leave to send one request to an upstream.
-type Ask struct {
-	// From is who asks.
+// PermitRequest asks for a permit to send one request to an upstream.
+type PermitRequest struct {
+	// From is the host that asks.
 	From member.HostID
-	// Rate is what the upstream is given at most, by all hosts together.
+	// Rate is the highest rate at which all hosts together may send to the upstream.
 	Rate Rate
-	// Rank orders requests by what their callers lose; a lower one goes first.
+	// Rank orders requests by how much their callers would lose. A lower rank goes first.
 	Rank int
-	// Repeat says that the request has been sent before. It never takes the place of one
-	// that hasn't.
+	// Repeat says that the request has been sent before. A repeat never takes the place of a
+	// first attempt.
 	Repeat bool
-	// Must says that the request goes in any case, and is only counted.
-	Must bool
+	// Unconditional says that the request is sent in any case. It is always granted and only
+	// counted.
+	Unconditional bool
 }
 
-// Grant answers an Ask.
-type Grant struct {
+// Decision is the answer to a PermitRequest.
+type Decision struct {
 	Granted bool
-	// Wait is when to ask again, where nothing is granted.
+	// Wait is how long the host waits before it asks again, if the request is not granted.
 	Wait time.Duration
-	// Passed says that there was room, which is left for requests that go before this one:
-	// others needn't wait.
-	Passed bool
+	// Outranked says that the request was refused although the rate had room, because that room
+	// is kept for requests that go first. Other requests needn't wait.
+	Outranked bool
 }
 
 const (
-	// asksPerSecond is how many questions a second are aimed at for one upstream, where its
-	// limit isn't higher: hosts that were refused are spread over as long, mostSpread at
-	// most: what comes free waits for the next who asks.
-	asksPerSecond = 30
-	mostSpread    = time.Second
-	// crowdFor is how long a host counts that was refused.
-	crowdFor = 2 * time.Second
-	// lesserPart is the part of an upstream's limit that requests of lower rank get
-	// together while those of a higher rank are refused: none is refused for good.
-	lesserPart = 0.25
-	// mostCredit bounds what they may have left over.
-	mostCredit = 2
-	// grantLasts is for how long a line that nobody asks is kept.
-	grantLasts = time.Minute
+	// targetRetriesPerSecond is the rate at which refused hosts should ask again for one
+	// upstream; if the limit of the upstream is higher, that is the rate. Refused hosts are
+	// spread over the time that follows from it, at most maxRetrySpread, because capacity that
+	// becomes free stays unused until the next host asks.
+	targetRetriesPerSecond = 30
+	maxRetrySpread         = time.Second
+	// refusedHostWindow is how long after its last refusal a host counts among the refused
+	// hosts, over which the next requests are spread.
+	refusedHostWindow = 2 * time.Second
+	// lowRankShare is the share of an upstream's limit that requests of lower priority get
+	// together while requests of higher priority are refused, so that no request is refused
+	// forever.
+	lowRankShare = 0.25
+	// maxLowRankCredit bounds the unused part of that share, in requests.
+	maxLowRankCredit = 2
+	// idleRetention is how long the state of an upstream is kept after the last request for it.
+	idleRetention = time.Minute
 )
 
-// Granter gives out, for all hosts, what upstreams take. One host does so for each upstream
-// while it is in touch with the others. The zero value works. It is safe for use by several
-// goroutines.
+// Granter decides for all hosts which requests may be sent to upstreams. For each upstream one
+// host does so, as long as it is in contact with the others. The zero value is ready for use. A
+// Granter is safe for concurrent use.
 type Granter struct {
-	mu    sync.Mutex
-	lines map[member.UpstreamID]*grantLine
+	mu        sync.Mutex
+	upstreams map[member.UpstreamID]*grantState
 }
 
-// grantLine is one upstream's.
-type grantLine struct {
+// grantState is the state of one upstream.
+type grantState struct {
 	window window
-	// refused is when each host was last refused a first try; lookedAt is when it was
-	// last looked which of them count no more.
-	refused  map[member.HostID]time.Time
-	lookedAt time.Time
-	// highest is the highest rank that was refused lately, and refusedAt when.
-	highest   int
-	refusedAt time.Time
-	// credit is how many requests of lower rank may go meanwhile.
-	credit float64
-	// turn spreads those that are refused.
-	turn float64
+	// lastRefusals is when each host was last refused a first attempt. refusalsPrunedAt is when
+	// expired entries were last removed.
+	lastRefusals     map[member.HostID]time.Time
+	refusalsPrunedAt time.Time
+	// highestRefusedRank is the lowest number, and so the highest priority, among the ranks
+	// refused recently. highestRefusedAt is when a request of that rank was last refused.
+	highestRefusedRank int
+	highestRefusedAt   time.Time
+	// lowRankCredit is how many requests of lower priority may be granted meanwhile.
+	lowRankCredit float64
+	// retryPhase, in [0, 1), is the place of the last refused host within the retry spread.
+	retryPhase float64
 }
 
-// Give answers an Ask.
-func (g *Granter) Give(now time.Time, id member.UpstreamID, a Ask) Grant {
-	a.Rate = max(a.Rate, LeastRate)
+// Decide decides on a request to an upstream. A rate below MinRate counts as MinRate.
+func (g *Granter) Decide(now time.Time, id member.UpstreamID, req PermitRequest) Decision {
+	req.Rate = max(req.Rate, MinRate)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := g.line(now, id)
-	l.window.advance(now, a.Rate)
-	wait := l.window.wait(a.Rate)
+	s := g.state(now, id)
+	s.window.advance(now, req.Rate)
+	wait := s.window.delay(req.Rate)
 	switch {
-	case a.Must, wait == 0 && l.mayGo(now, a):
-		l.window.give()
-		return Grant{Granted: true}
+	case req.Unconditional, wait == 0 && s.admit(now, req):
+		s.window.add()
+		return Decision{Granted: true}
 	}
-	l.refuse(now, a)
-	return Grant{Wait: l.back(now, a.Rate, wait), Passed: wait == 0}
+	s.recordRefusal(now, req)
+	return Decision{Wait: s.retryDelay(now, req.Rate, wait), Outranked: wait == 0}
 }
 
-func (g *Granter) line(now time.Time, id member.UpstreamID) *grantLine {
-	l := g.lines[id]
-	if l != nil {
-		return l
+// state returns the state of an upstream. If there is none it creates it, and removes the
+// states of idle upstreams.
+func (g *Granter) state(now time.Time, id member.UpstreamID) *grantState {
+	s := g.upstreams[id]
+	if s != nil {
+		return s
 	}
-	if g.lines == nil {
-		g.lines = map[member.UpstreamID]*grantLine{}
+	if g.upstreams == nil {
+		g.upstreams = map[member.UpstreamID]*grantState{}
 	}
-	for other, l := range g.lines {
-		if now.Sub(l.window.asked) > grantLasts {
-			delete(g.lines, other)
+	for other, l := range g.upstreams {
+		if now.Sub(l.window.activeUntil) > idleRetention {
+			delete(g.upstreams, other)
 		}
 	}
-	l = &grantLine{}
-	g.lines[id] = l
-	return l
+	s = &grantState{}
+	g.upstreams[id] = s
+	return s
 }
 
-// Renew forgets what an upstream was given that has started again.
-func (g *Granter) Renew(id member.UpstreamID) {
+// Reset drops the state of an upstream that has restarted.
+func (g *Granter) Reset(id member.UpstreamID) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.lines, id)
+	delete(g.upstreams, id)
 }
 
-// crowded reports whether first tries were refused lately.
-func (l *grantLine) crowded(now time.Time) bool {
-	return !l.refusedAt.IsZero() && now.Sub(l.refusedAt) < burstOver
+// refusedRecently reports whether a first attempt of the highest refused rank was refused
+// within burstWindow.
+func (s *grantState) refusedRecently(now time.Time) bool {
+	return !s.highestRefusedAt.IsZero() && now.Sub(s.highestRefusedAt) < burstWindow
 }
 
-// mayGo reports whether a request may go where there is room for one, and counts it for
-// the part of its rank.
-func (l *grantLine) mayGo(now time.Time, a Ask) bool {
-	if !l.crowded(now) {
+// admit reports whether a request may be sent when the rate has room for one, and updates the
+// credit of lower ranks.
+func (s *grantState) admit(now time.Time, req PermitRequest) bool {
+	if !s.refusedRecently(now) {
 		return true
 	}
 	switch {
-	case a.Repeat:
+	case req.Repeat:
 		return false
-	case a.Rank <= l.highest:
-		l.credit = min(l.credit+lesserPart/(1-lesserPart), mostCredit)
+	case req.Rank <= s.highestRefusedRank:
+		s.lowRankCredit = min(s.lowRankCredit+lowRankShare/(1-lowRankShare), maxLowRankCredit)
 		return true
-	case l.credit >= 1:
-		l.credit--
+	case s.lowRankCredit >= 1:
+		s.lowRankCredit--
 		return true
 	}
 	return false
 }
 
-// refuse counts a request that finds no room.
-func (l *grantLine) refuse(now time.Time, a Ask) {
-	if a.Repeat {
+// recordRefusal records the refusal of a first attempt. Repeats are not recorded.
+func (s *grantState) recordRefusal(now time.Time, req PermitRequest) {
+	if req.Repeat {
 		return
 	}
-	if !l.crowded(now) || a.Rank < l.highest {
-		l.highest = a.Rank
+	if !s.refusedRecently(now) || req.Rank < s.highestRefusedRank {
+		s.highestRefusedRank = req.Rank
 	}
-	if a.Rank == l.highest {
-		l.refusedAt = now
+	if req.Rank == s.highestRefusedRank {
+		s.highestRefusedAt = now
 	}
-	if l.refused == nil {
-		l.refused = map[member.HostID]time.Time{}
+	if s.lastRefusals == nil {
+		s.lastRefusals = map[member.HostID]time.Time{}
 	}
-	l.refused[a.From] = now
-	if now.Sub(l.lookedAt) < crowdFor {
+	s.lastRefusals[req.From] = now
+	if now.Sub(s.refusalsPrunedAt) < refusedHostWindow {
 		return
 	}
-	l.lookedAt = now
-	for host, at := range l.refused {
-		if now.Sub(at) >= crowdFor {
-			delete(l.refused, host)
+	s.refusalsPrunedAt = now
+	for host, at := range s.lastRefusals {
+		if now.Sub(at) >= refusedHostWindow {
+			delete(s.lastRefusals, host)
 		}
 	}
 }
 
-// goldenPart spreads a row of numbers evenly over a range, however many there are.
-var goldenPart = (math.Sqrt(5) - 1) / 2
-
-// back is when a host that is refused should ask again: when there is room, and later the
-// more hosts there are, so that they don't all ask for the same place.
-func (l *grantLine) back(now time.Time, r Rate, wait time.Duration) time.Duration {
-	_, l.turn = math.Modf(l.turn + goldenPart)
-	others := float64(max(len(l.refused)-1, 0))
-	spread := l.turn * min(others/max(float64(r), asksPerSecond), mostSpread.Seconds())
+// goldenRatioConjugate has multiples whose fractional parts are spread evenly over [0, 1),
+// however many there are.
+var goldenRatioConjugate = (math.Sqrt(5) - 1) / 2
+
+// retryDelay returns after which time a refused host asks again: when the rate has room, plus a
+// delay that grows with the number of refused hosts, so that they don't all ask for the same
+// capacity.
+func (s *grantState) retryDelay(now time.Time, r Rate, wait time.Duration) time.Duration {
+	_, s.retryPhase = math.Modf(s.retryPhase + goldenRatioConjugate)
+	others := float64(max(len(s.lastRefusals)-1, 0))
+	spread := s.retryPhase * min(others/max(float64(r), targetRetriesPerSecond), maxRetrySpread.Seconds())
 	wait = max(wait, binWidth)
-	l.window.expect(now.Add(wait))
+	s.window.noteActivity(now.Add(wait))
 	return wait + time.Duration(spread*float64(time.Second))
 }
--- a/ratelimit/turns_test.go
+++ b/ratelimit/turns_test.go
@@ -13,73 +13,74 @@
 	"github.com/shedpath/shedpath/member"
 )
 
-// turnLoad is what one bounded upstream gets from many hosts.
+// turnLoad is the load that one limited upstream gets from many hosts.
 type turnLoad struct {
-	// most is the most in any second, and mean the mean.
-	most int
-	mean float64
+	// maxPerSecond is the largest number of requests in any second, meanPerSecond the mean.
+	maxPerSecond  int
+	meanPerSecond float64
 }
 
-// playTurns has hosts with requests at some times send to one bounded upstream by their turns.
-func playTurns(upstream member.UpstreamID, hosts int, perSecond Rate, known func(host int) int, wants func(at time.Duration) bool) turnLoad {
-	const step, lasts = 10 * time.Millisecond, 20 * time.Second
-	turns := make([]Turns, hosts)
+// simulateTurns lets hosts send to one limited upstream in their turns whenever they have a
+// request, and returns the load.
+func simulateTurns(upstream member.UpstreamID, hosts int, rate Rate, knownHosts func(host int) int, hasRequest func(at time.Duration) bool) turnLoad {
+	const step, duration = 10 * time.Millisecond, 20 * time.Second
+	turns := make([]TurnSchedule, hosts)
 	for h := range turns {
 		turns[h].Self = member.HostID(fmt.Sprint("h", h))
 	}
 	start := time.Now()
 	var sent []time.Duration
-	for at := time.Duration(0); at < lasts; at += step {
+	for at := time.Duration(0); at < duration; at += step {
 		for h := range turns {
-			if !wants(at) {
+			if !hasRequest(at) {
 				continue
 			}
-			if _, ok := turns[h].Take(start.Add(at), upstream, TurnPeriod(perSecond, known(h))); ok {
+			if _, ok := turns[h].Take(start.Add(at), upstream, TurnPeriod(rate, knownHosts(h))); ok {
 				sent = append(sent, at)
 			}
 		}
 	}
-	load := turnLoad{mean: float64(len(sent)) / lasts.Seconds()}
+	load := turnLoad{meanPerSecond: float64(len(sent)) / duration.Seconds()}
 	for first, last := 0, 0; last < len(sent); last++ {
 		for sent[last]-sent[first] >= time.Second {
 			first++
 		}
-		load.most = max(load.most, last-first+1)
+		load.maxPerSecond = max(load.maxPerSecond, last-first+1)
 	}
 	return load
 }
 
-// TestTurnsShare has all hosts together send a bounded upstream no more in any second
-// than it bears, and most of that, however many they are, whenever their requests come.
-// The bound is half as much again as the upstream's rate, and 5.
+// TestTurnsShare checks that all hosts together send a limited upstream no more than it can
+// bear in any second, and use most of their share of the limit, for any number of hosts and any
+// timing of requests. The bound is 1.5 times the limit plus 5 requests.
 func TestTurnsShare(t *testing.T) {
 	always := func(time.Duration) bool { return true }
 	bursts := func(at time.Duration) bool { return at%(3*time.Second) < 600*time.Millisecond }
 	for _, hosts := range []int{1, 3, 6, 66, 195} {
-		for _, perSecond := range []Rate{4, 27, 90} {
+		for _, rate := range []Rate{4, 27, 90} {
 			for name, c := range map[string]struct {
-				wants func(time.Duration) bool
-				// known is how many of the hosts each knows.
-				known int
-				least float64
+				hasRequest func(time.Duration) bool
+				// knownHosts is how many of the hosts each host knows.
+				knownHosts int
+				minUse     float64
 			}{
 				"always":                       {always, hosts, 0.45},
 				"bursts":                       {bursts, hosts, 0},
 				"one in ten isn't known":       {always, max(hosts*9/10, 1), 0.45},
 				"bursts, one in ten not known": {bursts, max(hosts*9/10, 1), 0},
 			} {
-				t.Run(fmt.Sprintf("%d hosts, %v a second, %s", hosts, perSecond, name), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d hosts, %v a second, %s", hosts, rate, name), func(t *testing.T) {
 					is := is.New(t)
-					const plays = 4
+					const runs = 4
 					mean := 0.0
-					for play := range plays {
-						load := playTurns(member.UpstreamID(fmt.Sprint("u", play)), hosts, perSecond, func(int) int { return c.known }, c.wants)
-						if bound := int(1.5*float64(perSecond) + 5); load.most > bound {
-							t.Errorf("%d in a second, %d are allowed", load.most, bound)
+					for run := range runs {
+						load := simulateTurns(member.UpstreamID(fmt.Sprint("u", run)), hosts, rate, func(int) int { return c.knownHosts }, c.hasRequest)
+						if bound := int(1.5*float64(rate) + 5); load.maxPerSecond > bound {
+							t.Errorf("upstream got %d requests in a second, want at most %d", load.maxPerSecond, bound)
 						}
-						mean += load.mean / plays
+						mean += load.meanPerSecond / runs
 					}
-					is.True(mean >= c.least*float64(perSecond)) // what it bears is used
+					is.True(mean >= c.minUse*float64(rate)) // the share of the limit is used
 				})
 			}
 		}
--- a/ratelimit/window.go
+++ b/ratelimit/window.go
@@ -9,134 +9,143 @@
 )
 
 const (
-	// countedOver is the span in which requests are counted against a limit.
-	countedOver = 4 * time.Second
-	// burstOver is a shorter one, so that what was left over isn't sent all at once.
-	burstOver = time.Second
-	// binWidth is by how much the spans slide: an eightieth of a window may stay unused.
+	// limitWindow is the time in which requests are counted against a limit.
+	limitWindow = 4 * time.Second
+	// burstWindow is a shorter window that keeps unused capacity from being sent all at once.
+	burstWindow = time.Second
+	// binWidth is the step in which the windows slide. Up to an eightieth of limitWindow may
+	// stay unused.
 	binWidth = 50 * time.Millisecond
-	// binCount is for the longest span: two requests at just over one in four seconds.
+	// binCount suffices for the longest window: two requests at a rate just above one in four
+	// seconds.
 	binCount = 164
-	// quietFor is how long nobody asks until what was given before isn't believed to be
-	// all: the host was suspended, or another gave out requests meanwhile.
-	quietFor = time.Second
+	// idleThreshold is how long a window may go without a request before its counts are taken
+	// as incomplete: the host was suspended, or another host granted requests meanwhile.
+	idleThreshold = time.Second
 )
 
-// window counts what an upstream was given lately. The zero value is one that nobody asked.
+// window counts the requests recently granted for an upstream. The zero value has seen no
+// requests.
 type window struct {
 	bins [binCount]float64
-	// newest is the number of the newest bin since began.
-	newest int64
-	began  time.Time
-	// asked is when it was asked last, or the next who asks is expected, and rate what for.
-	asked time.Time
-	rate  Rate
+	// newestBin is the number of the newest bin, counted from startedAt.
+	newestBin int64
+	startedAt time.Time
+	// activeUntil is when the last permit request came or, if later, when the next is expected.
+	// lastRate is the rate of the last one.
+	activeUntil time.Time
+	lastRate    Rate
 }
 
-// quota is how many whole requests a rate allows, and in which span.
-func quota(r Rate) (most float64, in time.Duration) {
-	most = max(math.Ceil(float64(r)*countedOver.Seconds()), 1)
-	return most, time.Duration(most / float64(r) * float64(time.Second))
+// quota returns how many whole requests a rate allows, and in which window.
+func quota(r Rate) (maxRequests float64, span time.Duration) {
+	maxRequests = max(math.Ceil(float64(r)*limitWindow.Seconds()), 1)
+	return maxRequests, time.Duration(maxRequests / float64(r) * float64(time.Second))
 }
 
-// burst is how many requests a rate allows in burstOver.
-func burst(r Rate) float64 { return math.Ceil(float64(r)*burstOver.Seconds()) + 1 }
+// burstQuota returns how many requests a rate allows in burstWindow.
+func burstQuota(r Rate) float64 { return math.Ceil(float64(r)*burstWindow.Seconds()) + 1 }
 
-// advance slides the window to a moment, and sees to what it can't know.
+// advance slides the window to the current time. It corrects the counts if the rate was lowered
+// or the window was idle.
 func (w *window) advance(now time.Time, r Rate) {
-	if w.began.IsZero() {
-		w.began = now
+	if w.startedAt.IsZero() {
+		w.startedAt = now
 	}
-	number := int64(now.Sub(w.began) / binWidth)
-	for steps := 0; w.newest < number && steps < binCount; steps++ {
-		w.newest++
-		w.bins[w.newest%binCount] = 0
+	bin := int64(now.Sub(w.startedAt) / binWidth)
+	for steps := 0; w.newestBin < bin && steps < binCount; steps++ {
+		w.newestBin++
+		w.bins[w.newestBin%binCount] = 0
 	}
-	w.newest = max(w.newest, number)
-	quiet := w.asked.IsZero() || now.Sub(w.asked) > quietFor
-	fell := r < w.rate
-	w.expect(now)
-	w.rate = r
-	if fell {
-		w.level(r)
+	w.newestBin = max(w.newestBin, bin)
+	idle := w.activeUntil.IsZero() || now.Sub(w.activeUntil) > idleThreshold
+	lowered := r < w.lastRate
+	w.noteActivity(now)
+	w.lastRate = r
+	if lowered {
+		w.capToQuota(r)
 	}
-	if quiet {
-		w.fill(r)
+	if idle {
+		w.assumeUsed(r)
 	}
 }
 
-// expect takes in when somebody asks.
-func (w *window) expect(at time.Time) {
-	if at.After(w.asked) {
-		w.asked = at
+// noteActivity records when a host asks or is expected to ask.
+func (w *window) noteActivity(at time.Time) {
+	if at.After(w.activeUntil) {
+		w.activeUntil = at
 	}
 }
 
-// fill takes it that, up to one request, all was given out that might have been, evenly. No
-// window is empty after a silence: those of several hosts would be used up together.
-func (w *window) fill(r Rate) {
-	most, in := quota(r)
-	count := binsIn(in)
-	left := most - 1 - w.sum(count)
+// assumeUsed fills the window evenly with the requests that other hosts may have granted, up to
+// one request below the quota. After an idle time the window can't be taken as empty: several
+// hosts could each use up a whole window.
+func (w *window) assumeUsed(r Rate) {
+	maxRequests, span := quota(r)
+	count := binsSpanning(span)
+	left := maxRequests - 1 - w.sumNewest(count)
 	for n := range count {
 		if left > 0 {
-			w.bins[w.bin(n)] += left / float64(count)
+			w.bins[w.binIndex(n)] += left / float64(count)
 		}
 	}
 }
 
-// level has what was given at a higher rate count as much as was allowed at a lower one, so
-// that the upstream isn't left alone until that has slid out.
-func (w *window) level(r Rate) {
-	most, in := quota(r)
-	count := binsIn(in)
-	if w.sum(count) <= most {
+// capToQuota reduces requests granted at a higher rate to the quota of a lower one, so that the
+// upstream doesn't go without requests until they have left the window.
+func (w *window) capToQuota(r Rate) {
+	maxRequests, span := quota(r)
+	count := binsSpanning(span)
+	if w.sumNewest(count) <= maxRequests {
 		return
 	}
 	clear(w.bins[:])
 	for n := range count {
-		w.bins[w.bin(n)] = most / float64(count)
+		w.bins[w.binIndex(n)] = maxRequests / float64(count)
 	}
 }
 
-// binsIn is how many bins a span touches that ends within the newest.
-func binsIn(span time.Duration) int {
+// binsSpanning returns how many bins a time span touches that ends within the newest bin.
+func binsSpanning(span time.Duration) int {
 	return min(int((span+binWidth-1)/binWidth)+1, binCount)
 }
 
-// bin is where the nth newest bin is.
-func (w *window) bin(n int) int64 { return ((w.newest-int64(n))%binCount + binCount) % binCount }
+// binIndex returns the index of the nth newest bin.
+func (w *window) binIndex(n int) int64 {
+	return ((w.newestBin-int64(n))%binCount + binCount) % binCount
+}
 
-// sum is what was given in the newest bins.
-func (w *window) sum(count int) float64 {
+// sumNewest returns the number of requests in the newest count bins.
+func (w *window) sumNewest(count int) float64 {
 	sum := 0.0
 	for n := range count {
-		sum += w.bins[w.bin(n)]
+		sum += w.bins[w.binIndex(n)]
 	}
 	return sum
 }
 
-// wait is how long it is until another request may go; zero when it may now.
-func (w *window) wait(r Rate) time.Duration {
-	most, in := quota(r)
-	return max(w.waitFor(most, binsIn(in)), w.waitFor(burst(r), binsIn(burstOver)))
+// delay returns the time until another request may be sent, zero if one may be sent now.
+func (w *window) delay(r Rate) time.Duration {
+	maxRequests, span := quota(r)
+	return max(w.delayForQuota(maxRequests, binsSpanning(span)), w.delayForQuota(burstQuota(r), binsSpanning(burstWindow)))
 }
 
-// roundingError is left by the parts of requests that fill spreads over bins.
-const roundingError = 1e-6
-
-// waitFor is how long it is until no more than some requests but one were given in the
-// newest bins.
-func (w *window) waitFor(most float64, count int) time.Duration {
-	over := w.sum(count) - (most - 1)
-	for n := count - 1; n >= 0 && over > roundingError; n-- {
-		over -= w.bins[w.bin(n)]
-		if over <= roundingError {
+// roundingTolerance absorbs the rounding of the fractions of requests that assumeUsed and
+// capToQuota spread over bins.
+const roundingTolerance = 1e-6
+
+// delayForQuota returns the time until the newest count bins hold at most maxRequests-1
+// requests.
+func (w *window) delayForQuota(maxRequests float64, count int) time.Duration {
+	excess := w.sumNewest(count) - (maxRequests - 1)
+	for n := count - 1; n >= 0 && excess > roundingTolerance; n-- {
+		excess -= w.bins[w.binIndex(n)]
+		if excess <= roundingTolerance {
 			return time.Duration(count-n) * binWidth
 		}
 	}
 	return 0
 }
 
-// give counts a request.
-func (w *window) give() { w.bins[w.bin(0)]++ }
+// add counts a granted request.
+func (w *window) add() { w.bins[w.binIndex(0)]++ }
--- a/resource/catalog.go
+++ b/resource/catalog.go
@@ -14,30 +14,32 @@
 	"github.com/gravitational/trace"
 )
 
-// Catalog is the configuration at one revision. It is never changed: Apply
-// gives a new one. The zero value is the empty configuration before the first
+// Catalog is the configuration at one revision. It is immutable: Apply returns
+// a new one. The zero value is the empty configuration before the first log
 // entry.
 type Catalog struct {
 	revision Revision
 	byKind   map[Kind]map[Name]Resource
 
-	// The decoded forms below are kept equal to byKind by Apply.
+	// The fields below hold decoded specs and an index of them; Apply keeps
+	// them consistent with byKind.
 
 	routes   map[Name]Route
 	pools    map[Name]EnginePool
 	models   map[Name]Model
 	accounts map[Name]ClientAccount
-	// keys leads from a key hash to its account. Where two accounts claim one
-	// hash, the account first in the order of names has it.
-	keys   map[string]Name
-	drains map[Name]DrainOrder
+	// accountByKeyHash maps a key hash to its account. If two accounts list the
+	// same hash, it belongs to the account whose name sorts first.
+	accountByKeyHash map[string]Name
+	drains           map[Name]DrainOrder
 }
 
-// Revision is that of the last entry applied.
+// Revision returns the revision of the last log entry applied.
 func (c *Catalog) Revision() Revision { return c.revision }
 
-// Apply folds the next entry into the catalog. It fails with CompareFailed
-// when the entry isn't the one that follows, and leaves c as it was.
+// Apply returns the catalog that results from the next log entry; c stays as it
+// is. The error is trace.CompareFailed if the entry's revision isn't the one
+// after c's.
 func (c *Catalog) Apply(e LogEntry) (*Catalog, error) {
 	if e.Revision != c.revision+1 {
 		return nil, trace.CompareFailed("entry %d does not follow revision %d", e.Revision, c.revision)
@@ -46,69 +48,71 @@
 	if next.byKind == nil {
 		next.byKind = map[Kind]map[Name]Resource{}
 	}
-	touched := map[Kind][]Name{}
+	changed := map[Kind][]Name{}
 	for _, change := range e.Changes {
-		if touched[change.Kind] == nil {
-			next.byKind[change.Kind] = cloneNames(next.byKind[change.Kind])
+		if changed[change.Kind] == nil {
+			next.byKind[change.Kind] = cloneResources(next.byKind[change.Kind])
 		}
-		touched[change.Kind] = append(touched[change.Kind], change.Name)
-		next.put(change, e.Revision)
+		changed[change.Kind] = append(changed[change.Kind], change.Name)
+		next.applyChange(change, e.Revision)
 	}
-	next.decode(c, touched)
+	next.updateDecoded(c, changed)
 	return next, nil
 }
 
-func cloneNames(names map[Name]Resource) map[Name]Resource {
+// cloneResources returns a copy of names that is never nil.
+func cloneResources(names map[Name]Resource) map[Name]Resource {
 	if names == nil {
 		return map[Name]Resource{}
 	}
 	return maps.Clone(names)
 }
 
-func (c *Catalog) put(change Change, at Revision) {
+func (c *Catalog) applyChange(change Change, revision Revision) {
 	if change.Delete {
 		delete(c.byKind[change.Kind], change.Name)
 		return
 	}
-	c.byKind[change.Kind][change.Name] = Resource{Kind: change.Kind, Name: change.Name, Revision: at, Spec: change.Spec}
-}
-
-// decode brings the decoded forms of the touched resources up to date and takes
-// the others from before.
-func (c *Catalog) decode(before *Catalog, touched map[Kind][]Name) {
-	c.routes = decodeNames(before.routes, c.byKind[Routes], touched[Routes], (*Route).fill)
-	c.pools = decodeNames(before.pools, c.byKind[EnginePools], touched[EnginePools], (*EnginePool).fill)
-	c.models = decodeNames(before.models, c.byKind[Models], touched[Models], (*Model).fill)
-	c.accounts = decodeNames(before.accounts, c.byKind[ClientAccounts], touched[ClientAccounts], func(*ClientAccount) {})
-	c.drains = decodeNames(before.drains, c.byKind[DrainOrders], touched[DrainOrders], func(*DrainOrder) {})
-	c.keys = before.keys
-	if len(touched[ClientAccounts]) > 0 {
-		c.keys = indexKeys(c.accounts)
+	c.byKind[change.Kind][change.Name] = Resource{Kind: change.Kind, Name: change.Name, Revision: revision, Spec: change.Spec}
+}
+
+// updateDecoded decodes the changed resources again and takes the decoded specs
+// of the others from the previous catalog.
+func (c *Catalog) updateDecoded(previous *Catalog, changed map[Kind][]Name) {
+	c.routes = decodeChanged(previous.routes, c.byKind[Routes], changed[Routes], (*Route).setDefaults)
+	c.pools = decodeChanged(previous.pools, c.byKind[EnginePools], changed[EnginePools], (*EnginePool).setDefaults)
+	c.models = decodeChanged(previous.models, c.byKind[Models], changed[Models], (*Model).setDefaults)
+	c.accounts = decodeChanged(previous.accounts, c.byKind[ClientAccounts], changed[ClientAccounts], func(*ClientAccount) {})
+	c.drains = decodeChanged(previous.drains, c.byKind[DrainOrders], changed[DrainOrders], func(*DrainOrder) {})
+	c.accountByKeyHash = previous.accountByKeyHash
+	if len(changed[ClientAccounts]) > 0 {
+		c.accountByKeyHash = indexKeyHashes(c.accounts)
 	}
 }
 
-// decodeNames skips a spec that doesn't decode: Check let none of them in, and a
-// newer version's field must not take the whole configuration down.
-func decodeNames[T any](before map[Name]T, from map[Name]Resource, names []Name, fill func(*T)) map[Name]T {
+// decodeChanged returns a copy of previous in which the specs of names are decoded
+// again. A spec that can't be decoded is left out: Check admits none, and a field
+// of a newer version must not make the whole configuration unusable.
+func decodeChanged[T any](previous map[Name]T, resources map[Name]Resource, names []Name, fill func(*T)) map[Name]T {
 	if len(names) == 0 {
-		return before
+		return previous
 	}
-	into := make(map[Name]T, len(before)+len(names))
-	maps.Copy(into, before)
+	decoded := make(map[Name]T, len(previous)+len(names))
+	maps.Copy(decoded, previous)
 	for _, name := range names {
-		delete(into, name)
-		r, found := from[name]
+		delete(decoded, name)
+		r, found := resources[name]
 		var spec T
 		if !found || json.Unmarshal(r.Spec, &spec) != nil {
 			continue
 		}
 		fill(&spec)
-		into[name] = spec
+		decoded[name] = spec
 	}
-	return into
+	return decoded
 }
 
-func indexKeys(accounts map[Name]ClientAccount) map[string]Name {
+func indexKeyHashes(accounts map[Name]ClientAccount) map[string]Name {
 	keys := map[string]Name{}
 	for _, name := range slices.Sorted(maps.Keys(accounts)) {
 		for _, hash := range accounts[name].KeyHashes {
@@ -120,32 +124,32 @@
 	return keys
 }
 
-// Get returns one resource.
+// Get returns a resource and whether it exists.
 func (c *Catalog) Get(k Kind, n Name) (Resource, bool) {
 	r, ok := c.byKind[k][n]
 	return r, ok
 }
 
-// List returns the resources of a kind in the order of their names.
+// List returns the resources of a kind, sorted by name.
 func (c *Catalog) List(k Kind) []Resource {
 	listed := slices.Collect(maps.Values(c.byKind[k]))
 	slices.SortFunc(listed, func(a, b Resource) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	return listed
 }
 
-// Route returns a route with its defaults filled in.
+// Route returns a route with its defaults set.
 func (c *Catalog) Route(n Name) (Route, bool) {
 	r, ok := c.routes[n]
 	return r, ok
 }
 
-// Pool returns a pool with its defaults filled in.
+// Pool returns an engine pool with its defaults set.
 func (c *Catalog) Pool(n Name) (EnginePool, bool) {
 	p, ok := c.pools[n]
 	return p, ok
 }
 
-// Model returns a model with its defaults filled in.
+// Model returns a model with its defaults set.
 func (c *Catalog) Model(n Name) (Model, bool) {
 	m, ok := c.models[n]
 	return m, ok
@@ -157,10 +161,10 @@
 	return a, ok
 }
 
-// AccountByKey finds the account that a bearer key belongs to.
+// AccountByKey returns the account that a bearer key belongs to.
 func (c *Catalog) AccountByKey(key string) (Account, bool) {
 	sum := sha256.Sum256([]byte(key))
-	n, ok := c.keys[hex.EncodeToString(sum[:])]
+	n, ok := c.accountByKeyHash[hex.EncodeToString(sum[:])]
 	return n, ok
 }
 
@@ -174,7 +178,7 @@
 	return false
 }
 
-// DrainedZones lists the zones that are out of service, in order.
+// DrainedZones returns the zones that a drain order names, sorted.
 func (c *Catalog) DrainedZones() []string {
 	var zones []string
 	for _, order := range c.drains {
@@ -186,16 +190,16 @@
 	return slices.Compact(zones)
 }
 
-// PoolNames lists the declared pools in order.
+// PoolNames returns the names of the declared engine pools, sorted.
 func (c *Catalog) PoolNames() []Name { return slices.Sorted(maps.Keys(c.pools)) }
 
-// Snapshot is a whole catalog as it is stored and sent.
+// Snapshot is the form in which a whole catalog is stored and sent.
 type Snapshot struct {
 	Revision  Revision   `json:"revision"`
 	Resources []Resource `json:"resources"`
 }
 
-// Snapshot writes the catalog out, kind by kind and name by name.
+// Snapshot returns all resources of the catalog, ordered by Kinds and then by name.
 func (c *Catalog) Snapshot() Snapshot {
 	s := Snapshot{Revision: c.revision}
 	for _, kind := range Kinds() {
@@ -204,17 +208,17 @@
 	return s
 }
 
-// FromSnapshot rebuilds the catalog that Snapshot wrote.
+// FromSnapshot returns the catalog that s was taken of.
 func FromSnapshot(s Snapshot) *Catalog {
 	c := &Catalog{revision: s.Revision, byKind: map[Kind]map[Name]Resource{}}
-	touched := map[Kind][]Name{}
+	changed := map[Kind][]Name{}
 	for _, r := range s.Resources {
 		if c.byKind[r.Kind] == nil {
 			c.byKind[r.Kind] = map[Name]Resource{}
 		}
 		c.byKind[r.Kind][r.Name] = r
-		touched[r.Kind] = append(touched[r.Kind], r.Name)
+		changed[r.Kind] = append(changed[r.Kind], r.Name)
 	}
-	c.decode(&Catalog{}, touched)
+	c.updateDecoded(&Catalog{}, changed)
 	return c
 }
--- a/resource/resource_test.go
+++ b/resource/resource_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-const goodHash = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
+const validKeyHash = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08"
 
 func TestCheck(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -30,7 +30,7 @@
 		"empty pool":                {EnginePools, "desk", `{}`, nil},
 		"good model":                {Models, "m", `{"pool":"desk","version":"1"}`, nil},
 		"good adapter":              {Adapters, "a", `{"model":"m","version":"1"}`, nil},
-		"good account":              {ClientAccounts, "c", `{"keyHashes":["` + goodHash + `"],"priority":3}`, nil},
+		"good account":              {ClientAccounts, "c", `{"keyHashes":["` + validKeyHash + `"],"priority":3}`, nil},
 		"good drain":                {DrainOrders, "d", `{"upstream":"g1"}`, nil},
 		"good drain of a zone":      {DrainOrders, "d", `{"zone":"az1"}`, nil},
 		"unknown kind":              {"routers", "x", `{}`, []string{"kind"}},
@@ -54,7 +54,7 @@
 		"account without keys":           {ClientAccounts, "c", `{"keyHashes":[]}`, []string{"spec.keyHashes"}},
 		"key in place of a hash":         {ClientAccounts, "c", `{"keyHashes":["secret"]}`, []string{"spec.keyHashes[0]"}},
 		"account out of bounds": {
-			ClientAccounts, "c", `{"keyHashes":["` + goodHash + `"],"priority":101,"maxRunning":-1,"requestsPerSecond":-1}`,
+			ClientAccounts, "c", `{"keyHashes":["` + validKeyHash + `"],"priority":101,"maxRunning":-1,"requestsPerSecond":-1}`,
 			[]string{"spec.priority", "spec.maxRunning", "spec.requestsPerSecond"},
 		},
 		"drain without upstream": {DrainOrders, "d", `{}`, []string{"spec.upstream"}},
@@ -82,7 +82,8 @@
 	is.Equal(len(found), 1)
 }
 
-// drawChange draws a valid change of a few names, so that they meet.
+// drawChange draws a valid change. It uses only three names, so that changes often
+// concern the same resource.
 func drawChange(t *rapid.T) Change {
 	name := Name(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"))
 	switch rapid.IntRange(0, 4).Draw(t, "kind") {
@@ -93,15 +94,16 @@
 	case 2:
 		return Change{Kind: DrainOrders, Name: name, Spec: json.RawMessage(`{"upstream":"g1"}`)}
 	case 3:
-		return Change{Kind: ClientAccounts, Name: name, Spec: json.RawMessage(`{"keyHashes":["` + goodHash + `"]}`)}
+		return Change{Kind: ClientAccounts, Name: name, Spec: json.RawMessage(`{"keyHashes":["` + validKeyHash + `"]}`)}
 	default:
 		return Change{Kind: Routes, Name: name, Delete: true}
 	}
 }
 
-// TestFold applies drawn logs: the catalog before a step is untouched, a
-// snapshot gives the same catalog back, and nothing but the next revision is
-// taken.
+// TestFold applies random logs and checks that
+//   - Apply doesn't modify the catalog that it is called on,
+//   - Apply accepts only the next revision,
+//   - a catalog restored from a snapshot has the same resources and drain orders.
 func TestFold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := &Catalog{}
@@ -114,23 +116,23 @@
 			wrong := e
 			wrong.Revision += Revision(rapid.SampledFrom([]int{1, 5}).Draw(t, "off"))
 			if _, err := c.Apply(wrong); err == nil {
-				t.Fatalf("revision %d was applied to %d", wrong.Revision, c.Revision())
+				t.Fatalf("the entry with revision %d was applied to a catalog at revision %d", wrong.Revision, c.Revision())
 			}
 			next, err := c.Apply(e)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(c.Snapshot(), before) {
-				t.Fatal("a step changed the catalog before it")
+				t.Fatal("Apply modified the catalog that it was called on")
 			}
 			c = next
 		}
-		back := FromSnapshot(c.Snapshot())
-		if !reflect.DeepEqual(back.Snapshot(), c.Snapshot()) {
-			t.Fatal("the snapshot gives another catalog back")
+		restored := FromSnapshot(c.Snapshot())
+		if !reflect.DeepEqual(restored.Snapshot(), c.Snapshot()) {
+			t.Fatal("the catalog restored from a snapshot has a different snapshot")
 		}
-		if back.Drained("g1", "") != c.Drained("g1", "") {
-			t.Fatal("the snapshot forgets a drain order")
+		if restored.Drained("g1", "") != c.Drained("g1", "") {
+			t.Fatal("the catalog restored from a snapshot lacks a drain order")
 		}
 	})
 }
@@ -138,13 +140,13 @@
 func TestAccountByKey(t *testing.T) {
 	is := is.New(t)
 	c, err := (&Catalog{}).Apply(LogEntry{Revision: 1, Changes: []Change{
-		{Kind: ClientAccounts, Name: "b", Spec: json.RawMessage(`{"keyHashes":["` + goodHash + `"]}`)},
-		{Kind: ClientAccounts, Name: "a", Spec: json.RawMessage(`{"keyHashes":["` + goodHash + `"]}`)},
+		{Kind: ClientAccounts, Name: "b", Spec: json.RawMessage(`{"keyHashes":["` + validKeyHash + `"]}`)},
+		{Kind: ClientAccounts, Name: "a", Spec: json.RawMessage(`{"keyHashes":["` + validKeyHash + `"]}`)},
 	}})
 	is.NoErr(err)
 	account, known := c.AccountByKey("test")
 	is.True(known)
-	is.Equal(account, Name("a")) // the first of two that claim one key
+	is.Equal(account, Name("a")) // of two accounts with the same key, the name that sorts first
 	_, known = c.AccountByKey("")
 	is.True(!known)
 }
@@ -158,12 +160,13 @@
 			return
 		}
 		if _, err := (&Catalog{}).Apply(LogEntry{Revision: 1, Changes: []Change{change}}); err != nil {
-			t.Fatalf("%v passes the check and can't be applied: %v", change, err)
+			t.Fatalf("%v passes Check but can't be applied: %v", change, err)
 		}
 	})
 }
 
-// BenchmarkApply is one configuration change at the size that is built towards.
+// BenchmarkApply measures one configuration change and one snapshot at the largest
+// size that the design aims for, 1500 client accounts.
 func BenchmarkApply(b *testing.B) {
 	c := &Catalog{}
 	for n := range 1500 {
@@ -178,7 +181,7 @@
 		name   string
 		change Change
 	}{
-		{"account among 1500", Change{Kind: ClientAccounts, Name: "account-7", Spec: json.RawMessage(`{"keyHashes":["` + goodHash + `"]}`)}},
+		{"account among 1500", Change{Kind: ClientAccounts, Name: "account-7", Spec: json.RawMessage(`{"keyHashes":["` + validKeyHash + `"]}`)}},
 		{"route", Change{Kind: Routes, Name: "r", Spec: json.RawMessage(`{"model":"m"}`)}},
 	} {
 		b.Run(kind.name, func(b *testing.B) {
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -13,183 +13,197 @@
 	"github.com/shedpath/shedpath/resource"
 )
 
-// Subject is what answers are compared of: a route's, and what was measured of them.
-type Subject struct {
+// Comparison identifies one comparison between versions: one measure on one route.
+type Comparison struct {
 	Route   string
 	Measure Measure
 }
 
-// Measure says what of an answer was measured.
+// Measure says which time of an answer was measured.
 type Measure int
 
 // The measures.
 const (
-	// Whole is a whole answer's time.
-	Whole Measure = iota
-	// First is the time to the first event of a stream.
-	First
-	// Pace is the mean time between the events of a stream.
-	Pace
+	// ResponseTime is the time to the end of a plain answer.
+	ResponseTime Measure = iota
+	// TimeToFirstEvent is the time to the first event of a stream.
+	TimeToFirstEvent
+	// TimeBetweenEvents is the mean time between the events of a stream.
+	TimeBetweenEvents
 )
 
 const (
-	// bucketsPerDoubling is how finely times are told apart.
+	// bucketsPerDoubling is the resolution of Tally.Times: each doubling of the time spans this
+	// many buckets.
 	bucketsPerDoubling = 4
 	bucketCount        = 80
-	leastTime          = time.Millisecond
+	// minBucketTime is where the first bucket starts. It counts shorter times, too.
+	minBucketTime = time.Millisecond
 )
 
-// Tally counts answers of one version.
+// Tally counts the answers of one version for one Comparison.
 type Tally struct {
-	Good, Failed uint32
-	// Times counts the good answers by how long they took, each bucket a fourth of a doubling.
+	Succeeded, Failed uint32
+	// Times is a histogram of the times of the successful answers. Its buckets grow
+	// exponentially, with bucketsPerDoubling buckets for each doubling of the time.
 	Times [bucketCount]uint32
 }
 
-func bucket(d time.Duration) int {
-	if d <= leastTime {
+// timeBucket returns the index in Tally.Times of the bucket for d.
+func timeBucket(d time.Duration) int {
+	if d <= minBucketTime {
 		return 0
 	}
-	at := int(bucketsPerDoubling * math.Log2(float64(d)/float64(leastTime)))
-	return min(max(at, 0), bucketCount-1)
+	index := int(bucketsPerDoubling * math.Log2(float64(d)/float64(minBucketTime)))
+	return min(max(index, 0), bucketCount-1)
 }
 
 func (t *Tally) add(o *Tally) {
-	t.Good, t.Failed = t.Good+o.Good, t.Failed+o.Failed
+	t.Succeeded, t.Failed = t.Succeeded+o.Succeeded, t.Failed+o.Failed
 	for i := range o.Times {
 		t.Times[i] += o.Times[i]
 	}
 }
 
-// since is what was counted after an earlier state of the same tally.
-func (t *Tally) since(before *Tally) Tally {
-	if before == nil || before.Good > t.Good || before.Failed > t.Failed {
+// countedSince returns what was counted after before, an earlier state of the same tally. It
+// returns all of t if before is nil or has greater counts than t, which then isn't its successor.
+func (t *Tally) countedSince(before *Tally) Tally {
+	if before == nil || before.Succeeded > t.Succeeded || before.Failed > t.Failed {
 		return *t
 	}
-	d := Tally{Good: t.Good - before.Good, Failed: t.Failed - before.Failed}
+	diff := Tally{Succeeded: t.Succeeded - before.Succeeded, Failed: t.Failed - before.Failed}
 	for i := range t.Times {
-		d.Times[i] = t.Times[i] - before.Times[i]
+		diff.Times[i] = t.Times[i] - before.Times[i]
 	}
-	return d
+	return diff
 }
 
-// median is the bucket in which half of the good answers are reached.
-func (t *Tally) median() int {
+// medianBucket returns the index of the bucket that holds the median time of the successful
+// answers.
+func (t *Tally) medianBucket() int {
 	n := uint32(0)
 	for i, count := range t.Times {
-		if n += count; 2*n >= t.Good {
+		if n += count; 2*n >= t.Succeeded {
 			return i
 		}
 	}
 	return bucketCount - 1
 }
 
-// Median is about how long half of the good answers took at most.
+// Median returns the approximate median time of the successful answers, rounded up to the end of
+// its bucket; zero if there are none.
 func (t *Tally) Median() time.Duration {
-	if t.Good == 0 {
+	if t.Succeeded == 0 {
 		return 0
 	}
-	return time.Duration(float64(leastTime) * math.Exp2(float64(t.median()+1)/bucketsPerDoubling))
+	return time.Duration(float64(minBucketTime) * math.Exp2(float64(t.medianBucket()+1)/bucketsPerDoubling))
 }
 
-// slower counts the good answers above a bucket.
-func (t *Tally) slower(than int) uint32 {
+// countSlower returns how many successful answers are in buckets above limit.
+func (t *Tally) countSlower(limit int) uint32 {
 	n := uint32(0)
-	for _, count := range t.Times[min(than+1, bucketCount):] {
+	for _, count := range t.Times[min(limit+1, bucketCount):] {
 		n += count
 	}
 	return n
 }
 
-// Evidence is what one host has seen of a rollout's versions.
+// Evidence is what one host has observed of the target version, or of all others, for one
+// Comparison.
 type Evidence struct {
-	Subject
-	// Target says that it is of the target version.
+	Comparison
+	// Target says that the tally counts answers of the target version.
 	Target bool
 	Tally
 }
 
-// Report is what a host has seen of a rollout, for the one that decides.
+// Report is what a host reports of a rollout to the host that decides on it.
 type Report struct {
 	From    member.HostID
 	Service resource.Name
-	Given   history.Point
-	// Phase is the one that the host keeps to, and Age how long ago the order was known there.
+	GivenAt history.Point
+	// Phase is the phase that the reporting host applies, and Age how long the order has been
+	// known there.
 	Phase Phase
 	Age   time.Duration
-	// Running is how many of its requests run on versions that are to be left.
-	Running int
-	// Epoch tells this process of the host from an earlier one.
+	// RunningRetired is how many of the host's requests still run on retired versions.
+	RunningRetired int
+	// Epoch distinguishes this process of the host from earlier ones, whose counts started at
+	// zero, too.
 	Epoch uint64
-	// Evidence is all that the host has seen since the order.
+	// Evidence holds the totals of everything observed since the order was given.
 	Evidence []Evidence
 }
 
-// Observations are what a host sees of the versions of services with a rollout. The zero value
-// works. It is safe for use by several goroutines.
+// Observations collects what a host observes of the versions of services with a rollout. The zero
+// value is ready for use. It is safe for concurrent use.
 type Observations struct {
 	mu       sync.Mutex
-	services map[resource.Name]*observed
+	services map[resource.Name]*serviceObservations
 }
 
-type observed struct {
-	given   history.Point
-	tallies map[side]*Tally
-	// count rises with each observation.
+// serviceObservations are the observations since the last order for one service.
+type serviceObservations struct {
+	givenAt history.Point
+	tallies map[tallyKey]*Tally
+	// count is the number of observations so far.
 	count uint64
 }
 
-type side struct {
-	Subject
+// tallyKey identifies a tally: a comparison, and whether it counts answers of the target version or
+// of others.
+type tallyKey struct {
+	Comparison
 	target bool
 }
 
-// Begin forgets what was seen before an order.
+// Begin starts collecting for the order of s, and discards what was observed before that order.
 func (o *Observations) Begin(s Status) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.services == nil {
-		o.services = map[resource.Name]*observed{}
+		o.services = map[resource.Name]*serviceObservations{}
 	}
-	if seen := o.services[s.Service]; seen == nil || seen.given != s.Given {
-		o.services[s.Service] = &observed{given: s.Given, tallies: map[side]*Tally{}}
+	if observations := o.services[s.Service]; observations == nil || observations.givenAt != s.GivenAt {
+		o.services[s.Service] = &serviceObservations{givenAt: s.GivenAt, tallies: map[tallyKey]*Tally{}}
 	}
 }
 
-// Answer takes in one answer, or the lack of one.
-func (o *Observations) Answer(service resource.Name, subject Subject, target, failed bool, took time.Duration) {
+// RecordAnswer counts one answer, or one failure to answer. It ignores services for which Begin was
+// not called.
+func (o *Observations) RecordAnswer(service resource.Name, comparison Comparison, target, failed bool, took time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen := o.services[service]
-	if seen == nil {
+	observations := o.services[service]
+	if observations == nil {
 		return
 	}
-	seen.count++
-	at := side{subject, target}
-	t := seen.tallies[at]
+	observations.count++
+	key := tallyKey{comparison, target}
+	t := observations.tallies[key]
 	if t == nil {
 		t = &Tally{}
-		seen.tallies[at] = t
+		observations.tallies[key] = t
 	}
 	if failed {
 		t.Failed++
 		return
 	}
-	t.Good++
-	t.Times[bucket(took)]++
+	t.Succeeded++
+	t.Times[timeBucket(took)]++
 }
 
-// Report returns what was seen since the order, and a count that rises with each observation.
-func (o *Observations) Report(service resource.Name) ([]Evidence, uint64) {
+// Evidence returns what was observed since the order was given, and the number of observations.
+func (o *Observations) Evidence(service resource.Name) ([]Evidence, uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	seen := o.services[service]
-	if seen == nil {
+	observations := o.services[service]
+	if observations == nil {
 		return nil, 0
 	}
-	all := make([]Evidence, 0, len(seen.tallies))
-	for at, t := range seen.tallies {
-		all = append(all, Evidence{Subject: at.Subject, Target: at.target, Tally: *t})
+	all := make([]Evidence, 0, len(observations.tallies))
+	for key, t := range observations.tallies {
+		all = append(all, Evidence{Comparison: key.Comparison, Target: key.target, Tally: *t})
 	}
-	return all, seen.count
+	return all, observations.count
 }
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -1,14 +1,15 @@
 // Copyright 2026 The shedpath authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package engine is a stand-in for a model engine, for tests, trials and the
-// policy benchmark: it batches continuously, holds its runs' tokens in limited
-// memory, caches prompt prefixes, and throws runs back when the memory is full.
+// Package engine simulates a model engine for tests, trials and the policy
+// benchmark. The simulated engine uses continuous batching, holds the tokens
+// of its runs in limited memory, caches prompt prefixes, and preempts runs when
+// the memory is full.
 //
-// Model is the engine's memory and step model with the present time as
-// argument, usable without a network; Server puts it behind the HTTP interface
-// that shedpath's engine adapter speaks. It computes no language model: its
-// tokens are made-up words that tell their run and index.
+// Model simulates memory and decoding steps and needs neither a clock nor a
+// network. Server puts a Model behind the HTTP interface that shedpath's engine
+// adapter uses. No language model is computed: each token is a generated word
+// that encodes its run and index.
 package engine
 
 import (
@@ -17,26 +18,27 @@
 	"time"
 )
 
-// RunID names a run on an engine.
+// RunID identifies a run on an engine.
 type RunID string
 
-// Settings are an engine's size and speed. Use DefaultSettings.
+// Settings describe an engine's memory, batch size and speed. Start from
+// DefaultSettings.
 type Settings struct {
-	// MemoryTokens is how many tokens of prompts and answers fit.
+	// MemoryTokens is the memory capacity in prompt and output tokens.
 	MemoryTokens int
-	// MaxBatch is how many runs decode at once.
+	// MaxBatch is the maximum number of admitted runs.
 	MaxBatch int
-	// A step takes StepBase, and StepPerRun for each run that decodes, and
-	// PrefillPerToken for each prompt token read in it.
+	// A step takes StepBase, plus StepPerRun for each run that decodes, plus
+	// PrefillPerToken for each token prefilled in the step.
 	StepBase, StepPerRun, PrefillPerToken time.Duration
-	// PrefillChunk bounds the prompt tokens read in one step.
+	// PrefillChunk is the maximum number of tokens prefilled in one step.
 	PrefillChunk int
-	// CachesPrefixes keeps the memory of ended prompts for reuse while nobody
-	// needs it.
+	// CachesPrefixes keeps the prompt prefixes of finished runs for reuse
+	// until running runs need the memory.
 	CachesPrefixes bool
 }
 
-// DefaultSettings is a mid-sized engine.
+// DefaultSettings returns the settings of a mid-sized engine.
 func DefaultSettings() Settings {
 	return Settings{
 		MemoryTokens: 60_000, MaxBatch: 128,
@@ -46,33 +48,34 @@
 	}
 }
 
-// Work is one generation as the engine is asked for it.
-type Work struct {
-	ID     RunID
-	Prompt int
-	// Length is the answer's true length, which nobody else knows.
-	Length   int
-	Priority int
-	// Prefix names the first PrefixTokens of the prompt; empty means that
-	// nothing of it can be reused.
+// Generation is one generation submitted to the engine.
+type Generation struct {
+	ID           RunID
+	PromptTokens int
+	// OutputTokens is the length of the output; clients don't know it in
+	// advance.
+	OutputTokens int
+	Priority     int
+	// Prefix identifies the first PrefixTokens tokens of the prompt. If it is
+	// empty, no part of the prompt is cached or reused.
 	Prefix       string
 	PrefixTokens int
 }
 
-// run is the state of one piece of work.
+// run is the state of one generation.
 type run struct {
-	Work
-	// arrived orders the runs of one priority.
-	arrived int
-	// made counts the tokens given out; 0 <= made <= Length.
-	made int
-	// unread counts the tokens still to be read before the run can decode.
-	unread int
-	// held is the memory that the run takes; 0 while it waits.
-	held int
+	Generation
+	// arrivalSeq orders runs of the same priority by arrival.
+	arrivalSeq int
+	// generated counts the output tokens; 0 <= generated <= OutputTokens.
+	generated int
+	// pendingPrefill counts the tokens to prefill before the run can decode.
+	pendingPrefill int
+	// heldTokens is the memory that the run occupies; 0 while it waits.
+	heldTokens int
 }
 
-// EventKind says what happened to a run.
+// EventKind is the kind of an Event.
 type EventKind int
 
 // The kinds of event.
@@ -83,15 +86,16 @@
 	Admitted
 )
 
-// Event is one thing that happened to a run in a step.
+// Event is a change to a run in a step.
 type Event struct {
 	Kind EventKind
 	Run  RunID
-	// Index is the token's, from 1; with Ended it is the count of tokens.
+	// Index is the index of the token, counted from 1. For the other kinds it
+	// is the number of tokens generated so far.
 	Index int
 }
 
-// CacheEvent tells that a prefix came into the cache or left it.
+// CacheEvent records that a prefix was added to or evicted from the cache.
 type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Prefix string `json:"prefix"`
@@ -99,58 +103,59 @@
 	Added  bool   `json:"added"`
 }
 
-type cached struct {
+type cachedPrefix struct {
 	tokens int
-	// used orders the prefixes by their last use.
-	used int
+	// lastUse orders the prefixes by their last use, for eviction.
+	lastUse int
 }
 
-// Model is the state of one engine. It isn't safe for use by several
-// goroutines. Use NewModel.
+// Model is the state of one engine. It isn't safe for concurrent use. Create it
+// with NewModel.
 type Model struct {
-	settings Settings
-	clock    int
-	// running is in the order of admission; waiting in the order in which
-	// runs will be admitted.
+	settings     Settings
+	logicalClock int
+	// running is in order of admission; waiting is in the order in which runs
+	// will be admitted.
 	running, waiting []*run
-	// batch is the running runs at the start of a step, kept for its memory.
-	batch []*run
-	// used is the sum of held over running, and never above MemoryTokens at
-	// the end of a step.
-	used        int
-	cache       map[string]*cached
-	cacheUsed   int
-	cacheEvents []CacheEvent
-	cacheSeq    uint64
-	lastStep    time.Duration
-	preemptions int
-	recomputed  int
-	events      []Event
+	// batchBuffer is a copy of running during a decode step. The buffer is
+	// reused to avoid an allocation in each step.
+	batchBuffer []*run
+	// usedTokens is the sum of heldTokens over running; it never exceeds
+	// MemoryTokens at the end of a step.
+	usedTokens       int
+	prefixCache      map[string]*cachedPrefix
+	cachedTokens     int
+	cacheEvents      []CacheEvent
+	cacheSeq         uint64
+	lastStepDuration time.Duration
+	preemptions      int
+	recomputedTokens int
+	events           []Event
 }
 
-// NewModel returns an idle engine.
+// NewModel returns a Model of an idle engine.
 func NewModel(s Settings) *Model {
-	return &Model{settings: s, cache: map[string]*cached{}}
+	return &Model{settings: s, prefixCache: map[string]*cachedPrefix{}}
 }
 
-// Submit takes work in; it starts in a later step.
-func (m *Model) Submit(w Work) {
-	m.clock++
-	m.enqueue(&run{Work: w, arrived: m.clock})
+// Submit queues a generation, which starts in a later step.
+func (m *Model) Submit(w Generation) {
+	m.logicalClock++
+	m.enqueue(&run{Generation: w, arrivalSeq: m.logicalClock})
 }
 
-// enqueue puts a run behind those of its priority that arrived before it.
+// enqueue inserts a run into waiting by descending priority, then by arrival.
 func (m *Model) enqueue(r *run) {
-	at, _ := slices.BinarySearchFunc(m.waiting, r, func(a, b *run) int {
+	position, _ := slices.BinarySearchFunc(m.waiting, r, func(a, b *run) int {
 		if a.Priority != b.Priority {
 			return cmp.Compare(b.Priority, a.Priority)
 		}
-		return cmp.Compare(a.arrived, b.arrived)
+		return cmp.Compare(a.arrivalSeq, b.arrivalSeq)
 	})
-	m.waiting = slices.Insert(m.waiting, at, r)
+	m.waiting = slices.Insert(m.waiting, position, r)
 }
 
-// Cancel drops a run wherever it is, and reports whether it was there.
+// Cancel removes a running or waiting run and reports whether it was found.
 func (m *Model) Cancel(id RunID) bool {
 	for i, r := range m.running {
 		if r.ID == id {
@@ -168,130 +173,134 @@
 	return false
 }
 
-// SetPriority changes what a run is worth when memory is full.
-func (m *Model) SetPriority(id RunID, priority int) {
+// SetPriority changes the priority of a running run, which decides the run to
+// preempt when memory is full. Waiting runs keep their priority.
+func (m *Model) SetPriority(runID RunID, priority int) {
 	for _, r := range m.running {
-		if r.ID == id {
+		if r.ID == runID {
 			r.Priority = priority
 		}
 	}
 }
 
-// Idle reports whether there is nothing to do.
+// Idle reports whether no run is running or waiting.
 func (m *Model) Idle() bool { return len(m.running) == 0 && len(m.waiting) == 0 }
 
-// Step does one step and returns its events, valid until the next step, and
-// how long the step takes. An idle engine's step takes no time.
+// Step performs one step and returns its events, which are valid until the next
+// step, and the duration of the step. The duration is zero if no run is
+// running.
 func (m *Model) Step() ([]Event, time.Duration) {
 	m.events = m.events[:0]
 	m.admit()
 	if len(m.running) == 0 {
 		return m.events, 0
 	}
-	read := m.readPrompts()
+	prefilled := m.readPrompts()
 	decoded := m.decode()
 	s := m.settings
-	m.lastStep = s.StepBase + time.Duration(decoded)*s.StepPerRun + time.Duration(read)*s.PrefillPerToken
-	return m.events, m.lastStep
+	m.lastStepDuration = s.StepBase + time.Duration(decoded)*s.StepPerRun + time.Duration(prefilled)*s.PrefillPerToken
+	return m.events, m.lastStepDuration
 }
 
 func (m *Model) emit(kind EventKind, id RunID, index int) {
 	m.events = append(m.events, Event{Kind: kind, Run: id, Index: index})
 }
 
-// admit moves waiting runs into the batch while there is memory for what they
-// have and one more token. A run that could never fit is cut to what fits.
+// admit moves waiting runs to running while there is memory for their tokens and
+// one more. A run larger than the whole memory is admitted with the memory size
+// instead of its own.
 func (m *Model) admit() {
 	for len(m.waiting) > 0 && len(m.running) < m.settings.MaxBatch {
 		r := m.waiting[0]
-		need := min(r.Prompt+r.made+1, m.settings.MemoryTokens)
-		if m.used+need > m.settings.MemoryTokens {
+		need := min(r.PromptTokens+r.generated+1, m.settings.MemoryTokens)
+		if m.usedTokens+need > m.settings.MemoryTokens {
 			return
 		}
 		m.waiting = m.waiting[1:]
-		r.held = need
-		r.unread = need - m.reuse(r)
-		m.used += need
+		r.heldTokens = need
+		r.pendingPrefill = need - m.reusePrefix(r)
+		m.usedTokens += need
 		m.evict()
 		m.running = append(m.running, r)
-		m.emit(Admitted, r.ID, r.made)
+		m.emit(Admitted, r.ID, r.generated)
 	}
 }
 
-// reuse returns how many tokens of the run's prompt needn't be read.
-func (m *Model) reuse(r *run) int {
-	c := m.cache[r.Prefix]
+// reusePrefix marks the run's cached prefix as used and returns the number of
+// prompt tokens that need no prefill.
+func (m *Model) reusePrefix(r *run) int {
+	c := m.prefixCache[r.Prefix]
 	if c == nil || r.Prefix == "" {
 		return 0
 	}
-	m.clock++
-	c.used = m.clock
-	return min(c.tokens, r.Prompt)
+	m.logicalClock++
+	c.lastUse = m.logicalClock
+	return min(c.tokens, r.PromptTokens)
 }
 
 func (m *Model) readPrompts() int {
-	left := m.settings.PrefillChunk
+	budget := m.settings.PrefillChunk
 	for _, r := range m.running {
-		n := min(left, r.unread)
-		r.unread -= n
-		left -= n
+		n := min(budget, r.pendingPrefill)
+		r.pendingPrefill -= n
+		budget -= n
 	}
-	return m.settings.PrefillChunk - left
+	return m.settings.PrefillChunk - budget
 }
 
-// decode gives each run that has been read one token, throwing runs back when
-// the memory doesn't hold it, and ends those that are done.
+// decode generates one token for each prefilled run, preempts runs when memory
+// is full, finishes complete runs, and returns the number of tokens generated.
 func (m *Model) decode() int {
 	decoded := 0
-	m.batch = append(m.batch[:0], m.running...)
-	for _, r := range m.batch {
-		if r.unread > 0 || r.held == 0 {
+	m.batchBuffer = append(m.batchBuffer[:0], m.running...)
+	for _, r := range m.batchBuffer {
+		if r.pendingPrefill > 0 || r.heldTokens == 0 {
 			continue
 		}
 		if !m.makeRoom(r) {
 			continue
 		}
 		decoded++
-		m.giveToken(r)
+		m.emitToken(r)
 	}
 	m.evict()
 	return decoded
 }
 
-// makeRoom throws runs back until r has room for one more token, and reports
-// whether r itself is still there to take it. A run that fills the memory
-// alone ends with what it has.
+// makeRoom preempts runs until there is memory for one more token, and reports
+// whether r itself is still running. A run that fills the memory alone is
+// finished with the tokens generated so far.
 func (m *Model) makeRoom(r *run) bool {
-	for m.used+1 > m.settings.MemoryTokens && r.held > 0 {
+	for m.usedTokens+1 > m.settings.MemoryTokens && r.heldTokens > 0 {
 		if len(m.running) == 1 {
-			m.end(r)
+			m.finish(r)
 			return false
 		}
-		m.throwBack()
+		m.preemptLowest()
 	}
-	return r.held > 0
+	return r.heldTokens > 0
 }
 
-func (m *Model) giveToken(r *run) {
-	r.made++
-	r.held++
-	m.used++
-	m.emit(Token, r.ID, r.made)
-	if r.made >= r.Length {
-		m.end(r)
+func (m *Model) emitToken(r *run) {
+	r.generated++
+	r.heldTokens++
+	m.usedTokens++
+	m.emit(Token, r.ID, r.generated)
+	if r.generated >= r.OutputTokens {
+		m.finish(r)
 	}
 }
 
-func (m *Model) end(r *run) {
-	m.emit(Ended, r.ID, r.made)
+func (m *Model) finish(r *run) {
+	m.emit(Ended, r.ID, r.generated)
 	m.running = slices.DeleteFunc(m.running, func(other *run) bool { return other == r })
 	m.release(r)
-	m.keepPrefix(r)
+	m.cachePrefix(r)
 }
 
-// throwBack preempts the run of the lowest priority, among equals the one
-// admitted last; what it held must be read again.
-func (m *Model) throwBack() {
+// preemptLowest preempts the run of the lowest priority; among equals, the one
+// admitted last. Its tokens must be prefilled again.
+func (m *Model) preemptLowest() {
 	victim := len(m.running) - 1
 	for i := victim; i >= 0; i-- {
 		if m.running[i].Priority < m.running[victim].Priority {
@@ -300,83 +309,84 @@
 	}
 	r := m.running[victim]
 	m.running = slices.Delete(m.running, victim, victim+1)
-	m.recomputed += r.Prompt + r.made
+	m.recomputedTokens += r.PromptTokens + r.generated
 	m.preemptions++
 	m.release(r)
 	m.enqueue(r)
-	m.emit(Preempted, r.ID, r.made)
+	m.emit(Preempted, r.ID, r.generated)
 }
 
 func (m *Model) release(r *run) {
-	m.used -= r.held
-	r.held = 0
+	m.usedTokens -= r.heldTokens
+	r.heldTokens = 0
 }
 
-func (m *Model) keepPrefix(r *run) {
+func (m *Model) cachePrefix(r *run) {
 	if !m.settings.CachesPrefixes || r.Prefix == "" {
 		return
 	}
-	m.clock++
-	if c := m.cache[r.Prefix]; c != nil {
-		c.used = m.clock
+	m.logicalClock++
+	if c := m.prefixCache[r.Prefix]; c != nil {
+		c.lastUse = m.logicalClock
 		return
 	}
-	m.cache[r.Prefix] = &cached{tokens: r.PrefixTokens, used: m.clock}
-	m.cacheUsed += r.PrefixTokens
-	m.cacheEvent(r.Prefix, r.PrefixTokens, true)
+	m.prefixCache[r.Prefix] = &cachedPrefix{tokens: r.PrefixTokens, lastUse: m.logicalClock}
+	m.cachedTokens += r.PrefixTokens
+	m.recordCacheEvent(r.Prefix, r.PrefixTokens, true)
 }
 
-// evict drops the prefixes used longest ago until runs and cache fit together.
+// evict removes the least recently used prefixes until running runs and cache
+// fit in memory.
 func (m *Model) evict() {
-	for m.used+m.cacheUsed > m.settings.MemoryTokens && len(m.cache) > 0 {
+	for m.usedTokens+m.cachedTokens > m.settings.MemoryTokens && len(m.prefixCache) > 0 {
 		oldest := ""
-		for prefix, c := range m.cache {
-			if oldest == "" || c.used < m.cache[oldest].used {
+		for prefix, c := range m.prefixCache {
+			if oldest == "" || c.lastUse < m.prefixCache[oldest].lastUse {
 				oldest = prefix
 			}
 		}
-		m.cacheUsed -= m.cache[oldest].tokens
-		m.cacheEvent(oldest, m.cache[oldest].tokens, false)
-		delete(m.cache, oldest)
+		m.cachedTokens -= m.prefixCache[oldest].tokens
+		m.recordCacheEvent(oldest, m.prefixCache[oldest].tokens, false)
+		delete(m.prefixCache, oldest)
 	}
 }
 
-// keptCacheEvents bounds the events that a reader may come late for.
-const keptCacheEvents = 256
+// maxCacheEvents is the number of most recent cache events kept for readers.
+const maxCacheEvents = 256
 
-func (m *Model) cacheEvent(prefix string, tokens int, added bool) {
+func (m *Model) recordCacheEvent(prefix string, tokens int, added bool) {
 	m.cacheSeq++
 	m.cacheEvents = append(m.cacheEvents, CacheEvent{Seq: m.cacheSeq, Prefix: prefix, Tokens: tokens, Added: added})
-	if n := len(m.cacheEvents); n > keptCacheEvents {
-		m.cacheEvents = slices.Delete(m.cacheEvents, 0, n-keptCacheEvents)
+	if n := len(m.cacheEvents); n > maxCacheEvents {
+		m.cacheEvents = slices.Delete(m.cacheEvents, 0, n-maxCacheEvents)
 	}
 }
 
-// CacheEvents returns the kept events after seq. A gap in the numbers says
-// that some were lost.
-func (m *Model) CacheEvents(after uint64) []CacheEvent {
-	at, _ := slices.BinarySearchFunc(m.cacheEvents, after+1, func(e CacheEvent, seq uint64) int {
+// CacheEvents returns the retained events with a Seq greater than afterSeq. A gap
+// in the sequence numbers means that events were discarded.
+func (m *Model) CacheEvents(afterSeq uint64) []CacheEvent {
+	first, _ := slices.BinarySearchFunc(m.cacheEvents, afterSeq+1, func(e CacheEvent, seq uint64) int {
 		return cmp.Compare(e.Seq, seq)
 	})
-	return slices.Clone(m.cacheEvents[at:])
+	return slices.Clone(m.cacheEvents[first:])
 }
 
-// Load is what an engine reports of itself.
+// Load is the load that an engine reports.
 type Load struct {
-	MemoryTokens int           `json:"memory_tokens"`
-	UsedTokens   int           `json:"used_tokens"`
-	Running      int           `json:"running"`
-	Waiting      int           `json:"waiting"`
-	Step         time.Duration `json:"step_ns"`
-	Preemptions  int           `json:"preemptions"`
-	Recomputed   int           `json:"recomputed_tokens"`
+	MemoryTokens     int           `json:"memory_tokens"`
+	UsedTokens       int           `json:"used_tokens"`
+	Running          int           `json:"running"`
+	Waiting          int           `json:"waiting"`
+	StepDuration     time.Duration `json:"step_ns"`
+	Preemptions      int           `json:"preemptions"`
+	RecomputedTokens int           `json:"recomputed_tokens"`
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (m *Model) Load() Load {
 	return Load{
-		MemoryTokens: m.settings.MemoryTokens, UsedTokens: m.used,
-		Running: len(m.running), Waiting: len(m.waiting), Step: m.lastStep,
-		Preemptions: m.preemptions, Recomputed: m.recomputed,
+		MemoryTokens: m.settings.MemoryTokens, UsedTokens: m.usedTokens,
+		Running: len(m.running), Waiting: len(m.waiting), StepDuration: m.lastStepDuration,
+		Preemptions: m.preemptions, RecomputedTokens: m.recomputedTokens,
 	}
 }
