--- /dev/null
+++ b/internal/telemetry/golden_test.go
@@ -0,0 +1,133 @@
+// Copyright 2026 The shedpath authors
+// SPDX-License-Identifier: Apache-2.0
+
+package telemetry
+
+import (
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"github.com/shedpath/shedpath/backoff"
+	"github.com/shedpath/shedpath/eligibility"
+	"github.com/shedpath/shedpath/entry"
+	"github.com/shedpath/shedpath/forward"
+	"github.com/shedpath/shedpath/history"
+	"github.com/shedpath/shedpath/internal/golden"
+	"github.com/shedpath/shedpath/permit"
+	"github.com/shedpath/shedpath/policy"
+	"github.com/shedpath/shedpath/quarantine"
+	"github.com/shedpath/shedpath/ratelimit"
+)
+
+// metricsOf lists a registry's own metrics: name, type, labels, bounds of the buckets, and the value,
+// by which two of the same labels differ. None may be missing.
+func metricsOf(t *testing.T, all *prometheus.Registry) string {
+	families, err := all.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	descriptions := make(chan *prometheus.Desc, 1000)
+	all.Describe(descriptions)
+	close(descriptions)
+	var lines []string
+	described := map[string]bool{}
+	for d := range descriptions {
+		_, name, _ := strings.Cut(d.String(), `fqName: "`)
+		name, _, _ = strings.Cut(name, `"`)
+		described[name] = true
+	}
+	for _, family := range families {
+		delete(described, family.GetName())
+		if !strings.HasPrefix(family.GetName(), "shedpath_") {
+			continue
+		}
+		for _, m := range family.GetMetric() {
+			var labels []string
+			for _, l := range m.GetLabel() {
+				labels = append(labels, l.GetName()+"="+l.GetValue())
+			}
+			var bounds []float64
+			for _, bucket := range m.GetHistogram().GetBucket() {
+				bounds = append(bounds, bucket.GetUpperBound())
+			}
+			lines = append(lines, strings.TrimSpace(fmt.Sprintln(family.GetName(), family.GetType(), labels, bounds,
+				m.GetCounter().GetValue()+m.GetGauge().GetValue()+m.GetHistogram().GetSampleSum())))
+		}
+	}
+	if len(described) > 0 {
+		t.Errorf("these metrics weren't touched: %v", described)
+	}
+	slices.Sort(lines)
+	return strings.Join(slices.Compact(lines), "\n")
+}
+
+// TestGoldenMetrics pins the names, types and labels of all metrics. Those of the runtime and of the
+// process aren't this module's.
+func TestGoldenMetrics(t *testing.T) {
+	b := golden.Open(t, "metrics")
+	m := NewMetrics()
+	m.FirstToken("pool-1", time.Second)
+	m.BetweenTokens("pool-1", 2*time.Second)
+	m.Waited("pool-1", 3*time.Second)
+	for _, run := range []entry.RunState{entry.NotRun, entry.Unknown, entry.Partial} {
+		m.Answered("kind-1", "outcome-1", run)
+	}
+	m.Placed("pool-1", "by-1")
+	m.Refused("pool-1", "reason-1")
+	m.EngineLoad("pool-1", entry.EngineLoad{Preemptions: 4, Report: policy.Report{Engine: "engine-1", Used: 5, Running: 6, Memory: 7, Waiting: 8}})
+	m.Retried("why-2")
+	m.Resumed("why-3")
+	m.Spoilt("what-1")
+	m.PlatformCall("call-1", "outcome-1")
+	b.Text("entry", metricsOf(t, m.all))
+
+	f := NewForward(io.Discard)
+	defer f.Close()
+	for _, k := range []forward.Kind{forward.KindSafe, forward.KindUnsafe, forward.KindStream} {
+		f.Answered(k, "outcome-1", time.Second)
+	}
+	f.Repeated("why-1")
+	f.Moved("outcome-2", 2*time.Second)
+	f.FirstEvent(3 * time.Second)
+	f.Gap(4 * time.Second)
+	f.Suspended(5 * time.Second)
+	f.Unread(6)
+	f.StoreCall("call-1", "outcome-3")
+	f.Broken(true)
+	f.Broken(false)
+	for _, o := range []permit.Outcome{permit.Granted, permit.KeptBack, permit.OwnTurn, permit.NoTurn} {
+		f.Permit(o)
+	}
+	for _, k := range []forward.SignalKind{forward.SignalLeaving, forward.SignalBackoff, forward.SignalLimit, forward.SignalUnusable} {
+		f.Signal(k)
+	}
+	for _, r := range []eligibility.Reason{
+		eligibility.Unknown, eligibility.Leaving, eligibility.Unusable, eligibility.ZoneOut, eligibility.Region,
+		eligibility.Version, eligibility.Quarantined, eligibility.Backoff, eligibility.Limited,
+	} {
+		f.Send(eligibility.Verdict{Reason: r})
+		f.Send(eligibility.Verdict{Despite: r})
+	}
+	f.WatchSignals(func() map[forward.LeavingSource]int {
+		return map[forward.LeavingSource]int{
+			forward.SourceList: 11, forward.SourceUpstream: 12, forward.SourceHost: 13, forward.SourcePeer: 14, forward.SourceRollout: 15,
+		}
+	}, func() []backoff.Entry { return []backoff.Entry{{Left: 1}, {Left: 2}, {}} })
+	f.WatchPeers(func() int { return 16 })
+	f.WatchEra(func() history.Era { return 17 }, func() int { return 18 })
+	f.WatchLearnt(func() []forward.Learnt {
+		return []forward.Learnt{{Service: "service-1", ReadRate: 19, ReadSamples: 20, Step: 21 * time.Second, StepSamples: 22, Age: 23 * time.Second}}
+	})
+	f.WatchLimits(func() []ratelimit.Entry { return []ratelimit.Entry{{Upstream: "upstream-1", Named: 24, Bound: 25}} })
+	f.WatchQuarantine(func() []quarantine.Entry {
+		suspect, held := quarantine.Evidence{Standing: quarantine.Suspect}, quarantine.Evidence{Standing: quarantine.Held}
+		return []quarantine.Entry{{Evidence: suspect}, {Evidence: held}, {Evidence: held}}
+	})
+	b.Text("forwarder", metricsOf(t, f.all))
+}
