--- a/entry/runrelay.go
+++ b/entry/runrelay.go
@@ -146,7 +146,7 @@
 }
 
 // resumeStream resumes the run behind the last delivered token. It retries with backoff until the
-// engine no longer has the run, the caller has left, or maxResumes resumes in a row have brought no
+// engine no longer has the run, the caller has left, or maxFruitlessResumes resumes in a row have brought no
 // token.
 func (r *relay) resumeStream(ctx context.Context) (Stream, *Failure) {
 	for {
--- a/forward/fleet.go
+++ b/forward/fleet.go
@@ -63,7 +63,7 @@
 	revision history.Point
 	// restore holds what is known of writes to the origin in the present era. eraFirstSeen is
 	// when the era was first seen, by this host or by the host that reported it. restoreStats
-	// counts the effects of the last restore until takeRestored collects them.
+	// counts the effects of the last restore until takeRestoreStats collects them.
 	restore      history.EraTracker
 	eraFirstSeen time.Time
 	restoreStats *restoreStats
--- a/forward/limitingfleet_test.go
+++ b/forward/limitingfleet_test.go
@@ -107,7 +107,7 @@
 // exceeded reports whether more requests came than are allowed.
 func (w worstWindow) exceeded() bool { return w.received > w.allowed }
 
-// findWorstWindow counts an upstream's requests in each window that ends at least contactBound
+// findWorstWindow counts an upstream's requests in each window that ends at least maxPropagationDelay
 // after the start of a limit period, and returns the window that is furthest over what is
 // allowed at its highest limit. Requests for which counts is false are ignored.
 func (f *limitingFleet) findWorstWindow(id member.UpstreamID, allowed func(ratelimit.Rate) float64, counts func(request) bool) worstWindow {
--- a/forward/peerselection.go
+++ b/forward/peerselection.go
@@ -168,7 +168,7 @@
 // responsibleHost returns the host that ranks first, by rendezvous hashing, for a duty in a
 // cell. It is chosen from the first of these groups that isn't empty:
 //   - live hosts of the cell that aren't stopping;
-//   - hosts of the cell that were heard within farSilent but can't be reached now: they may
+//   - hosts of the cell that were heard within otherCellSilenceTimeout but can't be reached now: they may
 //     still hold the duty;
 //   - all live hosts.
 func (p *peerSet) responsibleHost(now time.Time, duty string, cellID cell.ID) Peer {
--- a/forward/rollouts.go
+++ b/forward/rollouts.go
@@ -41,7 +41,7 @@
 	// rolloutReportRepeatFactor is the number of report intervals after which a host repeats
 	// an unchanged report, because the deciding host may have restarted.
 	rolloutReportRepeatFactor = 5
-	// rolloutRecordTimeout bounds one write, and reportTimeout one report.
+	// rolloutRecordTimeout bounds one write, and rolloutReportTimeout one report.
 	rolloutRecordTimeout = time.Second
 	rolloutReportTimeout = 300 * time.Millisecond
 )
--- a/internal/service/client.go
+++ b/internal/service/client.go
@@ -55,8 +55,8 @@
 
 // Call sends the request to the upstream, at most once. Its error wraps
 //   - entry.ErrNotSent if no connection was made, so that no byte was sent;
-//   - entry.ErrCrossed if the response carries the id of another request;
-//   - entry.ErrCutShort if the response body broke off.
+//   - entry.ErrMismatchedAnswer if the response carries the id of another request;
+//   - entry.ErrTruncatedAnswer if the response body broke off.
 //
 // After any other error the service may have run the request.
 func (c *Client) Call(ctx context.Context, u member.Upstream, r entry.ServiceRequest) (entry.ServiceAnswer, error) {
